--- a/limit/handover_test.go
+++ b/limit/handover_test.go
@@ -9,19 +9,19 @@
 	"github.com/hoistjunction/hoistjunction/limit"
 )
 
-// ownedBy returns an upstream that a node owns among each of some lists of nodes.
-func ownedBy(t *testing.T, owner string, lists ...[]string) fleet.Incarnation {
+// upstreamOwnedBy returns an upstream that a node owns under each of some lists of nodes.
+func upstreamOwnedBy(t *testing.T, owner string, lists ...[]string) fleet.Incarnation {
 	for i := range 1000 {
 		id := fleet.Undated(fleet.ID(fmt.Sprint("u", i)))
 		owned := true
 		for _, names := range lists {
-			owned = owned && limit.Order(names, id)[0] == owner
+			owned = owned && limit.Candidates(names, id)[0] == owner
 		}
 		if owned {
 			return id
 		}
 	}
-	t.Fatal("got no upstream that the node owns")
+	t.Fatal("got no upstream that the node owns, want one")
 	return fleet.Incarnation{}
 }
 
@@ -33,75 +33,77 @@
 	return list
 }
 
-// Callers of limited upstreams were refused while allowance was left, for as long as nodes
-// came and went: after each change of the list of nodes every owner handed out less than half
-// for 2 s, also one that had been the owner before.
-func TestOwnerGoesOnWhenOthersComeAndGo(t *testing.T) {
+// Guards against client requests being rejected while the limit has free capacity and nodes
+// join and leave: after each membership change an owner granted less than half of the limit for
+// 2 s, even if it had been the owner before.
+func TestOwnerGrantsFullRateDuringMembershipChanges(t *testing.T) {
 	const (
-		rate        = 10.0
-		usedAtLeast = 0.9
-		lasts       = 8 * clock.Millis(1000)
-		changes     = 1000
-		asks        = 10
+		rate            = 10.0
+		minUsed         = 0.9
+		duration        = 8 * clock.Millis(1000)
+		changeInterval  = 1000
+		requestInterval = 10
 	)
 	with, without := []string{"a", "b", "c", "d"}, []string{"a", "b", "c"}
-	upstream := ownedBy(t, "a", with, without)
-	k := limit.New(limit.WithSelf("a"), limit.WithLife(1))
-	k.SetMembers(0, members(with))
+	upstream := upstreamOwnedBy(t, "a", with, without)
+	limiter := limit.New(limit.WithSelf("a"), limit.WithBootID(1))
+	limiter.SetMembers(0, members(with))
 	start := clock.Millis(20_000)
-	k.Named(start, upstream, rate)
+	limiter.Named(start, upstream, rate)
 	permits := 0
-	for now := start; now < start.Add(lasts); now = now.Add(asks) {
-		if now.Sub(start)%changes == 0 {
+	for now := start; now < start.Add(duration); now = now.Add(requestInterval) {
+		if now.Sub(start)%changeInterval == 0 {
 			list := with
-			if now.Sub(start)%(2*changes) == 0 {
+			if now.Sub(start)%(2*changeInterval) == 0 {
 				list = without
 			}
-			k.SetMembers(now, members(list))
+			limiter.SetMembers(now, members(list))
 		}
 		for _, name := range with {
-			k.Heard(now, name)
+			limiter.RecordSeen(now, name)
 		}
-		grant, _ := k.Asked(now, "b", limit.Ask{
-			Upstream: upstream, Life: 1, Number: uint64(now), Want: 1, Named: limit.Named{Rate: rate, At: start},
+		grant, _ := limiter.HandleAsk(now, "b", limit.Ask{
+			Upstream: upstream, Life: 1, Number: uint64(now), Want: 1, Named: limit.Named{Rate: rate, ReceivedAt: start},
 		})
 		permits += grant.Permits
 	}
-	if got, want := float64(permits), usedAtLeast*rate*float64(lasts)/1000; got < want {
-		t.Errorf("got %v permits of %v a second in %d ms, want %v at least", got, rate, lasts, want)
+	if got, want := float64(permits), minUsed*rate*float64(duration)/1000; got < want {
+		t.Errorf("got %v permits at %v a second in %d ms, want at least %v", got, rate, duration, want)
 	}
 }
 
-// An upstream that named a limit got nothing for 20 s, and callers were refused all the while: a
-// node that had just started, and did not hear the others yet, handed out a small part of the limit in an
-// owner's place, and told that the next permit falls due after that time. The node that was
-// told so asked nobody again meanwhile. A node asks again when one falls due by the limit itself.
-func TestWordOfAPartBindsNoLongerThanTheLimit(t *testing.T) {
-	const rate, soon = 0.5, clock.Millis(2200)
+// Guards against an upstream with a limit getting no requests for 20 s. A node that had just
+// started and had not received messages from the other nodes acted for the owner with a small
+// fraction of the limit, and reported the time until the next permit at that fraction. The
+// requesting node sent no request before that time. It must send one when a permit is due at
+// the full rate.
+func TestNextPermitIsCappedByFullRate(t *testing.T) {
+	const rate, wait = 0.5, clock.Millis(2200)
 	names := []string{"a", "b", "c"}
-	upstream := ownedBy(t, "b", names)
-	k := limit.New(limit.WithSelf("a"), limit.WithLife(1))
-	k.SetMembers(0, members(names))
-	k.Named(0, upstream, rate)
-	asks := k.Ask(10, upstream, 1)
-	k.Granted(12, "b", limit.Grant{Upstream: upstream, Life: 1, Number: asks[0].Ask.Number, Next: 60_000, Named: limit.Named{Rate: rate, At: 0}})
-	if got, want := k.State(12+soon, upstream), limit.Askable; got != want {
-		t.Errorf("got state %d after %d ms, want %d: a permit has fallen due", got, soon, want)
+	upstream := upstreamOwnedBy(t, "b", names)
+	limiter := limit.New(limit.WithSelf("a"), limit.WithBootID(1))
+	limiter.SetMembers(0, members(names))
+	limiter.Named(0, upstream, rate)
+	requests := limiter.Ask(10, upstream, 1)
+	limiter.HandleGrant(12, "b", limit.Grant{Upstream: upstream, Life: 1, Number: requests[0].Ask.Number, NextIn: 60_000, Named: limit.Named{Rate: rate, ReceivedAt: 0}})
+	if got, want := limiter.State(12+wait, upstream), limit.NeedsPermit; got != want {
+		t.Errorf("got state %d after %d ms, want %d: a permit is due", got, wait, want)
 	}
 }
 
-// The end of a limit shows in the answer to a request. Where an upstream had named none at all a
-// second, one request in 20 s was sent, and callers were refused for as long after its end.
-func TestEndOfALimitOfNothingShowsInTime(t *testing.T) {
+// Guards against client requests being rejected long after a limit of zero has ended. Only the
+// response to a request shows the end of a limit, and one request in 20 s was sent under a
+// limit of zero.
+func TestPermitIsGrantedUnderZeroLimit(t *testing.T) {
 	const atMost = clock.Millis(5000)
 	upstream := fleet.Undated("u")
-	k := limit.New(limit.WithSelf("a"), limit.WithLife(1))
-	k.Named(0, upstream, 0)
+	limiter := limit.New(limit.WithSelf("a"), limit.WithBootID(1))
+	limiter.Named(0, upstream, 0)
 	for now := clock.Millis(0); now <= atMost; now += 100 {
-		k.Ask(now, upstream, 1)
-		if k.State(now, upstream) == limit.Permitted {
+		limiter.Ask(now, upstream, 1)
+		if limiter.State(now, upstream) == limit.HasPermit {
 			return
 		}
 	}
-	t.Errorf("got no permit in %d ms, want one", atMost)
+	t.Errorf("got no permit within %d ms, want one", atMost)
 }
--- a/limit/members.go
+++ b/limit/members.go
@@ -7,55 +7,56 @@
 )
 
 const (
-	// heardFor is for how long a node counts as there after it was heard of: nodes tell what
-	// they have in use each 0.3 s.
-	heardFor clock.Millis = 1500
-	// lostAfter is after how long without a word a node is none any more. Until then those
-	// that hear less than half of the nodes take themselves to be cut off.
-	lostAfter clock.Millis = 10_000
-	// silentFor is for how long a node is not asked that has not answered; it doubles with
-	// each further time, up to longestSilent.
-	silentFor     clock.Millis = 1000
-	longestSilent clock.Millis = 8000
-	// doubtAfter is after how long without a word of its own a node is asked whether it is
-	// there by one that would take its place, and doubtEvery the pause between the questions.
-	doubtAfter clock.Millis = 1000
-	doubtEvery clock.Millis = 300
+	// reachableFor is how long a node counts as reachable after the last message from or about
+	// it. Nodes send their usage every 0.3 s.
+	reachableFor clock.Millis = 1500
+	// removedAfter is how long after the last message a node counts as gone. Until then it
+	// is part of the total of which a node must reach half, or else it counts as cut off.
+	removedAfter clock.Millis = 10_000
+	// skipFor is how long a node that has not answered gets no permit requests. The time
+	// doubles with each further unanswered request, up to maxSkip.
+	skipFor clock.Millis = 1000
+	maxSkip clock.Millis = 8000
+	// probeAfter is how long after the last direct message a node is probed by one that would
+	// act for it. probeInterval is the time between two probes.
+	probeAfter    clock.Millis = 1000
+	probeInterval clock.Millis = 300
 )
 
-// members are the nodes, and when they were heard of.
+// members holds the nodes that may grant permits, and when messages from them were received.
 type members struct {
 	self  string
 	names []string
 	nodes map[string]*member
-	// changedAt is when the names changed last, and version counts that.
+	// changedAt is when the names last changed. version counts the changes.
 	changedAt clock.Millis
 	version   int
 }
 
-// member is what is known of another node.
+// member is the local view of another node.
 type member struct {
 	dataCentre string
-	// heardAt is when it was heard of last, or became known.
-	heardAt clock.Millis
-	// silentUntil is until when it is not asked, and silences is how often in a row it has
-	// not answered.
-	silentUntil clock.Millis
-	silences    int
-	// directAt is when it was heard itself.
-	directAt clock.Millis
-	// doubtedAt is since when this node has asked it in vain, to take its place; zero for
-	// not at all.
-	doubtedAt clock.Millis
-	probedAt  clock.Millis
+	// lastSeenAt is when the last message from or about the node was received, or when it was
+	// added.
+	lastSeenAt clock.Millis
+	// skipUntil is the time before which the node gets no permit requests. unanswered is how
+	// many requests in a row it has not answered.
+	skipUntil  clock.Millis
+	unanswered int
+	// lastDirectAt is when the last message from the node itself was received.
+	lastDirectAt clock.Millis
+	// unansweredSince is when this node began to probe it without an answer; zero if it is not
+	// probed.
+	unansweredSince clock.Millis
+	lastProbeAt     clock.Millis
 }
 
 func newMembers(self string) *members {
 	return &members{self: self, names: []string{self}, nodes: make(map[string]*member)}
 }
 
-// set takes the names of the nodes that may hand out permits. This one is among them if it is
-// listed, or if nobody is.
+// set replaces the nodes that may grant permits. This node is one of them if it is listed, or
+// if the list is empty.
 func (s *members) set(now clock.Millis, list []Member) {
 	before := s.names
 	nodes := make(map[string]*member, len(list))
@@ -68,12 +69,12 @@
 			names = append(names, m.Name)
 			continue
 		}
-		known := s.nodes[m.Name]
-		if known == nil {
-			known = &member{heardAt: now, directAt: now}
+		existing := s.nodes[m.Name]
+		if existing == nil {
+			existing = &member{lastSeenAt: now, lastDirectAt: now}
 		}
-		known.dataCentre = m.DataCentre
-		nodes[m.Name] = known
+		existing.dataCentre = m.DataCentre
+		nodes[m.Name] = existing
 		names = append(names, m.Name)
 	}
 	slices.Sort(names)
@@ -84,72 +85,73 @@
 	}
 }
 
-// heard notes a sign of life.
-func (s *members) heard(now clock.Millis, name string) {
+// recordSeen records a message from a node.
+func (s *members) recordSeen(now clock.Millis, name string) {
 	if m := s.nodes[name]; m != nil {
-		m.heardAt, m.directAt, m.silentUntil, m.silences, m.doubtedAt = now, now, 0, 0, 0
+		m.lastSeenAt, m.lastDirectAt, m.skipUntil, m.unanswered, m.unansweredSince = now, now, 0, 0, 0
 	}
 }
 
-// heardAll notes a sign of life of a data centre. It is none of any node in particular.
-func (s *members) heardAll(now clock.Millis, dataCentre string) {
+// recordDataCentreSeen records a message that reports on a whole data centre. It does not
+// count as a direct message from any of the nodes there.
+func (s *members) recordDataCentreSeen(now clock.Millis, dataCentre string) {
 	for _, m := range s.nodes {
 		if m.dataCentre == dataCentre {
-			m.heardAt = now
+			m.lastSeenAt = now
 		}
 	}
 }
 
-// silent notes that a node has not answered.
-func (s *members) silent(now clock.Millis, name string) {
+// recordUnanswered records that a node has not answered a permit request.
+func (s *members) recordUnanswered(now clock.Millis, name string) {
 	if m := s.nodes[name]; m != nil {
-		m.silentUntil = now.Add(min(silentFor<<min(m.silences, 8), longestSilent))
-		m.silences++
+		m.skipUntil = now.Add(min(skipFor<<min(m.unanswered, 8), maxSkip))
+		m.unanswered++
 	}
 }
 
-// isSilent tells whether a node is not asked now.
-func (s *members) isSilent(now clock.Millis, name string) bool {
+// isSkipped reports whether a node gets no permit requests at present.
+func (s *members) isSkipped(now clock.Millis, name string) bool {
 	m := s.nodes[name]
-	return m != nil && now < m.silentUntil
+	return m != nil && now < m.skipUntil
 }
 
-// cutOff tells whether this node hears less than half of the nodes that have been there
-// lately. Of two halves, the one with the first name is not cut off.
-func (s *members) cutOff(now clock.Millis) bool {
-	all, heard := 1, 1
-	first, firstHeard := s.self, true
+// inMinority reports whether this node can reach less than half of the nodes that were seen
+// recently. Of two equal halves, the one with the first name is not the minority.
+func (s *members) inMinority(now clock.Millis) bool {
+	all, reachable := 1, 1
+	first, firstReachable := s.self, true
 	for name, m := range s.nodes {
-		if now > m.heardAt.Add(lostAfter) {
+		if now > m.lastSeenAt.Add(removedAfter) {
 			continue
 		}
-		hears := now <= m.heardAt.Add(heardFor)
+		isReachable := now <= m.lastSeenAt.Add(reachableFor)
 		all++
-		if hears {
-			heard++
+		if isReachable {
+			reachable++
 		}
 		if name < first {
-			first, firstHeard = name, hears
+			first, firstReachable = name, isReachable
 		}
 	}
-	return 2*heard < all || 2*heard == all && !firstHeard
+	return 2*reachable < all || 2*reachable == all && !firstReachable
 }
 
-// doubt has a node asked whether it is there, if it has not been heard for a while. It
-// returns for how long it has been asked in vain, and whether it is to be asked now.
-func (s *members) doubt(now clock.Millis, name string) (lasted clock.Millis, ask bool) {
+// probe decides whether to probe a node that has sent no message for probeAfter. It returns how
+// long the probes have been unanswered, and whether to send one now.
+func (s *members) probe(now clock.Millis, name string) (elapsed clock.Millis, due bool) {
 	m := s.nodes[name]
 	if m == nil {
 		return 0, false
 	}
-	if now <= m.directAt.Add(doubtAfter) {
+	if now <= m.lastDirectAt.Add(probeAfter) {
 		return 0, false
 	}
-	if m.doubtedAt == 0 {
-		m.doubtedAt = now
+	if m.unansweredSince == 0 {
+		m.unansweredSince = now
 	}
-	if now >= m.probedAt.Add(doubtEvery) {
-		m.probedAt, ask = now, true
+	if now >= m.lastProbeAt.Add(probeInterval) {
+		m.lastProbeAt, due = now, true
 	}
-	return now.Sub(m.doubtedAt), ask
+	return now.Sub(m.unansweredSince), due
 }
--- a/limit/msg.go
+++ b/limit/msg.go
@@ -5,27 +5,30 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// Named is what is known of the limit that an upstream names.
+// Named is the limit that an upstream advertises in its response headers.
 type Named struct {
-	// Rate is in requests a second from all nodes together; zero once it names none.
+	// Rate is in requests a second from all nodes together; zero if the upstream advertises no
+	// limit.
 	Rate float64
-	// At is when it was heard, by the clock of whoever knows it.
-	At clock.Millis
+	// ReceivedAt is when a node received it from the upstream, in the local clock of the node
+	// that holds this value.
+	ReceivedAt clock.Millis
 }
 
-// Ask is a node's question for permits.
+// Ask requests permits for an upstream from the node that grants them.
 type Ask struct {
 	Upstream fleet.Incarnation
-	// Life is drawn by the node at its start, and Number counts its questions. A question
-	// that is asked again has the number that it had, and is answered alike.
+	// Life is a random number that the node draws at each start. Number counts its requests. A
+	// request that is resent keeps its number and gets the same grant.
 	Life   uint64
 	Number uint64
-	// Want is how many permits it has use for. None asks only whether the owner is there.
+	// Want is how many permits the node can use. With zero, the request only probes whether
+	// the recipient is running, or reports sent requests.
 	Want int
-	// Named is what the node knows of the limit. At is an age on the wire.
+	// Named is the sender's view of the limit. On the wire, ReceivedAt is sent as an age.
 	Named Named
-	// Sent are requests in the window that whoever is asked has given no permit for, by
-	// their age in steps.
+	// Sent counts the requests in the window for which the recipient granted no permit,
+	// by bucket, newest first.
 	Sent []uint32
 }
 
@@ -35,21 +38,21 @@
 	Life     uint64
 	Number   uint64
 	Permits  int
-	// Next is how long it takes until another permit may be had.
-	Next clock.Millis
-	// Queue is how many permits were wanted in the window and not given.
+	// NextIn is the time until the next permit is available.
+	NextIn clock.Millis
+	// Queue is how many permits were requested in the window and not granted.
 	Queue int
-	// Named is what the owner knows of the limit.
+	// Named is the granter's view of the limit.
 	Named Named
 }
 
-// AskCmd sends a question to a node.
+// AskCmd sends a permit request to a node.
 type AskCmd struct {
 	To  string
 	Ask Ask
 }
 
-// Member is a node.
+// Member is a node that may grant permits.
 type Member struct {
 	Name       string
 	DataCentre string
--- a/limit/state.go
+++ b/limit/state.go
@@ -4,14 +4,14 @@
 type State uint8
 
 const (
-	// Free means that it names no limit.
-	Free State = iota
-	// Permitted means that there is a permit for a request.
-	Permitted
-	// Askable means that there is none, and one may be asked for.
-	Askable
-	// Waiting means that one has been asked for.
-	Waiting
-	// Spent means that none can be had before a time.
-	Spent
+	// Unlimited means that the upstream has no limit.
+	Unlimited State = iota
+	// HasPermit means that a valid permit is available.
+	HasPermit
+	// NeedsPermit means that no permit is available and one may be requested.
+	NeedsPermit
+	// RequestPending means that no permit is available and a permit request is under way.
+	RequestPending
+	// Exhausted means that no permit is available and none may be requested yet.
+	Exhausted
 )
--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -1,11 +1,11 @@
-// Package outcome names the four ways a request can end, as its caller sees
-// them. Every answer carries exactly one of them.
+// Package outcome defines the ways in which a request can end, as reported to its client. Every
+// response carries exactly one of the four outcomes.
 package outcome
 
 import "github.com/cockroachdb/errors"
 
-// ErrUnknownName is returned by Parse for a name that is no outcome.
-var ErrUnknownName = errors.New("outcome: no such outcome")
+// ErrUnknownOutcome is returned by Parse for a name that is not an outcome.
+var ErrUnknownOutcome = errors.New("outcome: unknown outcome name")
 
 // Outcome is how a request ended.
 type Outcome uint8
@@ -13,22 +13,22 @@
 // The outcomes. The zero value means that the request has not ended.
 const (
 	None Outcome = iota
-	// Done means that the whole answer has been given.
+	// Done means that the complete response was sent.
 	Done
-	// NotRun means that nothing of the request has run, at any node, and that
-	// it is safe to ask again.
-	NotRun
-	// Failed means that the request ran or was read, and that this is its
-	// error; asking again would give the same.
+	// NotExecuted means that no part of the request was executed at any node, and that a retry
+	// is safe.
+	NotExecuted
+	// Failed means that the request was executed or read and failed. A retry would give the
+	// same error.
 	Failed
-	// Unknown means that the request may have run. The system will not repeat
-	// it. Asking again with the same key is safe.
+	// Unknown means that the request may have been executed. The system does not retry it. A
+	// client retry with the same key is safe.
 	Unknown
 )
 
-var names = [...]string{None: "none", Done: "done", NotRun: "not_run", Failed: "failed", Unknown: "unknown"}
+var names = [...]string{None: "none", Done: "done", NotExecuted: "not_run", Failed: "failed", Unknown: "unknown"}
 
-// String returns the name that callers see.
+// String returns the name that clients receive.
 func (o Outcome) String() string { return names[o] }
 
 // Parse is the inverse of String.
@@ -38,5 +38,5 @@
 			return Outcome(o), nil
 		}
 	}
-	return None, errors.Wrapf(ErrUnknownName, "%q", name)
+	return None, errors.Wrapf(ErrUnknownOutcome, "%q", name)
 }
--- a/quarantine/bounds_test.go
+++ b/quarantine/bounds_test.go
@@ -10,58 +10,58 @@
 	"github.com/hoistjunction/hoistjunction/work"
 )
 
-// BenchmarkQuarantined measures what it costs to refuse a request that ends upstreams, with
-// as many of them known as the table holds, and what it costs to find that others are none.
+// BenchmarkQuarantined measures the lookup of a request that is not in quarantine, with an
+// empty and with a full table.
 func BenchmarkQuarantined(b *testing.B) {
-	for _, known := range []int{0, quarantine.MostWorks} {
-		b.Run(fmt.Sprintf("%d known", known), func(b *testing.B) {
+	for _, size := range []int{0, quarantine.MaxQuarantined} {
+		b.Run(fmt.Sprintf("%d quarantined", size), func(b *testing.B) {
 			t := quarantine.New(3_600_000)
-			for i := range known {
-				t.Learn(0, work.ID{}.By(fmt.Sprint(i)), 0)
+			for i := range size {
+				t.AdoptConfirmed(0, work.ID{}.ForAccount(fmt.Sprint(i)), 0)
 			}
-			other := work.ID{}.By("other")
+			other := work.ID{}.ForAccount("other")
 			for b.Loop() {
-				if _, held := t.Holds(1, other); held {
-					b.Fatal("got a request held that ends nothing")
+				if _, inQuarantine := t.Quarantined(1, other); inQuarantine {
+					b.Fatal("got an ordinary request in quarantine")
 				}
 			}
 		})
 	}
 }
 
-// Thousands of different requests end upstreams, and none of them a third one; what is
-// known of them stays bounded, and so does what is told to others of one moment.
-func TestManySuspectsStayBounded(t *testing.T) {
+// Guards against unbounded memory and reports when thousands of different requests crash
+// upstreams and none of them reaches the threshold of three.
+func TestTableSizeStaysBounded(t *testing.T) {
 	table := quarantine.New(3_600_000)
-	told := 0
+	reported := 0
 	for i := range 20_000 {
 		now := clock.Millis(i)
-		w := work.ID{}.By(fmt.Sprint("w", i))
-		news := table.Lost(now, w, fleet.NewIncarnation(fleet.ID(fmt.Sprint("e", i/5)), 1), quarantine.Ended, 1000, true)
-		told += len(news)
+		w := work.ID{}.ForAccount(fmt.Sprint("w", i))
+		events := table.RecordLoss(now, w, fleet.NewIncarnation(fleet.ID(fmt.Sprint("e", i/5)), 1), quarantine.Ended, 1000, true)
+		reported += len(events)
 	}
-	if got, want := told, 20_000; got != want {
-		t.Errorf("got %d told, want one each, %d", got, want)
+	if got, want := reported, 20_000; got != want {
+		t.Errorf("got %d events, want one for each loss, %d", got, want)
 	}
 	if got, want := table.Size(), 2048+1024; got > want {
-		t.Errorf("got %d suspects and upstreams known, want %d at most", got, want)
+		t.Errorf("got %d suspects and upstreams stored, want at most %d", got, want)
 	}
 }
 
-// BenchmarkLost measures what a loss costs at an upstream where many others were lost.
-func BenchmarkLost(b *testing.B) {
-	for _, beside := range []int{1, 30, 192} {
-		b.Run(fmt.Sprintf("%d beside", beside), func(b *testing.B) {
+// BenchmarkRecordLoss measures a loss at an upstream at which many other requests were lost.
+func BenchmarkRecordLoss(b *testing.B) {
+	for _, losses := range []int{1, 30, 192} {
+		b.Run(fmt.Sprintf("%d requests lost", losses), func(b *testing.B) {
 			now := clock.Millis(0)
 			for b.Loop() {
 				table := quarantine.New(3_600_000)
-				for i := range beside {
+				for i := range losses {
 					now++
-					table.Lost(now, work.ID{byte(i)}, fleet.NewIncarnation("e1", 1), quarantine.Unknown, 1000, true)
+					table.RecordLoss(now, work.ID{byte(i)}, fleet.NewIncarnation("e1", 1), quarantine.Unknown, 1000, true)
 				}
-				table.Found(now, fleet.NewIncarnation("e1", 1), quarantine.Silent)
+				table.SetUpstreamState(now, fleet.NewIncarnation("e1", 1), quarantine.Unresponsive)
 			}
-			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*beside), "ns/loss")
+			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*losses), "ns/loss")
 		})
 	}
 }
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,18 +1,19 @@
-// Package quarantine finds the requests that end the upstreams that run them, so that
-// they are sent to none.
+// Package quarantine finds poison requests, which crash the upstreams that execute them, so
+// that they are no longer sent to any upstream.
 //
-// A request may end each upstream that begins to run it: a prompt that an engine's
-// software cannot stand. Whoever else is served there loses its answer too, and the
-// request comes again, at any node, under another id. So what counts is its work (package
-// work), and what is known of it must not hang on one try or one node.
+// A poison request can crash each upstream that starts to execute it, such as a prompt that
+// triggers a fault in an engine's software. The other requests at that upstream lose their
+// responses too, and the poison request is retried at any node under another request ID. So
+// requests are identified by their content (package work), and losses of all attempts and all
+// nodes are combined.
 //
-// Evidence against a work is a loss: an attempt at an upstream that brought nothing, an
-// upstream that has ended, and nothing that has begun to answer. One loss says little:
-// whoever had just begun there has one. A work is quarantined once three upstreams have
-// ended under it, unless another work has lost all of these too. Then it cannot be told
-// which of them it was, and the next loss tells: works under suspicion are sent to
-// different upstreams, by a hash that all nodes agree on. Ends that a quarantined work
-// explains do not count against others. What an upstream answers is cleared.
+// The evidence against a request is a loss: an attempt that failed without a response, at an
+// upstream that crashed. One loss is weak evidence, since every request that had just started
+// there has one. A request is quarantined once three upstreams have crashed under it, unless
+// another request was lost at all of them too. It is then unknown which of the two caused the
+// crashes, and the next loss decides: suspected requests are sent to different upstreams, by a
+// hash that is the same at all nodes. Crashes that a quarantined request explains do not count
+// against other requests. A request that an upstream answers is cleared.
 //
-// The table takes in what happened and returns what follows, and does no I/O.
+// A Table turns observations into events, and does no I/O.
 package quarantine
--- a/quarantine/news.go
+++ b/quarantine/news.go
@@ -5,45 +5,45 @@
 	"github.com/hoistjunction/hoistjunction/work"
 )
 
-// News is what follows from what a Table was told.
+// News is a change in a Table that other nodes or the log need.
 type News interface{ quarantineNews() }
 
-// LostNews is a loss that this node has found, for other nodes.
-type LostNews struct {
+// LossNews is a loss that this node reports to other nodes.
+type LossNews struct {
 	Work     work.ID
 	Upstream fleet.Incarnation
 }
 
-// HeldNews tells that a work is quarantined from now on.
-type HeldNews struct {
+// QuarantinedNews means that a request is in quarantine from now on.
+type QuarantinedNews struct {
 	Work work.ID
-	// Ended are the upstreams that are thought to have ended under it; none where that
-	// is certain.
+	// Ended holds the upstreams that probably crashed under the request; empty if they
+	// crashed for certain.
 	Ended []fleet.Incarnation
-	// Own is set where this node has lost it itself.
-	Own bool
+	// Local is set if this node lost the request itself.
+	Local bool
 }
 
-// CertainNews tells that the upstreams have ended for certain under a work in quarantine.
-type CertainNews struct {
+// ConfirmedNews means that the upstreams of a request in quarantine have crashed for certain.
+type ConfirmedNews struct {
 	Work work.ID
-	// Own is set where this node has lost it itself.
-	Own bool
+	// Local is set if this node lost the request itself.
+	Local bool
 }
 
-// ClearedNews tells that an upstream has answered a work under suspicion, or that those
-// answer that were thought to have ended under it. Own is set where
-// this node has found it, so that others are to be told.
+// ClearedNews means that an upstream answered a suspected request, or that upstreams answered
+// that had probably crashed under it. Local is set if the response came through this node,
+// which then notifies the other nodes.
 type ClearedNews struct {
-	Work work.ID
-	Own  bool
-	// Held tells that it was quarantined, and is no longer, and Lost that this node had
-	// lost it itself.
-	Held bool
-	Lost bool
+	Work  work.ID
+	Local bool
+	// WasQuarantined is set if the request has left quarantine. LostLocally is set if this node
+	// had lost it itself.
+	WasQuarantined bool
+	LostLocally    bool
 }
 
-func (LostNews) quarantineNews()    {}
-func (HeldNews) quarantineNews()    {}
-func (CertainNews) quarantineNews() {}
-func (ClearedNews) quarantineNews() {}
+func (LossNews) quarantineNews()        {}
+func (QuarantinedNews) quarantineNews() {}
+func (ConfirmedNews) quarantineNews()   {}
+func (ClearedNews) quarantineNews()     {}
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -8,108 +8,111 @@
 	"github.com/hoistjunction/hoistjunction/work"
 )
 
-// MostWorks bounds the works that are quarantined, mostSuspects those under suspicion, and
-// mostUpstreams the upstreams that are known to have ended under one. Together they take
-// less than 2 MB. The one that was asked for or lost least recently gives way.
+// MaxQuarantined bounds the requests in quarantine, maxSuspects the suspected requests, and
+// maxUpstreams the upstreams at which requests were lost. Together they take less than 2 MB.
+// The least recently used entry is evicted.
 const (
-	MostWorks     = 4096
-	mostSuspects  = 2048
-	mostUpstreams = 1024
+	MaxQuarantined = 4096
+	maxSuspects    = 2048
+	maxUpstreams   = 1024
 )
 
-// Table is what is known of works and of the upstreams that ended under them. It is not
-// safe for concurrent use.
+// Table tracks request losses, the upstreams at which they happened, and the requests in
+// quarantine. It is not safe for concurrent use.
 type Table struct {
-	// lasts is for how long a work stays quarantined.
-	lasts     clock.Millis
-	held      *simplelru.LRU[work.ID, *held]
-	suspects  *simplelru.LRU[work.ID, *suspect]
-	upstreams *simplelru.LRU[fleet.Incarnation, *upstream]
-	// contested are works that wait for word of what else was lost where they were.
-	contested map[work.ID]bool
+	// duration is how long a request stays in quarantine.
+	duration    clock.Millis
+	quarantined *simplelru.LRU[work.ID, *quarantineEntry]
+	suspects    *simplelru.LRU[work.ID, *suspect]
+	upstreams   *simplelru.LRU[fleet.Incarnation, *upstream]
+	// deferred holds the requests whose evaluation waits for reports of other losses at the
+	// same upstreams.
+	deferred map[work.ID]bool
 }
 
-// held is a work in quarantine.
-type held struct {
-	since clock.Millis
-	ended []fleet.Incarnation
-	// own tells that this node has lost it itself, and certain that they have ended: a
-	// silent upstream may yet answer.
-	own     bool
-	certain bool
+// quarantineEntry is a request in quarantine.
+type quarantineEntry struct {
+	since   clock.Millis
+	crashed []fleet.Incarnation
+	// local is set if this node lost the request itself. confirmed is set once the upstreams
+	// have crashed for certain; before that, an unresponsive one may still answer.
+	local     bool
+	confirmed bool
 }
 
-// suspect is a work that was lost.
+// suspect is a request that was lost.
 type suspect struct {
-	lost map[fleet.Incarnation]loss
-	// lostAt is when it was lost last.
-	lostAt clock.Millis
-	// answeredAt is when an upstream has answered it last.
+	losses map[fleet.Incarnation]loss
+	// lastLossAt is when the request was last lost.
+	lastLossAt clock.Millis
+	// answeredAt is when an upstream last answered the request.
 	answeredAt clock.Millis
 }
 
-// loss is that a work was lost at an upstream.
+// loss is the loss of a request at an upstream.
 type loss struct {
-	// until is until when the upstream's end counts.
-	until clock.Millis
-	// explained tells that another work is quarantined for that end.
+	// countsUntil is the time until which a crash of the upstream counts against the request.
+	countsUntil clock.Millis
+	// explained is set if another request is quarantined for that crash.
 	explained bool
 }
 
-// upstream is one under which works were lost.
+// upstream is an upstream at which requests were lost.
 type upstream struct {
-	fate Fate
-	// works are those that were lost there; true for those that this node has lost.
-	works map[work.ID]bool
-	// blamed is the work that is quarantined for its end, if one is.
-	blamed work.ID
+	state UpstreamState
+	// lost holds the requests that were lost at the upstream; the value is true if this node
+	// lost them.
+	lost map[work.ID]bool
+	// culprit is the request that is quarantined for the upstream's crash; zero if there is
+	// none.
+	culprit work.ID
 }
 
-// New returns an empty table. Works stay quarantined for a time.
-func New(lasts clock.Millis) *Table {
+// New returns an empty table. Requests stay in quarantine for the duration.
+func New(duration clock.Millis) *Table {
 	return &Table{
-		lasts: lasts, held: newLRU[work.ID, *held](MostWorks), suspects: newLRU[work.ID, *suspect](mostSuspects),
-		upstreams: newLRU[fleet.Incarnation, *upstream](mostUpstreams), contested: make(map[work.ID]bool),
+		duration: duration, quarantined: newLRU[work.ID, *quarantineEntry](MaxQuarantined), suspects: newLRU[work.ID, *suspect](maxSuspects),
+		upstreams: newLRU[fleet.Incarnation, *upstream](maxUpstreams), deferred: make(map[work.ID]bool),
 	}
 }
 
 func newLRU[K comparable, V any](size int) *simplelru.LRU[K, V] {
 	lru, err := simplelru.NewLRU[K, V](size, nil)
 	if err != nil {
-		// Only a size below one is refused.
+		// NewLRU only fails for a size below one.
 		panic(err)
 	}
 	return lru
 }
 
-// Holds tells whether a work is quarantined, and for how long it stays so.
-func (t *Table) Holds(now clock.Millis, w work.ID) (left clock.Millis, ok bool) {
-	h, ok := t.held.Get(w)
+// Quarantined reports whether a request is in quarantine, and how long it remains there.
+func (t *Table) Quarantined(now clock.Millis, w work.ID) (left clock.Millis, ok bool) {
+	q, ok := t.quarantined.Get(w)
 	if !ok {
 		return 0, false
 	}
-	left = t.lasts - now.Sub(h.since)
+	left = t.duration - now.Sub(q.since)
 	if left <= 0 {
-		t.held.Remove(w)
+		t.quarantined.Remove(w)
 		return 0, false
 	}
 	return left, true
 }
 
-// Certain tells whether it is certain that upstreams have ended under a work in quarantine.
-func (t *Table) Certain(w work.ID) bool {
-	h, ok := t.held.Peek(w)
-	return ok && h.certain
+// Confirmed reports whether a request is in quarantine for upstreams that crashed for certain.
+func (t *Table) Confirmed(w work.ID) bool {
+	q, ok := t.quarantined.Peek(w)
+	return ok && q.confirmed
 }
 
-// Suspects tells whether an upstream has ended under a work that nothing else explains, and
-// none has answered it since.
-func (t *Table) Suspects(w work.ID) bool { return len(t.ends(w, false)) > 0 }
+// IsSuspect reports whether an upstream crashed under a request, no other request explains the
+// crash, and no upstream has answered the request since.
+func (t *Table) IsSuspect(w work.ID) bool { return len(t.crashes(w, false)) > 0 }
 
 func (t *Table) suspect(w work.ID) *suspect {
 	s, ok := t.suspects.Get(w)
 	if !ok {
-		s = &suspect{lost: make(map[fleet.Incarnation]loss), answeredAt: clock.Never}
+		s = &suspect{losses: make(map[fleet.Incarnation]loss), answeredAt: clock.Never}
 		t.suspects.Add(w, s)
 	}
 	return s
@@ -118,11 +121,11 @@
 func (t *Table) upstream(id fleet.Incarnation) *upstream {
 	u, ok := t.upstreams.Get(id)
 	if !ok {
-		u = &upstream{works: make(map[work.ID]bool)}
+		u = &upstream{lost: make(map[work.ID]bool)}
 		t.upstreams.Add(id, u)
 	}
 	return u
 }
 
-// Size is how many suspects and upstreams are known.
+// Size returns the number of stored suspects and upstreams.
 func (t *Table) Size() int { return t.suspects.Len() + t.upstreams.Len() }
--- a/work/id.go
+++ b/work/id.go
@@ -1,5 +1,6 @@
-// Package work names what requests ask for. A caller's repeat, and a repeat of our own,
-// have the same name as the first try; the id that a caller gives is that of one try.
+// Package work identifies requests by their content. The client's retries and this system's own
+// retries have the same ID as the first attempt, whereas the request ID that a client sends
+// identifies one attempt.
 package work
 
 import (
@@ -9,23 +10,23 @@
 	"net/http"
 )
 
-// size is the length of a name in bytes. Callers choose what is hashed, so it is a part of
-// a cryptographic hash: two requests with the same name are the same.
+// size is the length of an ID in bytes. Clients choose the hashed content, so an ID is a prefix
+// of a cryptographic hash: two requests with the same ID have the same content.
 const size = 16
 
-// inLogs is how many bytes of a name stand in logs.
-const inLogs = 8
+// loggedBytes is how many bytes of an ID are logged.
+const loggedBytes = 8
 
-// ID names what a request asks for, and for which client account. The zero value names
-// nothing.
+// ID identifies a request's content and its client account. The zero value identifies nothing.
 type ID [size]byte
 
-// IDOf names what a request asks for by its method, host, path, query and body. Headers
-// are left out: those that say how long the caller waits differ between its tries.
-func IDOf(r *http.Request, body []byte) ID {
+// FromRequest returns the ID of a request's method, host, path, query and body, without a
+// client account. Headers are left out, because timeout headers differ between the retries of a
+// client.
+func FromRequest(r *http.Request, body []byte) ID {
 	h := sha256.New()
 	for _, part := range []string{r.Method, r.Host, r.URL.RequestURI()} {
-		// Writing to a hash cannot fail. None of these has a zero byte.
+		// Writing to a hash never fails. None of these parts contains a zero byte.
 		_, _ = h.Write([]byte(part))
 		_, _ = h.Write([]byte{0})
 	}
@@ -33,33 +34,33 @@
 	return ID(h.Sum(nil)[:size])
 }
 
-// By names what is asked for by a client account; empty where none is known.
-func (id ID) By(account string) ID {
+// ForAccount returns the ID for a client account, which is empty if unknown.
+func (id ID) ForAccount(account string) ID {
 	sum := sha256.Sum256(append(id[:], account...))
 	return ID(sum[:size])
 }
 
-// IsZero tells whether it names nothing.
+// IsZero reports whether the ID is the zero value.
 func (id ID) IsZero() bool { return id == ID{} }
 
-// String is what stands in logs: enough to tell requests apart.
+// String returns the prefix that is logged, which suffices to distinguish requests.
 func (id ID) String() string {
 	if id.IsZero() {
 		return ""
 	}
-	return hex.EncodeToString(id[:inLogs])
+	return hex.EncodeToString(id[:loggedBytes])
 }
 
-// Compare orders names.
+// Compare orders IDs.
 func (id ID) Compare(o ID) int { return bytes.Compare(id[:], o[:]) }
 
-// IDFrom is the reverse of Bytes; ok is false for what is no name.
-func IDFrom(raw []byte) (id ID, ok bool) {
+// FromBytes is the inverse of Bytes. ok is false if raw has the wrong length.
+func FromBytes(raw []byte) (id ID, ok bool) {
 	if len(raw) != size {
 		return ID{}, false
 	}
 	return ID(raw), true
 }
 
-// Bytes returns the whole name.
+// Bytes returns the complete ID.
 func (id ID) Bytes() []byte { return id[:] }
--- a/work/id_test.go
+++ b/work/id_test.go
@@ -9,7 +9,7 @@
 )
 
 func id(method, target, body, account string) work.ID {
-	return work.IDOf(httptest.NewRequest(method, target, nil), []byte(body)).By(account)
+	return work.FromRequest(httptest.NewRequest(method, target, nil), []byte(body)).ForAccount(account)
 }
 
 func TestID(t *testing.T) {
@@ -20,32 +20,32 @@
 		id   work.ID
 		same bool
 	}{
-		{"again", id(http.MethodPost, target, "x", "clinic"), true},
-		{"method", id(http.MethodGet, target, "x", "clinic"), false},
-		{"host", id(http.MethodPost, "http://e.example/b/c?d=1", "x", "clinic"), false},
-		{"path", id(http.MethodPost, "http://a.example/b?d=1", "x", "clinic"), false},
-		{"query", id(http.MethodPost, "http://a.example/b/c?d=2", "x", "clinic"), false},
+		{"same request", id(http.MethodPost, target, "x", "clinic"), true},
+		{"other method", id(http.MethodGet, target, "x", "clinic"), false},
+		{"other host", id(http.MethodPost, "http://e.example/b/c?d=1", "x", "clinic"), false},
+		{"other path", id(http.MethodPost, "http://a.example/b?d=1", "x", "clinic"), false},
+		{"other query", id(http.MethodPost, "http://a.example/b/c?d=2", "x", "clinic"), false},
 		{"escaped path", id(http.MethodPost, "http://a.example/b%2Fc?d=1", "x", "clinic"), false},
-		{"body", id(http.MethodPost, target, "y", "clinic"), false},
+		{"other body", id(http.MethodPost, target, "y", "clinic"), false},
 		{"no body", id(http.MethodPost, target, "", "clinic"), false},
-		{"account", id(http.MethodPost, target, "x", "radio"), false},
+		{"other account", id(http.MethodPost, target, "x", "radio"), false},
 	}
 	for _, tt := range tests {
 		if got := tt.id == base; got != tt.same {
-			t.Errorf("%s: got the same name %v, want %v", tt.name, got, tt.same)
+			t.Errorf("%s: got equal IDs %v, want %v", tt.name, got, tt.same)
 		}
 	}
 	if got, want := (work.ID{}).String(), ""; got != want {
-		t.Errorf("got %q for none, want %q", got, want)
+		t.Errorf("got %q for the zero ID, want %q", got, want)
 	}
 }
 
-// BenchmarkID measures what naming costs each request, with the body of a prompt of 1,000
+// BenchmarkID measures the time to compute a request's ID, with the body of a prompt of 1,000
 // tokens.
 func BenchmarkID(b *testing.B) {
 	r := httptest.NewRequest(http.MethodPost, "http://a.example/b/c", nil)
 	body := make([]byte, 4096)
 	for b.Loop() {
-		_ = work.IDOf(r, body).By("clinic")
+		_ = work.FromRequest(r, body).ForAccount("clinic")
 	}
 }
