--- a/fleet/view_returns.go
+++ b/fleet/view_returns.go
@@ -24,7 +24,7 @@
 	if !ok || c.Gone || c.Unreadable || v.returned == clock.Never {
 		return false
 	}
-	if now >= v.returned.Add(CopyGrace) || gone.Add(moment.CopyReaches) < v.returned {
+	if now >= v.returned.Add(CopyGrace) || gone.Add(moment.MaxBackupAge) < v.returned {
 		return false
 	}
 	v.heldBack[c.ID] = c.Upstream
@@ -40,7 +40,7 @@
 		return
 	}
 	v.forgot = now
-	maps.DeleteFunc(v.gone, func(_ Incarnation, at clock.Millis) bool { return now >= at.Add(moment.CopyReaches+CopyGrace) })
+	maps.DeleteFunc(v.gone, func(_ Incarnation, at clock.Millis) bool { return now >= at.Add(moment.MaxBackupAge+CopyGrace) })
 }
 
 // listHeldBack lists the entries that have stood for longer than a copy's would.
--- a/fleet/view_returns_test.go
+++ b/fleet/view_returns_test.go
@@ -20,7 +20,7 @@
 		v.Apply(now, []fleet.Change{{ID: id, Gone: true}}, false)
 		now += each
 	}
-	most := int((moment.CopyReaches + 2*fleet.CopyGrace) / each)
+	most := int((moment.MaxBackupAge + 2*fleet.CopyGrace) / each)
 	if got := v.Remembered(); got > most {
 		t.Errorf("got %d remembered, want %d at most", got, most)
 	}
--- a/fleetwire/entry.go
+++ b/fleetwire/entry.go
@@ -1,4 +1,5 @@
-// Package fleetwire translates what nodes tell each other of upstreams.
+// Package fleetwire converts upstreams and upstream list changes to and from node-to-node
+// messages.
 package fleetwire
 
 import (
@@ -6,42 +7,44 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// named is a message that names an incarnation.
-type named interface {
+// incarnationMessage is a message with the fields of an incarnation.
+type incarnationMessage interface {
 	GetId() string
 	GetBorn() int64
 }
 
-// IncarnationOf returns the incarnation that a message names.
-func IncarnationOf(msg named) fleet.Incarnation {
+// IncarnationOf returns the incarnation in a message.
+func IncarnationOf(msg incarnationMessage) fleet.Incarnation {
 	return fleet.NewIncarnation(fleet.ID(msg.GetId()), fleet.Start(msg.GetBorn()))
 }
 
-// Name is the reverse of IncarnationOf, for the fields of a message.
-func Name(i fleet.Incarnation) (id string, born int64) { return string(i.ID()), int64(i.Born()) }
+// IncarnationFields returns the message fields of an incarnation.
+func IncarnationFields(i fleet.Incarnation) (id string, born int64) {
+	return string(i.ID()), int64(i.Born())
+}
 
-// Names returns incarnations in the form in which nodes tell each other of them.
-func Names(list []fleet.Incarnation) []*wire.Incarnation {
+// Incarnations returns the message form of a list of incarnations.
+func Incarnations(list []fleet.Incarnation) []*wire.Incarnation {
 	var out []*wire.Incarnation
 	for _, i := range list {
-		id, born := Name(i)
+		id, born := IncarnationFields(i)
 		out = append(out, &wire.Incarnation{Id: id, Born: born})
 	}
 	return out
 }
 
-// IncarnationsOf is the reverse of Names.
-func IncarnationsOf(told []*wire.Incarnation) []fleet.Incarnation {
+// IncarnationsOf returns the incarnations in a list of messages.
+func IncarnationsOf(msgs []*wire.Incarnation) []fleet.Incarnation {
 	var list []fleet.Incarnation
-	for _, i := range told {
+	for _, i := range msgs {
 		list = append(list, IncarnationOf(i))
 	}
 	return list
 }
 
-// Entry returns an upstream in the form in which nodes tell each other of it.
-func Entry(u fleet.Upstream) *wire.ListedUpstream {
-	id, born := Name(u.ID)
+// UpstreamMessage returns the message form of an upstream.
+func UpstreamMessage(u fleet.Upstream) *wire.ListedUpstream {
+	id, born := IncarnationFields(u.ID)
 	return &wire.ListedUpstream{
 		Id: id, Born: born, Service: u.Service, Address: u.Address, DataCentre: u.DataCentre, Slots: int32(u.Slots),
 		Leaving: u.Leaving, Accelerator: u.Accelerator, HeldFrom: int32(u.Held.From), HeldTo: int32(u.Held.To), Lapsed: u.Lapsed,
@@ -49,30 +52,30 @@
 	}
 }
 
-// Upstream is the reverse of Entry.
-func Upstream(e *wire.ListedUpstream) fleet.Upstream {
+// Upstream returns the upstream in a message.
+func Upstream(msg *wire.ListedUpstream) fleet.Upstream {
 	return fleet.Upstream{
-		ID: IncarnationOf(e), Service: e.GetService(), Address: e.GetAddress(), DataCentre: e.GetDataCentre(),
-		Slots: int(e.GetSlots()), Leaving: e.GetLeaving(), Accelerator: e.GetAccelerator(),
-		Held: fleet.Range{From: int(e.GetHeldFrom()), To: int(e.GetHeldTo())}, Lapsed: e.GetLapsed(),
-		Withheld: e.GetWithheld(),
+		ID: IncarnationOf(msg), Service: msg.GetService(), Address: msg.GetAddress(), DataCentre: msg.GetDataCentre(),
+		Slots: int(msg.GetSlots()), Leaving: msg.GetLeaving(), Accelerator: msg.GetAccelerator(),
+		Held: fleet.Range{From: int(msg.GetHeldFrom()), To: int(msg.GetHeldTo())}, Lapsed: msg.GetLapsed(),
+		Withheld: msg.GetWithheld(),
 	}
 }
 
-// Change returns a change of the list in the form in which nodes tell each other of it.
+// Change returns the message form of a change of the upstream list.
 func Change(c fleet.Change) *wire.ListedChange {
-	id, born := Name(c.ID)
-	told := &wire.ListedChange{Id: id, Born: born, Gone: c.Gone, Ended: c.Ended}
+	id, born := IncarnationFields(c.ID)
+	msg := &wire.ListedChange{Id: id, Born: born, Gone: c.Gone, Ended: c.Ended}
 	if !c.Gone {
-		told.Upstream = Entry(c.Upstream)
+		msg.Upstream = UpstreamMessage(c.Upstream)
 	}
-	return told
+	return msg
 }
 
-// ChangeOf is the reverse of Change.
-func ChangeOf(told *wire.ListedChange) fleet.Change {
-	if told.GetGone() {
-		return fleet.Change{ID: IncarnationOf(told), Gone: true, Ended: told.GetEnded()}
+// ChangeOf returns the change of the upstream list in a message.
+func ChangeOf(msg *wire.ListedChange) fleet.Change {
+	if msg.GetGone() {
+		return fleet.Change{ID: IncarnationOf(msg), Gone: true, Ended: msg.GetEnded()}
 	}
-	return fleet.Change{ID: IncarnationOf(told), Upstream: Upstream(told.GetUpstream())}
+	return fleet.Change{ID: IncarnationOf(msg), Upstream: Upstream(msg.GetUpstream())}
 }
--- a/follow/catalog.go
+++ b/follow/catalog.go
@@ -13,234 +13,237 @@
 	"github.com/hoistjunction/hoistjunction/moment"
 )
 
-// slownessCounted is how many times the time that the store needs beside the wait
-// is taken off the next wait of a node that others follow: once for that call and
-// once for the one before, since a proof counts from its sending.
-const slownessCounted = 2
+// latencyFactor is how many times the store's extra latency is subtracted from the next wait of
+// a node that others follow: once for the next call and once for the previous one, because a
+// proof counts from the sending of its call.
+const latencyFactor = 2
 
 // Catalog follows the configuration.
 type Catalog struct {
-	shared
+	base
 	source CatalogSource
-	// shown is the edition that the store has shown last; none where it has shown none, or
-	// one that cannot be read.
-	shown catalog.Edition
-	// have is the edition in force.
-	have catalog.Edition
-	// asked is when the store was last asked.
-	asked clock.Millis
-	// tell takes a proof, and returns what is in force then.
-	tell func(Proof) InForce
+	// storeEdition is the edition last read from the store; zero if there is none or if it
+	// cannot be decoded.
+	storeEdition catalog.Edition
+	// activeEdition is the active edition.
+	activeEdition catalog.Edition
+	// lastRequest is when the last call to the store was sent.
+	lastRequest clock.Millis
+	// onProof handles a proof and returns the configuration that is active afterwards.
+	onProof func(Proof) ActiveConfig
 }
 
-// NewCatalog returns a follower of the configuration.
+// NewCatalog returns a follower of the configuration. It passes each proof to onProof, which
+// returns the active configuration.
 func NewCatalog(source CatalogSource, c *clock.Clock, log *zap.Logger, outage *Outage,
-	tell func(Proof) InForce, opts ...Option,
+	onProof func(Proof) ActiveConfig, opts ...Option,
 ) *Catalog {
-	return &Catalog{shared: newShared(c, log, outage, opts), source: source, tell: tell}
+	return &Catalog{base: newBase(c, log, outage, opts), source: source, onProof: onProof}
 }
 
-// catalogProgress is how far a follower of the configuration has come.
+// catalogProgress is the state of a follower of the configuration between two calls.
 type catalogProgress struct {
-	// asOf is up to when this node has read the store.
+	// asOf is the moment up to which this node has read the store.
 	asOf moment.Moment
-	// read says that something has been read, and whole that the whole is to be
-	// read next if the store is asked.
-	read  bool
-	whole bool
-	// failures counts the store's failed calls in a row.
+	// hasRead reports whether anything has been read. needsFull reports whether the next call
+	// to the store must read the full configuration.
+	hasRead   bool
+	needsFull bool
+	// failures is the number of consecutive failed calls to the store.
 	failures int
-	// wait is how long the store may hold the next wait, and slowness the time that it
-	// took beside the wait when it was asked last.
-	wait     clock.Millis
-	slowness clock.Millis
-	// proved is as of when the configuration is known to be the newest.
-	proved clock.Millis
-	// urged says that the last wait was left out for the nodes that follow.
-	urged bool
-	// doubt says how sure it is that whoever is asked next is there.
-	doubt doubt
+	// nextWait is how long the store may hold the next call. extraLatency is how much longer than
+	// its wait the last awaited call took.
+	nextWait     clock.Millis
+	extraLatency clock.Millis
+	// provenAt is when the configuration was last proven to be the newest.
+	provenAt clock.Millis
+	// skippedWait reports whether the last call had no wait, because followers needed a proof.
+	skippedWait bool
+	// target is the assumed state of the store or the reader that gets the next call.
+	target targetState
 }
 
-// Run follows until the context ends.
+// Run follows the configuration until the context ends.
 func (f *Catalog) Run(ctx context.Context) error {
-	p := catalogProgress{whole: true}
+	p := catalogProgress{needsFull: true}
 	for ctx.Err() == nil {
-		reader, waits := f.reader(p.read)
-		if waits {
-			clock.Pause(ctx, look(p.read))
+		reader, pending := f.selectReader(p.hasRead)
+		if pending {
+			clock.Pause(ctx, pollInterval(p.hasRead))
 			continue
 		}
 		sent := f.clock.Now()
-		p.wait, p.urged = f.wait(p)
-		reading, err := f.call(ctx, reader, p)
+		p.nextWait, p.skippedWait = f.nextWait(p)
+		reading, err := f.request(ctx, reader, p)
 		if err != nil {
-			f.failed(ctx, &p, err)
+			f.handleError(ctx, &p, err)
 			continue
 		}
-		f.back("config", reader)
+		f.recordAnswer("config", reader)
 		if reader == nil {
-			f.outage.Proved(f.clock.Now())
+			f.outage.RecordProof(f.clock.Now())
 			if !p.asOf.IsZero() && !reading.AsOf.SameEra(p.asOf) {
-				f.returned("config", p.asOf, reading.AsOf)
+				f.checkRestore("config", p.asOf, reading.AsOf)
 			}
 			p.asOf = reading.AsOf
 		}
-		f.take(reading, reader != nil, p.whole, sent)
-		// What another node has told may be of another edition than the store shows, so
-		// nothing that the store says of changes alone goes on from there.
+		f.apply(reading, reader != nil, p.needsFull, sent)
+		// The reader's edition may differ from the store's, so after a call to the reader the
+		// next call to the store must read the full configuration.
 		p = catalogProgress{
-			asOf: p.asOf, read: true, whole: reader != nil, proved: sent.Sub(reading.AnsweredAge),
-			slowness: p.slownessAfter(reader, reading, f.clock.Now().Sub(sent)), urged: p.urged,
+			asOf: p.asOf, hasRead: true, needsFull: reader != nil, provenAt: sent.Sub(reading.AnsweredAge),
+			extraLatency: p.latencyAfter(reader, reading, f.clock.Now().Sub(sent)), skippedWait: p.skippedWait,
 		}
 	}
 	return ctx.Err()
 }
 
-// failed says how to go on after a call that failed.
-func (f *Catalog) failed(ctx context.Context, p *catalogProgress, err error) {
-	p.doubt = p.doubt.after(err, p.failures)
+// handleError updates the progress after a failed call and pauses before a retry.
+func (f *Catalog) handleError(ctx context.Context, p *catalogProgress, err error) {
+	p.target = p.target.next(err, p.failures)
 	switch {
-	case p.doubt == silent:
-		f.askAgain(ctx, "config", err)
-	case errors.Is(err, ErrReadAnew):
+	case p.target == unresponsive:
+		f.logRetry(ctx, "config", err)
+	case errors.Is(err, ErrFullReadRequired):
 		f.log.Info("config_history_gone", zap.Stringer("as_of", p.asOf), logging.Err(err))
-		p.whole = true
+		p.needsFull = true
 	case errors.Is(err, errReaderFailed):
 	default:
-		p.whole = true
-		if !f.lost(ctx, "config", f.asked, err) {
+		p.needsFull = true
+		if !f.recordFailure(ctx, "config", f.lastRequest, err) {
 			return
 		}
-		if reader, _ := f.reader(p.read); reader != nil {
+		if reader, _ := f.selectReader(p.hasRead); reader != nil {
 			return
 		}
 		p.failures++
-		// The time in which the call hung is part of the pause.
-		clock.Pause(ctx, f.asked.Add(retryPause(p.failures)).Sub(f.clock.Now()).Duration())
+		// Subtracts the duration of the call from the pause.
+		clock.Pause(ctx, f.lastRequest.Add(retryPause(p.failures)).Sub(f.clock.Now()).Duration())
 	}
 }
 
-// call reads the whole, or awaits what changes after a moment, from another
-// node if there is one to follow.
-func (f *Catalog) call(ctx context.Context, reader Reader, p catalogProgress) (CatalogReading, error) {
+// request awaits changes at the reader, if there is one. Otherwise it reads the full
+// configuration from the store or awaits its changes.
+func (f *Catalog) request(ctx context.Context, reader Reader, p catalogProgress) (CatalogReading, error) {
 	if reader != nil {
-		reading, err := reader.AwaitCatalog(ctx, f.have, p.doubt.wait(readerConfigWait))
+		reading, err := reader.AwaitCatalog(ctx, f.activeEdition, p.target.nextWait(readerConfigWait))
 		if err != nil {
-			return reading, f.readerFailed(ctx, "config", reader, p.doubt, err)
+			return reading, f.readerFailed(ctx, "config", reader, p.target, err)
 		}
 		return reading, nil
 	}
-	if p.whole {
-		return f.read(ctx, p.failures)
+	if p.needsFull {
+		return f.readFull(ctx, p.failures)
 	}
-	f.asked = f.clock.Now()
-	if limit, ok := f.renewWithin(p); ok {
+	f.lastRequest = f.clock.Now()
+	if timeout, ok := f.renewalTimeout(p); ok {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, limit.Duration())
+		ctx, cancel = context.WithTimeout(ctx, timeout.Duration())
 		defer cancel()
 	}
-	return f.source.AwaitCatalog(ctx, p.asOf, p.wait)
+	return f.source.AwaitCatalog(ctx, p.asOf, p.nextWait)
 }
 
-// catalogAnswer is what came of a call for the whole configuration.
-type catalogAnswer struct {
+// catalogResult is the result of a call for the full configuration.
+type catalogResult struct {
 	reading CatalogReading
 	err     error
 }
 
-// read reads the whole from the store. While the store is away a call may hang that went
-// out right before its return, so the store is asked again at the pace of retries, whether
-// or not the last call has ended. It is then known to be back longestRetry after it is;
-// with calls that were waited for one by one it took up to 1.5 s.
-func (f *Catalog) read(ctx context.Context, failures int) (CatalogReading, error) {
-	f.asked = f.clock.Now()
+// readFull reads the full configuration from the store. During an outage, a call sent just
+// before the store recovers can hang. Therefore it sends a second call after the retry pause
+// even if the first is still open, and returns whichever answer comes first. A recovery is then
+// noticed within maxRetryPause; with one call at a time it took up to 1.5 s.
+func (f *Catalog) readFull(ctx context.Context, failures int) (CatalogReading, error) {
+	f.lastRequest = f.clock.Now()
 	if failures == 0 {
 		return f.source.ReadCatalog(ctx)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answers := make(chan catalogAnswer, 2)
-	ask := func() {
+	results := make(chan catalogResult, 2)
+	send := func() {
 		reading, err := f.source.ReadCatalog(ctx)
-		answers <- catalogAnswer{reading: reading, err: err}
+		results <- catalogResult{reading: reading, err: err}
 	}
-	go ask()
-	again := time.NewTimer(max(retryPause(failures), leastHang).Duration())
-	defer again.Stop()
+	go send()
+	retry := time.NewTimer(max(retryPause(failures), minHang).Duration())
+	defer retry.Stop()
 	select {
-	case answer := <-answers:
-		return answer.reading, answer.err
-	case <-again.C:
+	case result := <-results:
+		return result.reading, result.err
+	case <-retry.C:
 	}
-	f.asked = f.clock.Now()
-	go ask()
-	answer := <-answers
-	return answer.reading, answer.err
+	f.lastRequest = f.clock.Now()
+	go send()
+	result := <-results
+	return result.reading, result.err
 }
 
-// renewWithin is how long a wait may take at a node that others follow, whatever the
-// store may take at most. Where the connection has gone silent the store is asked once
-// more while the last proof counts: otherwise all that follow, which lose their own
-// connections with this node, find that it cannot vouch, and turn to the store.
-func (f *Catalog) renewWithin(p catalogProgress) (clock.Millis, bool) {
-	limit := p.proved.Add(VouchFor - renewal).Sub(f.clock.Now())
-	return limit, p.doubt == sure && f.readers.Followed() && limit >= p.wait+renewal
+// renewalTimeout returns the timeout of a wait at the store, and whether there is one: only for
+// a node with followers. It ends a wait on an unresponsive connection while the last proof is
+// valid and there is time for another call. Otherwise all followers, whose connections often
+// fail together with this node's, would find its proof too old and call the store themselves.
+func (f *Catalog) renewalTimeout(p catalogProgress) (clock.Millis, bool) {
+	timeout := p.provenAt.Add(ProofLifetime - renewalTime).Sub(f.clock.Now())
+	return timeout, p.target == trusted && f.readers.Followed() && timeout >= p.nextWait+renewalTime
 }
 
-// wait is how long the store may hold the next wait. Where it is slow it is asked for
-// less, so that what this node tells others is no older. Where others wait for a proof
-// it is asked for none, but not twice in a row: an answer that brings no proof, such as
-// a configuration that cannot be read, would be asked for without end.
-func (f *Catalog) wait(p catalogProgress) (wait clock.Millis, urged bool) {
+// nextWait returns how long the store may hold the next call. For a node with followers it is
+// shorter if the store is slow, so that the node's proof does not get older. If followers need
+// a proof, there is no wait (skipped is true), but not twice in a row: an answer without a
+// proof, for example a configuration that cannot be decoded, would otherwise cause calls in a
+// tight loop.
+func (f *Catalog) nextWait(p catalogProgress) (wait clock.Millis, skipped bool) {
 	switch {
-	case p.doubt == silent:
-		return 0, p.urged
-	case f.readers.Overdue() && !p.urged:
+	case p.target == unresponsive:
+		return 0, p.skippedWait
+	case f.readers.Overdue() && !p.skippedWait:
 		return 0, true
 	case f.readers.Followed():
-		return max(followedConfigWait-slownessCounted*p.slowness, leastWait), false
+		return max(followedConfigWait-latencyFactor*p.extraLatency, minWait), false
 	default:
 		return f.limits.configWait, false
 	}
 }
 
-// slownessAfter is the slowness that is known after a call. One that brought a change
-// ended before its time and tells nothing, nor does one to another node.
-func (p *catalogProgress) slownessAfter(reader Reader, reading CatalogReading, took clock.Millis) clock.Millis {
-	if reader != nil || p.whole || len(reading.Raw) > 0 {
-		return p.slowness
+// latencyAfter returns the extra latency of the store after a call. It does not change after a
+// call to a reader, a full read, or a call that returned a change before its wait was over.
+func (p *catalogProgress) latencyAfter(reader Reader, reading CatalogReading, duration clock.Millis) clock.Millis {
+	if reader != nil || p.needsFull || len(reading.Raw) > 0 {
+		return p.extraLatency
 	}
-	return max(took-p.wait, 0)
+	return max(duration-p.nextWait, 0)
 }
 
-// take passes on what a call has shown that was sent at a time. Told says that another node has
-// shown it, and whole that the store was read whole.
-func (f *Catalog) take(reading CatalogReading, told, whole bool, sent clock.Millis) {
+// apply applies the reading of a call that was sent at a time. fromReader reports whether it
+// comes from another node, and full whether it is a full reading of the store.
+func (f *Catalog) apply(reading CatalogReading, fromReader, full bool, sent clock.Millis) {
 	proof := Proof{Edition: reading.Edition, Confirmed: sent.Sub(reading.Age)}
 	if len(reading.Raw) > 0 {
 		c, err := f.source.DecodeCatalog(reading.Raw, reading.Written)
 		if err != nil {
-			// It proves nothing fresh: the one in force is older than it.
-			f.shown = catalog.Edition{}
+			// This reading proves nothing about the active edition, which is older.
+			f.storeEdition = catalog.Edition{}
 			f.log.Error("config_unreadable", zap.Stringer("as_of", reading.AsOf), logging.Err(err))
 			return
 		}
 		proof.Edition, proof.Catalog, proof.Raw = c.Edition(), c, reading.Raw
 	}
-	if !told {
-		proof.Edition = f.show(proof.Edition, whole)
+	if !fromReader {
+		proof.Edition = f.updateStoreEdition(proof.Edition, full)
 	}
-	inForce := f.tell(proof)
-	f.have = inForce.Edition
-	f.followers.SetConfig(Known{InForce: inForce, Answered: sent.Sub(reading.AnsweredAge)})
+	active := f.onProof(proof)
+	f.activeEdition = active.Edition
+	f.publisher.SetConfig(PublishedConfig{ActiveConfig: active, AnsweredAt: sent.Sub(reading.AnsweredAge)})
 }
 
-// show notes the edition that the store shows, none where it shows no new one, and returns the
-// one that stands there: what a reading of the whole does not show is not there.
-func (f *Catalog) show(edition catalog.Edition, whole bool) catalog.Edition {
-	if whole || !edition.IsZero() {
-		f.shown = edition
+// updateStoreEdition records the edition of a reading of the store and returns the edition that
+// the store has. A zero edition means no change, but in a full reading it means that the store
+// has no configuration.
+func (f *Catalog) updateStoreEdition(edition catalog.Edition, full bool) catalog.Edition {
+	if full || !edition.IsZero() {
+		f.storeEdition = edition
 	}
-	return f.shown
+	return f.storeEdition
 }
--- a/follow/doc.go
+++ b/follow/doc.go
@@ -1,17 +1,20 @@
-// Package follow keeps a node's picture of the configuration and of the list
-// of upstreams in step with the store.
+// Package follow keeps a node's local state of the configuration and of the list of upstreams
+// in step with the store.
 //
-// Each of the two is read whole once, and its changes are awaited from then
-// on, so the store is asked about once in the time of a wait and tells of a
-// change at once. What is known is passed on as messages. Where another node of
-// the data centre reads the store (package reading), its word is awaited
-// instead. When that node fails the next one is followed, and only where there is
-// none the nodes try the store themselves, one after the other: every call to it
-// costs, and hundreds of nodes lose their reader, or the store, at the same moment.
+// A follower reads each of the two in full once and then awaits its changes, so the node makes
+// one store call per wait and gets a change immediately. If another node of the data centre
+// reads the store (package reading), the followers await changes at that node, the reader,
+// instead. If the reader fails, they follow the next one. Only if no node can be followed do
+// the nodes call the store themselves, one after the other, since every call is expensive and
+// hundreds of nodes lose their reader, or the store, at the same moment.
 //
-// A call without an answer says first that its connection may be silent: it is made once
-// more, on a new one, before anybody is taken to be lost. The limits of all waits and
-// pauses, and how they add up, stand in limits.go.
+// A call without an answer may only mean that its connection is unresponsive, so a follower
+// repeats it once on a new connection before it considers the store or the reader unreachable.
+// limits.go defines the bounds of all waits and pauses and describes how they add up.
+//
+// An entry that disappears from the list around a store outage or a store restore may be
+// falsely removed. The node holds such an entry, which means that it keeps using it, until its
+// grace period (fleet.LapseGrace) ends.
 package follow
 
 import (
@@ -25,48 +28,48 @@
 	"github.com/hoistjunction/hoistjunction/moment"
 )
 
-// ErrReadAnew marks the errors of calls that cannot go on from a moment of the store:
-// the whole must be read again.
-var ErrReadAnew = errors.New("follow: read anew")
+// ErrFullReadRequired marks errors of calls that cannot return the changes after a moment, so
+// that the caller must read everything again.
+var ErrFullReadRequired = errors.New("follow: full read required")
 
-// CatalogReading is what a call has shown of the configuration. Raw is empty
-// where it shows no newer one.
+// CatalogReading is the result of a call for the configuration. Raw is empty if the call
+// returned no newer one.
 type CatalogReading struct {
 	Raw []byte
-	// Written is when the store was told the text.
+	// Written is the moment at which the configuration was written to the store.
 	Written moment.Moment
-	// AsOf is up to when the store was read.
+	// AsOf is the moment up to which the store was read.
 	AsOf moment.Moment
-	// Edition is what another node has in force. The store names none.
+	// Edition is the active edition of the reader; zero in a reading of the store.
 	Edition catalog.Edition
-	// Age is how much older than the call's sending the proof is that there is
-	// no newer one: nothing for the store, and what another node says of its own.
-	// AnsweredAge is the same for the store's last answer to that node.
+	// Age is how long before the sending of the call the edition was proven to be the newest; 0
+	// in a reading of the store. AnsweredAge is the same for the store's last answer to the
+	// reader.
 	Age         clock.Millis
 	AnsweredAge clock.Millis
 }
 
-// FleetReading is what a call has shown of the list of upstreams.
+// FleetReading is the result of a call for the list of upstreams.
 type FleetReading struct {
 	Changes []fleet.Change
-	// AsOf is up to when the store was read.
+	// AsOf is the moment up to which the store was read.
 	AsOf moment.Moment
-	// Whole tells that the changes are the whole list. What it lacks is gone.
+	// Whole reports that Changes is the full list, so that entries not in it are removed.
 	Whole bool
-	// Token is what another node calls the whole list; 0 for what the store tells.
+	// Token identifies the full list at the reader; 0 in a reading of the store.
 	Token uint64
-	// Unreadable holds an error for each entry that cannot be read.
+	// Unreadable holds an error for each entry that cannot be decoded.
 	Unreadable []error
 }
 
-// CatalogSource is where the configuration is read.
+// CatalogSource reads the configuration from the store.
 type CatalogSource interface {
 	ReadCatalog(ctx context.Context) (CatalogReading, error)
 	AwaitCatalog(ctx context.Context, after moment.Moment, wait clock.Millis) (CatalogReading, error)
 	DecodeCatalog(raw []byte, written moment.Moment) (*catalog.Catalog, error)
 }
 
-// FleetSource is where the list of upstreams is read.
+// FleetSource reads the list of upstreams from the store.
 type FleetSource interface {
 	ReadUpstreams(ctx context.Context) (FleetReading, error)
 	AwaitUpstreams(ctx context.Context, after moment.Moment, wait clock.Millis) (FleetReading, error)
--- /dev/null
+++ b/follow/fleet_apply.go
@@ -0,0 +1,211 @@
+package follow
+
+import (
+	"slices"
+
+	"go.uber.org/zap"
+
+	"github.com/hoistjunction/hoistjunction/clock"
+	"github.com/hoistjunction/hoistjunction/fleet"
+	"github.com/hoistjunction/hoistjunction/logging"
+	"github.com/hoistjunction/hoistjunction/moment"
+)
+
+// apply applies a reading to the view and publishes it. uncertain reports whether entries in it
+// may be falsely removed.
+func (f *Fleet) apply(now clock.Millis, reading FleetReading, uncertain bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, err := range reading.Unreadable {
+		f.log.Warn("entry_unreadable", logging.Err(err))
+	}
+	if ended := f.outage.EndedAt(now); ended != clock.Never {
+		f.view.StoreBack(ended)
+		f.view.OutageEnded(ended)
+	}
+	f.view.StoreBack(now)
+	held := f.view.Lapsed()
+	if f.view.Len() == 0 && uncertain {
+		// A node that has started during an outage does not know which entries were falsely
+		// removed in it.
+		f.incomplete = true
+	}
+	var changes []fleet.Change
+	if reading.Whole {
+		changes = f.view.Replace(now, entriesIn(reading.Changes), uncertain)
+	} else {
+		changes = f.view.Apply(now, reading.Changes, uncertain)
+	}
+	expired := f.view.Expire(now)
+	f.publishFull = f.publishFull || f.falseRemovalsChanged(held) || slices.ContainsFunc(expired, isEntry)
+	f.publish(reading, changes, expired, uncertain)
+	f.notify(append(changes, expired...), reading.AsOf)
+}
+
+// falseRemovalsChanged reports whether the set of held entries differs from before: an entry is
+// listed again, or further ones have disappeared. Followers must get the current set.
+func (f *Fleet) falseRemovalsChanged(before []fleet.Incarnation) bool {
+	if slices.ContainsFunc(before, f.view.Listed) {
+		return true
+	}
+	return slices.ContainsFunc(f.view.Lapsed(), func(id fleet.Incarnation) bool { return !slices.Contains(before, id) })
+}
+
+// expire removes held entries whose grace period has ended.
+func (f *Fleet) expire(now clock.Millis) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	expired := f.view.Expire(now)
+	if len(expired) == 0 {
+		return
+	}
+	f.publisher.AddEnded(expired)
+	f.publishFull = f.publishFull || slices.ContainsFunc(expired, isEntry)
+	f.notify(expired, f.publishedAsOf)
+}
+
+// isEntry reports whether a change adds or updates an entry. Followers get an entry that is
+// listed without a change at the store only with a full list.
+func isEntry(c fleet.Change) bool { return !c.Gone }
+
+// Supersede records an incarnation of an upstream that an engine's response or another node has
+// reported. Earlier incarnations of that upstream have ended and are removed.
+func (f *Fleet) Supersede(incarnation fleet.Incarnation) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	ended := f.view.Supersede(incarnation)
+	if len(ended) == 0 {
+		return
+	}
+	f.log.Info("upstream_started_again", zap.Stringer("upstream", incarnation), zap.Stringer("ended", ended[0].ID))
+	f.publisher.AddEnded(ended)
+	f.notify(ended, f.publishedAsOf)
+}
+
+// MarkLeaving records that a response of an upstream has announced that it is leaving. Its
+// entry in the store may follow seconds later, and not at all during an outage. The change is
+// not published: each follower gets it from the list or from a response of the upstream.
+func (f *Fleet) MarkLeaving(id fleet.Incarnation) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	left := f.view.Leave(id)
+	if len(left) == 0 {
+		return
+	}
+	f.log.Info("upstream_says_it_leaves", zap.Stringer("upstream", id))
+	f.notify(left, f.publishedAsOf)
+}
+
+// MarkReplaced records that another upstream has responded at the address of an upstream. The
+// latter has ended, even if the list includes it for some seconds more.
+func (f *Fleet) MarkReplaced(id fleet.Incarnation, address string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	ended := f.view.Replaced(id, address)
+	if len(ended) == 0 {
+		return
+	}
+	f.log.Info("upstream_replaced", zap.Stringer("upstream", id), zap.String("address", address))
+	f.publisher.AddEnded(ended)
+	f.notify(ended, f.publishedAsOf)
+}
+
+// publish publishes a reading to the followers of this node, with the changes that it made to
+// the view. The view includes held entries until their grace period ends.
+func (f *Fleet) publish(reading FleetReading, changes, expired []fleet.Change, uncertain bool) {
+	full := reading.Whole || f.publishFull || f.incomplete
+	f.incomplete = f.incomplete && uncertain
+	switch {
+	case f.incomplete:
+		f.publisher.Suspend()
+	case full:
+		f.publisher.SetFleet(reading.AsOf, f.view.All())
+		f.publishFull = false
+	default:
+		f.publishChanges(reading, changes)
+	}
+	f.publishedAsOf = reading.AsOf
+	// Followers may already know the moment at which these entries disappeared.
+	f.publisher.AddEnded(expired)
+}
+
+// publishChanges publishes the changes of a reading, or only its removals if it has no newer
+// moment than the last published one.
+func (f *Fleet) publishChanges(reading FleetReading, changes []fleet.Change) {
+	if !reading.AsOf.After(f.publishedAsOf) {
+		f.publisher.AddEnded(changes)
+		return
+	}
+	f.publisher.AddFleet(reading.AsOf, append(changes, f.redundantChanges(reading, changes)...))
+}
+
+// redundantChanges returns the changes of a reading that did not change the view but may change
+// a follower's: the follower may have an entry that was added and removed before this node read
+// the list, and after a store restore it may lack what this node remembers.
+func (f *Fleet) redundantChanges(reading FleetReading, changes []fleet.Change) []fleet.Change {
+	included := make(map[fleet.Incarnation]bool, len(changes))
+	for _, c := range changes {
+		included[c.ID] = true
+	}
+	remembers := f.clock.Now() < f.restoredAt.Add(fleet.CopyGrace)
+	var known []fleet.Change
+	for _, c := range reading.Changes {
+		c.ID = f.view.Resolve(c)
+		switch u, holds := f.view.Get(c.ID); {
+		case included[c.ID]:
+		case c.Gone && !holds:
+			known = append(known, c)
+		case remembers && !c.Gone && holds:
+			known = append(known, fleet.Change{ID: c.ID, Upstream: u})
+		}
+	}
+	return known
+}
+
+// notify passes changes to onChanges and updates the current list for peers.
+func (f *Fleet) notify(changes []fleet.Change, asOf moment.Moment) {
+	if len(changes) == 0 {
+		return
+	}
+	list := f.view.All()
+	f.current.Store(&list)
+	f.logChanges(asOf, changes)
+	f.onChanges(changes)
+}
+
+// ConfirmedList returns the current list; ok is false around a store outage, when entries may
+// be falsely removed.
+func (f *Fleet) ConfirmedList() (list []fleet.Upstream, ok bool) {
+	current := f.current.Load()
+	if current == nil || f.outage.FalseRemovalsPossible(f.clock.Now()) {
+		return nil, false
+	}
+	return *current, true
+}
+
+func (f *Fleet) logChanges(asOf moment.Moment, changes []fleet.Change) {
+	for _, c := range changes {
+		if c.Gone || c.Upstream.Leaving {
+			f.log.Info("upstream_leaving", zap.Stringer("upstream", c.ID), zap.Bool("gone", c.Gone), zap.Bool("ended", c.Ended),
+				zap.String("address", c.Upstream.Address), zap.Stringer("revision", asOf))
+		}
+	}
+	f.log.Info("fleet", zap.Int("changes", len(changes)), zap.Int("upstreams", f.view.Len()), zap.Stringer("revision", asOf))
+}
+
+// entriesIn returns the changes of a full list that are entries.
+func entriesIn(changes []fleet.Change) []fleet.Change {
+	return slices.DeleteFunc(slices.Clone(changes), func(c fleet.Change) bool { return c.Gone })
+}
+
+// SetServices sets the services in the configuration. Entries of other services are withheld
+// until the configuration includes them.
+func (f *Fleet) SetServices(names []string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if changes := f.view.SetServices(f.clock.Now(), names); len(changes) > 0 {
+		// Followers have the list without these entries.
+		f.publishFull = true
+		f.notify(changes, f.publishedAsOf)
+	}
+}
--- a/follow/limits.go
+++ b/follow/limits.go
@@ -8,147 +8,156 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// The limits of all waits and pauses of the followers stand here, since they add up.
-// Two bounds hold for their sums; docs/LIMITS.md shows them, and a test keeps them.
+// This file defines the bounds of all waits and pauses of the followers, because they add up.
+// Their sums must stay within two deadlines; docs/LIMITS.md lists the sums and a test checks
+// them.
 //
-// Connections may go silent for good, those to the store and those between nodes at
-// once, also while a node finds out that others had. From any state, 3 s later, for which
-// the users count a node as out of touch, all that is known is as new as it must be.
+// Connections may become unresponsive for good, to the store and between nodes at the same time,
+// even while a node detects that others had. In any state, all data must be up to date again
+// 3 s later; users count a node as disconnected for that long.
 //
-// A node that others follow may be frozen, be dead or be cut off from the store, and
-// those others are well meanwhile: what changes must be known to them within the time
-// that the operator sets (Within).
+// A reader may freeze, crash or be disconnected from the store while its followers are healthy.
+// Its followers must get each change within the deadline that the operator sets
+// (WithChangeDeadline).
 const (
-	// usualWithin is within what time a change must be known where nothing else is set:
-	// what the users set.
-	usualWithin clock.Millis = 2000
+	// defaultChangeDeadline is the deadline for changes if none is set. It is the value that
+	// users set.
+	defaultChangeDeadline clock.Millis = 2000
 
-	// StoreMargin is how much longer than asked the store may take to answer a wait. It
-	// takes 4 ms, and sixty times that when it is slow.
+	// StoreMargin is how much longer than its wait a call to the store may take. The store
+	// answers in 4 ms, and takes sixty times that when it is slow.
 	StoreMargin clock.Millis = 500
-	// storeAnswer is what an answer of a slow store takes.
-	storeAnswer clock.Millis = 250
-	// longestWait is how long the store may hold a wait for the list where changes need
-	// not be known sooner, and longestConfigWait the same for the configuration. An
-	// answered wait proves the configuration fresh as of its sending, so while the next
-	// one is open the proof gets up to twice as old as a wait lasts: keys must be known
-	// within 5 s.
-	longestWait       clock.Millis = 8000
-	longestConfigWait clock.Millis = 1800
-	// followedConfigWait is how long the store may hold a wait for the configuration at
-	// a node that others follow. Its proof gets up to twice as old, 1.2 s, and within
-	// VouchFor its followers notice that it has lost the store.
+	// slowStoreAnswer is the response time of a slow store.
+	slowStoreAnswer clock.Millis = 250
+	// maxListWait bounds how long the store may hold a call for the list if the deadline for
+	// changes allows it, and maxConfigWait the same for the configuration. An answer proves the
+	// configuration as of the sending of its call. While the next call is open, the proof
+	// therefore gets up to twice as old as a wait, and changes of keys must arrive within 5 s.
+	maxListWait   clock.Millis = 8000
+	maxConfigWait clock.Millis = 1800
+	// followedConfigWait is how long the store may hold a call for the configuration of a node
+	// with followers. Its proof gets up to twice as old, 1.2 s, and its followers notice within
+	// ProofLifetime that it has lost the store.
 	followedConfigWait clock.Millis = 600
-	// followedWait bounds the same for the list.
-	followedWait clock.Millis = 1250
-	// leastWait is the least wait that is left where something is taken off it.
-	leastWait clock.Millis = 100
+	// followedListWait bounds the same for the list.
+	followedListWait clock.Millis = 1250
+	// minWait is the shortest wait after subtractions.
+	minWait clock.Millis = 100
 
-	// ReaderMargin is how much longer than asked another node may take to answer. It
-	// stands near and answers in a few ms.
+	// ReaderMargin is how much longer than its wait a call to a reader may take. Readers are
+	// nearby and answer in a few ms.
 	ReaderMargin clock.Millis = 250
-	// readerWait is how long another node may hold a wait for the list, and
-	// readerConfigWait one for the configuration.
-	readerWait       clock.Millis = 800
+	// readerListWait is how long a reader may hold a call for the list, and readerConfigWait
+	// one for the configuration.
+	readerListWait   clock.Millis = 800
 	readerConfigWait clock.Millis = 600
 
-	// VouchFor is how old the proof may be with which a node tells others that there is
-	// nothing newer.
-	VouchFor clock.Millis = 1400
-	// renewal is what is left of VouchFor to ask the store once more on a new connection:
-	// it answers in 4 ms.
-	renewal clock.Millis = 50
-	// vouchSoon is for how long a node that is asked for the first time may let the
-	// question wait until it can vouch, where there is time for that: it may learn only
-	// now that it reads for others, and its first call to the store then takes 0.6 s.
-	vouchSoon clock.Millis = 1000
-	// IdleConnection is for how long a connection to the store, or to another node, is
-	// kept without use. It may have gone silent meanwhile, and only a call shows it.
-	IdleConnection clock.Millis = 500
+	// ProofLifetime is the maximum age of the proof with which a reader confirms to followers
+	// that their data is the newest.
+	ProofLifetime clock.Millis = 1400
+	// renewalTime is the part of ProofLifetime that is reserved for one more call to the store
+	// on a new connection. The store answers in 4 ms.
+	renewalTime clock.Millis = 50
+	// firstRequestWait bounds how long a node may hold the first request of a follower until it
+	// has a proof. It may learn only from this request that it is the reader, and its first
+	// call to the store then takes 0.6 s.
+	firstRequestWait clock.Millis = 1000
+	// IdleConnTimeout is how long an idle connection to the store or to another node is kept.
+	// It may have become unresponsive meanwhile, which only the next call shows.
+	IdleConnTimeout clock.Millis = 500
 )
 
-// The pauses after a change of the list, in which further ones gather: at a start each
-// server's entry would cost a call of its own. They delay what is learnt, not what
-// counts from when it is learnt, and are taken off the next wait, so that they do not
-// add to the time in which silence is noticed.
+// Pauses after a change of the list, during which further changes collect at the store. Without
+// them, each server that starts would cause one more call. A pause delays changes and is
+// subtracted from the next wait, so it does not delay the detection of an unresponsive
+// connection.
 const (
+	// gatherAlone is the pause of a node that has no reader and no followers.
 	gatherAlone clock.Millis = 800
-	// gatherFollowed is the pause where few nodes call the store: an engine that ends
-	// should be known everywhere soon.
+	// gatherFollowed is the pause where few nodes call the store, so that the crash of an
+	// engine is known on all nodes soon.
 	gatherFollowed clock.Millis = 400
-	// gatherYoung is the pause in a node's first moments, up to young: where all start
-	// together, so do the servers.
-	gatherYoung clock.Millis = 1100
-	young       clock.Millis = 3000
+	// gatherAtStart is the pause until startPeriod after the node's start, because servers
+	// often start together with the nodes.
+	gatherAtStart clock.Millis = 1100
+	startPeriod   clock.Millis = 3000
 )
 
-// Pauses after calls that failed. Every call costs, refused ones too, and all nodes lose
-// the store together: a pause doubles with each further failure.
+// Pauses after failed calls. They double with each further failure, because every call is
+// expensive even if the store rejects it, and all nodes lose the store together.
 const (
-	firstRetry clock.Millis = 150
-	// longestRetry leaves the time, of the 3 s after the store's return, in which entries
-	// that vanished may come back.
-	longestRetry clock.Millis = 600
-	// leastHang is how long a call must have hung before the store is asked beside it:
-	// longer than an answer of a slow store takes.
-	leastHang = storeAnswer + 50
-	// firstSitOut is for how long the follower of the list leaves it to that of the
-	// configuration to find the store again, and longestSitOut the same after further
+	// minRetryPause is the pause after the first failed call.
+	minRetryPause clock.Millis = 150
+	// maxRetryPause leaves enough of the 3 s after a recovery for falsely removed entries to be
+	// listed again.
+	maxRetryPause clock.Millis = 600
+	// minHang is how long a call must be open before a second one is sent. It exceeds the
+	// response time of a slow store.
+	minHang = slowStoreAnswer + 50
+	// minStorePause is how long the follower of the list waits for the follower of the
+	// configuration to reach the store again, and maxStorePause the same after further
 	// failures.
-	firstSitOut   clock.Millis = 300
-	longestSitOut clock.Millis = 3000
+	minStorePause clock.Millis = 300
+	maxStorePause clock.Millis = 3000
 )
 
-// limits are the limits that hang on within what time changes must be known.
+// limits are the bounds that depend on the deadline for changes.
 type limits struct {
-	// wait is how long the store may hold a wait for the list, and configWait one for
-	// the configuration.
-	wait       clock.Millis
+	// listWait is how long the store may hold a call for the list, and configWait one for the
+	// configuration.
+	listWait   clock.Millis
 	configWait clock.Millis
 }
 
-func limitsFor(within clock.Millis) limits {
-	wait := max(within-StoreMargin-storeAnswer, leastWait)
-	return limits{wait: min(wait, longestWait), configWait: min(wait, longestConfigWait)}
+func limitsFor(deadline clock.Millis) limits {
+	wait := max(deadline-StoreMargin-slowStoreAnswer, minWait)
+	return limits{listWait: min(wait, maxListWait), configWait: min(wait, maxConfigWait)}
 }
 
-// readerLost is within what time a node asks the store that has lost the node that it
-// follows and found its successor silent too. Either its wait there is over, and it has
-// asked once more on a new connection, or the other node has stopped to vouch.
-const readerLost = max(readerWait+2*ReaderMargin, VouchFor) + ReaderMargin
+// readerLossDelay is the time until a node calls the store after its reader and the next one
+// have become unresponsive: either a wait and one more call on a new connection time out, or
+// the next reader's proof expires.
+const readerLossDelay = max(readerListWait+2*ReaderMargin, ProofLifetime) + ReaderMargin
 
-// Patience is how long a node whose reader has failed may wait for another one to have
-// the store, before it must ask the store itself, where changes must be known within a
-// time.
-func Patience(within clock.Millis) clock.Millis {
-	return max(within-readerLost-vouchSoon-storeAnswer, 0)
+// FailoverWait returns how long a node whose reader has failed may wait for another one to
+// reach the store before it must call the store itself to meet a deadline for changes.
+func FailoverWait(deadline clock.Millis) clock.Millis {
+	return max(deadline-readerLossDelay-firstRequestWait-slowStoreAnswer, 0)
 }
 
-// VouchSoon is for how long a node that is asked for the first time may let the question
-// wait until it can vouch.
-func VouchSoon(within clock.Millis) clock.Millis { return min(vouchSoon, Patience(within)) }
+// FirstRequestWait returns how long a node may hold the first request of a follower until it
+// has a proof, for a deadline for changes.
+func FirstRequestWait(deadline clock.Millis) clock.Millis {
+	return min(firstRequestWait, FailoverWait(deadline))
+}
 
-// retryPause is the pause after a number of failed calls in a row.
-func retryPause(failures int) clock.Millis { return doubled(firstRetry, failures, longestRetry) }
+// retryPause returns the pause after a number of consecutive failed calls.
+func retryPause(failures int) clock.Millis {
+	return exponentialPause(minRetryPause, failures, maxRetryPause)
+}
 
-// sitOutFor is how long the store is left alone after a number of failed calls in a row.
-func sitOutFor(failures int) clock.Millis { return doubled(firstSitOut, failures, longestSitOut) }
+// storePause returns how long the follower of the list does not call the store after a number
+// of consecutive failed calls.
+func storePause(failures int) clock.Millis {
+	return exponentialPause(minStorePause, failures, maxStorePause)
+}
 
-func doubled(first clock.Millis, failures int, most clock.Millis) clock.Millis {
-	const mostDoubled = 8
-	return min(first<<min(max(failures-1, 0), mostDoubled), most)
+// exponentialPause returns first, doubled for each failure after the first one, up to most.
+func exponentialPause(first clock.Millis, failures int, most clock.Millis) clock.Millis {
+	const maxDoublings = 8
+	return min(first<<min(max(failures-1, 0), maxDoublings), most)
 }
 
-// ErrSilent marks the errors of calls that brought no answer although there was a
-// connection. It may have gone silent, which says nothing of who is at its other end.
-var ErrSilent = errors.New("follow: no answer on a connection")
+// ErrNoAnswer marks errors of calls that got no answer on an established connection. The
+// connection may be unresponsive while the other end is healthy.
+var ErrNoAnswer = errors.New("follow: no answer on a connection")
 
-// MarkSilent marks an error with which a call brought no answer, but for one of a
-// connection that could not be opened.
-func MarkSilent(err error) error {
+// MarkNoAnswer marks the error of a call that got no answer, unless the connection could not be
+// opened.
+func MarkNoAnswer(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return err
 	}
-	return errors.Mark(err, ErrSilent)
+	return errors.Mark(err, ErrNoAnswer)
 }
--- a/follow/limits_test.go
+++ b/follow/limits_test.go
@@ -7,46 +7,46 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// Connections went silent for good, and requests went on to upstreams that had long said
-// that they leave: a wait of 8 s, a margin, a pause and a call to another node, each of
-// which made sense by itself, added up to more than a change may take to be known. Here
-// the worst orders of events are summed from the limits in force.
-func TestLimitsAddUpToTheirBounds(t *testing.T) {
-	const within = usualWithin
-	// silenceWithin is for how long the users count a node as out of touch after
-	// connections went silent.
-	const silenceWithin clock.Millis = 3000
-	l := limitsFor(within)
+// Guards against bounds that exceed a deadline in sum. With unresponsive connections, a wait of
+// 8 s, a margin, a pause and a call to another node together delayed changes for too long, and
+// nodes sent requests to upstreams that were leaving. Each case sums the bounds of a worst-case
+// order of events.
+func TestDelaysStayWithinDeadlines(t *testing.T) {
+	const deadline = defaultChangeDeadline
+	// disconnectedFor is how long users count a node as disconnected after its connections
+	// became unresponsive.
+	const disconnectedFor clock.Millis = 3000
+	l := limitsFor(deadline)
 	for _, tt := range []struct {
-		name string
-		sum  clock.Millis
-		most clock.Millis
+		name  string
+		sum   clock.Millis
+		bound clock.Millis
 	}{
-		{"the wait of a lone node is silent", l.wait + StoreMargin + storeAnswer, within},
-		{"the same for the configuration", l.configWait + StoreMargin + storeAnswer, within},
-		{"it is silent after a pause", max(gatherAlone, gatherYoung) + max(l.wait-gatherYoung, leastWait) + StoreMargin + storeAnswer, within},
-		{"a connection that was idle is silent", IdleConnection + l.wait + StoreMargin + storeAnswer, silenceWithin},
-		{"so is a connection to another node", IdleConnection + readerWait + 2*ReaderMargin + ReaderMargin + storeAnswer, silenceWithin},
-		{"the call in which silence shows is silent too", StoreMargin + sitOutFor(1) + firstRetry + storeAnswer, within},
-		{"and the configuration's as well", StoreMargin + retryPause(1) + firstRetry + storeAnswer, within},
-		{"the store is away for long, and back", max(longestRetry, leastHang) + firstRetry + storeAnswer, silenceWithin},
-		{"what vanished meanwhile is taken as gone", max(longestRetry, leastHang) + fleet.LapseGrace + leastWait, silenceWithin},
-		{"the node that is followed is frozen", gatherFollowed + readerWait - gatherFollowed + 2*ReaderMargin + storeAnswer, within},
-		{"so is the next one", readerLost + storeAnswer, within},
-		{"the node that is followed has lost the store", VouchFor + ReaderMargin + storeAnswer, within},
-		{"the proof of a node that others follow, while its next wait is open", 2 * followedConfigWait, VouchFor},
-		{"the same where that wait is silent, and it asks once more", 2*followedConfigWait + 2*renewal, VouchFor},
+		{"a wait for the list is unresponsive at a node without readers", l.listWait + StoreMargin + slowStoreAnswer, deadline},
+		{"a wait for the configuration is unresponsive at such a node", l.configWait + StoreMargin + slowStoreAnswer, deadline},
+		{"a wait after a pause is unresponsive", max(gatherAlone, gatherAtStart) + max(l.listWait-gatherAtStart, minWait) + StoreMargin + slowStoreAnswer, deadline},
+		{"an idle connection to the store is unresponsive", IdleConnTimeout + l.listWait + StoreMargin + slowStoreAnswer, disconnectedFor},
+		{"an idle connection to the reader is unresponsive", IdleConnTimeout + readerListWait + 2*ReaderMargin + ReaderMargin + slowStoreAnswer, disconnectedFor},
+		{"a repeated call for the list is unresponsive too", StoreMargin + storePause(1) + minRetryPause + slowStoreAnswer, deadline},
+		{"a repeated call for the configuration is unresponsive too", StoreMargin + retryPause(1) + minRetryPause + slowStoreAnswer, deadline},
+		{"the store recovers after a long outage", max(maxRetryPause, minHang) + minRetryPause + slowStoreAnswer, disconnectedFor},
+		{"removals during a long outage are applied", max(maxRetryPause, minHang) + fleet.LapseGrace + minWait, disconnectedFor},
+		{"the reader is frozen", gatherFollowed + readerListWait - gatherFollowed + 2*ReaderMargin + slowStoreAnswer, deadline},
+		{"the next reader is frozen too", readerLossDelay + slowStoreAnswer, deadline},
+		{"the reader has lost the store", ProofLifetime + ReaderMargin + slowStoreAnswer, deadline},
+		{"age of the proof of a reader while its next wait is open", 2 * followedConfigWait, ProofLifetime},
+		{"age of the proof of a reader that repeats an unresponsive wait", 2*followedConfigWait + 2*renewalTime, ProofLifetime},
 	} {
-		if tt.sum > tt.most {
-			t.Errorf("%s: got a sum of %d ms, want %d at most", tt.name, tt.sum, tt.most)
+		if tt.sum > tt.bound {
+			t.Errorf("%s: got a sum of %d ms, want at most %d", tt.name, tt.sum, tt.bound)
 		}
 	}
-	for _, bound := range []clock.Millis{usualWithin, 3000, 6000, 60_000} {
-		if got := readerLost + Patience(bound) + VouchSoon(bound) + storeAnswer; got > bound {
-			t.Errorf("changes within %d ms: a lost reader takes up to %d", bound, got)
+	for _, deadline := range []clock.Millis{defaultChangeDeadline, 3000, 6000, 60_000} {
+		if got := readerLossDelay + FailoverWait(deadline) + FirstRequestWait(deadline) + slowStoreAnswer; got > deadline {
+			t.Errorf("deadline of %d ms: got up to %d ms after the loss of a reader", deadline, got)
 		}
-		if got := limitsFor(bound).wait + StoreMargin + storeAnswer; got > bound {
-			t.Errorf("changes within %d ms: a silent wait takes up to %d", bound, got)
+		if got := limitsFor(deadline).listWait + StoreMargin + slowStoreAnswer; got > deadline {
+			t.Errorf("deadline of %d ms: got up to %d ms for an unresponsive wait", deadline, got)
 		}
 	}
 }
--- a/follow/reader.go
+++ b/follow/reader.go
@@ -14,106 +14,108 @@
 	"github.com/hoistjunction/hoistjunction/moment"
 )
 
-// errReaderFailed marks the errors of another node that is followed in place of
-// the store. The store is asked next.
-var errReaderFailed = errors.New("follow: the reader failed")
+// errReaderFailed marks errors of calls to a reader that has failed, so that the next call goes
+// to another reader or to the store.
+var errReaderFailed = errors.New("follow: reader failed")
 
-// errReaderSilent marks the errors of another node whose connection may have gone silent.
-// It is asked once more before it counts as failed.
-var errReaderSilent = errors.New("follow: the reader is silent")
+// errReaderUnresponsive marks errors of calls to a reader whose connection may be unresponsive.
+// Such a call is repeated once before the reader counts as failed.
+var errReaderUnresponsive = errors.New("follow: reader is unresponsive")
 
 // Reader is another node that reads the store.
 type Reader interface {
-	// AwaitCatalog waits for a configuration that supersedes one, or for a later proof that
-	// there is none.
+	// AwaitCatalog waits for a configuration that supersedes an edition, or for a later proof
+	// that there is none.
 	AwaitCatalog(ctx context.Context, have catalog.Edition, wait clock.Millis) (CatalogReading, error)
+	// AwaitUpstreams waits for changes of the list after a moment.
 	AwaitUpstreams(ctx context.Context, after moment.Moment, wait clock.Millis) (FleetReading, error)
 }
 
-// Readers says which node reads the store for this one.
+// Readers selects the node that reads the store for this one.
 type Readers interface {
-	// First returns the node from which this one reads first that has read nothing yet; nil
-	// for the store. Waits tells that it may be known soon.
-	First() (reader Reader, waits bool)
-	// Reader returns the node that reads the store for this one; nil where there is none.
+	// First returns the node from which this node fetches its initial reading, or nil to read
+	// the store. pending reports whether the caller should ask again because the other nodes
+	// are not known yet.
+	First() (reader Reader, pending bool)
+	// Reader returns the node that reads the store for this one, or nil if there is none.
 	Reader() Reader
-	// Failed notes that following a node did not work.
+	// Failed records that a call to a reader failed.
 	Failed(r Reader)
-	// Followed tells whether other nodes follow this one.
+	// Followed reports whether other nodes follow this one.
 	Followed() bool
-	// Overdue tells whether they wait for a proof that this node does not have.
+	// Overdue reports whether followers wait for a proof that this node does not have.
 	Overdue() bool
-	// Waits tells whether this node, which has nobody to follow, is to leave the
-	// store to others for now.
+	// Waits reports whether this node, which has no reader, should not call the store yet.
 	Waits() bool
-	// StoreLost notes that this node has tried the store in vain, and StoreBack that
-	// it has it.
+	// StoreLost records that a call of this node to the store failed, and StoreBack that the
+	// store has answered again.
 	StoreLost()
 	StoreBack()
-	// StoreReturned notes, once, that the store has come back from a copy.
+	// StoreReturned records a store restore. It is called once for each restore.
 	StoreReturned()
 }
 
-// Followers is where what has been read goes for the nodes that follow this one.
-type Followers interface {
-	SetConfig(k Known)
+// Publisher publishes readings to the nodes that follow this one.
+type Publisher interface {
+	// SetConfig publishes the active configuration.
+	SetConfig(config PublishedConfig)
+	// SetFleet publishes the full list, and AddFleet changes of it.
 	SetFleet(asOf moment.Moment, list []fleet.Upstream)
 	AddFleet(asOf moment.Moment, changes []fleet.Change)
-	// AddEnded notes upstreams that have turned out to be gone although nothing has
-	// changed at the store meanwhile.
+	// AddEnded publishes the removal of upstreams without a change at the store.
 	AddEnded(ended []fleet.Change)
-	// Returned notes that the store has come back from a copy: this node may remember more
-	// than the store shows.
+	// Returned records a store restore, after which this node may know more than the store
+	// contains.
 	Returned()
-	// Suspend notes that the list cannot be passed on for now.
+	// Suspend stops publishing the list until the next SetFleet.
 	Suspend()
 }
 
-// noReaders is for nodes that are on their own.
-type noReaders struct{}
-
-func (noReaders) First() (Reader, bool)                    { return nil, false }
-func (noReaders) Reader() Reader                           { return nil }
-func (noReaders) Failed(Reader)                            {}
-func (noReaders) Followed() bool                           { return false }
-func (noReaders) Overdue() bool                            { return false }
-func (noReaders) Waits() bool                              { return false }
-func (noReaders) StoreLost()                               {}
-func (noReaders) StoreReturned()                           {}
-func (noReaders) StoreBack()                               {}
-func (noReaders) SetConfig(Known)                          {}
-func (noReaders) SetFleet(moment.Moment, []fleet.Upstream) {}
-func (noReaders) AddFleet(moment.Moment, []fleet.Change)   {}
-func (noReaders) AddEnded([]fleet.Change)                  {}
-func (noReaders) Returned()                                {}
-func (noReaders) Suspend()                                 {}
-
-// shared is what both followers of a node have in common.
-type shared struct {
+// standalone implements Readers and Publisher for a node without other nodes.
+type standalone struct{}
+
+func (standalone) First() (Reader, bool)                    { return nil, false }
+func (standalone) Reader() Reader                           { return nil }
+func (standalone) Failed(Reader)                            {}
+func (standalone) Followed() bool                           { return false }
+func (standalone) Overdue() bool                            { return false }
+func (standalone) Waits() bool                              { return false }
+func (standalone) StoreLost()                               {}
+func (standalone) StoreReturned()                           {}
+func (standalone) StoreBack()                               {}
+func (standalone) SetConfig(PublishedConfig)                {}
+func (standalone) SetFleet(moment.Moment, []fleet.Upstream) {}
+func (standalone) AddFleet(moment.Moment, []fleet.Change)   {}
+func (standalone) AddEnded([]fleet.Change)                  {}
+func (standalone) Returned()                                {}
+func (standalone) Suspend()                                 {}
+
+// base is the common part of both followers of a node.
+type base struct {
 	clock     *clock.Clock
 	log       *zap.Logger
 	outage    *Outage
 	readers   Readers
-	followers Followers
+	publisher Publisher
 	limits    limits
 }
 
-// Option sets up a follower.
-type Option func(*shared)
+// Option configures a follower.
+type Option func(*base)
 
-// WithReaders sets which nodes may be followed in place of the store, and where
-// what has been read goes for those that follow this one.
-func WithReaders(r Readers, f Followers) Option {
-	return func(s *shared) { s.readers, s.followers = r, f }
+// WithReaders sets which nodes may be followed instead of the store, and the publisher for the
+// followers of this node.
+func WithReaders(r Readers, p Publisher) Option {
+	return func(s *base) { s.readers, s.publisher = r, p }
 }
 
-// WithChangesWithin sets within what time a change must be known.
-func WithChangesWithin(within clock.Millis) Option {
-	return func(s *shared) { s.limits = limitsFor(within) }
+// WithChangeDeadline sets the deadline within which changes must arrive at this node.
+func WithChangeDeadline(deadline clock.Millis) Option {
+	return func(s *base) { s.limits = limitsFor(deadline) }
 }
 
-func newShared(c *clock.Clock, log *zap.Logger, outage *Outage, opts []Option) shared {
-	s := shared{clock: c, log: log, outage: outage, readers: noReaders{}, followers: noReaders{}, limits: limitsFor(usualWithin)}
+func newBase(c *clock.Clock, log *zap.Logger, outage *Outage, opts []Option) base {
+	s := base{clock: c, log: log, outage: outage, readers: standalone{}, publisher: standalone{}, limits: limitsFor(defaultChangeDeadline)}
 	for _, opt := range opts {
 		opt(&s)
 	}
@@ -121,79 +123,81 @@
 }
 
 const (
-	// lookAgain is how often a node that leaves the store to others looks whether one
-	// of them can be followed, and lookFirst the same for one that has read nothing yet.
-	lookAgain = 100 * time.Millisecond
-	lookFirst = 10 * time.Millisecond
+	// readerPollInterval is how often a node that waits checks for a reader, and
+	// startPollInterval the same before its initial reading.
+	readerPollInterval = 100 * time.Millisecond
+	startPollInterval  = 10 * time.Millisecond
 )
 
-// look returns how often a node looks that leaves the store to others.
-func look(read bool) time.Duration {
-	if read {
-		return lookAgain
+// pollInterval returns how often a node that waits checks for a reader.
+func pollInterval(hasRead bool) time.Duration {
+	if hasRead {
+		return readerPollInterval
 	}
-	return lookFirst
+	return startPollInterval
 }
 
-// reader returns the node to follow, nil for the store. Waits tells that the store
-// is to be left to others for now. A node that has read nothing yet may have to serve in a
-// moment.
-func (s *shared) reader(read bool) (reader Reader, waits bool) {
-	if !read {
+// selectReader returns the node to follow, or nil for the store. pending reports whether the
+// node should wait instead of calling the store. hasRead reports whether the node has its
+// initial reading; without it, the initial reader is selected, since the node may have to serve
+// requests soon.
+func (s *base) selectReader(hasRead bool) (reader Reader, pending bool) {
+	if !hasRead {
 		return s.readers.First()
 	}
 	reader = s.readers.Reader()
 	return reader, reader == nil && s.readers.Waits()
 }
 
-// doubt is how sure a follower is that whoever it asks next is there.
-type doubt int
+// targetState is the assumed state of the store or the reader that gets the next call.
+type targetState int
 
 const (
-	// sure: whoever is asked has answered before, or nothing is known against it.
-	sure doubt = iota
-	// silent: the last call brought no answer on its connection. Whoever was asked may
-	// be well, so it is asked once more, on a new connection.
-	silent
-	// successor: another node has failed, and the next one may be as dead.
-	successor
+	// trusted means that the target has answered before, or that nothing indicates a failure.
+	trusted targetState = iota
+	// unresponsive means that the last call got no answer. The target may be healthy, so the
+	// call is repeated once on a new connection.
+	unresponsive
+	// unverified means that another reader has failed, and that the target, the next one, may
+	// have failed as well.
+	unverified
 )
 
-// after returns the doubt after a call that failed. While the store is away it is not
-// asked twice in a row: every call to it costs.
-func (d doubt) after(err error, failures int) doubt {
+// next returns the state after a failed call. During an outage, failed calls to the store are
+// not repeated immediately, since every call is expensive.
+func (state targetState) next(err error, failures int) targetState {
 	switch {
 	case errors.Is(err, errReaderFailed):
-		return successor
-	case errors.Is(err, errReaderSilent), errors.Is(err, ErrSilent) && d != silent && failures == 0:
-		return silent
+		return unverified
+	case errors.Is(err, errReaderUnresponsive), errors.Is(err, ErrNoAnswer) && state != unresponsive && failures == 0:
+		return unresponsive
 	default:
-		return sure
+		return trusted
 	}
 }
 
-// wait is how long whoever is asked may hold a wait: in doubt not at all, so that it
-// shows at once whether it is there.
-func (d doubt) wait(usual clock.Millis) clock.Millis {
-	if d == sure {
+// nextWait returns how long the target may hold a call. A target that is not trusted gets no
+// wait, so that the call shows immediately whether it responds.
+func (state targetState) nextWait(usual clock.Millis) clock.Millis {
+	if state == trusted {
 		return usual
 	}
 	return 0
 }
 
-// askAgain logs that the last call is made once more.
-func (s *shared) askAgain(ctx context.Context, table string, err error) {
+// logRetry logs that the last call is repeated.
+func (s *base) logRetry(ctx context.Context, table string, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	s.log.Info("ask_again", zap.String("table", table), logging.Err(err))
 }
 
-// readerFailed notes that following another node did not work, but for a connection that
-// has gone silent.
-func (s *shared) readerFailed(ctx context.Context, table string, reader Reader, d doubt, err error) error {
-	if d == sure && errors.Is(err, ErrSilent) {
-		return errors.Mark(err, errReaderSilent)
+// readerFailed records that a call to a reader failed, unless its connection may be
+// unresponsive and the call is repeated.
+func (s *base) readerFailed(ctx context.Context, table string, reader Reader, state targetState, err error) error {
+	if state == trusted && errors.Is(err, ErrNoAnswer) {
+		return errors.Mark(err, errReaderUnresponsive)
 	}
 	s.readers.Failed(reader)
 	if ctx.Err() == nil {
@@ -202,46 +206,45 @@
 	return errors.Mark(err, errReaderFailed)
 }
 
-// lost notes a call to the store that was sent at a time and failed, and logs the first of
-// an outage. It returns whether the call speaks against the store: one that has outlived
-// an outage does not, and is made again at once.
-func (s *shared) lost(ctx context.Context, table string, sent clock.Millis, err error) bool {
+// recordFailure records a failed call to the store that was sent at a time, and logs the first
+// one of an outage. It reports whether the store counts as unreachable. A call that was sent
+// before the end of the last outage is no sign of another one and is repeated immediately.
+func (s *base) recordFailure(ctx context.Context, table string, sent clock.Millis, err error) bool {
 	if ctx.Err() != nil {
 		return true
 	}
-	if s.outage.Outlived(sent) {
-		s.askAgain(ctx, table, err)
+	if s.outage.SentBeforeRecovery(sent) {
+		s.logRetry(ctx, table, err)
 		return false
 	}
 	s.readers.StoreLost()
-	if s.outage.Lost(s.clock.Now()) {
+	if s.outage.RecordFailure(s.clock.Now()) {
 		s.log.Warn("store_lost", zap.String("table", table), logging.Err(err))
 	}
 	return true
 }
 
-// back notes a call that was answered, by the store or by the node that is
-// followed, and logs the end of an outage.
-func (s *shared) back(table string, reader Reader) {
+// recordAnswer records an answer of the store or the reader, and logs the end of an outage.
+func (s *base) recordAnswer(table string, reader Reader) {
 	now := s.clock.Now()
 	if reader != nil {
-		if s.outage.Told(now) {
+		if s.outage.RecordReaderAnswer(now) {
 			s.readers.StoreBack()
 			s.log.Info("store_lost_long_ago", zap.String("table", table))
 		}
 		return
 	}
-	if s.outage.Back(now) {
+	if s.outage.RecordAnswer(now) {
 		s.readers.StoreBack()
 		s.log.Info("store_back", zap.String("table", table))
 	}
 }
 
-// returned takes in that the store was read in another era than before: it has come back from
-// a copy, which may lack entries of upstreams that live.
-func (s *shared) returned(table string, known, asOf moment.Moment) {
-	if s.outage.Returned(s.clock.Now(), asOf) {
+// checkRestore handles a reading of another era than the previous one: the store was restored
+// from a backup, which may lack entries of running upstreams.
+func (s *base) checkRestore(table string, previous, asOf moment.Moment) {
+	if s.outage.RecordEra(s.clock.Now(), asOf) {
 		s.readers.StoreReturned()
-		s.log.Info("read_in_another_era", zap.String("table", table), zap.Stringer("as_of", asOf), zap.Stringer("known", known))
+		s.log.Info("read_in_another_era", zap.String("table", table), zap.Stringer("as_of", asOf), zap.Stringer("known", previous))
 	}
 }
--- a/follow/reader_test.go
+++ b/follow/reader_test.go
@@ -16,26 +16,28 @@
 	"github.com/hoistjunction/hoistjunction/moment"
 )
 
-// scriptedReader is another node. Its calls go into the list of the store's.
+// scriptedReader is another node that reads the store. Its calls are recorded in the list of
+// the store's calls.
 type scriptedReader struct {
-	store *scripted
-	// answers are its answers, in order; after them it fails.
+	store *scriptedStore
+	// answers are its answers in order; after the last one its calls fail.
 	answers []scriptedAnswer
-	// offered is how often it is still offered, and failed counts failures.
-	offered int
-	failed  int
-	// waits is how often the store is left to others, and lost counts the calls to
-	// it in vain.
-	waits int
-	lost  int
-	// returned counts the store's returns from a copy.
-	returned int
+	// offersLeft is how many times it can still be selected, and failed counts its reported
+	// failures.
+	offersLeft int
+	failed     int
+	// waitsLeft is how many times the node must still wait, and storeFailures counts failed
+	// calls to the store.
+	waitsLeft     int
+	storeFailures int
+	// restores counts store restores.
+	restores int
 }
 
 func (r *scriptedReader) next() scriptedAnswer {
 	if len(r.answers) == 0 {
 		r.store.calls = append(r.store.calls, "reader fails")
-		return scriptedAnswer{err: errAway}
+		return scriptedAnswer{err: errStoreDown}
 	}
 	r.store.calls = append(r.store.calls, "reader")
 	answer := r.answers[0]
@@ -54,14 +56,14 @@
 }
 
 func (r *scriptedReader) Reader() Reader {
-	if r.offered == 0 {
+	if r.offersLeft == 0 {
 		return nil
 	}
-	r.offered--
+	r.offersLeft--
 	return r
 }
 
-func (r *scriptedReader) Failed(Reader) { r.failed, r.offered = r.failed+1, 0 }
+func (r *scriptedReader) Failed(Reader) { r.failed, r.offersLeft = r.failed+1, 0 }
 
 func (r *scriptedReader) Followed() bool { return false }
 
@@ -70,75 +72,78 @@
 func (r *scriptedReader) Overdue() bool { return false }
 
 func (r *scriptedReader) Waits() bool {
-	if r.waits == 0 {
+	if r.waitsLeft == 0 {
 		return false
 	}
-	r.waits--
+	r.waitsLeft--
 	r.store.calls = append(r.store.calls, "waits")
 	return true
 }
 
-func (r *scriptedReader) StoreLost()     { r.lost++ }
-func (r *scriptedReader) StoreBack()     { r.lost = 0 }
-func (r *scriptedReader) StoreReturned() { r.returned++ }
+func (r *scriptedReader) StoreLost()     { r.storeFailures++ }
+func (r *scriptedReader) StoreBack()     { r.storeFailures = 0 }
+func (r *scriptedReader) StoreReturned() { r.restores++ }
 
-// A node follows the reader after it has read the store itself, and reads the
-// store whole as soon as the reader fails. The reader's failure is no outage.
-func TestCatalogFollowsAReader(t *testing.T) {
+// Checks that a node follows a reader after its initial reading of the store, and reads the
+// full configuration from the store when the reader fails. A failure of the reader is no
+// outage.
+func TestCatalogFollowsReader(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	source := &scripted{t: t, end: cancel, answers: []scriptedAnswer{{raw: "1"}, {raw: "3"}, {}}}
-	reader := &scriptedReader{store: source, answers: []scriptedAnswer{{}, {raw: "2"}}, offered: 4}
+	source := &scriptedStore{t: t, end: cancel, answers: []scriptedAnswer{{raw: "1"}, {raw: "3"}, {}}}
+	reader := &scriptedReader{store: source, answers: []scriptedAnswer{{}, {raw: "2"}}, offersLeft: 4}
 	outage := &Outage{}
-	node := &obeying{}
-	f := NewCatalog(source, clocktest.NewClock(), zap.NewNop(), outage, node.take, WithReaders(reader, noReaders{}))
+	node := &configHolder{}
+	f := NewCatalog(source, clocktest.NewClock(), zap.NewNop(), outage, node.take, WithReaders(reader, standalone{}))
 	if err := f.Run(ctx); !errors.Is(err, context.Canceled) {
 		t.Fatalf("got error %v, want %v", err, context.Canceled)
 	}
 	checkCalls(t, source.calls, []string{"read", "reader", "reader", "reader fails", "read", "await"})
-	if got, want := strings.Join(node.obeyed, " "), "1 2 3"; got != want {
-		t.Errorf("got versions %s, want %s", got, want)
+	if got, want := strings.Join(node.applied, " "), "1 2 3"; got != want {
+		t.Errorf("got applied versions %s, want %s", got, want)
 	}
 	if got, want := reader.failed, 1; got != want {
-		t.Errorf("got %d failures noted, want %d", got, want)
+		t.Errorf("got %d reader failures, want %d", got, want)
 	}
 }
 
-// The first contact with a reader may fail, since it does not yet know that it
-// is one. What this node has read itself is no older for it.
-func TestCatalogDoesNotReadAnewAfterAFirstContact(t *testing.T) {
+// The first call to a reader may fail because that node does not know yet that it is the
+// reader. The node's own reading of the store stays valid, so it does not read the full
+// configuration again.
+func TestCatalogKeepsReadingAfterFirstReaderFailure(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	source := &scripted{t: t, end: cancel, answers: []scriptedAnswer{{raw: "1"}, {}}}
-	reader := &scriptedReader{store: source, offered: 2}
-	f := NewCatalog(source, clocktest.NewClock(), zap.NewNop(), &Outage{}, (&obeying{}).take, WithReaders(reader, noReaders{}))
+	source := &scriptedStore{t: t, end: cancel, answers: []scriptedAnswer{{raw: "1"}, {}}}
+	reader := &scriptedReader{store: source, offersLeft: 2}
+	f := NewCatalog(source, clocktest.NewClock(), zap.NewNop(), &Outage{}, (&configHolder{}).take, WithReaders(reader, standalone{}))
 	if err := f.Run(ctx); !errors.Is(err, context.Canceled) {
 		t.Fatalf("got error %v, want %v", err, context.Canceled)
 	}
 	checkCalls(t, source.calls, []string{"read", "reader fails", "await"})
 }
 
-// The proof counts from the question, less the age that the reader gives.
-func TestCatalogCountsTheReadersAge(t *testing.T) {
+// Checks that the time of a proof is the sending time of the call minus the age in the
+// response.
+func TestCatalogSubtractsReaderAge(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	source := &scripted{t: t, end: cancel, answers: []scriptedAnswer{{raw: "1"}}}
-	reader := &scriptedReader{store: source, answers: []scriptedAnswer{{}}, offered: 2}
+	source := &scriptedStore{t: t, end: cancel, answers: []scriptedAnswer{{raw: "1"}}}
+	reader := &scriptedReader{store: source, answers: []scriptedAnswer{{}}, offersLeft: 2}
 	c := clocktest.NewClock()
-	node := &obeying{}
-	f := NewCatalog(source, c, zap.NewNop(), &Outage{}, node.take, WithReaders(reader, noReaders{}))
+	node := &configHolder{}
+	f := NewCatalog(source, c, zap.NewNop(), &Outage{}, node.take, WithReaders(reader, standalone{}))
 	if err := f.Run(ctx); !errors.Is(err, context.Canceled) {
 		t.Fatalf("got error %v, want %v", err, context.Canceled)
 	}
-	if len(node.proofs) != 2 || node.proofs[1] > c.Now()-500 {
-		t.Errorf("got proofs at %v, want two, the second 500 or more before %d", node.proofs, c.Now())
+	if len(node.confirmedAt) != 2 || node.confirmedAt[1] > c.Now()-500 {
+		t.Errorf("got proofs at %v, want two, the second at least 500 ms before %d", node.confirmedAt, c.Now())
 	}
 }
 
-// followersLog notes what goes to the nodes that follow this one.
-type followersLog struct {
-	noReaders
+// publishedLog records what a node publishes to its followers.
+type publishedLog struct {
+	standalone
 	calls []string
 }
 
-func (l *followersLog) AddFleet(_ moment.Moment, changes []fleet.Change) {
+func (l *publishedLog) AddFleet(_ moment.Moment, changes []fleet.Change) {
 	text := "add"
 	for _, c := range changes {
 		text += fmt.Sprint(" ", c.ID.String(), c.Gone)
@@ -146,7 +151,7 @@
 	l.calls = append(l.calls, text)
 }
 
-func (l *followersLog) SetFleet(_ moment.Moment, list []fleet.Upstream) {
+func (l *publishedLog) SetFleet(_ moment.Moment, list []fleet.Upstream) {
 	text := "set"
 	for _, u := range list {
 		text += " " + u.ID.String()
@@ -154,108 +159,106 @@
 	l.calls = append(l.calls, text)
 }
 
-func (l *followersLog) AddEnded(ended []fleet.Change) {
+func (l *publishedLog) AddEnded(ended []fleet.Change) {
 	for _, c := range ended {
 		l.calls = append(l.calls, "ended "+c.ID.String())
 	}
 }
 
-func (l *followersLog) Suspend() { l.calls = append(l.calls, "suspend") }
+func (l *publishedLog) Suspend() { l.calls = append(l.calls, "suspend") }
 
 func listed(id string) fleet.Change {
 	return fleet.Change{ID: fleet.Undated(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.Undated(fleet.ID(id))}}
 }
 
-// backSoon ends an outage as the follower of the configuration would.
-func backSoon(ctx context.Context, outage *Outage, c *clock.Clock) {
+// endOutageSoon ends an outage as the follower of the configuration does.
+func endOutageSoon(ctx context.Context, outage *Outage, c *clock.Clock) {
 	for ctx.Err() == nil {
-		outage.Back(c.Now())
-		clock.Pause(ctx, firstRetry.Duration())
+		outage.RecordAnswer(c.Now())
+		clock.Pause(ctx, minRetryPause.Duration())
 	}
 }
 
-// passedOn plays answers of the store to a follower of the list, and returns what it
-// passes on to the nodes that follow it.
-func passedOn(t *testing.T, answers []scriptedAnswer) []string {
+// publishedFor passes answers of the store to a follower of the list and returns what that
+// publishes.
+func publishedFor(t *testing.T, answers []scriptedAnswer) []string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	source := &scripted{t: t, end: cancel, answers: answers}
+	source := &scriptedStore{t: t, end: cancel, answers: answers}
 	outage := &Outage{}
 	c := clocktest.NewClock()
-	followers := &followersLog{}
-	f := NewFleet(source, c, zap.NewNop(), outage, func([]fleet.Change) {}, WithReaders(&scriptedReader{store: source}, followers))
-	go backSoon(ctx, outage, c)
+	published := &publishedLog{}
+	f := NewFleet(source, c, zap.NewNop(), outage, func([]fleet.Change) {}, WithReaders(&scriptedReader{store: source}, published))
+	go endOutageSoon(ctx, outage, c)
 	if err := f.Run(ctx); !errors.Is(err, context.Canceled) {
 		t.Fatalf("got error %v, want %v", err, context.Canceled)
 	}
-	return followers.calls
+	return published.calls
 }
 
-// While the store is away nobody can follow the list. Once it is back, what has
-// lapsed meanwhile still stands in what is passed on. A node that has started in an
-// outage cannot know what has lapsed in it, and passes nothing on until all that lives
-// is back. What has gone before a node has seen it is passed on all the same: one that
-// follows may have seen it.
-func TestFleetPassesOn(t *testing.T) {
+// Checks what a node publishes around a store outage. During the outage it publishes nothing.
+// Afterwards, the published list includes held entries. A node that has started during an
+// outage cannot know the falsely removed entries, and publishes nothing until the grace period
+// ends. The removal of an entry that the node never had is published too, because a follower
+// may have it.
+func TestFleetPublishes(t *testing.T) {
 	tests := []struct {
 		name    string
 		answers []scriptedAnswer
 		want    []string
 	}{
-		{"what may come back", []scriptedAnswer{
-			{changes: []fleet.Change{listed("u1"), listed("u2")}}, {err: errAway}, {changes: []fleet.Change{listed("u1")}},
+		{"held entries", []scriptedAnswer{
+			{changes: []fleet.Change{listed("u1"), listed("u2")}}, {err: errStoreDown}, {changes: []fleet.Change{listed("u1")}},
 			{changes: []fleet.Change{listed("u3")}},
 		}, []string{"set u1 u2", "suspend", "set u1 u2", "add u3false", "suspend"}},
-		{"no part of a list", []scriptedAnswer{
-			{err: errAway}, {changes: []fleet.Change{listed("u1")}}, {changes: []fleet.Change{listed("u2")}},
+		{"incomplete list", []scriptedAnswer{
+			{err: errStoreDown}, {changes: []fleet.Change{listed("u1")}}, {changes: []fleet.Change{listed("u2")}},
 		}, []string{"suspend", "suspend", "suspend", "suspend"}},
-		{"unknown ends", []scriptedAnswer{
+		{"removal of an unknown entry", []scriptedAnswer{
 			{changes: []fleet.Change{listed("u1")}}, {changes: []fleet.Change{{ID: fleet.Undated("u9"), Gone: true}}},
 		}, []string{"set u1", "add u9true", "suspend"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			checkCalls(t, passedOn(t, tt.answers), tt.want)
+			checkCalls(t, publishedFor(t, tt.answers), tt.want)
 		})
 	}
 }
 
-// Seen: nodes refused requests for want of an upstream, since the node that they had just
-// begun to follow told a whole list of one upstream out of three. That node had read an
-// empty list at its start and then learnt the list from peers; what it read from the store
-// afterwards brought one change that was news to it, and only that was passed on. The logs
-// of both showed the list learnt (revision=0), and the ends of upstreams that lived.
-func TestFleetPassesOnWhatPeersHaveTold(t *testing.T) {
-	followers := &followersLog{}
-	f := NewFleet(&scripted{t: t}, clocktest.NewClock(), zap.NewNop(), &Outage{}, func([]fleet.Change) {}, WithReaders(noReaders{}, followers))
+// Guards against followers with an incomplete list: they got a full list of one upstream out of
+// three and rejected requests. Their reader had read an empty list when it started, then
+// applied a list of a peer, and published only what its next reading of the store changed.
+func TestFleetPublishesPeerLists(t *testing.T) {
+	published := &publishedLog{}
+	f := NewFleet(&scriptedStore{t: t}, clocktest.NewClock(), zap.NewNop(), &Outage{}, func([]fleet.Change) {}, WithReaders(standalone{}, published))
 	now := f.clock.Now()
-	f.take(now, FleetReading{AsOf: moment.At(0, 1), Whole: true}, false)
-	f.Learn([]fleet.Upstream{{ID: fleet.Undated("u1")}, {ID: fleet.Undated("u2")}})
-	f.takeLearnt(now)
-	f.take(now, FleetReading{AsOf: moment.At(0, 4), Changes: []fleet.Change{listed("u1"), listed("u2"), listed("u3")}}, false)
-	checkCalls(t, followers.calls, []string{"set", "set u1 u2 u3"})
+	f.apply(now, FleetReading{AsOf: moment.At(0, 1), Whole: true}, false)
+	f.AddPeerList([]fleet.Upstream{{ID: fleet.Undated("u1")}, {ID: fleet.Undated("u2")}})
+	f.applyPeerList(now)
+	f.apply(now, FleetReading{AsOf: moment.At(0, 4), Changes: []fleet.Change{listed("u1"), listed("u2"), listed("u3")}}, false)
+	checkCalls(t, published.calls, []string{"set", "set u1 u2 u3"})
 }
 
-// A node without anybody to follow leaves the store to others while it is told to,
-// but for its first reading.
-func TestLeavesTheStoreToOthers(t *testing.T) {
+// Checks that a node without a reader makes no store calls while Waits reports true, except for
+// its initial reading.
+func TestShouldWaitDelaysStoreCalls(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	source := &scripted{t: t, end: cancel, answers: []scriptedAnswer{{raw: "1"}, {}}}
-	readers := &scriptedReader{store: source, waits: 2}
-	f := NewCatalog(source, clocktest.NewClock(), zap.NewNop(), &Outage{}, (&obeying{}).take, WithReaders(readers, noReaders{}))
+	source := &scriptedStore{t: t, end: cancel, answers: []scriptedAnswer{{raw: "1"}, {}}}
+	readers := &scriptedReader{store: source, waitsLeft: 2}
+	f := NewCatalog(source, clocktest.NewClock(), zap.NewNop(), &Outage{}, (&configHolder{}).take, WithReaders(readers, standalone{}))
 	if err := f.Run(ctx); !errors.Is(err, context.Canceled) {
 		t.Fatalf("got error %v, want %v", err, context.Canceled)
 	}
 	checkCalls(t, source.calls, []string{"read", "waits", "waits", "await", "await"})
 }
 
-// A node that alone has lost the store follows another one from where it was,
-// without reading the whole again. When that one fails it soon after, what it has told
-// may have left out what it held itself, and the store is read anew.
-func TestFleetFollowsAReaderWhileTheStoreIsLost(t *testing.T) {
+// Checks that a node that alone has lost the store follows a reader from its last revision,
+// without a full reading. If the reader fails soon after, its list may have included entries
+// that it held itself, so the node reads the full list from the store.
+func TestFleetFollowsReaderDuringOutage(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	source := &scripted{t: t, end: cancel, answers: []scriptedAnswer{{changes: []fleet.Change{listed("u1")}}, {err: errAway}}}
+	source := &scriptedStore{t: t, end: cancel, answers: []scriptedAnswer{{changes: []fleet.Change{listed("u1")}}, {err: errStoreDown}}}
 	reader := &scriptedReader{store: source, answers: []scriptedAnswer{{changes: []fleet.Change{listed("u2")}}, {changes: []fleet.Change{{ID: fleet.Undated("u1"), Gone: true}}}}}
 	outage := &Outage{}
 	var seen []string
@@ -263,35 +266,35 @@
 		for _, c := range changes {
 			seen = append(seen, fmt.Sprint(c.ID.String(), c.Gone))
 		}
-	}, WithReaders(offeredInOutage{reader, outage}, noReaders{}))
+	}, WithReaders(readerInOutage{reader, outage}, standalone{}))
 	if err := f.Run(ctx); !errors.Is(err, context.Canceled) {
 		t.Fatalf("got error %v, want %v", err, context.Canceled)
 	}
 	checkCalls(t, source.calls, []string{"read", "await", "reader", "reader", "reader fails", "read"})
 	if got, want := strings.Join(seen, " "), "u1false u2false u1true"; got != want {
-		t.Errorf("got %q, want %q: a reader's word on what is gone counts at once", got, want)
+		t.Errorf("got %q, want %q: a removal by a reader applies immediately", got, want)
 	}
 }
 
-// offeredInOutage offers a reader while the store is lost, until it fails.
-type offeredInOutage struct {
+// readerInOutage can be selected during a store outage until it fails.
+type readerInOutage struct {
 	*scriptedReader
 	outage *Outage
 }
 
-func (r offeredInOutage) Reader() Reader {
-	if !r.outage.Away() || r.failed > 0 {
+func (r readerInOutage) Reader() Reader {
+	if !r.outage.Ongoing() || r.failed > 0 {
 		return nil
 	}
 	return r.scriptedReader
 }
 
-// The newest configuration cannot be read: that there is no newer one proves
-// nothing about the one in force.
-func TestUnreadableConfigurationIsNeverConfirmed(t *testing.T) {
+// If the newest configuration is invalid, a reading without changes proves nothing about the
+// active one.
+func TestInvalidConfigIsNeverConfirmed(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	source := &scripted{t: t, end: cancel, answers: []scriptedAnswer{{raw: "1"}, {raw: "bad"}, {}, {}, {raw: "2"}}}
-	node := &obeying{}
+	source := &scriptedStore{t: t, end: cancel, answers: []scriptedAnswer{{raw: "1"}, {raw: "bad"}, {}, {}, {raw: "2"}}}
+	node := &configHolder{}
 	f := NewCatalog(source, clocktest.NewClock(), zap.NewNop(), &Outage{}, node.take)
 	if err := f.Run(ctx); !errors.Is(err, context.Canceled) {
 		t.Fatalf("got error %v, want %v", err, context.Canceled)
@@ -301,97 +304,97 @@
 	}
 }
 
-// A list that a peer has told counts only for a moment, and the newest counts: one
-// from the time of the node's start lacks what has registered since.
-func TestLearntListsGrowOld(t *testing.T) {
+// Checks that a peer's list is applied only while it is recent, and only the last one received:
+// an older one lacks upstreams that have registered since.
+func TestPeerListsExpire(t *testing.T) {
 	c := clocktest.NewClock()
-	var told []string
-	f := NewFleet(&scripted{t: t}, c, zap.NewNop(), &Outage{}, func(changes []fleet.Change) {
+	var changed []string
+	f := NewFleet(&scriptedStore{t: t}, c, zap.NewNop(), &Outage{}, func(changes []fleet.Change) {
 		for _, change := range changes {
-			told = append(told, fmt.Sprint(change.ID.String(), change.Gone))
+			changed = append(changed, fmt.Sprint(change.ID.String(), change.Gone))
 		}
 	})
 	f.view.Apply(c.Now(), []fleet.Change{listed("u1"), listed("u2")}, false)
-	f.Learn([]fleet.Upstream{{ID: fleet.Undated("u1")}})
-	f.Learn([]fleet.Upstream{{ID: fleet.Undated("u1")}, {ID: fleet.Undated("u2")}, {ID: fleet.Undated("u3")}})
-	f.takeLearnt(c.Now())
-	if got, want := strings.Join(told, " "), "u3false"; got != want {
-		t.Errorf("got %q of two lists, want %q of the newer", got, want)
+	f.AddPeerList([]fleet.Upstream{{ID: fleet.Undated("u1")}})
+	f.AddPeerList([]fleet.Upstream{{ID: fleet.Undated("u1")}, {ID: fleet.Undated("u2")}, {ID: fleet.Undated("u3")}})
+	f.applyPeerList(c.Now())
+	if got, want := strings.Join(changed, " "), "u3false"; got != want {
+		t.Errorf("got changes %q after two lists, want %q from the last one", got, want)
 	}
-	told = nil
-	f.Learn([]fleet.Upstream{{ID: fleet.Undated("u1")}})
-	f.takeLearnt(c.Now().Add(learntLasts + 1))
-	if len(told) > 0 {
-		t.Errorf("got %q of an old list, want nothing", told)
+	changed = nil
+	f.AddPeerList([]fleet.Upstream{{ID: fleet.Undated("u1")}})
+	f.applyPeerList(c.Now().Add(peerListLifetime + 1))
+	if len(changed) > 0 {
+		t.Errorf("got changes %q from an expired list, want none", changed)
 	}
 }
 
-// followedReaders are those of a node that others follow.
-type followedReaders struct {
-	noReaders
-	overdue bool
+// followedNode implements Readers for a node with followers.
+type followedNode struct {
+	standalone
+	needsProof bool
 }
 
-func (followedReaders) Followed() bool          { return true }
-func (r followedReaders) First() (Reader, bool) { return nil, false }
+func (followedNode) Followed() bool          { return true }
+func (r followedNode) First() (Reader, bool) { return nil, false }
 
-func (r followedReaders) Overdue() bool { return r.overdue }
+func (r followedNode) Overdue() bool { return r.needsProof }
 
-// A node that others follow asks a slow store for shorter waits, so that its proofs get
-// no older than they may, and for none while others wait for a proof.
-func TestSlowStoreIsAskedForShorterWaits(t *testing.T) {
+// Checks that a node with followers sends shorter waits to a slow store, so that its proof does
+// not get too old, and no wait while followers need a proof.
+func TestSlowStoreGetsShorterWaits(t *testing.T) {
 	tests := []struct {
 		name     string
 		readers  Readers
 		progress catalogProgress
 		want     clock.Millis
 	}{
-		{"nobody follows", noReaders{}, catalogProgress{slowness: 240}, limitsFor(usualWithin).configWait},
-		{"a quick store", followedReaders{}, catalogProgress{}, followedConfigWait},
-		{"a slow store", followedReaders{}, catalogProgress{slowness: 240}, followedConfigWait - 480},
-		{"a very slow store", followedReaders{}, catalogProgress{slowness: 900}, leastWait},
-		{"others wait for a proof", followedReaders{overdue: true}, catalogProgress{}, 0},
-		{"they still do", followedReaders{overdue: true}, catalogProgress{urged: true}, followedConfigWait},
+		{"no followers", standalone{}, catalogProgress{extraLatency: 240}, limitsFor(defaultChangeDeadline).configWait},
+		{"a fast store", followedNode{}, catalogProgress{}, followedConfigWait},
+		{"a slow store", followedNode{}, catalogProgress{extraLatency: 240}, followedConfigWait - 480},
+		{"a very slow store", followedNode{}, catalogProgress{extraLatency: 900}, minWait},
+		{"followers need a proof", followedNode{needsProof: true}, catalogProgress{}, 0},
+		{"followers need a proof after a skipped wait", followedNode{needsProof: true}, catalogProgress{skippedWait: true}, followedConfigWait},
 	}
 	for _, tt := range tests {
-		f := NewCatalog(nil, clocktest.NewClock(), zap.NewNop(), &Outage{}, nil, WithReaders(tt.readers, noReaders{}))
-		if got, _ := f.wait(tt.progress); got != tt.want {
+		f := NewCatalog(nil, clocktest.NewClock(), zap.NewNop(), &Outage{}, nil, WithReaders(tt.readers, standalone{}))
+		if got, _ := f.nextWait(tt.progress); got != tt.want {
 			t.Errorf("%s: got a wait of %d ms, want %d", tt.name, got, tt.want)
 		}
 	}
-	p := catalogProgress{wait: 600, slowness: 7}
-	if got, want := p.slownessAfter(nil, CatalogReading{}, 840), clock.Millis(240); got != want {
-		t.Errorf("got slowness %d after a wait of 840 ms for 600, want %d", got, want)
+	p := catalogProgress{nextWait: 600, extraLatency: 7}
+	if got, want := p.latencyAfter(nil, CatalogReading{}, 840), clock.Millis(240); got != want {
+		t.Errorf("got extra latency %d after a call of 840 ms with a wait of 600, want %d", got, want)
 	}
-	if got, want := p.slownessAfter(nil, CatalogReading{Raw: []byte("1")}, 100), clock.Millis(7); got != want {
-		t.Errorf("got slowness %d after a change, want %d as before", got, want)
+	if got, want := p.latencyAfter(nil, CatalogReading{Raw: []byte("1")}, 100), clock.Millis(7); got != want {
+		t.Errorf("got extra latency %d after a change, want %d as before", got, want)
 	}
 }
 
-// An engine answers as a later run of its process than the list shows. The earlier run ends
-// at once, here and for those that follow, and no list that is late brings it back.
-func TestLaterRunEndsTheEarlierOne(t *testing.T) {
+// An engine responds as a later incarnation than the list contains. The earlier one is removed
+// immediately, at this node and at its followers, and outdated lists do not add it again.
+func TestLaterIncarnationReplacesEarlier(t *testing.T) {
 	c := clocktest.NewClock()
 	earlier, later := fleet.NewIncarnation("u1", 100), fleet.NewIncarnation("u1", 200)
 	list := []fleet.Upstream{{ID: earlier}}
-	var told []fleet.Change
-	followers := &followersLog{}
-	f := NewFleet(&scripted{t: t}, c, zap.NewNop(), &Outage{}, func(changes []fleet.Change) { told = append(told, changes...) },
-		WithReaders(noReaders{}, followers))
-	f.take(c.Now(), FleetReading{AsOf: moment.At(0, 1), Whole: true, Changes: []fleet.Change{{ID: earlier, Upstream: list[0]}}}, false)
-	told = nil
+	var changed []fleet.Change
+	published := &publishedLog{}
+	f := NewFleet(&scriptedStore{t: t}, c, zap.NewNop(), &Outage{}, func(changes []fleet.Change) { changed = append(changed, changes...) },
+		WithReaders(standalone{}, published))
+	f.apply(c.Now(), FleetReading{AsOf: moment.At(0, 1), Whole: true, Changes: []fleet.Change{{ID: earlier, Upstream: list[0]}}}, false)
+	changed = nil
 	f.Supersede(later)
-	if len(told) != 1 || told[0].ID != earlier || !told[0].Ended {
-		t.Fatalf("got %v told, want that %s has ended", told, earlier)
+	if len(changed) != 1 || changed[0].ID != earlier || !changed[0].Ended {
+		t.Fatalf("got changes %v, want the end of %s", changed, earlier)
 	}
-	if got, want := strings.Join(followers.calls, " "), "set u1@100 ended u1@100"; got != want {
-		t.Errorf("got %q for those that follow, want %q", got, want)
+	if got, want := strings.Join(published.calls, " "), "set u1@100 ended u1@100"; got != want {
+		t.Errorf("got %q published, want %q", got, want)
 	}
 	f.Supersede(later)
-	f.Learn(list)
-	f.takeLearnt(c.Now())
-	f.take(c.Now(), FleetReading{AsOf: moment.At(0, 2), Whole: true, Changes: []fleet.Change{{ID: earlier, Upstream: list[0]}}}, false)
-	if len(told) != 1 {
-		t.Errorf("got %v told after that, want nothing more", told[1:])
+	f.AddPeerList(list)
+	f.applyPeerList(c.Now())
+	f.apply(c.Now(), FleetReading{AsOf: moment.At(0, 2), Whole: true, Changes: []fleet.Change{{ID: earlier, Upstream: list[0]}}}, false)
+	if len(changed) != 1 {
+		t.Errorf("got further changes %v, want none", changed[1:])
 	}
 }
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -149,7 +149,7 @@
 		k.Release(a)
 		time.Sleep(time.Second)
 		k.StoreReturned()
-		time.Sleep(moment.CopyReaches.Duration())
+		time.Sleep(moment.MaxBackupAge.Duration())
 		k.StoreReturned()
 	}, time.Second)
 	if got, want := calls, []string{"keep2", "release1", "keep1", "release1"}; !slices.Equal(got, want) {
--- a/lab/node.go
+++ b/lab/node.go
@@ -49,7 +49,7 @@
 	seen int
 	// roster knows the nodes of its data centre, and circle its place among them.
 	roster *reading.Roster
-	circle reading.Circle
+	circle reading.Topology
 	// heard and sent count the datagrams that nodes tell each other.
 	heard, sent int
 }
--- a/lab/world.go
+++ b/lab/world.go
@@ -244,8 +244,8 @@
 
 // plans tells whether a node is one of those that plan.
 func (w *world) plans(n *node) bool {
-	if !n.circle.Meshed {
-		return n.circle.Hub
+	if !n.circle.FullMesh {
+		return n.circle.IsHub
 	}
 	before := 0
 	for _, o := range w.nodes {
--- a/moment/moment.go
+++ b/moment/moment.go
@@ -1,9 +1,9 @@
-// Package moment names moments of a store that may come back from an earlier state of
-// itself: it then counts its revisions on from that state, and gives out again those that it
-// has lost. A revision alone says nothing of what was read before and after a return, so it
-// is only ever carried, and compared, with the era that it belongs to.
+// Package moment orders readings of a store that can be restored from a backup. A restored
+// store continues counting revisions from the backup's revision, so it assigns the lost
+// revision numbers again. Revisions from before and after a restore are therefore not
+// comparable; a Moment pairs a revision with its era, the counter of store restores.
 //
-// Where the store names no era there is one era, and moments are its revisions.
+// A store that reports no era has the single era 0, in which moments compare by revision alone.
 package moment
 
 import (
@@ -12,35 +12,37 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// CopyReaches is how far back a copy may reach that the store comes back from: what was
-// written before that is in it.
-const CopyReaches clock.Millis = 60_000
+// MaxBackupAge bounds the age of the backup that the store is restored from: entries written
+// earlier than that are in the backup.
+const MaxBackupAge clock.Millis = 60_000
 
-// Moment is a revision of a store in an era of it. Eras count the returns. The zero value is
-// before all that was read.
+// Moment is a revision of the store within an era. The era counts store restores. The zero
+// value precedes every reading.
 type Moment struct {
 	era      uint64
 	revision uint64
 }
 
-// At returns a moment. Only who speaks with a store, or with other nodes, makes one.
+// At returns the moment of a revision in an era. Only packages that exchange messages with the
+// store or with other nodes may call it.
 func At(era, revision uint64) Moment { return Moment{era: era, revision: revision} }
 
-// Parts returns the era and the revision, for messages.
+// Parts returns the era and the revision for encoding in messages.
 func (m Moment) Parts() (era, revision uint64) { return m.era, m.revision }
 
-// IsZero tells whether it is before all that was read.
+// IsZero reports whether m is the zero moment, which precedes every reading.
 func (m Moment) IsZero() bool { return m == Moment{} }
 
-// SameEra tells whether the store has not come back from a copy between two moments.
+// SameEra reports whether no store restore happened between m and o.
 func (m Moment) SameEra(o Moment) bool { return m.era == o.era }
 
-// After tells whether the store was at this moment later than at another one.
+// After reports whether m is later than o: in a later era, or in the same era with a higher
+// revision.
 func (m Moment) After(o Moment) bool {
 	return m.era > o.era || m.era == o.era && m.revision > o.revision
 }
 
-// Latest returns the later of two moments.
+// Latest returns the later of a and b.
 func Latest(a, b Moment) Moment {
 	if b.After(a) {
 		return b
@@ -48,7 +50,7 @@
 	return a
 }
 
-// String names the moment for logs: ERA:REVISION, or the revision where eras are not named.
+// String formats the moment for logs as ERA:REVISION, or as REVISION if the era is 0.
 func (m Moment) String() string {
 	revision := strconv.FormatUint(m.revision, 10)
 	if m.era == 0 {
--- a/moment/moment_test.go
+++ b/moment/moment_test.go
@@ -8,28 +8,28 @@
 
 func TestAfter(t *testing.T) {
 	tests := []struct {
-		name          string
-		m, o          moment.Moment
-		after, sameAs bool
+		name           string
+		m, o           moment.Moment
+		after, sameEra bool
 	}{
 		{"a later revision", moment.At(1, 6), moment.At(1, 5), true, true},
 		{"an earlier revision", moment.At(1, 5), moment.At(1, 6), false, true},
-		{"the same", moment.At(1, 5), moment.At(1, 5), false, true},
-		{"a lower revision of a later era", moment.At(2, 5), moment.At(1, 99), true, false},
-		{"a higher revision of an earlier era", moment.At(1, 99), moment.At(2, 5), false, false},
-		{"the same revision of a later era", moment.At(2, 5), moment.At(1, 5), true, false},
+		{"the same moment", moment.At(1, 5), moment.At(1, 5), false, true},
+		{"a lower revision in a later era", moment.At(2, 5), moment.At(1, 99), true, false},
+		{"a higher revision in an earlier era", moment.At(1, 99), moment.At(2, 5), false, false},
+		{"the same revision in a later era", moment.At(2, 5), moment.At(1, 5), true, false},
 		{"a store without eras", moment.At(0, 6), moment.At(0, 5), true, true},
-		{"anything after nothing", moment.At(0, 1), moment.Moment{}, true, true},
+		{"any moment after the zero moment", moment.At(0, 1), moment.Moment{}, true, true},
 	}
 	for _, tt := range tests {
 		if got := tt.m.After(tt.o); got != tt.after {
 			t.Errorf("%s: got after=%v, want %v", tt.name, got, tt.after)
 		}
-		if got := tt.m.SameEra(tt.o); got != tt.sameAs {
-			t.Errorf("%s: got the same era %v, want %v", tt.name, got, tt.sameAs)
+		if got := tt.m.SameEra(tt.o); got != tt.sameEra {
+			t.Errorf("%s: got sameEra=%v, want %v", tt.name, got, tt.sameEra)
 		}
 		if got, want := moment.Latest(tt.m, tt.o) == tt.m, !tt.o.After(tt.m); got != want {
-			t.Errorf("%s: got %v as the latest, want %v", tt.name, moment.Latest(tt.m, tt.o), want)
+			t.Errorf("%s: got Latest %v, want m returned: %v", tt.name, moment.Latest(tt.m, tt.o), want)
 		}
 	}
 }
--- a/momentwire/momentwire.go
+++ b/momentwire/momentwire.go
@@ -1,5 +1,5 @@
-// Package momentwire translates what nodes tell each other of moments of the store and of
-// texts of the configuration.
+// Package momentwire converts store moments and configuration editions to and from node-to-node
+// messages.
 package momentwire
 
 import (
@@ -8,22 +8,22 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// Moment returns a moment in the form in which nodes tell each other of it.
+// Moment returns the message form of a moment.
 func Moment(m moment.Moment) *wire.Moment {
 	era, revision := m.Parts()
 	return &wire.Moment{Era: era, Revision: revision}
 }
 
-// MomentOf is the reverse of Moment; the zero moment for none.
-func MomentOf(told *wire.Moment) moment.Moment { return moment.At(told.GetEra(), told.GetRevision()) }
+// MomentOf returns the moment in a message; a nil message gives the zero moment.
+func MomentOf(msg *wire.Moment) moment.Moment { return moment.At(msg.GetEra(), msg.GetRevision()) }
 
-// Edition returns an edition in the form in which nodes tell each other of it.
+// Edition returns the message form of an edition.
 func Edition(e catalog.Edition) *wire.Edition {
 	version, digest, written := e.Parts()
 	return &wire.Edition{Version: version, Digest: digest, Written: Moment(written)}
 }
 
-// EditionOf is the reverse of Edition; the zero edition for none.
-func EditionOf(told *wire.Edition) catalog.Edition {
-	return catalog.EditionOf(told.GetVersion(), told.GetDigest(), MomentOf(told.GetWritten()))
+// EditionOf returns the edition in a message; a nil message gives the zero edition.
+func EditionOf(msg *wire.Edition) catalog.Edition {
+	return catalog.EditionOf(msg.GetVersion(), msg.GetDigest(), MomentOf(msg.GetWritten()))
 }
--- a/peering/doc.go
+++ b/peering/doc.go
@@ -40,7 +40,7 @@
 // Knowledge is what a node knows and can tell others.
 type Knowledge interface {
 	// Config returns the configuration in force.
-	Config() follow.InForce
+	Config() follow.ActiveConfig
 	// Fleet returns the list of upstreams; ok is false while the node cannot
 	// vouch for it.
 	Fleet() (list []fleet.Upstream, ok bool)
--- a/peering/peering_test.go
+++ b/peering/peering_test.go
@@ -41,8 +41,8 @@
 	rank              int
 }
 
-func (f *fakeNode) Config() follow.InForce {
-	return follow.InForce{Edition: edition(f.version), Raw: f.raw, Confirmed: f.confirmed}
+func (f *fakeNode) Config() follow.ActiveConfig {
+	return follow.ActiveConfig{Edition: edition(f.version), Raw: f.raw, Confirmed: f.confirmed}
 }
 
 // edition is one of a version, none for 0.
--- a/peering/put_back.go
+++ b/peering/put_back.go
@@ -34,7 +34,7 @@
 			return ctx.Err()
 		case <-p.returned:
 		}
-		if p.clock.Now() >= clock.Millis(p.registeredAt.Load()).Add(moment.CopyReaches) {
+		if p.clock.Now() >= clock.Millis(p.registeredAt.Load()).Add(moment.MaxBackupAge) {
 			continue
 		}
 		clock.Pause(ctx, (p.registerAfter % strongSpread(p.directory.self.GetStrength())).Duration())
--- a/peering/quarantined.go
+++ b/peering/quarantined.go
@@ -31,7 +31,7 @@
 func (p *Peering) quarantined() []*wire.QuarantinedWork {
 	var out []*wire.QuarantinedWork
 	for _, w := range p.knowledge.Quarantined() {
-		out = append(out, &wire.QuarantinedWork{Work: w.Work.Bytes(), AgeMs: int64(w.Age), Ended: fleetwire.Names(w.Ended)})
+		out = append(out, &wire.QuarantinedWork{Work: w.Work.Bytes(), AgeMs: int64(w.Age), Ended: fleetwire.Incarnations(w.Ended)})
 	}
 	return out
 }
--- a/peering/silent_connections_test.go
+++ b/peering/silent_connections_test.go
@@ -33,8 +33,8 @@
 	store *clock.Clock
 }
 
-func (k *knowing) Config() follow.InForce {
-	inForce := follow.InForce{Edition: catalog.New(1).Edition(), Raw: []byte("c")}
+func (k *knowing) Config() follow.ActiveConfig {
+	inForce := follow.ActiveConfig{Edition: catalog.New(1).Edition(), Raw: []byte("c")}
 	if k.store != nil {
 		inForce.Confirmed = k.store.Now()
 		return inForce
--- a/reading/await.go
+++ b/reading/await.go
@@ -7,64 +7,66 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// glance is what one look at the log has shown.
-type glance struct {
-	at clock.Millis
-	// found tells that there is something new, and vouched that the log can vouch.
-	found, vouched bool
-	// next is when to look again if changed is not closed before.
-	next    clock.Millis
-	changed <-chan struct{}
+// checkResult is the result of one check of the log.
+type checkResult struct {
+	now clock.Millis
+	// found reports whether there is something new to return, and fresh whether the log's proof
+	// is recent enough.
+	found, fresh bool
+	// nextCheck is when to check again unless changed is closed before.
+	nextCheck clock.Millis
+	changed   <-chan struct{}
 }
 
-// await looks, under the lock, until there is something new or the wait is over.
-// It fails as soon as the log cannot vouch any more.
-func (l *Log) await(ctx context.Context, wait clock.Millis, look func() (bool, error)) error {
-	until := l.clock.Now().Add(wait)
+// await calls check under the lock until it finds something new, or until the wait is over. It
+// returns ErrStale as soon as the log's proof is too old.
+func (l *Log) await(ctx context.Context, wait clock.Millis, check func() (bool, error)) error {
+	deadline := l.clock.Now().Add(wait)
 	for {
-		g, err := l.look(look)
+		r, err := l.checkOnce(check)
 		switch {
-		case err != nil || g.found:
+		case err != nil || r.found:
 			return err
-		case g.at >= until && g.vouched:
+		case r.now >= deadline && r.fresh:
 			return nil
 		}
-		next := g.next
-		if g.vouched {
-			next = min(until, next)
+		next := r.nextCheck
+		if r.fresh {
+			next = min(deadline, next)
 		}
-		// One more, since the clock rounds down.
-		timer := time.NewTimer((next.Sub(g.at) + 1).Duration())
+		// Adds 1 ms because the clock rounds down.
+		timer := time.NewTimer((next.Sub(r.now) + 1).Duration())
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return ctx.Err()
-		case <-g.changed:
+		case <-r.changed:
 		case <-timer.C:
 		}
 		timer.Stop()
 	}
 }
 
-// look looks once. On a first question the log may become able to vouch; later it
-// fails where it is not.
-func (l *Log) look(look func() (bool, error)) (glance, error) {
+// checkOnce calls check once if the log is fresh. If it is not, the first requests after an
+// interval without any may wait up to firstRequestWait for a proof; later requests fail with
+// ErrStale.
+func (l *Log) checkOnce(check func() (bool, error)) (checkResult, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	g := glance{at: l.clock.Now(), changed: l.changed}
-	if g.at >= l.asked.Add(followedFor) {
-		l.followedSince = g.at
+	r := checkResult{now: l.clock.Now(), changed: l.changed}
+	if r.now >= l.lastRequest.Add(followerTimeout) {
+		l.followedSince = r.now
 	}
-	l.asked = g.at
-	if !l.vouches(g.at) {
-		g.next = l.followedSince.Add(l.vouchSoon)
-		if g.at > g.next {
-			return g, ErrCannotVouch
+	l.lastRequest = r.now
+	if !l.isFresh(r.now) {
+		r.nextCheck = l.followedSince.Add(l.firstRequestWait)
+		if r.now > r.nextCheck {
+			return r, ErrStale
 		}
-		return g, nil
+		return r, nil
 	}
-	g.vouched, g.next = true, l.known.Answered.Add(l.vouchFor)
+	r.fresh, r.nextCheck = true, l.config.AnsweredAt.Add(l.proofLifetime)
 	var err error
-	g.found, err = look()
-	return g, err
+	r.found, err = check()
+	return r, err
 }
--- a/reading/whole_test.go
+++ b/reading/full_list_test.go
@@ -12,7 +12,7 @@
 	"github.com/hoistjunction/hoistjunction/reading"
 )
 
-// countedWriter counts what an answer takes, in bytes.
+// countedWriter counts the bytes of a response.
 type countedWriter struct {
 	http.ResponseWriter
 	bytes *atomic.Int64
@@ -23,9 +23,10 @@
 	return w.ResponseWriter.Write(data)
 }
 
-// Around an outage of the store two hundred followers asked for the whole list of three
-// thousand upstreams twice a second. One that has it already is told only that it stands.
-func TestWholeListIsToldOnce(t *testing.T) {
+// During a store outage, two hundred followers requested the full list of three thousand
+// upstreams twice a second. Checks that a follower that has the list gets a short response
+// instead.
+func TestUnchangedFullListIsNotResent(t *testing.T) {
 	for _, upstreams := range []int{10, 300, 3000} {
 		l := newLog(t)
 		var list []fleet.Upstream
@@ -41,29 +42,29 @@
 			mux.ServeHTTP(countedWriter{w, &bytes}, r)
 		}))
 		t.Cleanup(server.Close)
-		f := reading.NewSource(server.Client(), server.Listener.Addr().String(), "", vouchSoon)
-		ask := func(want int) int64 {
+		source := reading.NewSource(server.Client(), server.Listener.Addr().String(), "", testFirstRequestWait)
+		request := func(want int) int64 {
 			t.Helper()
 			before := bytes.Load()
-			got, err := f.AwaitUpstreams(context.Background(), at(0), longWait)
+			got, err := source.AwaitUpstreams(context.Background(), at(0), longWait)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if !got.Whole || len(got.Changes) != want {
-				t.Fatalf("got whole=%v with %d upstreams, want all %d", got.Whole, len(got.Changes), want)
+				t.Fatalf("got full=%v with %d upstreams, want all %d", got.Whole, len(got.Changes), want)
 			}
 			return bytes.Load() - before
 		}
-		ask(upstreams)
-		if got, want := ask(upstreams), int64(64); got > want {
-			t.Errorf("%d upstreams: got %d bytes for the same list, want %d at most", upstreams, got, want)
+		request(upstreams)
+		if got, want := request(upstreams), int64(64); got > want {
+			t.Errorf("%d upstreams: got %d bytes for an unchanged list, want at most %d", upstreams, got, want)
 		}
-		// The same list read anew from the store has not changed.
+		// An unchanged list that is read again from the store keeps its token.
 		l.SetFleet(at(11), list)
-		if got, want := ask(upstreams), int64(64); got > want {
-			t.Errorf("%d upstreams: got %d bytes for a list that was read anew, want %d at most", upstreams, got, want)
+		if got, want := request(upstreams), int64(64); got > want {
+			t.Errorf("%d upstreams: got %d bytes for an unchanged list that was read again, want at most %d", upstreams, got, want)
 		}
 		l.AddFleet(at(12), []fleet.Change{{ID: list[0].ID, Gone: true}})
-		ask(upstreams - 1)
+		request(upstreams - 1)
 	}
 }
--- a/reading/hubs.go
+++ b/reading/hubs.go
@@ -10,35 +10,35 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// In a small group all nodes tell each other of themselves a few times a second, which
-// grows with the square of the nodes. In a larger one a few do so with all, the hubs: the
-// others tell the hubs alone, and are told by them.
+// In a small group every node sends its status to every other a few times a second, so traffic
+// grows with the square of the group's size. In a larger group only a few nodes, the hubs,
+// exchange statuses with all others; the other nodes, the leaves, exchange theirs with the hubs
+// only.
 const (
-	// mostMeshed is how many nodes a group may have in which all tell each other: what a
-	// node hears then stays under a hundred datagrams a second.
-	mostMeshed = 24
-	// hubCount is how many hubs there are: each other node tells each of them, and is told by
-	// each. Where more than half of the nodes end at the same moment, one of them is left in
-	// five of six cases, and otherwise the next by rank take their places.
+	// maxMeshNodes is the largest group in which all nodes exchange statuses with each other. A
+	// node then receives less than a hundred datagrams a second.
+	maxMeshNodes = 24
+	// hubCount is the number of hubs. Each other node exchanges statuses with every hub. If
+	// more than half of the nodes crash at the same moment, at least one hub survives in five
+	// of six cases; otherwise the next nodes by rank replace them.
 	hubCount = 3
-	// mostHubs is how many there are where none of them has the store, which may turn a part
-	// of the nodes away.
-	mostHubs = 6
-	// hubSilent is after how long without its word a hub is none any more, and the next node
-	// by rank becomes one.
-	hubSilent clock.Millis = 1500
+	// maxHubs is the number of hubs while none of them can reach the store, which may reject
+	// part of the nodes.
+	maxHubs = 6
+	// hubTimeout is how long after its last status a hub is replaced by the next node by rank.
+	hubTimeout clock.Millis = 1500
 )
 
-// Compare orders nodes by their rank for what one does for others: those come first whose
-// VMs can do more, and of these the first by name.
-func Compare(a, b *wire.Member) int {
+// CompareRank orders nodes by rank: higher VM capacity first, then by name.
+func CompareRank(a, b *wire.Member) int {
 	return cmp.Or(cmp.Compare(b.GetStrength(), a.GetStrength()), strings.Compare(a.GetName(), b.GetName()))
 }
 
-// rank works out the nodes' ranks. The caller holds the lock, or nobody else has the roster.
-func (r *Roster) rank() {
+// updateRanks computes the ranks of the nodes. The caller holds the lock or has exclusive
+// access.
+func (r *Roster) updateRanks() {
 	members := append(slices.Collect(maps.Values(r.group)), r.self)
-	slices.SortFunc(members, Compare)
+	slices.SortFunc(members, CompareRank)
 	r.ranked, r.ranks = r.ranked[:0], make(map[string]int, len(members))
 	for i, m := range members {
 		r.ranked = append(r.ranked, m.GetName())
@@ -46,96 +46,102 @@
 	}
 }
 
-// Told is how many nodes of a group of some nodes are to be told what concerns all of them:
-// in a large one the first by rank pass it on.
-func Told(nodes int) int {
-	if nodes <= mostMeshed {
+// BroadcastFanout returns the number of nodes to notify so that a message reaches all nodes of
+// a group: every node of a small group; in a large group only the first by rank, which forward
+// the message.
+func BroadcastFanout(nodes int) int {
+	if nodes <= maxMeshNodes {
 		return nodes
 	}
 	return hubCount
 }
 
-// meshed tells whether all nodes of the group tell each other of themselves. The caller
+// fullMesh reports whether all nodes of the group exchange statuses with each other. The caller
 // holds the lock.
-func (r *Roster) meshed() bool { return len(r.ranked) <= mostMeshed }
+func (r *Roster) fullMesh() bool { return len(r.ranked) <= maxMeshNodes }
 
-// hubs returns the names of the hubs by rank: the first nodes that are there. The caller
-// holds the lock.
+// hubs returns the names of the hubs: the first responsive nodes by rank. If none of the first
+// hubCount can be followed, it adds nodes until one can, up to maxHubs. The caller holds the
+// lock.
 func (r *Roster) hubs(now clock.Millis) []string {
 	var hubs []string
 	followable := false
 	for _, name := range r.ranked {
-		if len(hubs) >= mostHubs || len(hubs) >= hubCount && followable {
+		if len(hubs) >= maxHubs || len(hubs) >= hubCount && followable {
 			break
 		}
-		if !r.present(now, name) {
+		if !r.responsive(now, name) {
 			continue
 		}
 		hubs = append(hubs, name)
-		followable = followable || r.heard[name].followable || name == r.self.GetName() && !r.away
+		followable = followable || r.statuses[name].followable || name == r.self.GetName() && !r.storeLost
 	}
 	return hubs
 }
 
-// present tells whether a node has been heard lately, or has not had the time for that
-// since it counts as a hub. The caller holds the lock.
-func (r *Roster) present(now clock.Millis, name string) bool {
+// responsive reports whether a status of the node arrived within hubTimeout. The period for a
+// node without a status begins with the first call. The caller holds the lock.
+func (r *Roster) responsive(now clock.Millis, name string) bool {
 	if name == r.self.GetName() {
 		return true
 	}
-	if _, known := r.awaited[name]; !known {
-		r.awaited[name] = now
+	if _, known := r.lastSeen[name]; !known {
+		r.lastSeen[name] = now
 	}
-	return now <= r.awaited[name].Add(hubSilent)
+	return now <= r.lastSeen[name].Add(hubTimeout)
 }
 
-// Circle is what a node's place in its group is, and who the hubs are.
-type Circle struct {
-	// Meshed tells that there are no hubs: all nodes tell each other.
-	Meshed bool
-	// Hub tells that the node is a hub itself, the one at Place, from 0.
-	Hub   bool
-	Place int
-	// Hubs are the other hubs by rank, and Leaves, at a hub, the nodes that are none.
+// Topology describes the hubs of a group and the role of this node.
+type Topology struct {
+	// FullMesh reports that there are no hubs and that all nodes exchange statuses with each
+	// other.
+	FullMesh bool
+	// IsHub reports whether this node is a hub; HubIndex is its index among the hubs by rank,
+	// from 0.
+	IsHub    bool
+	HubIndex int
+	// Hubs are the other hubs by rank. Leaves are the nodes that are no hubs; only set on a
+	// hub.
 	Hubs   []*wire.Member
 	Leaves []*wire.Member
-	// Absent are the first nodes by rank that have not been heard lately. They are to be told
-	// now and then: one that has started again knows of nobody that has not registered.
+	// Absent are those of the hubCount highest-ranked nodes that are not responsive. They
+	// should get a status now and then: after a restart such a node knows no node that is not
+	// registered in the store.
 	Absent []*wire.Member
-	// Others is how many other nodes there are.
-	Others int
+	// PeerCount is the number of other nodes in the group.
+	PeerCount int
 }
 
-// Leads tells whether the node is the first hub.
-func (c *Circle) Leads() bool { return c.Hub && c.Place == 0 }
+// IsFirstHub reports whether this node is the first hub by rank.
+func (t *Topology) IsFirstHub() bool { return t.IsHub && t.HubIndex == 0 }
 
-// Circle returns the node's place in the group.
-func (r *Roster) Circle(now clock.Millis) Circle {
+// Topology returns the current hubs of the group and the role of this node.
+func (r *Roster) Topology(now clock.Millis) Topology {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.meshed() {
-		return Circle{Meshed: true, Others: len(r.group)}
+	if r.fullMesh() {
+		return Topology{FullMesh: true, PeerCount: len(r.group)}
 	}
 	names := r.hubs(now)
-	c := Circle{Place: slices.Index(names, r.self.GetName()), Others: len(r.group)}
-	c.Hub = c.Place >= 0
+	t := Topology{HubIndex: slices.Index(names, r.self.GetName()), PeerCount: len(r.group)}
+	t.IsHub = t.HubIndex >= 0
 	for _, name := range names {
 		if m := r.group[name]; m != nil {
-			c.Hubs = append(c.Hubs, m)
+			t.Hubs = append(t.Hubs, m)
 		}
 	}
 	for _, name := range r.ranked[:hubCount] {
 		if !slices.Contains(names, name) {
-			c.Absent = append(c.Absent, r.group[name])
+			t.Absent = append(t.Absent, r.group[name])
 		}
 	}
-	if !c.Hub {
-		return c
+	if !t.IsHub {
+		return t
 	}
 	for _, name := range r.ranked {
 		if m := r.group[name]; m != nil && !slices.Contains(names, name) {
-			c.Leaves = append(c.Leaves, m)
+			t.Leaves = append(t.Leaves, m)
 		}
 	}
-	return c
+	return t
 }
--- a/reading/hubs_test.go
+++ b/reading/hubs_test.go
@@ -10,88 +10,89 @@
 )
 
 const (
-	// wordEvery is how often a node tells of itself, in ms.
-	wordEvery = 300
-	// strongEvery is which nodes have VMs that can do more than the others'.
-	strongEvery = 20
+	// statusInterval is the time between two statuses of a node, in ms.
+	statusInterval = 300
+	// strongNodeInterval selects the nodes with higher VM capacity: the last of every
+	// strongNodeInterval nodes.
+	strongNodeInterval = 20
 )
 
-// crowd is a group of nodes in virtual time, each of which tells those of its circle of
-// itself.
-type crowd struct {
+// nodeGroup is a group of nodes in virtual time that exchange statuses as their topology
+// requires.
+type nodeGroup struct {
 	names   []string
 	members map[string]*wire.Member
 	rosters map[string]*reading.Roster
-	// heard counts the words that have come to each node.
-	heard map[string]int
-	now   clock.Millis
+	// received counts the statuses that arrived at each node.
+	received map[string]int
+	now      clock.Millis
 }
 
-func newCrowd(nodes int) *crowd {
-	c := &crowd{members: make(map[string]*wire.Member), rosters: make(map[string]*reading.Roster), heard: make(map[string]int)}
+func newNodeGroup(nodes int) *nodeGroup {
+	g := &nodeGroup{members: make(map[string]*wire.Member), rosters: make(map[string]*reading.Roster), received: make(map[string]int)}
 	for i := range nodes {
 		name := fmt.Sprintf("n%04d", i)
 		strength := uint32(2)
-		if i%strongEvery == strongEvery-1 {
+		if i%strongNodeInterval == strongNodeInterval-1 {
 			strength = 32
 		}
-		c.names = append(c.names, name)
-		c.members[name] = &wire.Member{Name: name, Strength: strength}
+		g.names = append(g.names, name)
+		g.members[name] = &wire.Member{Name: name, Strength: strength}
 	}
-	for _, name := range c.names {
-		c.start(name)
+	for _, name := range g.names {
+		g.start(name)
 	}
-	return c
+	return g
 }
 
-// start starts a node, which knows all others.
-func (c *crowd) start(name string) {
-	r := reading.NewRoster(c.members[name], c.now, 2000)
+// start starts a node, which knows all other nodes.
+func (g *nodeGroup) start(name string) {
+	r := reading.NewRoster(g.members[name], g.now, 2000)
 	var others []*wire.Member
-	for _, other := range c.names {
+	for _, other := range g.names {
 		if other != name {
-			others = append(others, c.members[other])
+			others = append(others, g.members[other])
 		}
 	}
 	r.SetGroup(others)
-	c.rosters[name] = r
+	g.rosters[name] = r
 }
 
-// run has all nodes tell of themselves for a time.
-func (c *crowd) run(lasts clock.Millis) {
-	for until := c.now.Add(lasts); c.now < until; c.now = c.now.Add(wordEvery) {
-		for _, name := range c.names {
-			r := c.rosters[name]
+// exchangeStatuses makes all nodes exchange statuses for a duration.
+func (g *nodeGroup) exchangeStatuses(duration clock.Millis) {
+	for until := g.now.Add(duration); g.now < until; g.now = g.now.Add(statusInterval) {
+		for _, name := range g.names {
+			r := g.rosters[name]
 			if r == nil {
 				continue
 			}
-			circle := r.Circle(c.now)
-			told := circle.Hubs
-			if circle.Hub {
-				told = append(told, circle.Leaves...)
+			topology := r.Topology(g.now)
+			recipients := topology.Hubs
+			if topology.IsHub {
+				recipients = append(recipients, topology.Leaves...)
 			}
-			if circle.Meshed {
-				told = nil
-				for _, other := range c.names {
-					told = append(told, c.members[other])
+			if topology.FullMesh {
+				recipients = nil
+				for _, other := range g.names {
+					recipients = append(recipients, g.members[other])
 				}
 			}
-			for _, m := range told {
-				if to := c.rosters[m.GetName()]; to != nil && m.GetName() != name {
-					to.Heard(c.now, name, true)
-					c.heard[m.GetName()]++
+			for _, m := range recipients {
+				if to := g.rosters[m.GetName()]; to != nil && m.GetName() != name {
+					to.Heard(g.now, name, true)
+					g.received[m.GetName()]++
 				}
 			}
 		}
 	}
 }
 
-// hubs returns the names of the nodes that take themselves for hubs.
-func (c *crowd) hubs() []string {
+// hubs returns the names of the nodes that consider themselves hubs.
+func (g *nodeGroup) hubs() []string {
 	var hubs []string
-	for _, name := range c.names {
-		if r := c.rosters[name]; r != nil {
-			if circle := r.Circle(c.now); circle.Hub {
+	for _, name := range g.names {
+		if r := g.rosters[name]; r != nil {
+			if topology := r.Topology(g.now); topology.IsHub {
 				hubs = append(hubs, name)
 			}
 		}
@@ -99,90 +100,90 @@
 	return hubs
 }
 
-// With two hundred nodes in a data centre each heard and sent 660 datagrams a second, to say
-// that it was there and had nothing in use. What a node hears must not grow with the nodes,
-// but for the few that hear of all.
-func TestWhatANodeHearsDoesNotGrow(t *testing.T) {
-	const lasts = 4500
-	const perSecond = 1000.0 / lasts
+// Guards against status traffic that grows with the number of nodes: with a full mesh of two
+// hundred nodes, each node sent and received 660 datagrams a second without having anything in
+// use. Only the hubs may receive the statuses of all nodes.
+func TestStatusTrafficIsBounded(t *testing.T) {
+	const duration = 4500
+	const perSecond = 1000.0 / duration
 	for _, nodes := range []int{30, 100, 300, 1000} {
-		c := newCrowd(nodes)
-		c.run(lasts)
-		hubs := c.hubs()
+		g := newNodeGroup(nodes)
+		g.exchangeStatuses(duration)
+		hubs := g.hubs()
 		isHub := make(map[string]bool)
 		for _, hub := range hubs {
 			isHub[hub] = true
 		}
 		sum, most, leaves := 0, 0, 0
-		for _, name := range c.names {
-			sum += c.heard[name]
+		for _, name := range g.names {
+			sum += g.received[name]
 			if !isHub[name] {
 				leaves++
-				most = max(most, c.heard[name])
+				most = max(most, g.received[name])
 			}
 		}
 		if got, want := float64(most)*perSecond, 30.0; got > want {
-			t.Errorf("%d nodes: got %.0f words a second at a leaf, want %.0f at most", nodes, got, want)
+			t.Errorf("%d nodes: got %.0f statuses a second at a leaf, want at most %.0f", nodes, got, want)
 		}
 		if got, want := float64(sum)*perSecond, 50.0*float64(nodes); got > want {
-			t.Errorf("%d nodes: got %.0f words a second in all, want %.0f at most", nodes, got, want)
+			t.Errorf("%d nodes: got %.0f statuses a second in total, want at most %.0f", nodes, got, want)
 		}
 		if len(hubs) > nodes/4 {
-			t.Errorf("%d nodes: got %d hubs", nodes, len(hubs))
+			t.Errorf("%d nodes: got %d hubs, want at most a quarter of the nodes", nodes, len(hubs))
 		}
 	}
 }
 
-// The nodes whose VMs can do most are the hubs, all nodes know the same, and one of them is
-// followed.
-func TestStrongestNodesAreHubs(t *testing.T) {
-	c := newCrowd(200)
-	c.run(3000)
-	for _, hub := range c.hubs() {
-		if got, want := c.members[hub].GetStrength(), uint32(32); got != want {
-			t.Errorf("got hub %s of strength %d, want %d", hub, got, want)
+// Checks that the nodes with the highest VM capacity are the hubs, and that all other nodes
+// follow the first hub.
+func TestHubsHaveHighestCapacity(t *testing.T) {
+	g := newNodeGroup(200)
+	g.exchangeStatuses(3000)
+	for _, hub := range g.hubs() {
+		if got, want := g.members[hub].GetStrength(), uint32(32); got != want {
+			t.Errorf("got hub %s with capacity %d, want %d", hub, got, want)
 		}
 	}
-	first := c.hubs()[0]
-	for _, name := range c.names {
-		r := c.rosters[name]
-		if name != first && r.Reader(c.now).GetName() != first {
-			t.Fatalf("%s: got reader %q, want %q", name, r.Reader(c.now).GetName(), first)
+	first := g.hubs()[0]
+	for _, name := range g.names {
+		r := g.rosters[name]
+		if name != first && r.Reader(g.now).GetName() != first {
+			t.Fatalf("%s: got reader %q, want %q", name, r.Reader(g.now).GetName(), first)
 		}
 	}
 }
 
-// Where hubs are lost others take their places, also where those are lost too, and give them
-// back.
-func TestHubsThatAreLostAreReplaced(t *testing.T) {
-	c := newCrowd(200)
-	c.run(3000)
-	before := c.hubs()
+// Checks that other nodes replace crashed hubs, even if the next nodes by rank crash too, and
+// that the former hubs take over again after a restart.
+func TestLostHubsAreReplaced(t *testing.T) {
+	g := newNodeGroup(200)
+	g.exchangeStatuses(3000)
+	before := g.hubs()
 	lost := append([]string(nil), before...)
-	for _, name := range c.names {
-		// The next ones by rank are lost with them.
-		if c.members[name].GetStrength() > 2 {
+	for _, name := range g.names {
+		// The next nodes by rank crash as well.
+		if g.members[name].GetStrength() > 2 {
 			lost = append(lost, name)
 		}
 	}
 	for _, name := range lost {
-		c.rosters[name] = nil
+		g.rosters[name] = nil
 	}
-	c.run(6000)
-	after := c.hubs()
+	g.exchangeStatuses(6000)
+	after := g.hubs()
 	if len(after) < len(before) {
-		t.Fatalf("got hubs %v, want as many as before: %v", after, before)
+		t.Fatalf("got hubs %v, want as many as before the crash: %v", after, before)
 	}
-	for _, name := range c.names {
-		if r := c.rosters[name]; r != nil && r.Reader(c.now) == nil && name != after[0] {
-			t.Fatalf("%s: got nobody to follow", name)
+	for _, name := range g.names {
+		if r := g.rosters[name]; r != nil && r.Reader(g.now) == nil && name != after[0] {
+			t.Fatalf("%s: got no reader, want one", name)
 		}
 	}
 	for _, name := range lost {
-		c.start(name)
+		g.start(name)
 	}
-	c.run(3000)
-	if got := c.hubs(); fmt.Sprint(got) != fmt.Sprint(before) {
-		t.Errorf("got hubs %v, want those of before: %v", got, before)
+	g.exchangeStatuses(3000)
+	if got := g.hubs(); fmt.Sprint(got) != fmt.Sprint(before) {
+		t.Errorf("got hubs %v after the restart, want %v as before the crash", got, before)
 	}
 }
--- a/reading/log.go
+++ b/reading/log.go
@@ -18,104 +18,102 @@
 
 // Errors that callers test for with errors.Is.
 var (
-	// ErrCannotVouch means that a node does not know well enough whether it
-	// knows the newest.
-	ErrCannotVouch = errors.New("reading: cannot vouch for what it knows")
-	// ErrBehind means that who asks knows more than the node: a newer configuration, or
-	// the list in a later era of the store. What the node knows proves nothing of that.
+	// ErrStale means that the node has no recent enough proof that its data is the newest.
+	ErrStale = errors.New("reading: cannot vouch for what it knows")
+	// ErrBehind means that the requester has newer data than this node: a newer configuration,
+	// or a list from a later era of the store. The data of this node cannot confirm the
+	// requester's.
 	ErrBehind = errors.New("reading: behind who asks")
 )
 
 const (
-	// keptBatches is how many changes of the list are kept for others. A
-	// follower is at most a wait behind; a busy list changes a few times a
-	// second.
-	keptBatches = 64
-	// followedFor is for how long a node counts as followed after a question:
-	// several waits of its followers.
-	followedFor clock.Millis = 5000
-	// endedTold is for how long answers tell of upstreams that ended without a change at
-	// the store, each time: who asks may have been frozen or cut off meanwhile.
-	endedTold clock.Millis = 60_000
-	// copyShows is for how long after the store's return it may show what this node knows to
-	// be over.
-	copyShows = fleet.CopyGrace
-	// endedMissed is for how long a question is answered at once for such an end: some
-	// more than a follower's pause between two questions.
-	endedMissed clock.Millis = 700
+	// maxBatches bounds the responses of the store whose list changes are kept for followers. A
+	// follower is at most one wait behind, and a busy list changes a few times a second.
+	maxBatches = 64
+	// followerTimeout is how long after a request the node counts as followed. It covers
+	// several waits of a follower.
+	followerTimeout clock.Millis = 5000
+	// endedRetention is how long responses repeat the removal of an upstream that the store did
+	// not announce as a change, since a follower may have been frozen or disconnected when it
+	// was sent first.
+	endedRetention clock.Millis = 60_000
+	// restoreGrace is how long after a restore the store may list upstreams that this node
+	// knows to be removed.
+	restoreGrace = fleet.CopyGrace
+	// endedReplay is how long after such a removal a request returns immediately with it. It
+	// exceeds a follower's pause between two requests.
+	endedReplay clock.Millis = 700
 )
 
-// batch is what one answer of the store has changed in the list.
+// batch is the set of list changes in one response of the store.
 type batch struct {
 	asOf    moment.Moment
 	changes []fleet.Change
 }
 
-// ending is when an upstream was found to be gone, and whether its process has ended for
-// certain.
-type ending struct {
-	at      clock.Millis
-	certain bool
+// removal is when an upstream was found to be removed, and whether its process is known to have
+// ended.
+type removal struct {
+	at           clock.Millis
+	processEnded bool
 }
 
-// Log holds what a node has learnt of the store lately, for the nodes that
-// follow it. It is safe for concurrent use.
+// Log holds what a node has recently read from the store, for the nodes that follow it. It is
+// safe for concurrent use.
 type Log struct {
 	clock *clock.Clock
-	// vouchFor is how old the proof may be that the newest is known, and vouchSoon
-	// for how long a first question may wait for one.
-	vouchFor  clock.Millis
-	vouchSoon clock.Millis
+	// proofLifetime is the maximum age of the proof that the data is the newest, and
+	// firstRequestWait how long a first request may wait for such a proof.
+	proofLifetime    clock.Millis
+	firstRequestWait clock.Millis
 
 	mu sync.Mutex
-	// changed is closed, and replaced, when something has changed.
+	// changed is closed and replaced whenever the log changes.
 	changed chan struct{}
-	// known is the configuration in force.
-	known follow.Known
-	// The list stands in upstreams as of a moment, and its changes are known from floor on;
-	// listed tells whether it is known at all.
-	listed    bool
-	upstreams map[fleet.Incarnation]fleet.Upstream
-	floor     moment.Moment
-	asOf      moment.Moment
-	batches   []batch
-	// returned is when the store has come back from a copy last.
-	returned clock.Millis
-	// token is what the whole list is called, and a new one with each change of it.
-	token uint64
-	// ended are upstreams that were found to be gone without a change at the store, by
-	// when.
-	ended map[fleet.Incarnation]ending
-	// asked is when another node last asked, and followedSince when the first did
-	// after a time in which none had.
-	asked         clock.Millis
+	// config is the active configuration.
+	config follow.PublishedConfig
+	// hasList reports whether the list is known. upstreams is the list as of asOf, and batches
+	// are its changes after historyStart.
+	hasList      bool
+	upstreams    map[fleet.Incarnation]fleet.Upstream
+	historyStart moment.Moment
+	asOf         moment.Moment
+	batches      []batch
+	// restoredAt is when the last store restore was noticed.
+	restoredAt clock.Millis
+	// listToken identifies the full list and changes with it.
+	listToken uint64
+	// ended holds the upstreams that were found to be removed without a change at the store.
+	ended map[fleet.Incarnation]removal
+	// lastRequest is when another node last sent a request. followedSince is when a request
+	// first arrived after an interval of followerTimeout without any.
+	lastRequest   clock.Millis
 	followedSince clock.Millis
 }
 
-// NewLog returns an empty log, which vouches for what it knows for a time after the store has
-// answered. VouchSoon is
-// how long a first question may wait for a proof that it does not have: the node may learn
-// only now that it reads for others.
-func NewLog(c *clock.Clock, vouchFor, vouchSoon clock.Millis) *Log {
+// NewLog returns an empty log, which answers requests for proofLifetime after each answer of
+// the store. A first request may wait up to firstRequestWait for a proof, because the node may
+// learn only from this request that it is the reader.
+func NewLog(c *clock.Clock, proofLifetime, firstRequestWait clock.Millis) *Log {
 	return &Log{
-		clock: c, vouchFor: vouchFor, vouchSoon: vouchSoon, changed: make(chan struct{}), known: follow.Known{InForce: follow.InForce{Confirmed: clock.Never}, Answered: clock.Never},
-		returned: clock.Never, token: rand.Uint64(), ended: make(map[fleet.Incarnation]ending), asked: clock.Never, followedSince: clock.Never, upstreams: make(map[fleet.Incarnation]fleet.Upstream),
+		clock: c, proofLifetime: proofLifetime, firstRequestWait: firstRequestWait, changed: make(chan struct{}), config: follow.PublishedConfig{ActiveConfig: follow.ActiveConfig{Confirmed: clock.Never}, AnsweredAt: clock.Never},
+		restoredAt: clock.Never, listToken: rand.Uint64(), ended: make(map[fleet.Incarnation]removal), lastRequest: clock.Never, followedSince: clock.Never, upstreams: make(map[fleet.Incarnation]fleet.Upstream),
 	}
 }
 
-// SetConfig notes the configuration in force, and when the store has answered last.
-func (l *Log) SetConfig(k follow.Known) {
+// SetConfig records the active configuration and when the store last answered.
+func (l *Log) SetConfig(config follow.PublishedConfig) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	news := k.Answered > l.known.Answered || k.Confirmed > l.known.Confirmed || !k.Edition.Same(l.known.Edition)
-	k.Answered = max(k.Answered, l.known.Answered)
-	l.known = k
-	if news {
-		l.wake()
+	changed := config.AnsweredAt > l.config.AnsweredAt || config.Confirmed > l.config.Confirmed || !config.Edition.Same(l.config.Edition)
+	config.AnsweredAt = max(config.AnsweredAt, l.config.AnsweredAt)
+	l.config = config
+	if changed {
+		l.notifyWaiters()
 	}
 }
 
-// SetFleet notes the whole list as of a moment. What has led to it is not known.
+// SetFleet records the full list as of a moment and drops the earlier changes.
 func (l *Log) SetFleet(asOf moment.Moment, list []fleet.Upstream) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,20 +123,20 @@
 		l.upstreams[u.ID] = u
 		delete(l.ended, u.ID)
 	}
-	l.listed, l.floor, l.asOf = true, asOf, asOf
+	l.hasList, l.historyStart, l.asOf = true, asOf, asOf
 	l.batches = nil
 	if !maps.Equal(before, l.upstreams) {
-		l.token++
+		l.listToken++
 	}
-	l.wake()
+	l.notifyWaiters()
 }
 
-// AddFleet notes changes of the list up to a moment, of the era in which it stands. They count
-// only while the list is known.
+// AddFleet records changes of the list up to a moment. It ignores them if the list is not known
+// or belongs to another era.
 func (l *Log) AddFleet(asOf moment.Moment, changes []fleet.Change) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.listed || !asOf.SameEra(l.asOf) {
+	if !l.hasList || !asOf.SameEra(l.asOf) {
 		return
 	}
 	l.asOf = moment.Latest(l.asOf, asOf)
@@ -153,17 +151,17 @@
 		l.upstreams[c.ID] = c.Upstream
 		delete(l.ended, c.ID)
 	}
-	l.token++
+	l.listToken++
 	l.batches = append(l.batches, batch{asOf: asOf, changes: changes})
-	if len(l.batches) > keptBatches {
-		l.floor = l.batches[0].asOf
+	if len(l.batches) > maxBatches {
+		l.historyStart = l.batches[0].asOf
 		l.batches = l.batches[1:]
 	}
-	l.wake()
+	l.notifyWaiters()
 }
 
-// AddEnded notes upstreams that are gone although nothing has changed at the store: who
-// asks may know the newest revision and still count on them.
+// AddEnded records upstreams that were removed without a change at the store. A follower that
+// knows the newest revision may still have them.
 func (l *Log) AddEnded(ended []fleet.Change) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -171,77 +169,78 @@
 	for _, c := range ended {
 		if c.Gone {
 			if _, listed := l.upstreams[c.ID]; listed {
-				l.token++
+				l.listToken++
 			}
 			delete(l.upstreams, c.ID)
-			l.ended[c.ID] = ending{at: now, certain: c.Ended || l.ended[c.ID].certain}
+			l.ended[c.ID] = removal{at: now, processEnded: c.Ended || l.ended[c.ID].processEnded}
 		}
 	}
-	maps.DeleteFunc(l.ended, func(_ fleet.Incarnation, e ending) bool { return now >= e.at.Add(endedTold) })
+	maps.DeleteFunc(l.ended, func(_ fleet.Incarnation, e removal) bool { return now >= e.at.Add(endedRetention) })
 	if len(ended) > 0 {
-		l.wake()
+		l.notifyWaiters()
 	}
 }
 
-// Returned notes that the store has come back from a copy. Who has read that alone, and not
-// been told by this node yet what it remembers, is told the whole list for a while.
+// Returned records that the store was restored from a backup. For restoreGrace, a follower that
+// has no list of this node yet gets the full list, which includes what the backup has lost.
 func (l *Log) Returned() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.returned = l.clock.Now()
+	l.restoredAt = l.clock.Now()
 }
 
-// Suspend notes that what the list shows cannot be passed on: the store is, or
-// was just now, away.
+// Suspend rejects requests for the list until the next SetFleet, because a store outage makes
+// it unreliable.
 func (l *Log) Suspend() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.listed {
-		l.listed = false
-		l.wake()
+	if l.hasList {
+		l.hasList = false
+		l.notifyWaiters()
 	}
 }
 
-// wake ends the waits. The caller holds the lock.
-func (l *Log) wake() {
+// notifyWaiters wakes all waiting requests. The caller holds the lock.
+func (l *Log) notifyWaiters() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// Followed tells whether other nodes have asked lately.
-func (l *Log) Followed() bool {
+// HasFollowers reports whether another node sent a request within followerTimeout.
+func (l *Log) HasFollowers() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.clock.Now() < l.asked.Add(followedFor)
+	return l.clock.Now() < l.lastRequest.Add(followerTimeout)
 }
 
-// Overdue tells whether other nodes wait for a proof that this one does not have.
-func (l *Log) Overdue() bool {
+// NeedsProof reports whether followers wait for a proof that this node does not have.
+func (l *Log) NeedsProof() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
-	return now < l.asked.Add(followedFor) && !l.vouches(now)
+	return now < l.lastRequest.Add(followerTimeout) && !l.isFresh(now)
 }
 
-// AwaitConfig returns the configuration in force if it supersedes the one that who asks has, as
-// soon as it does, or none when the wait is over or the store has answered again: who asks
-// knows it to be as fresh as this node does. Ages count from the question, and are negative for
-// what came meanwhile.
+// AwaitConfig returns the active configuration as soon as it supersedes the edition that the
+// requester has. It returns none when the wait is over, or when the store has answered again:
+// the requester's proof is then as recent as this node's. The ages in the result are relative
+// to the start of the request, so they are negative for answers of the store that arrive later.
 func (l *Log) AwaitConfig(ctx context.Context, have catalog.Edition, wait clock.Millis) (follow.CatalogReading, error) {
 	var reading follow.CatalogReading
 	var behind bool
-	asked, answered := l.clock.Now(), l.Answered()
+	requested, answered := l.clock.Now(), l.AnsweredAt()
 	err := l.await(ctx, wait, func() (bool, error) {
-		k := l.known
-		if behind = have.Supersedes(k.Edition); behind {
-			// A change that who asks has read itself is known here in a moment too.
+		config := l.config
+		if behind = have.Supersedes(config.Edition); behind {
+			// A change that the requester has read from the store itself usually arrives in
+			// this log soon.
 			return false, nil
 		}
-		reading = follow.CatalogReading{Edition: k.Edition, Age: asked.Sub(k.Confirmed), AnsweredAge: asked.Sub(k.Answered)}
-		if k.Edition.Supersedes(have) {
-			reading.Raw = k.Raw
+		reading = follow.CatalogReading{Edition: config.Edition, Age: requested.Sub(config.Confirmed), AnsweredAge: requested.Sub(config.AnsweredAt)}
+		if config.Edition.Supersedes(have) {
+			reading.Raw = config.Raw
 		}
-		return len(reading.Raw) > 0 || k.Answered > answered, nil
+		return len(reading.Raw) > 0 || config.AnsweredAt > answered, nil
 	})
 	if err == nil && behind {
 		err = ErrBehind
@@ -249,30 +248,30 @@
 	return reading, err
 }
 
-// Answered is when the last call was sent that the store has answered, to this node or to the
-// one that it follows.
-func (l *Log) Answered() clock.Millis {
+// AnsweredAt returns the sending time of the last call that the store has answered, either to
+// this node or to its reader.
+func (l *Log) AnsweredAt() clock.Millis {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.known.Answered
+	return l.config.AnsweredAt
 }
 
-// AwaitFleet returns the changes of the list after a moment, as soon as there
-// are some, or none when the wait is over. Where they are not known, as after the store's
-// return from a copy, it returns the whole list. Have is the token of the whole list that this
-// node has told who asks last; 0 for none.
+// AwaitFleet returns the changes of the list after a moment as soon as there are any, or none
+// when the wait is over. If the changes are not known, for example after a store restore, it
+// returns the full list. have is the token of the last full list that this node sent to the
+// requester, or 0.
 func (l *Log) AwaitFleet(ctx context.Context, after moment.Moment, have uint64, wait clock.Millis) (follow.FleetReading, error) {
 	var reading follow.FleetReading
-	asked := l.clock.Now()
+	requested := l.clock.Now()
 	err := l.await(ctx, wait, func() (bool, error) {
 		reading = follow.FleetReading{AsOf: moment.Latest(l.asOf, after)}
 		switch {
-		case !l.listed:
-			return false, ErrCannotVouch
+		case !l.hasList:
+			return false, ErrStale
 		case after.After(l.asOf) && !after.SameEra(l.asOf):
 			return false, ErrBehind
-		case l.floor.After(after), have == 0 && l.clock.Now() < l.returned.Add(copyShows):
-			reading.Whole, reading.Changes, reading.Token = true, l.whole(), l.token
+		case l.historyStart.After(after), have == 0 && l.clock.Now() < l.restoredAt.Add(restoreGrace):
+			reading.Whole, reading.Changes, reading.Token = true, l.fullList(), l.listToken
 			return true, nil
 		}
 		for _, b := range l.batches {
@@ -280,26 +279,26 @@
 				reading.Changes = append(reading.Changes, b.changes...)
 			}
 		}
-		news := len(reading.Changes) > 0
-		ended, soon := l.endedSince(asked.Sub(endedMissed))
+		changed := len(reading.Changes) > 0
+		ended, recent := l.endedSince(requested.Sub(endedReplay))
 		reading.Changes = append(reading.Changes, ended...)
-		return news || soon, nil
+		return changed || recent, nil
 	})
 	return reading, err
 }
 
-// endedSince returns what has ended without a change at the store, and whether some of
-// it has after a time. The caller holds the lock.
-func (l *Log) endedSince(after clock.Millis) (list []fleet.Change, soon bool) {
+// endedSince returns all recorded removals without a change at the store. recent reports
+// whether any of them is later than after. The caller holds the lock.
+func (l *Log) endedSince(after clock.Millis) (list []fleet.Change, recent bool) {
 	for _, id := range slices.SortedFunc(maps.Keys(l.ended), fleet.Incarnation.Compare) {
-		list = append(list, fleet.Change{ID: id, Gone: true, Ended: l.ended[id].certain})
-		soon = soon || l.ended[id].at > after
+		list = append(list, fleet.Change{ID: id, Gone: true, Ended: l.ended[id].processEnded})
+		recent = recent || l.ended[id].at > after
 	}
-	return list, soon
+	return list, recent
 }
 
-// whole returns the list as changes from nothing. The caller holds the lock.
-func (l *Log) whole() []fleet.Change {
+// fullList returns the list as changes of an empty list. The caller holds the lock.
+func (l *Log) fullList() []fleet.Change {
 	list := make([]fleet.Change, 0, len(l.upstreams))
 	for _, id := range slices.SortedFunc(maps.Keys(l.upstreams), fleet.Incarnation.Compare) {
 		list = append(list, fleet.Change{ID: id, Upstream: l.upstreams[id]})
@@ -307,5 +306,6 @@
 	return list
 }
 
-// vouches tells whether the store has answered recently enough. The caller holds the lock.
-func (l *Log) vouches(now clock.Millis) bool { return now <= l.known.Answered.Add(l.vouchFor) }
+// isFresh reports whether the store has answered within proofLifetime. The caller holds the
+// lock.
+func (l *Log) isFresh(now clock.Millis) bool { return now <= l.config.AnsweredAt.Add(l.proofLifetime) }
--- a/reading/log_test.go
+++ b/reading/log_test.go
@@ -20,23 +20,24 @@
 	"github.com/hoistjunction/hoistjunction/reading"
 )
 
-// vouchFor is long enough for these tests not to depend on it; proofs that are
-// too old are made so by when they count from.
 const (
-	vouchFor  clock.Millis = 600_000
-	tooOld    clock.Millis = -700_000
-	longWait  clock.Millis = 500_000
-	vouchSoon clock.Millis = 1000
+	// testProofLifetime exceeds the duration of these tests. Stale proofs are given a time in
+	// the past instead.
+	testProofLifetime    clock.Millis = 600_000
+	staleTime            clock.Millis = -700_000
+	longWait             clock.Millis = 500_000
+	testFirstRequestWait clock.Millis = 1000
 )
 
 func at(revision uint64) moment.Moment { return moment.At(0, revision) }
 
-// known is a configuration that is in force, and that the store has shown last at a time.
-func known(text string, answered clock.Millis) follow.Known {
-	return follow.Known{InForce: follow.InForce{Edition: edition(text), Raw: []byte(text), Confirmed: answered}, Answered: answered}
+// configState returns the active configuration with a text; answered is the time of the last
+// proof and store answer.
+func configState(text string, answered clock.Millis) follow.PublishedConfig {
+	return follow.PublishedConfig{ActiveConfig: follow.ActiveConfig{Edition: edition(text), Raw: []byte(text), Confirmed: answered}, AnsweredAt: answered}
 }
 
-// edition is that of a text of the form vVERSION.
+// edition returns the edition of a text of the form vVERSION.
 func edition(text string) catalog.Edition {
 	version, err := strconv.ParseUint(text[1:], 10, 64)
 	if err != nil {
@@ -45,25 +46,25 @@
 	return catalog.NewEdition(version, []byte(text), at(version))
 }
 
-func gone(id fleet.ID) []fleet.Change { return []fleet.Change{{ID: fleet.Undated(id), Gone: true}} }
+func removed(id fleet.ID) []fleet.Change { return []fleet.Change{{ID: fleet.Undated(id), Gone: true}} }
 
-// newLog returns a log that knows a configuration and the list.
+// newLog returns a log with configuration v1 and an empty list at revision 10.
 func newLog(t *testing.T) *reading.Log {
 	t.Helper()
-	l := reading.NewLog(clocktest.NewClock(), vouchFor, vouchSoon)
-	l.SetConfig(known("v1", 0))
+	l := reading.NewLog(clocktest.NewClock(), testProofLifetime, testFirstRequestWait)
+	l.SetConfig(configState("v1", 0))
 	l.SetFleet(at(10), nil)
 	return l
 }
 
-// follower is a source that follows a log over HTTP.
-func follower(t *testing.T, l *reading.Log) *reading.Source {
+// newSource returns a source that follows a log over HTTP.
+func newSource(t *testing.T, l *reading.Log) *reading.Source {
 	t.Helper()
 	mux := http.NewServeMux()
 	mux.Handle(reading.Handler(l, func(string) {}))
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
-	return reading.NewSource(server.Client(), server.Listener.Addr().String(), "", vouchSoon)
+	return reading.NewSource(server.Client(), server.Listener.Addr().String(), "", testFirstRequestWait)
 }
 
 func TestAwaitConfig(t *testing.T) {
@@ -72,15 +73,15 @@
 		have catalog.Edition
 		raw  string
 	}{
-		{"the asker knows none", catalog.Edition{}, "v1"},
-		{"the asker is behind", edition("v0"), "v1"},
-		{"the asker knows it", edition("v1"), ""},
-		{"the asker knows it from an earlier era", catalog.NewEdition(1, []byte("v1"), moment.At(0, 99)), ""},
-		{"the asker knows another text of that version", catalog.NewEdition(1, []byte("w1"), moment.Moment{}), "v1"},
+		{"the requester has none", catalog.Edition{}, "v1"},
+		{"the requester has an older edition", edition("v0"), "v1"},
+		{"the requester has it", edition("v1"), ""},
+		{"the requester has it with another written moment", catalog.NewEdition(1, []byte("v1"), moment.At(0, 99)), ""},
+		{"the requester has another text of that version", catalog.NewEdition(1, []byte("w1"), moment.Moment{}), "v1"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			got, err := follower(t, newLog(t)).AwaitCatalog(context.Background(), tt.have, 0)
+			got, err := newSource(t, newLog(t)).AwaitCatalog(context.Background(), tt.have, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -91,137 +92,137 @@
 	}
 }
 
-// A node proves nothing to one that knows a newer configuration, and is told who does: that
-// one has outlasted a return of the store from a copy.
-func TestWhoAsksMayKnowMore(t *testing.T) {
-	var asked []string
+// Checks that a node rejects a requester with a newer configuration, as after a store restore,
+// and reports the requester's address.
+func TestRequesterHasNewerConfig(t *testing.T) {
+	var newer []string
 	mux := http.NewServeMux()
-	mux.Handle(reading.Handler(newLog(t), func(address string) { asked = append(asked, address) }))
+	mux.Handle(reading.Handler(newLog(t), func(address string) { newer = append(newer, address) }))
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
-	source := reading.NewSource(server.Client(), server.Listener.Addr().String(), "here:1", vouchSoon)
+	source := reading.NewSource(server.Client(), server.Listener.Addr().String(), "here:1", testFirstRequestWait)
 	_, err := source.AwaitCatalog(t.Context(), edition("v2"), 0)
 	var failure *connect.Error
 	if !errors.As(err, &failure) || failure.Code() != connect.CodeUnavailable {
 		t.Errorf("got error %v, want %v", err, connect.CodeUnavailable)
 	}
-	if want := []string{"here:1"}; !slices.Equal(asked, want) {
-		t.Errorf("got told of %v, want %v", asked, want)
+	if want := []string{"here:1"}; !slices.Equal(newer, want) {
+		t.Errorf("got addresses %v reported as newer, want %v", newer, want)
 	}
 }
 
-// What a store that has come back from a copy shows proves nothing of the configuration in
-// force, and yet the node has the store: those that follow it go on, with the age of the
-// proof that there was.
-func TestStoreMayShowLessThanIsInForce(t *testing.T) {
+// A restored store can have an older configuration than the active one. Its answers do not
+// renew the proof of the active configuration, but they show that the node reaches the store,
+// so its followers stay and get the age of the older proof.
+func TestStoreOlderThanActiveConfig(t *testing.T) {
 	c := clocktest.NewClock()
-	l := reading.NewLog(c, vouchFor, vouchSoon)
-	k := known("v2", c.Now())
-	k.Confirmed = c.Now() - 5000
-	l.SetConfig(k)
-	got, err := follower(t, l).AwaitCatalog(t.Context(), edition("v1"), 0)
+	l := reading.NewLog(c, testProofLifetime, testFirstRequestWait)
+	state := configState("v2", c.Now())
+	state.Confirmed = c.Now() - 5000
+	l.SetConfig(state)
+	got, err := newSource(t, l).AwaitCatalog(t.Context(), edition("v1"), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if string(got.Raw) != "v2" || got.Age < 5000 || got.AnsweredAge > 1000 {
-		t.Errorf("got %q with a proof of %d ms before and an answer of %d ms before, want v2, 5000 or more, and 1000 at most", got.Raw, got.Age, got.AnsweredAge)
+		t.Errorf("got %q, proof age %d ms and answer age %d ms, want v2, at least 5000 and at most 1000", got.Raw, got.Age, got.AnsweredAge)
 	}
 }
 
-// The answer tells how old the proof is, so that the asker can count it from
-// when it asked.
-func TestAwaitConfigTellsTheAge(t *testing.T) {
-	l := reading.NewLog(clocktest.NewClock(), vouchFor, vouchSoon)
-	l.SetConfig(known("v1", -5000))
-	got, err := follower(t, l).AwaitCatalog(context.Background(), edition("v1"), 0)
+// The response contains the age of the proof, so that the requester can subtract it from the
+// time of its request.
+func TestAwaitConfigReturnsProofAge(t *testing.T) {
+	l := reading.NewLog(clocktest.NewClock(), testProofLifetime, testFirstRequestWait)
+	l.SetConfig(configState("v1", -5000))
+	got, err := newSource(t, l).AwaitCatalog(context.Background(), edition("v1"), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got.Age < 5000 {
-		t.Errorf("got age %d, want 5000 or more", got.Age)
+		t.Errorf("got age %d, want at least 5000", got.Age)
 	}
 }
 
-func TestAwaitEndsWithAChange(t *testing.T) {
+func TestAwaitReturnsOnChange(t *testing.T) {
 	l := newLog(t)
-	source := follower(t, l)
-	type answer struct {
+	source := newSource(t, l)
+	type result struct {
 		raw string
 		id  string
 		err error
 	}
-	answers := make(chan answer, 2)
+	results := make(chan result, 2)
 	go func() {
 		got, err := source.AwaitCatalog(context.Background(), edition("v1"), longWait)
-		answers <- answer{raw: string(got.Raw), err: err}
+		results <- result{raw: string(got.Raw), err: err}
 	}()
 	go func() {
 		got, err := source.AwaitUpstreams(context.Background(), at(10), longWait)
-		a := answer{err: err}
+		r := result{err: err}
 		if len(got.Changes) > 0 {
-			a.id = got.Changes[0].ID.String()
+			r.id = got.Changes[0].ID.String()
 		}
-		answers <- a
+		results <- r
 	}()
-	l.SetConfig(known("v2", 1))
-	l.AddFleet(at(12), gone("u1"))
+	l.SetConfig(configState("v2", 1))
+	l.AddFleet(at(12), removed("u1"))
 	raw, id := "", ""
 	for range 2 {
-		a := <-answers
-		if a.err != nil {
-			t.Fatal(a.err)
+		r := <-results
+		if r.err != nil {
+			t.Fatal(r.err)
 		}
-		raw, id = raw+a.raw, id+a.id
+		raw, id = raw+r.raw, id+r.id
 	}
 	if raw != "v2" || id != "u1" {
-		t.Errorf("got configuration %q and change of %q, want v2 and u1", raw, id)
+		t.Errorf("got configuration %q and a change of upstream %q, want v2 and u1", raw, id)
 	}
 }
 
 func TestAwaitFleet(t *testing.T) {
 	l := newLog(t)
-	l.AddFleet(at(11), gone("u1"))
+	l.AddFleet(at(11), removed("u1"))
 	l.AddFleet(at(12), nil)
-	l.AddFleet(at(13), gone("u2"))
+	l.AddFleet(at(13), removed("u2"))
 	tests := []struct {
 		after uint64
 		want  int
 	}{{10, 2}, {11, 1}, {12, 1}, {13, 0}}
 	for _, tt := range tests {
-		got, err := follower(t, l).AwaitUpstreams(context.Background(), at(tt.after), 0)
+		got, err := newSource(t, l).AwaitUpstreams(context.Background(), at(tt.after), 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if len(got.Changes) != tt.want || got.AsOf != at(13) {
-			t.Errorf("after %d: got %d changes at %v, want %d at 13", tt.after, len(got.Changes), got.AsOf, tt.want)
+			t.Errorf("after revision %d: got %d changes as of %v, want %d as of 13", tt.after, len(got.Changes), got.AsOf, tt.want)
 		}
 	}
 }
 
-// A node answers for nothing that it does not know well enough.
-func TestLogThatCannotVouch(t *testing.T) {
-	old := reading.NewLog(clocktest.NewClock(), vouchFor, vouchSoon)
-	old.SetConfig(known("v1", tooOld))
-	old.SetFleet(at(10), nil)
+// Checks that a node rejects requests for data of which it has no recent proof.
+func TestStaleLogRejectsRequests(t *testing.T) {
+	stale := reading.NewLog(clocktest.NewClock(), testProofLifetime, testFirstRequestWait)
+	stale.SetConfig(configState("v1", staleTime))
+	stale.SetFleet(at(10), nil)
 	suspended := newLog(t)
 	suspended.Suspend()
-	unlisted := reading.NewLog(clocktest.NewClock(), vouchFor, vouchSoon)
-	unlisted.SetConfig(known("v1", 0))
+	withoutList := reading.NewLog(clocktest.NewClock(), testProofLifetime, testFirstRequestWait)
+	withoutList.SetConfig(configState("v1", 0))
 	tests := []struct {
 		name   string
 		log    *reading.Log
 		config bool
 		want   connect.Code
 	}{
-		{"nothing known", reading.NewLog(clocktest.NewClock(), vouchFor, vouchSoon), true, connect.CodeUnavailable},
-		{"the proof is too old", old, true, connect.CodeUnavailable},
-		{"the proof is too old for the list", old, false, connect.CodeUnavailable},
-		{"around an outage", suspended, false, connect.CodeUnavailable},
-		{"no list yet", unlisted, false, connect.CodeUnavailable},
+		{"empty log", reading.NewLog(clocktest.NewClock(), testProofLifetime, testFirstRequestWait), true, connect.CodeUnavailable},
+		{"stale proof", stale, true, connect.CodeUnavailable},
+		{"stale proof for the list", stale, false, connect.CodeUnavailable},
+		{"list suspended in an outage", suspended, false, connect.CodeUnavailable},
+		{"no list yet", withoutList, false, connect.CodeUnavailable},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			source := follower(t, tt.log)
+			source := newSource(t, tt.log)
 			var err error
 			if tt.config {
 				_, err = source.AwaitCatalog(context.Background(), catalog.Edition{}, longWait)
@@ -236,8 +237,8 @@
 	}
 }
 
-// A wait that is under way ends when the list cannot be vouched for any more.
-func TestSuspendEndsTheWaits(t *testing.T) {
+// Checks that Suspend ends a pending request for the list with an error.
+func TestSuspendEndsPendingWaits(t *testing.T) {
 	l := newLog(t)
 	failed := make(chan error, 1)
 	go func() {
@@ -245,89 +246,88 @@
 		failed <- err
 	}()
 	l.Suspend()
-	if got := <-failed; !errors.Is(got, reading.ErrCannotVouch) {
-		t.Errorf("got error %v, want %v", got, reading.ErrCannotVouch)
+	if got := <-failed; !errors.Is(got, reading.ErrStale) {
+		t.Errorf("got error %v, want %v", got, reading.ErrStale)
 	}
 }
 
-// A follower that is further behind than what is kept gets the list whole.
-func TestLogForgets(t *testing.T) {
+// Checks that a follower whose revision is older than the kept changes gets the full list.
+func TestFullListAfterHistoryIsTrimmed(t *testing.T) {
 	l := newLog(t)
 	const many = 100
 	for i := range uint64(many) {
-		l.AddFleet(at(11+i), gone("u"))
+		l.AddFleet(at(11+i), removed("u"))
 	}
 	l.AddFleet(at(11+many), []fleet.Change{{ID: fleet.Undated("u1"), Upstream: fleet.Upstream{ID: fleet.Undated("u1")}}})
-	source := follower(t, l)
+	source := newSource(t, l)
 	for _, after := range []uint64{0, 10} {
 		got, err := source.AwaitUpstreams(context.Background(), at(after), 0)
 		if err != nil || !got.Whole || len(got.Changes) != 1 || got.Changes[0].ID != fleet.Undated("u1") {
-			t.Errorf("after %d: got whole=%v, %v and error %v, want u1 alone as the whole", after, got.Whole, got.Changes, err)
+			t.Errorf("after revision %d: got full=%v, %v and error %v, want a full list of u1", after, got.Whole, got.Changes, err)
 		}
 	}
 	got, err := source.AwaitUpstreams(context.Background(), at(10+many-1), 0)
 	if err != nil || got.Whole || len(got.Changes) != 2 {
-		t.Errorf("got whole=%v, %d changes and error %v, want the last 2", got.Whole, len(got.Changes), err)
+		t.Errorf("got full=%v, %d changes and error %v, want the last 2 changes", got.Whole, len(got.Changes), err)
 	}
 }
 
-// A node may be asked before it knows that it reads for others. The first questions
-// wait until it can vouch; later ones fail at once where it cannot.
-func TestFirstQuestionsWaitForAProof(t *testing.T) {
+// A node can receive requests before it has found out that it is the reader. The first requests
+// wait for a fresh proof; later ones without one fail immediately.
+func TestFirstRequestsWaitForProof(t *testing.T) {
 	c := clocktest.NewClock()
-	l := reading.NewLog(c, vouchFor, vouchSoon)
-	l.SetConfig(known("v1", tooOld))
-	got := make(chan error, 1)
+	l := reading.NewLog(c, testProofLifetime, testFirstRequestWait)
+	l.SetConfig(configState("v1", staleTime))
+	errs := make(chan error, 1)
 	go func() {
 		_, err := l.AwaitConfig(context.Background(), edition("v1"), 0)
-		got <- err
+		errs <- err
 	}()
-	if err := <-got; !errors.Is(err, reading.ErrCannotVouch) {
-		t.Errorf("got error %v from a question without patience, want %v", err, reading.ErrCannotVouch)
+	if err := <-errs; !errors.Is(err, reading.ErrStale) {
+		t.Errorf("got error %v for a request without a proof, want %v", err, reading.ErrStale)
 	}
 	go func() {
 		reading, err := l.AwaitConfig(context.Background(), catalog.Edition{}, longWait)
 		if string(reading.Raw) != "v1" {
 			t.Errorf("got %q, want v1", reading.Raw)
 		}
-		got <- err
+		errs <- err
 	}()
-	l.SetConfig(known("v1", c.Now()))
-	if err := <-got; err != nil {
-		t.Errorf("got error %v from a first question, want none", err)
+	l.SetConfig(configState("v1", c.Now()))
+	if err := <-errs; err != nil {
+		t.Errorf("got error %v for a first request, want none", err)
 	}
 }
 
-// A proof that comes while a question waits counts from the question: its age is
-// negative, so that who asked knows the configuration to be as fresh as the reader
-// does.
-func TestAgeCountsFromTheQuestion(t *testing.T) {
+// Checks that the age is negative for a proof that arrives during the request, so that the
+// requester's proof is as recent as the reader's.
+func TestAgeIsRelativeToRequest(t *testing.T) {
 	c := clocktest.NewClock()
-	l := reading.NewLog(c, vouchFor, vouchSoon)
-	l.SetConfig(known("v1", c.Now()-500))
-	asked := make(chan struct{})
+	l := reading.NewLog(c, testProofLifetime, testFirstRequestWait)
+	l.SetConfig(configState("v1", c.Now()-500))
+	started := make(chan struct{})
 	got := make(chan follow.CatalogReading, 1)
 	go func() {
-		close(asked)
-		// The wait ends with the new configuration below.
+		close(started)
+		// The second SetConfig call ends the wait.
 		reading, err := l.AwaitConfig(context.Background(), edition("v1"), longWait)
 		if err != nil {
 			t.Error(err)
 		}
 		got <- reading
 	}()
-	<-asked
-	l.SetConfig(known("v2", c.Now()+300_000))
+	<-started
+	l.SetConfig(configState("v2", c.Now()+300_000))
 	if reading := <-got; reading.Age > 0 {
-		t.Errorf("got age %d, want none or a negative one", reading.Age)
+		t.Errorf("got age %d, want 0 or less", reading.Age)
 	}
 }
 
-// After an outage of the store the entries of some upstreams were missing, and their time
-// to come back was over later, without a change at the store. The nodes that followed had
-// been told the revision at which they had vanished, and the end of those upstreams went
-// by them: they went on sending there.
-func TestEndsWithoutAChangeAreTold(t *testing.T) {
+// Guards against followers that keep sending requests to removed upstreams. After a store
+// outage, the grace period of missing entries ends without a change at the store. Followers
+// already have the revision at which the entries disappeared, so changes by revision do not
+// include the removal.
+func TestRemovalsWithoutStoreChange(t *testing.T) {
 	l := newLog(t)
 	await := func(after uint64) follow.FleetReading {
 		t.Helper()
@@ -340,66 +340,66 @@
 	listed := []fleet.Change{{ID: fleet.Undated("u1"), Upstream: fleet.Upstream{ID: fleet.Undated("u1")}}}
 	l.AddFleet(at(12), listed)
 	if got := await(12); len(got.Changes) != 0 {
-		t.Fatalf("got %+v at the newest revision, want no change", got)
+		t.Fatalf("got %+v after the newest revision, want no change", got)
 	}
-	l.AddEnded(gone("u1"))
+	l.AddEnded(removed("u1"))
 	for range 2 {
 		if got := await(12); len(got.Changes) != 1 || !got.Changes[0].Gone || got.AsOf != at(12) {
-			t.Errorf("got %+v, want the end of u1 at revision 12 whenever it is asked for", got)
+			t.Errorf("got %+v, want the removal of u1 as of revision 12 in each response", got)
 		}
 	}
 	l.AddFleet(at(13), listed)
 	if got := await(13); len(got.Changes) != 0 {
-		t.Errorf("got %+v once u1 is back, want no change", got)
+		t.Errorf("got %+v after u1 was listed again, want no change", got)
 	}
 }
 
-// Whatever is counted in an era, another one begins anew: who knows an earlier one gets the
-// whole list, who knows a later one nothing, and changes of another era are none of the list.
-func TestListOfAnotherEra(t *testing.T) {
+// Checks requests across a store restore: a follower from an earlier era gets the full list,
+// one from a later era an error, and the log ignores changes of another era.
+func TestListAcrossEras(t *testing.T) {
 	l := newLog(t)
 	l.SetFleet(moment.At(2, 5), nil)
-	l.AddFleet(moment.At(1, 99), gone("u1"))
-	l.AddFleet(moment.At(2, 6), gone("u2"))
+	l.AddFleet(moment.At(1, 99), removed("u1"))
+	l.AddFleet(moment.At(2, 6), removed("u2"))
 	tests := []struct {
 		name  string
 		after moment.Moment
-		whole bool
+		full  bool
 		want  int
 		err   error
 	}{
 		{"an earlier era", moment.At(1, 99), true, 0, nil},
-		{"before the list was read", moment.At(2, 4), true, 0, nil},
-		{"this era", moment.At(2, 5), false, 1, nil},
+		{"this era, before the list was read", moment.At(2, 4), true, 0, nil},
+		{"this era, after the list was read", moment.At(2, 5), false, 1, nil},
 		{"a later era", moment.At(3, 1), false, 0, reading.ErrBehind},
 	}
 	for _, tt := range tests {
 		got, err := l.AwaitFleet(t.Context(), tt.after, 0, 0)
-		if !errors.Is(err, tt.err) || got.Whole != tt.whole || len(got.Changes) != tt.want {
-			t.Errorf("%s: got whole=%v, %d changes and error %v, want whole=%v, %d and %v", tt.name, got.Whole, len(got.Changes), err, tt.whole, tt.want, tt.err)
+		if !errors.Is(err, tt.err) || got.Whole != tt.full || len(got.Changes) != tt.want {
+			t.Errorf("%s: got full=%v, %d changes and error %v, want full=%v, %d and %v", tt.name, got.Whole, len(got.Changes), err, tt.full, tt.want, tt.err)
 		}
 	}
 }
 
-// A node that has read the list from a copy alone is told what the reader remembers, once: who
-// has left, though the copy does not show it.
-func TestWhoHasReadACopyIsToldWhatIsRemembered(t *testing.T) {
+// A follower that has read the list from a restored store only gets the reader's full list
+// once. That list includes what the backup has lost, such as an upstream that is leaving.
+func TestFullListAfterRestore(t *testing.T) {
 	l := newLog(t)
 	l.SetFleet(moment.At(2, 5), []fleet.Upstream{{ID: fleet.Undated("u1"), Leaving: true}})
 	l.Returned()
-	source := follower(t, l)
+	source := newSource(t, l)
 	first, err := source.AwaitUpstreams(t.Context(), moment.At(2, 5), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !first.Whole || len(first.Changes) != 1 || !first.Changes[0].Upstream.Leaving {
-		t.Errorf("got whole=%v and %+v, want the whole list with u1 leaving", first.Whole, first.Changes)
+		t.Errorf("got full=%v and %+v, want the full list with u1 leaving", first.Whole, first.Changes)
 	}
 	second, err := source.AwaitUpstreams(t.Context(), first.AsOf, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if second.Whole || len(second.Changes) != 0 {
-		t.Errorf("got whole=%v and %d changes, want no change", second.Whole, len(second.Changes))
+		t.Errorf("got full=%v and %d changes, want no change", second.Whole, len(second.Changes))
 	}
 }
--- a/reading/roster.go
+++ b/reading/roster.go
@@ -12,125 +12,126 @@
 )
 
 const (
-	// heardWithin is how recently a node must have been heard to count: nodes
-	// tell what they have in use each 0.3 s, and some datagrams are lost.
-	heardWithin clock.Millis = 1000
-	// FewestNodes is how many nodes must be there for one to read for the others.
-	// With fewer it saves next to nothing.
-	FewestNodes = 5
-	// settle is for how long a node does not follow another one that has failed
-	// it, and how long it leaves the store alone after its start until it has
-	// heard of others. What it has read at its start counts for 4.3 s.
-	settle clock.Millis = 2500
-	// refusedAway is the same for a node that has lost the store: it has nobody else, and
-	// one that cannot vouch now finds the store again within about a second.
-	refusedAway clock.Millis = 500
-	// claimAfter is how long a node that has begun to hear enough others waits
-	// before it takes itself for their first: each tells of itself every 0.3 s.
-	claimAfter clock.Millis = 350
-	// mostRefused is how many readers may fail a node in the time of settle. It
-	// then follows nobody, and tries the store when its turn comes: either the store
-	// is away for all, or the node is cut off from others.
-	mostRefused = 2
-	// doubted is for how long a node that has the store again is followed only where
-	// nobody else may be: what vanishes from its list counts on until fleet.LapseGrace
-	// after its outage, and a little longer until it has told so.
-	doubted = fleet.LapseGrace + 500
+	// statusTimeout is how long after its last status a node counts as present. Nodes send
+	// their status every 0.3 s, and some datagrams are lost.
+	statusTimeout clock.Millis = 1000
+	// MinNodes is the smallest group in which one node reads for the others. With fewer nodes
+	// this saves almost no calls to the store.
+	MinNodes = 5
+	// settleTime is how long a node does not follow a reader that has failed it, and how long
+	// after its start it waits for statuses of other nodes before it calls the store. Its
+	// initial reading is valid for 4.3 s.
+	settleTime clock.Millis = 2500
+	// backoffStoreLost replaces settleTime after a failed reader while this node cannot reach
+	// the store: it depends on the other nodes, and one whose proof is too old usually reaches
+	// the store again within about a second.
+	backoffStoreLost clock.Millis = 500
+	// claimDelay is how long a node waits, once enough others are present, before it becomes
+	// the reader: statuses of higher-ranked nodes arrive every 0.3 s.
+	claimDelay clock.Millis = 350
+	// maxFailedReaders is how many readers may fail a node within settleTime. The node then
+	// follows none and probes the store at its own probe time: either the store is unreachable
+	// for all, or the node is disconnected from the others.
+	maxFailedReaders = 2
+	// recoveryPeriod is how long a node that has recovered from a store outage is followed only
+	// if no other node can be. It holds removed entries until fleet.LapseGrace after the
+	// outage, and needs a little longer to report their removal.
+	recoveryPeriod = fleet.LapseGrace + 500
 )
 
-// When nobody can be followed the store is away for some nodes or for all. The
-// first nodes by name find out which, and each call to it costs.
+// If no node can be followed, the store is unreachable for some nodes or for all of them. Since
+// calls to the store are expensive, only the first nodes by rank probe it immediately.
 const (
-	// firstToTry is how many nodes try the store one after the other, turnEvery
-	// apart, as far as the patience goes. A third of the nodes may be turned away
-	// while the others are served; that all of the first four are happens in one case
-	// of seventy. The rest wait for the whole of the patience.
-	firstToTry              = 4
-	turnEvery  clock.Millis = 250
-	// restPause is for how long one of the rest leaves the store alone after it
-	// has tried in vain.
-	restPause clock.Millis = 3000
+	// probingNodes is how many nodes probe the store one after the other, probeInterval apart
+	// and at most the failover wait later. The store may reject a third of the nodes while it
+	// serves the others; the probability that it rejects all of the first four is one in
+	// seventy. The remaining nodes probe after the full failover wait.
+	probingNodes               = 4
+	probeInterval clock.Millis = 250
+	// failedProbePause is how long one of the remaining nodes waits after a failed probe.
+	failedProbePause clock.Millis = 3000
 )
 
-// hearing is what another node has said last of itself.
-type hearing struct {
-	at         clock.Millis
+// nodeStatus is the last status that another node has sent.
+type nodeStatus struct {
+	receivedAt clock.Millis
 	followable bool
-	// doubtedUntil is until when it is followed only where nobody else may be.
-	doubtedUntil clock.Millis
+	// recoveringUntil is when the node's recoveryPeriod ends. Until then it is followed only if
+	// no other node can be.
+	recoveringUntil clock.Millis
 }
 
-// Roster knows the nodes of a group, most often those of a data centre, which of them
-// are its hubs, and which reads the store for the others. It is safe for concurrent use;
-// times are handed in.
+// Roster tracks the nodes of a group, usually a data centre: which nodes are present, which are
+// the hubs, and which reads the store for the others. It is safe for concurrent use. Callers
+// pass the current time.
 type Roster struct {
 	self *wire.Member
 
 	mu sync.Mutex
-	// group holds the other nodes by name, ranks the rank of each and of this one, and
-	// ranked their names by rank.
+	// group holds the other nodes by name, ranks the rank of each node including this one, and
+	// ranked the names ordered by rank.
 	group  map[string]*wire.Member
 	ranks  map[string]int
 	ranked []string
-	// heard is what each has said last, and awaited when a node was last heard, or first
-	// counted as a hub.
-	heard   map[string]hearing
-	awaited map[string]clock.Millis
-	// led tells of each node that was ever heard whether it could ever be followed. At
-	// a start none can at first. heardFirst is when the first of them was heard.
-	led        map[string]bool
-	heardFirst clock.Millis
-	// refused is until when a node is not followed that has failed this one.
-	refused map[string]clock.Millis
-	started clock.Millis
-	// startWait is how long after its start a node that has read nothing may wait to know the
-	// others of its group, and known tells that it does.
-	startWait clock.Millis
-	known     bool
-	// draw is which of several nodes it chooses.
-	draw uint64
-	// patience is how long a node may wait for another one to have the store.
-	patience clock.Millis
-	// failedSince is when a reader has failed this node first, in a run of failures
-	// that are less than settle apart; clock.Never for none.
+	// statuses holds the last status of each node. lastSeen is when its last status arrived, or
+	// when it was first considered as a hub.
+	statuses map[string]nodeStatus
+	lastSeen map[string]clock.Millis
+	// wasFollowable has an entry for each node that ever sent a status, which is true if it was
+	// followable in any of them. Right after a start no node is. firstStatusAt is when the
+	// first status arrived.
+	wasFollowable map[string]bool
+	firstStatusAt clock.Millis
+	// backoffUntil is until when a node that has failed this one as its reader is not followed.
+	backoffUntil map[string]clock.Millis
+	startedAt    clock.Millis
+	// startWait is how long after its start a node without an initial reading may wait for the
+	// nodes of its group to become known. groupKnown reports whether they are.
+	startWait  clock.Millis
+	groupKnown bool
+	// nameHash selects the initial reader among several candidates.
+	nameHash uint64
+	// failoverWait is the longest time that a node may wait for another one to reach the store.
+	failoverWait clock.Millis
+	// failedSince is when the first reader failed in a series of failures less than settleTime
+	// apart; clock.Never if there is none.
 	failedSince clock.Millis
-	// grouped is since when enough others have been heard, clock.Never while they
-	// have not.
-	grouped clock.Millis
-	// away tells that this node has lost the store.
-	away bool
-	// doubtedUntil is until when this node, which has the store again, follows others
-	// that have not lost it.
-	doubtedUntil clock.Millis
-	// unledSince is since when there has been nobody to follow, clock.Never
-	// while there is.
-	unledSince clock.Millis
-	// restUntil is until when this node leaves the store to others.
-	restUntil clock.Millis
+	// enoughSince is since when at least MinNodes nodes have been present; clock.Never if they
+	// are not.
+	enoughSince clock.Millis
+	// storeLost reports whether this node's last call to the store failed.
+	storeLost bool
+	// recoveringUntil is when this node's recoveryPeriod ends. Until then it prefers to follow
+	// nodes that did not lose the store.
+	recoveringUntil clock.Millis
+	// noReaderSince is since when no other node could be followed; clock.Never while one can.
+	noReaderSince clock.Millis
+	// pausedUntil is until when this node does not probe the store.
+	pausedUntil clock.Millis
 }
 
-// Option sets up a Roster.
+// Option configures a Roster.
 type Option func(*Roster)
 
-// WithStartWait sets how long after its start the node may wait to know the others, if it has
-// read nothing yet.
+// WithStartWait sets how long after its start a node without an initial reading may wait for
+// the other nodes of its group to become known.
 func WithStartWait(d clock.Millis) Option { return func(r *Roster) { r.startWait = d } }
 
-// NewRoster returns a node's roster as of a time. Patience is how long the node may
-// wait for another one to have the store, when its reader has failed it.
-func NewRoster(self *wire.Member, now, patience clock.Millis, opts ...Option) *Roster {
+// NewRoster returns the roster of a node that starts now. failoverWait is the longest time that
+// the node may wait for another one to reach the store after its reader has failed.
+func NewRoster(self *wire.Member, now, failoverWait clock.Millis, opts ...Option) *Roster {
 	r := &Roster{
-		patience: patience, failedSince: clock.Never,
-		self: self, group: make(map[string]*wire.Member), heard: make(map[string]hearing), led: make(map[string]bool),
-		awaited: make(map[string]clock.Millis),
-		refused: make(map[string]clock.Millis), started: now,
-		grouped: clock.Never, unledSince: clock.Never, doubtedUntil: clock.Never,
+		failoverWait: failoverWait, failedSince: clock.Never,
+		self: self, group: make(map[string]*wire.Member), statuses: make(map[string]nodeStatus), wasFollowable: make(map[string]bool),
+		lastSeen:     make(map[string]clock.Millis),
+		backoffUntil: make(map[string]clock.Millis), startedAt: now,
+		enoughSince: clock.Never, noReaderSince: clock.Never, recoveringUntil: clock.Never,
 	}
 	for _, opt := range opts {
 		opt(r)
 	}
-	r.draw = xxhash.Sum64String(self.GetName())
-	r.rank()
+	r.nameHash = xxhash.Sum64String(self.GetName())
+	r.updateRanks()
 	return r
 }
 
@@ -145,94 +146,94 @@
 	for _, m := range members {
 		r.group[m.GetName()] = m
 	}
-	r.known = true
-	r.rank()
+	r.groupKnown = true
+	r.updateRanks()
 }
 
-// Heard notes a node's word on whether it may be followed.
+// Heard records a status of another node and whether that node can be followed.
 func (r *Roster) Heard(now clock.Millis, name string, followable bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	h := r.heard[name]
-	if len(r.led) == 0 {
-		r.heardFirst = now
+	status := r.statuses[name]
+	if len(r.wasFollowable) == 0 {
+		r.firstStatusAt = now
 	}
-	led, met := r.led[name]
-	// One that is heard for the first time long after others was frozen, or has started.
-	late := !met && now > r.heardFirst.Add(heardWithin)
-	if followable && !h.followable && (led || late) {
-		h.doubtedUntil = now.Add(doubted)
+	wasFollowable, seen := r.wasFollowable[name]
+	// A node whose first status arrives long after those of others was frozen, or has just
+	// started.
+	late := !seen && now > r.firstStatusAt.Add(statusTimeout)
+	if followable && !status.followable && (wasFollowable || late) {
+		status.recoveringUntil = now.Add(recoveryPeriod)
 	}
-	h.at, h.followable = now, followable
-	r.heard[name], r.led[name], r.awaited[name] = h, followable || led, now
+	status.receivedAt, status.followable = now, followable
+	r.statuses[name], r.wasFollowable[name], r.lastSeen[name] = status, followable || wasFollowable, now
 }
 
-// Failed notes that following a node did not work.
-func (r *Roster) Failed(now clock.Millis, name string) {
+// ReaderFailed records that a request to another node as the reader failed.
+func (r *Roster) ReaderFailed(now clock.Millis, name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.forgetRefused(now)
-	if len(r.refused) == 0 {
+	r.expireBackoffs(now)
+	if len(r.backoffUntil) == 0 {
 		r.failedSince = now
 	}
-	r.refused[name] = now.Add(settle)
+	r.backoffUntil[name] = now.Add(settleTime)
 }
 
-// forgetRefused lets nodes be followed again that have failed this one a while ago.
-func (r *Roster) forgetRefused(now clock.Millis) {
-	maps.DeleteFunc(r.refused, func(_ string, until clock.Millis) bool { return now >= until })
+// expireBackoffs makes readers that failed long enough ago followable again.
+func (r *Roster) expireBackoffs(now clock.Millis) {
+	maps.DeleteFunc(r.backoffUntil, func(_ string, until clock.Millis) bool { return now >= until })
 }
 
-// StoreLost notes that this node has tried the store in vain.
+// StoreLost records that a call of this node to the store failed.
 func (r *Roster) StoreLost(now clock.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.away = true
-	if r.view(now).before >= firstToTry {
-		r.restUntil = now.Add(restPause)
+	r.storeLost = true
+	if r.groupState(now).nodesAhead >= probingNodes {
+		r.pausedUntil = now.Add(failedProbePause)
 	}
 }
 
-// StoreBack notes that this node has the store again.
-func (r *Roster) StoreBack(now clock.Millis) {
+// StoreRecovered records that this node reaches the store again.
+func (r *Roster) StoreRecovered(now clock.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.away, r.doubtedUntil = false, now.Add(doubted)
+	r.storeLost, r.recoveringUntil = false, now.Add(recoveryPeriod)
 }
 
-// Reader returns the node that reads the store for this one; nil where there is
-// none.
+// Reader returns the node that reads the store for this node, or nil if there is none.
 func (r *Roster) Reader(now clock.Millis) *wire.Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := r.view(now)
-	if r.alone(v) {
+	s := r.groupState(now)
+	if r.tooFewNodes(s) {
 		return nil
 	}
-	return r.group[v.first]
+	return r.group[s.reader]
 }
 
-// Reads tells whether this node reads the store for the others.
-func (r *Roster) Reads(now clock.Millis) bool {
+// IsReader reports whether this node reads the store for the others.
+func (r *Roster) IsReader(now clock.Millis) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := r.view(now)
-	return !r.alone(v) && v.first == r.self.GetName() && now >= r.turn(v)
+	s := r.groupState(now)
+	return !r.tooFewNodes(s) && s.reader == r.self.GetName() && now >= r.probeTime(s)
 }
 
-// Waits tells whether this node, which has nobody to follow, is to leave the
-// store to others for now. Asked tells that others already follow it.
-func (r *Roster) Waits(now clock.Millis, asked bool) bool {
+// ShouldWait reports whether this node, which has no reader, should not call the store yet.
+// followed reports whether others already follow this node.
+func (r *Roster) ShouldWait(now clock.Millis, followed bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := r.view(now)
+	s := r.groupState(now)
 	switch {
-	case r.alone(v):
-		return now < r.started.Add(settle)
-	case v.first == r.self.GetName() && asked:
+	case r.tooFewNodes(s):
+		return now < r.startedAt.Add(settleTime)
+	case s.reader == r.self.GetName() && followed:
 		return false
-	case v.first == r.self.GetName() || v.first == "":
-		return now < max(r.turn(v), r.restUntil)
+	case s.reader == r.self.GetName() || s.reader == "":
+		return now < max(r.probeTime(s), r.pausedUntil)
 	default:
 		return false
 	}
--- a/usage/permits.go
+++ b/usage/permits.go
@@ -29,7 +29,7 @@
 
 // Ask sends a node a question for permits.
 func (s *Sharing) Ask(cmd limit.AskCmd) {
-	id, born := fleetwire.Name(cmd.Ask.Upstream)
+	id, born := fleetwire.IncarnationFields(cmd.Ask.Upstream)
 	s.sendTo(cmd.To, &wire.Usage{From: s.self, PermitAsk: &wire.PermitAsk{
 		Id: id, Born: born, Life: cmd.Ask.Life, Number: cmd.Ask.Number, Want: uint32(cmd.Ask.Want),
 		Named: s.namedLimit(cmd.Ask.Named), Sent: cmd.Ask.Sent,
@@ -38,7 +38,7 @@
 
 // Give answers a node's question for permits.
 func (s *Sharing) Give(to string, grant limit.Grant) {
-	id, born := fleetwire.Name(grant.Upstream)
+	id, born := fleetwire.IncarnationFields(grant.Upstream)
 	s.sendTo(to, &wire.Usage{From: s.self, PermitGrant: &wire.PermitGrant{
 		Id: id, Born: born, Life: grant.Life, Number: grant.Number, Permits: uint32(grant.Permits),
 		NextMs: int64(grant.Next), Queue: uint32(grant.Queue), Named: s.namedLimit(grant.Named),
@@ -104,7 +104,7 @@
 func (s *Sharing) limitsKnown(limits map[fleet.Incarnation]limit.Named) []*wire.UpstreamLimit {
 	var list []*wire.UpstreamLimit
 	for upstream, named := range limits {
-		id, born := fleetwire.Name(upstream)
+		id, born := fleetwire.IncarnationFields(upstream)
 		list = append(list, &wire.UpstreamLimit{Id: id, Born: born, Named: s.namedLimit(named)})
 	}
 	return list
--- a/usage/placed.go
+++ b/usage/placed.go
@@ -37,7 +37,7 @@
 	for some := range slices.Chunk(orders, placedTogether) {
 		msg := &wire.Usage{From: s.self}
 		for _, o := range some {
-			id, born := fleetwire.Name(o.upstream)
+			id, born := fleetwire.IncarnationFields(o.upstream)
 			msg.Placed = append(msg.Placed, &wire.PlacedEngine{
 				Id: id, Born: born, From: int32(o.layers.From), To: int32(o.layers.To), Holds: o.holds,
 			})
--- a/usage/silent.go
+++ b/usage/silent.go
@@ -18,7 +18,7 @@
 func (s *Sharing) tellSilent(upstreams []fleet.Incarnation) {
 	msg := &wire.Usage{From: s.self}
 	for _, u := range upstreams {
-		id, born := fleetwire.Name(u)
+		id, born := fleetwire.IncarnationFields(u)
 		msg.Silent = append(msg.Silent, &wire.Incarnation{Id: id, Born: born})
 	}
 	s.send(msg, s.routes.Load().silences)
--- a/usage/tried.go
+++ b/usage/tried.go
@@ -69,7 +69,7 @@
 			msg.Answered = append(msg.Answered, n.work.Bytes())
 			continue
 		}
-		id, born := fleetwire.Name(n.upstream)
+		id, born := fleetwire.IncarnationFields(n.upstream)
 		msg.Lost = append(msg.Lost, &wire.LostWork{Work: n.work.Bytes(), Id: id, Born: born})
 	}
 	return msg
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -169,7 +169,7 @@
 func engineUse(used map[fleet.Incarnation]fleet.Use) []*wire.EngineUse {
 	list := make([]*wire.EngineUse, 0, len(used))
 	for engine, use := range used {
-		id, born := fleetwire.Name(engine)
+		id, born := fleetwire.IncarnationFields(engine)
 		list = append(list, &wire.EngineUse{Id: id, Born: born, Amount: use.Memory, Streams: int32(use.Streams)})
 	}
 	return list
