--- a/node/node.go
+++ b/node/node.go
@@ -118,7 +118,7 @@
 			QuarantineLasts: s.quarantineLasts(),
 		}),
 		dispatch.WithKeptQuarantine(),
-		dispatch.WithLimits(limit.New(limit.WithSelf(s.Name), limit.WithLife(uint64(time.Now().UnixNano())))),
+		dispatch.WithLimits(limit.New(limit.WithSelf(s.Name), limit.WithBootID(uint64(time.Now().UnixNano())))),
 	)
 	self := &wire.Member{Name: s.Name, DataCentre: s.DataCentre, Address: n.peer.Addr().String(), Strength: s.strength()}
 	sharing, err := usage.New(n.life, self, s.UsageListen, n.log, n.followable, listener{n}, usage.WithQuarantine(n.quarantined.digest), usage.WithClock(n.clock))
--- a/peering/quarantined.go
+++ b/peering/quarantined.go
@@ -39,7 +39,7 @@
 func quarantinedOf(told []*wire.QuarantinedWork) []dispatch.Quarantined {
 	var list []dispatch.Quarantined
 	for _, w := range told {
-		if id, ok := work.IDFrom(w.GetWork()); ok {
+		if id, ok := work.FromBytes(w.GetWork()); ok {
 			list = append(list, dispatch.Quarantined{Work: id, Age: clock.Millis(w.GetAgeMs()), Ended: fleetwire.IncarnationsOf(w.GetEnded())})
 		}
 	}
--- a/usage/permits.go
+++ b/usage/permits.go
@@ -41,7 +41,7 @@
 	id, born := fleetwire.IncarnationFields(grant.Upstream)
 	s.sendTo(to, &wire.Usage{From: s.self, PermitGrant: &wire.PermitGrant{
 		Id: id, Born: born, Life: grant.Life, Number: grant.Number, Permits: uint32(grant.Permits),
-		NextMs: int64(grant.Next), Queue: uint32(grant.Queue), Named: s.namedLimit(grant.Named),
+		NextMs: int64(grant.NextIn), Queue: uint32(grant.Queue), Named: s.namedLimit(grant.Named),
 	}})
 }
 
@@ -94,7 +94,7 @@
 	if grant := msg.GetPermitGrant(); grant != nil {
 		s.listener.HearGrant(msg.GetFrom(), limit.Grant{
 			Upstream: fleetwire.IncarnationOf(grant), Life: grant.GetLife(), Number: grant.GetNumber(), Permits: int(grant.GetPermits()),
-			Next: clock.Millis(grant.GetNextMs()), Queue: int(grant.GetQueue()), Named: s.limitNamed(grant.GetNamed()),
+			NextIn: clock.Millis(grant.GetNextMs()), Queue: int(grant.GetQueue()), Named: s.limitNamed(grant.GetNamed()),
 		})
 	}
 	return msg.GetPermitAsk() != nil || msg.GetPermitGrant() != nil
@@ -124,13 +124,13 @@
 
 // namedLimit tells a limit with its age, since nodes' clocks differ.
 func (s *Sharing) namedLimit(named limit.Named) *wire.NamedLimit {
-	return &wire.NamedLimit{Rate: named.Rate, AgeMs: int64(clock.AgeOf(named.At, s.clock.Now()))}
+	return &wire.NamedLimit{Rate: named.Rate, AgeMs: int64(clock.AgeOf(named.ReceivedAt, s.clock.Now()))}
 }
 
 // limitNamed is the reverse of namedLimit.
 func (s *Sharing) limitNamed(named *wire.NamedLimit) limit.Named {
 	if named.GetAgeMs() < 0 {
-		return limit.Named{At: clock.Never}
+		return limit.Named{ReceivedAt: clock.Never}
 	}
-	return limit.Named{Rate: named.GetRate(), At: s.clock.Now().Sub(clock.Millis(named.GetAgeMs()))}
+	return limit.Named{Rate: named.GetRate(), ReceivedAt: s.clock.Now().Sub(clock.Millis(named.GetAgeMs()))}
 }
--- a/usage/tried.go
+++ b/usage/tried.go
@@ -78,14 +78,14 @@
 // takeTried takes what another node has told of requests.
 func (s *Sharing) takeTried(msg *wire.Usage) {
 	for _, l := range msg.GetLost() {
-		if id, ok := work.IDFrom(l.GetWork()); ok {
+		if id, ok := work.FromBytes(l.GetWork()); ok {
 			s.listener.HearLost(id, fleetwire.IncarnationOf(l))
 			continue
 		}
 		s.log.Debug("usage_unreadable", logging.Err(errNoWork))
 	}
 	for _, raw := range msg.GetAnswered() {
-		if id, ok := work.IDFrom(raw); ok {
+		if id, ok := work.FromBytes(raw); ok {
 			s.listener.HearAnswered(id)
 			continue
 		}
--- a/usage/tried_test.go
+++ b/usage/tried_test.go
@@ -13,7 +13,7 @@
 	near, nearHeard := newNode(t, "b")
 	far, farHeard := newNode(t, "c")
 	teller.SetPeers([]string{near.Address()}, []string{far.Address()})
-	lost, answered := work.ID{}.By("lost"), work.ID{}.By("answered")
+	lost, answered := work.ID{}.ForAccount("lost"), work.ID{}.ForAccount("answered")
 	teller.Lost(lost, fleet.NewIncarnation("e1", 17))
 	for _, heard := range []inbox{nearHeard, farHeard} {
 		if got, want := <-heard, "e1@17"; got.lost != lost || got.from != want {
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -80,7 +80,7 @@
 	if got.from != "a" || !got.msg.Followable || got.msg.Total || got.msg.Used[fleet.Undated("e1")] != (fleet.Use{Memory: 5, Streams: 2}) {
 		t.Errorf("got %+v, want what a has in use", got)
 	}
-	if named := got.msg.Limits[fleet.Undated("e1")]; named.Rate != 4.5 || named.At == clock.Never {
+	if named := got.msg.Limits[fleet.Undated("e1")]; named.Rate != 4.5 || named.ReceivedAt == clock.Never {
 		t.Errorf("got the limit %+v, want one of 4.5", named)
 	}
 
@@ -118,15 +118,15 @@
 	owner.SetAddresses(map[string]string{"a": asker.Address()})
 
 	asker.Ask(limit.AskCmd{To: "nobody", Ask: limit.Ask{Number: 6}})
-	want := limit.Ask{Upstream: fleet.Undated("e1"), Life: 9, Number: 7, Want: 3, Named: limit.Named{Rate: 4.5, At: clock.Never}, Sent: []uint32{0, 2}}
+	want := limit.Ask{Upstream: fleet.Undated("e1"), Life: 9, Number: 7, Want: 3, Named: limit.Named{Rate: 4.5, ReceivedAt: clock.Never}, Sent: []uint32{0, 2}}
 	asker.Ask(limit.AskCmd{To: "b", Ask: want})
 	got := <-ownerHeard
 	if got.from != "a" || !reflect.DeepEqual(got.ask.Sent, want.Sent) || got.ask.Upstream != want.Upstream || got.ask.Number != want.Number ||
-		got.ask.Life != want.Life || got.ask.Want != want.Want || got.ask.Named.At != clock.Never {
+		got.ask.Life != want.Life || got.ask.Want != want.Want || got.ask.Named.ReceivedAt != clock.Never {
 		t.Errorf("got %+v from %s, want %+v", got.ask, got.from, want)
 	}
 
-	grant := limit.Grant{Upstream: fleet.Undated("e1"), Life: 9, Number: 7, Permits: 2, Next: 40, Queue: 5}
+	grant := limit.Grant{Upstream: fleet.Undated("e1"), Life: 9, Number: 7, Permits: 2, NextIn: 40, Queue: 5}
 	owner.Give("a", grant)
 	back := <-askerHeard
 	back.grant.Named = limit.Named{}
