--- a/chain/builder.go
+++ b/chain/builder.go
@@ -154,7 +154,7 @@
 	for at := end; b.steps[at].holder >= 0; at = b.steps[at].from {
 		s := b.steps[at]
 		h := &b.holders[s.holder]
-		layers := fleet.Range{From: b.cuts[s.from/len(b.centres)], To: b.cuts[at/len(b.centres)]}
+		layers := fleet.LayerRange{From: b.cuts[s.from/len(b.centres)], To: b.cuts[at/len(b.centres)]}
 		parts = append(parts, Part{ID: h.ID, Address: h.Address, Layers: layers})
 	}
 	slices.Reverse(parts)
--- a/chain/chain.go
+++ b/chain/chain.go
@@ -29,7 +29,7 @@
 	ID         fleet.Incarnation
 	Address    string
 	DataCentre string
-	Held       fleet.Range
+	Held       fleet.LayerRange
 	// LayerTime is the time of one token through one layer, in ms.
 	LayerTime float64
 	// Room is the memory left for requests, and Total all of it, in tokens
@@ -51,7 +51,7 @@
 type Part struct {
 	ID      fleet.Incarnation
 	Address string
-	Layers  fleet.Range
+	Layers  fleet.LayerRange
 }
 
 // Weights of the cost, in ms for each token.
--- a/chain/chain_test.go
+++ b/chain/chain_test.go
@@ -12,7 +12,7 @@
 
 func holder(id, centre string, from, to int, layerTime, room float64) chain.Holder {
 	return chain.Holder{
-		ID: fleet.Undated(fleet.ID(id)), Address: id + ":80", DataCentre: centre, Held: fleet.Range{From: from, To: to},
+		ID: fleet.IncarnationByID(fleet.ID(id)), Address: id + ":80", DataCentre: centre, Held: fleet.LayerRange{From: from, To: to},
 		LayerTime: layerTime, Room: room, Total: room,
 	}
 }
@@ -129,7 +129,7 @@
 
 func TestCheck(t *testing.T) {
 	part := func(id string, from, to int) chain.Part {
-		return chain.Part{ID: fleet.Undated(fleet.ID(id)), Layers: fleet.Range{From: from, To: to}}
+		return chain.Part{ID: fleet.IncarnationByID(fleet.ID(id)), Layers: fleet.LayerRange{From: from, To: to}}
 	}
 	tests := []struct {
 		name  string
--- a/chain/lack.go
+++ b/chain/lack.go
@@ -6,7 +6,7 @@
 // of memory, or have no holder.
 type Lack struct {
 	// Layers are the scarcest ones.
-	Layers fleet.Range
+	Layers fleet.LayerRange
 	// Holders is how many engines hold the first of them.
 	Holders int
 	// ID names the one of them with the most memory left; zero for none. Room is
@@ -26,7 +26,7 @@
 		scarcer := layer == from || n == 0 && lack.Holders > 0 || (n > 0) == (lack.Holders > 0) && room < lack.Room
 		switch {
 		case scarcer:
-			lack.Layers, lack.Holders, lack.ID, lack.Room = fleet.Range{From: layer, To: layer + 1}, n, id, room
+			lack.Layers, lack.Holders, lack.ID, lack.Room = fleet.LayerRange{From: layer, To: layer + 1}, n, id, room
 		case lack.Layers.To == layer && n == lack.Holders && id == lack.ID:
 			lack.Layers.To = layer + 1
 		}
--- a/dispatch/arrive.go
+++ b/dispatch/arrive.go
@@ -42,7 +42,7 @@
 	if route.Timeout > 0 {
 		r.giveUp = m.now.Add(route.Timeout)
 	}
-	r.service = m.catalog.Service(route.Pick(position(msg.CallerID)))
+	r.service = m.catalog.Service(route.ServiceAt(position(msg.CallerID)))
 	if r.service == nil {
 		return m.refuse(msg.Request, http.StatusServiceUnavailable, ReasonNoUpstream, backHealing)
 	}
--- a/dispatch/identity.go
+++ b/dispatch/identity.go
@@ -60,11 +60,11 @@
 		u.naming = false
 	}
 	switch msg.Presence {
-	case fleet.Itself:
+	case fleet.Present:
 		return m.tellNews(m.quarantine.Answers(msg.Upstream))
-	case fleet.Another:
+	case fleet.Replaced:
 		return m.tellNews(m.quarantine.Found(m.now, msg.Upstream, quarantine.Ended))
-	case fleet.Unnamed:
+	case fleet.PresenceUnknown:
 		if u != nil {
 			u.nameAgain = m.now.Add(min(askNameAgain<<min(u.namesLost, 8), longestAskName))
 			u.namesLost++
--- a/dispatch/model.go
+++ b/dispatch/model.go
@@ -52,7 +52,7 @@
 	// usage is what other nodes have in use, by their names, and told what this node has told
 	// last of its own.
 	usage map[string]peerUsage
-	told  map[fleet.Incarnation]fleet.Use
+	told  map[fleet.Incarnation]fleet.EngineUsage
 	// lasts is the mean time of streams, in ms.
 	lasts float64
 	// shortages are by service, and gaps are those among them in which layers had no
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -143,7 +143,7 @@
 	if r.route.Kind != catalog.Repeatable || r.runs >= r.mostUpstreams() {
 		return 0
 	}
-	return max(clock.Millis(u.took*tryFactor), clock.Millis(float64(r.route.Aim)*tryShare))
+	return max(clock.Millis(u.took*tryFactor), clock.Millis(float64(r.route.LatencyTarget)*tryShare))
 }
 
 // sendPipeline builds a chain of engines. Engines under suspicion take no part.
--- a/fleet/identity_test.go
+++ b/fleet/identity_test.go
@@ -12,17 +12,18 @@
 
 const (
 	module = "github.com/hoistjunction/hoistjunction"
-	// idType is what an upstream is called, which its later runs are too.
-	idType = module + "/fleet.ID"
+	// idTypeName is the type of an upstream's ID, which all its incarnations share.
+	idTypeName = module + "/fleet.ID"
 )
 
-// translators may turn an ID into text and back: they write and read messages.
-var translators = []string{module + "/fleet", module + "/fleetwire", module + "/platform"}
+// idConverters are the packages that may convert an ID to and from text, because they encode
+// and decode messages.
+var idConverters = []string{module + "/fleet", module + "/fleetwire", module + "/platform"}
 
-// What is known of an upstream hangs on one run of its process. Outside of this package no
-// table is keyed by the bare ID and none is compared, so nothing of an earlier run can be
-// taken for a later one's; and only what speaks to others turns it into text.
-func TestNothingHangsOnABareID(t *testing.T) {
+// Guards against state of an earlier process of an upstream being applied to a later one. All
+// state must be keyed by incarnation, so outside of this package no map may be keyed by a bare
+// ID, no bare ID may be compared, and only message codecs may convert one.
+func TestStateIsNotKeyedByBareID(t *testing.T) {
 	loaded, err := packages.Load(&packages.Config{
 		Mode: packages.NeedName | packages.NeedImports | packages.NeedDeps | packages.NeedTypes | packages.NeedSyntax | packages.NeedTypesInfo,
 		Dir:  "..",
@@ -30,43 +31,43 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const fewest = 40
-	if len(loaded) < fewest {
-		t.Fatalf("got %d packages, want %d or more for the test to mean something", len(loaded), fewest)
+	const minPackages = 40
+	if len(loaded) < minPackages {
+		t.Fatalf("loaded %d packages, want at least %d", len(loaded), minPackages)
 	}
 	for _, p := range loaded {
 		if p.PkgPath == module+"/fleet" {
 			continue
 		}
 		for expr, found := range p.TypesInfo.Types {
-			if what := misuse(p, expr, found); what != "" {
-				t.Errorf("%s: %s", p.Fset.Position(expr.Pos()), what)
+			if misuse := misuseOfID(p, expr, found); misuse != "" {
+				t.Errorf("%s: %s", p.Fset.Position(expr.Pos()), misuse)
 			}
 		}
 	}
 }
 
-// misuse says what is wrong with an expression; nothing if nothing is.
-func misuse(p *packages.Package, expr ast.Expr, found types.TypeAndValue) string {
+// misuseOfID returns how an expression misuses a bare ID; empty if it does not.
+func misuseOfID(p *packages.Package, expr ast.Expr, found types.TypeAndValue) string {
 	if m, ok := found.Type.Underlying().(*types.Map); ok && isID(m.Key()) {
-		return "a table is keyed by a bare ID"
+		return "a map is keyed by a bare ID"
 	}
 	switch e := expr.(type) {
 	case *ast.BinaryExpr:
-		if compares(e.Op) && (isID(p.TypesInfo.TypeOf(e.X)) || isID(p.TypesInfo.TypeOf(e.Y))) {
+		if isComparison(e.Op) && (isID(p.TypesInfo.TypeOf(e.X)) || isID(p.TypesInfo.TypeOf(e.Y))) {
 			return "a bare ID is compared"
 		}
 	case *ast.CallExpr:
-		if len(e.Args) == 1 && p.TypesInfo.Types[e.Fun].IsType() && isID(p.TypesInfo.TypeOf(e.Args[0])) && !mayTranslate(p.PkgPath) {
+		if len(e.Args) == 1 && p.TypesInfo.Types[e.Fun].IsType() && isID(p.TypesInfo.TypeOf(e.Args[0])) && !mayConvertID(p.PkgPath) {
 			return "a bare ID is converted"
 		}
 	}
 	return ""
 }
 
-func isID(t types.Type) bool { return t != nil && t.String() == idType }
+func isID(t types.Type) bool { return t != nil && t.String() == idTypeName }
 
-func compares(op token.Token) bool {
+func isComparison(op token.Token) bool {
 	switch op {
 	case token.EQL, token.NEQ, token.LSS, token.GTR, token.LEQ, token.GEQ:
 		return true
@@ -75,8 +76,8 @@
 	}
 }
 
-func mayTranslate(path string) bool {
-	for _, p := range translators {
+func mayConvertID(path string) bool {
+	for _, p := range idConverters {
 		if path == p || strings.HasPrefix(path, p+"/") {
 			return true
 		}
--- a/fleet/incarnation.go
+++ b/fleet/incarnation.go
@@ -5,53 +5,55 @@
 	"strconv"
 )
 
-// ID is what an upstream is called. It may start again under the same ID, so an ID alone
-// says nothing of what a process holds, has run or has open: all that hangs on an
-// Incarnation.
+// ID is the name of an upstream. A restarted upstream may keep its ID, so state about a process
+// (layers held, requests executed, open connections) is keyed by Incarnation, not by ID.
 type ID string
 
-// Start is when an upstream's process started, in ms since 1970 by its own clock; zero
-// where upstreams do not tell. It is only ever compared with other starts under its ID.
-type Start int64
+// StartedAt is when an upstream's process started, in ms since 1970 by the upstream's clock;
+// zero where upstreams do not report it. It may only be compared with other start times of the
+// same ID.
+type StartTime int64
 
-// Incarnation is one run of an upstream's process, between a start and its end. It is the
-// only key by which anything is known of an upstream, so nothing of an earlier run can be
-// taken for the next one's. The zero value is none.
+// Incarnation identifies one process of an upstream. All state about upstreams is keyed by it,
+// so that state of an earlier process is never applied to a later one. The zero value means
+// none.
 type Incarnation struct {
-	id   ID
-	born Start
+	id      ID
+	started StartTime
 }
 
-// NewIncarnation returns the run of an upstream that began at a time.
-func NewIncarnation(id ID, born Start) Incarnation { return Incarnation{id: id, born: born} }
+// NewIncarnation returns the incarnation of an upstream that started at the given time.
+func NewIncarnation(id ID, startedAt StartTime) Incarnation {
+	return Incarnation{id: id, started: startedAt}
+}
 
-// Undated returns the one run of an upstream that does not tell its start, where each
-// start has an ID of its own.
-func Undated(id ID) Incarnation { return Incarnation{id: id} }
+// IncarnationByID returns the incarnation of an upstream that does not report its start time
+// and uses a new ID for each start.
+func IncarnationByID(id ID) Incarnation { return Incarnation{id: id} }
 
-// ID returns what the upstream is called, which its other runs are too.
+// ID returns the name of the upstream, which its other incarnations share.
 func (i Incarnation) ID() ID { return i.id }
 
-// Born returns when the run began.
-func (i Incarnation) Born() Start { return i.born }
+// StartedAt returns when the process started; zero if unknown.
+func (i Incarnation) StartedAt() StartTime { return i.started }
 
-// IsZero tells whether it is none.
+// IsZero reports whether i is the zero value, which means none.
 func (i Incarnation) IsZero() bool { return i == Incarnation{} }
 
-// Succeeds tells whether it is a later run of the same upstream.
+// Succeeds reports whether i is a later incarnation of the same upstream.
 func (i Incarnation) Succeeds(earlier Incarnation) bool {
-	return i.id == earlier.id && i.born > earlier.born
+	return i.id == earlier.id && i.started > earlier.started
 }
 
-// Compare orders incarnations by ID, and those of one upstream by their start.
-func (i Incarnation) Compare(o Incarnation) int {
-	return cmp.Or(cmp.Compare(i.id, o.id), cmp.Compare(i.born, o.born))
+// Compare orders incarnations by ID, then by start time.
+func (i Incarnation) Compare(other Incarnation) int {
+	return cmp.Or(cmp.Compare(i.id, other.id), cmp.Compare(i.started, other.started))
 }
 
-// String names the incarnation for logs: the ID, and the start where it is known.
+// String formats the incarnation for logs: the ID, followed by the start time if it is known.
 func (i Incarnation) String() string {
-	if i.born == 0 {
+	if i.started == 0 {
 		return string(i.id)
 	}
-	return string(i.id) + "@" + strconv.FormatInt(int64(i.born), 10)
+	return string(i.id) + "@" + strconv.FormatInt(int64(i.started), 10)
 }
--- a/fleet/presence.go
+++ b/fleet/presence.go
@@ -1,34 +1,36 @@
 package fleet
 
-// Presence says who answers at the address where an incarnation is thought to be.
+// Presence is the result of comparing the upstream that answers at an address with the
+// incarnation expected at that address.
 type Presence uint8
 
-// The presences.
+// The results of a comparison.
 const (
-	// Unnamed: whoever answers has not said enough to tell.
-	Unnamed Presence = iota
-	// Itself: it is the incarnation.
-	Itself
-	// Another: it is another upstream, so the incarnation has ended or was never there.
-	Another
+	// PresenceUnknown: the answer does not identify the incarnation.
+	PresenceUnknown Presence = iota
+	// Present: the expected incarnation answered.
+	Present
+	// Replaced: another upstream answered, so the expected incarnation has terminated or
+	// never had this address.
+	Replaced
 )
 
 var presenceNames = [...]string{"unnamed", "itself", "another"}
 
-// String names the presence for logs.
+// String returns the name of the result for logs.
 func (p Presence) String() string { return presenceNames[p] }
 
-// Presence says who has answered in an incarnation's place and called itself by an ID; empty
-// for one that has said nothing. Where starts are told, an ID alone does not say which run
-// it is.
+// Presence compares the expected incarnation with the ID that the answering upstream reported,
+// empty if it reported none. Where upstreams report start times, a matching ID alone does not
+// identify the incarnation.
 func (i Incarnation) Presence(answerer ID) Presence {
 	switch {
 	case answerer == "":
-		return Unnamed
+		return PresenceUnknown
 	case answerer != i.id:
-		return Another
-	case i.born != 0:
-		return Unnamed
+		return Replaced
+	case i.started != 0:
+		return PresenceUnknown
 	}
-	return Itself
+	return Present
 }
--- a/fleet/upstream.go
+++ b/fleet/upstream.go
@@ -1,69 +1,72 @@
-// Package fleet holds what a node believes about upstreams: which there are,
-// which are leaving, and which layers each engine holds.
+// Package fleet holds a node's view of the upstreams: which exist, which are leaving, and which
+// layers each engine holds.
 //
-// The list comes from the store. While the store is away entries may lapse
-// although the upstream lives, so the View keeps the last known and waits for
-// a short while after the store's return before it takes "missing" for "gone".
+// The list of upstreams comes from the store. While the store is down, entries of upstreams
+// that are alive may disappear. View therefore keeps the last known entries, and applies
+// removals only after a grace period that starts when the store recovers.
 package fleet
 
-// Upstream is what an incarnation of an upstream says of itself.
+// Upstream is the status that an incarnation of an upstream reports in its entry.
 type Upstream struct {
 	ID      Incarnation
 	Service string
 	Address string
-	// DataCentre is where it stands.
+	// DataCentre is the data centre that the upstream is in.
 	DataCentre string
-	// Slots is how many requests it works on at a time.
+	// Slots is how many requests the upstream processes concurrently.
 	Slots int
-	// Leaving upstreams get no new work.
+	// Leaving is set while the upstream shuts down. It gets no new requests.
 	Leaving bool
-	// Accelerator names its kind of accelerator; empty for plain services.
+	// Accelerator is the kind of accelerator; empty for plain services.
 	Accelerator string
-	// Held is the range of layers that it holds; empty for none.
-	Held Range
-	// Lapsed upstreams had an entry before an outage of the store, and have had none since
-	// its return. Who knows one keeps it for a while; who does not must not learn it.
+	// Held is the range of layers that the engine holds; empty for none.
+	Held LayerRange
+	// Lapsed is set if the upstream had an entry before an outage of the store and has
+	// had none since the recovery. A view that contains the upstream keeps it for a grace
+	// period; other views must not add it.
 	Lapsed bool
-	// Withheld upstreams get no new work until their entry is whole again: it cannot be
-	// read, or names a service that nobody has. What they are working on goes on.
+	// Withheld is set while the entry cannot be read or names an unknown service. The
+	// upstream gets no new requests until the entry is valid again; requests in progress
+	// continue.
 	Withheld bool
 }
 
-// Range is a run of layers, From included and To not.
-type Range struct {
+// LayerRange is a range of consecutive layers, including From and excluding To.
+type LayerRange struct {
 	From int
 	To   int
 }
 
 // Len returns how many layers the range has.
-func (r Range) Len() int { return max(0, r.To-r.From) }
+func (r LayerRange) Len() int { return max(0, r.To-r.From) }
 
-// Empty tells whether the range has no layers.
-func (r Range) Empty() bool { return r.To <= r.From }
+// Empty reports whether the range contains no layers.
+func (r LayerRange) Empty() bool { return r.To <= r.From }
 
-// Holds tells whether a layer is in the range.
-func (r Range) Holds(layer int) bool { return r.From <= layer && layer < r.To }
+// Holds reports whether a layer is in the range.
+func (r LayerRange) Holds(layer int) bool { return r.From <= layer && layer < r.To }
 
-// Covers tells whether all of another range is in this one.
-func (r Range) Covers(o Range) bool { return o.Empty() || r.From <= o.From && o.To <= r.To }
+// Covers reports whether all of another range is in this one.
+func (r LayerRange) Covers(other LayerRange) bool {
+	return other.Empty() || r.From <= other.From && other.To <= r.To
+}
 
-// Overlap returns the layers that two ranges share.
-func (r Range) Overlap(o Range) Range {
-	shared := Range{From: max(r.From, o.From), To: min(r.To, o.To)}
+// Overlap returns the layers that both ranges contain.
+func (r LayerRange) Overlap(other LayerRange) LayerRange {
+	shared := LayerRange{From: max(r.From, other.From), To: min(r.To, other.To)}
 	if shared.Empty() {
-		return Range{}
+		return LayerRange{}
 	}
 	return shared
 }
 
-// Change is a change of the list: an upstream's new entry, or that it has
-// none any more.
+// Change is a change of the list of upstreams: a new or updated entry, or a removal.
 type Change struct {
 	ID   Incarnation
 	Gone bool
-	// Ended tells of an upstream that is gone that its process has ended for certain.
+	// Ended is set for a removed upstream whose process is known to have terminated.
 	Ended bool
-	// Unreadable tells that an entry is there and cannot be read.
+	// Unreadable is set if the entry exists but cannot be read.
 	Unreadable bool
 	Upstream   Upstream
 }
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -7,98 +7,99 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// LapseGrace is how long after the store's return an entry may be missing
-// although the upstream lives. The users' letter names about two seconds.
-const LapseGrace clock.Millis = 2200
+// RemovalGrace is how long after the store's recovery the entry of an upstream that is alive
+// may be missing. The users' requirements name about two seconds.
+const RemovalGrace clock.Millis = 2200
 
-// View is the node's picture of all upstreams. It is pure: times are handed
-// in. It is not safe for concurrent use.
+// View is a node's view of all upstreams. It reads no clock: callers pass the time. It is not
+// safe for concurrent use.
 type View struct {
 	upstreams map[Incarnation]*Upstream
-	// departed are incarnations that were seen leaving. They go on leaving, whatever an
-	// older entry says.
-	departed map[Incarnation]bool
-	// ended are incarnations whose address another one has. They never come back.
-	ended map[Incarnation]bool
-	// replaced are the addresses at which others have answered in place of incarnations.
-	// What says that one is there still is older than that.
-	replaced map[Incarnation]string
-	// latest says which incarnations a later run of their upstream has followed. These
-	// never come back either.
-	latest latest
-	// atAddress names the incarnation at an address.
-	atAddress map[string]Incarnation
-	// missing are entries that vanished around an outage, with the time from
-	// which they are taken as gone.
-	missing map[Incarnation]clock.Millis
-	// gone are upstreams that were taken as gone lately, and when; earlier ones were forgotten
-	// last at forgot. Returned is when the store has come back from a copy last, and heldBack
-	// are entries that may be the copy's alone.
-	gone     map[Incarnation]clock.Millis
-	forgot   clock.Millis
-	returned clock.Millis
-	heldBack map[Incarnation]Upstream
-	// services are those that there are, nil while that is not known, and strangers the
-	// entries that name another one.
-	services  map[string]bool
-	strangers map[Incarnation]Upstream
-	away      bool
-	// back is when the store was back last.
-	back clock.Millis
+	// seenLeaving holds incarnations that reported that they are leaving. They stay leaving,
+	// whatever older entries contain.
+	seenLeaving map[Incarnation]bool
+	// terminated holds incarnations that are known to have terminated, for example because
+	// another one has taken their address. They are never added again.
+	terminated map[Incarnation]bool
+	// replacedAt maps an incarnation to the address at which another upstream answered in its
+	// place. Entries that still list the incarnation at that address are outdated and ignored.
+	replacedAt map[Incarnation]string
+	// newestStarts identifies incarnations that a later one of the same upstream has
+	// superseded. They are never added again.
+	newestStarts latestStarts
+	// byAddress maps an address to the incarnation that has it.
+	byAddress map[string]Incarnation
+	// missingUntil maps incarnations whose entries disappeared around an outage to the time at
+	// which the removal takes effect.
+	missingUntil map[Incarnation]clock.Millis
+	// removedAt maps recently removed upstreams to the time of removal, and prunedAt is when
+	// expired ones were last deleted from it. restoredAt is the time of the last store restore,
+	// and staleSuspects holds entries that may exist only because the backup contained them.
+	removedAt     map[Incarnation]clock.Millis
+	prunedAt      clock.Millis
+	restoredAt    clock.Millis
+	staleSuspects map[Incarnation]Upstream
+	// knownServices holds the services in the configuration, nil until known, and
+	// unknownServiceEntries the entries that name other services.
+	knownServices         map[string]bool
+	unknownServiceEntries map[Incarnation]Upstream
+	storeDown             bool
+	// recoveredAt is when the store last recovered.
+	recoveredAt clock.Millis
 }
 
 // NewView returns a view without upstreams.
 func NewView() *View {
 	return &View{
-		upstreams: make(map[Incarnation]*Upstream),
-		departed:  make(map[Incarnation]bool),
-		ended:     make(map[Incarnation]bool),
-		replaced:  make(map[Incarnation]string),
-		latest:    make(latest),
-		atAddress: make(map[string]Incarnation),
-		missing:   make(map[Incarnation]clock.Millis),
-		strangers: make(map[Incarnation]Upstream),
-		gone:      make(map[Incarnation]clock.Millis),
-		forgot:    clock.Never,
-		returned:  clock.Never,
-		heldBack:  make(map[Incarnation]Upstream),
+		upstreams:             make(map[Incarnation]*Upstream),
+		seenLeaving:           make(map[Incarnation]bool),
+		terminated:            make(map[Incarnation]bool),
+		replacedAt:            make(map[Incarnation]string),
+		newestStarts:          make(latestStarts),
+		byAddress:             make(map[string]Incarnation),
+		missingUntil:          make(map[Incarnation]clock.Millis),
+		unknownServiceEntries: make(map[Incarnation]Upstream),
+		removedAt:             make(map[Incarnation]clock.Millis),
+		prunedAt:              clock.Never,
+		restoredAt:            clock.Never,
+		staleSuspects:         make(map[Incarnation]Upstream),
 	}
 }
 
-// StoreLost notes that the store does not answer. Entries that vanish from
-// now on may have lapsed.
-func (v *View) StoreLost() { v.away = true }
+// StoreLost records that the store does not answer. Entries that disappear from now on may be
+// false removals.
+func (v *View) StoreLost() { v.storeDown = true }
 
-// StoreBack notes that the store answers, and since when. At the end of an outage,
-// entries that are missing get until LapseGrace later to come back.
-func (v *View) StoreBack(now clock.Millis) {
-	if !v.away {
+// StoreRecovered records that the store answers since now. At the end of an outage, missing
+// entries may reappear for RemovalGrace.
+func (v *View) StoreRecovered(now clock.Millis) {
+	if !v.storeDown {
 		return
 	}
-	v.away, v.back = false, now
-	for id := range v.missing {
-		v.missing[id] = now.Add(LapseGrace)
+	v.storeDown, v.recoveredAt = false, now
+	for id := range v.missingUntil {
+		v.missingUntil[id] = now.Add(RemovalGrace)
 	}
 }
 
-// OutageEnded notes when an outage has ended that others have noticed and this view has
-// not: the grace of entries that vanish counts from then too.
+// OutageEnded records when an outage ended that other nodes noticed and this one did not. The
+// grace period of entries that disappear counts from that time too.
 func (v *View) OutageEnded(at clock.Millis) {
-	if !v.away {
-		v.back = max(v.back, at)
+	if !v.storeDown {
+		v.recoveredAt = max(v.recoveredAt, at)
 	}
 }
 
-// Replace takes a whole list. Entries that it lacks are treated as vanished;
-// lapsed tells that the list follows an outage. One that names an earlier run of an
-// upstream says nothing of the latest.
-func (v *View) Replace(now clock.Millis, list []Change, lapsed bool) []Change {
-	clear(v.strangers)
-	clear(v.heldBack)
-	changes := slices.DeleteFunc(slices.Clone(list), func(c Change) bool { return v.copied(now, c) })
+// ReplaceList applies a complete list. Entries that are not in it have disappeared; afterOutage
+// is set if the list follows an outage. A listed earlier incarnation does not affect the latest
+// one.
+func (v *View) ReplaceList(now clock.Millis, list []Change, afterOutage bool) []Change {
+	clear(v.unknownServiceEntries)
+	clear(v.staleSuspects)
+	changes := slices.DeleteFunc(slices.Clone(list), func(c Change) bool { return v.holdBackStale(now, c) })
 	listed := make(map[Incarnation]bool, len(changes))
 	for _, c := range changes {
-		listed[v.latest.run(c.ID)] = true
+		listed[v.newestStarts.newest(c.ID)] = true
 	}
 	for id := range v.upstreams {
 		if !listed[id] {
@@ -106,42 +107,43 @@
 		}
 	}
 	slices.SortFunc(changes, func(a, b Change) int { return a.ID.Compare(b.ID) })
-	return v.Apply(now, changes, lapsed)
+	return v.Apply(now, changes, afterOutage)
 }
 
-// Learn takes a whole list from a peer that has the store while this node has
-// not. Entries that it lacks are gone.
-func (v *View) Learn(now clock.Millis, list []Upstream) []Change {
-	away := v.away
-	v.away = false
+// ApplyPeerList applies a complete list from a peer that can reach the store while this node
+// cannot. Upstreams that are not in it are removed at once.
+func (v *View) ApplyPeerList(now clock.Millis, list []Upstream) []Change {
+	storeDown := v.storeDown
+	v.storeDown = false
 	changes := make([]Change, 0, len(list))
 	for _, u := range list {
 		changes = append(changes, Change{ID: u.ID, Upstream: u})
 	}
-	changes = v.Replace(now, changes, false)
-	v.away = away
+	changes = v.ReplaceList(now, changes, false)
+	v.storeDown = storeDown
 	return changes
 }
 
-// Apply takes changes of the list and returns those that made a difference:
-// with Gone for upstreams that get no new work from now on.
-func (v *View) Apply(now clock.Millis, changes []Change, lapsed bool) []Change {
-	effective := v.supersede(changes)
-	effective = append(effective, v.displace(changes)...)
+// Apply applies changes of the list and returns those that had an effect: Gone for upstreams
+// that get no new requests from now on. If afterOutage is set, removals may be false and take
+// effect after the grace period.
+func (v *View) Apply(now clock.Millis, changes []Change, afterOutage bool) []Change {
+	effective := v.terminateEarlier(changes)
+	effective = append(effective, v.terminateAtReusedAddress(changes)...)
 	for _, c := range changes {
-		c.ID = v.Resolve(c)
-		if v.stranger(c) {
+		c.ID = v.IncarnationOf(c)
+		if v.setAsideUnknownService(c) {
 			c.Unreadable = true
 		}
 		if c.Unreadable {
-			effective = append(effective, v.withhold(c.ID)...)
+			effective = append(effective, v.markEntryInvalid(c.ID)...)
 			continue
 		}
-		if !v.apply(now, c, lapsed) {
+		if !v.apply(now, c, afterOutage) {
 			continue
 		}
 		if known := v.upstreams[c.ID]; known != nil {
-			// One that was seen leaving is leaving still, whatever its entry says.
+			// An upstream that was seen leaving stays leaving, whatever its entry contains.
 			c.Upstream = *known
 		}
 		effective = append(effective, c)
@@ -149,141 +151,143 @@
 	return effective
 }
 
-// apply takes in one change, and returns whether it made a difference.
-func (v *View) apply(now clock.Millis, c Change, lapsed bool) bool {
+// apply applies one change and reports whether it had an effect.
+func (v *View) apply(now clock.Millis, c Change, afterOutage bool) bool {
 	switch {
 	case c.Ended:
-		return v.end(c.ID)
+		return v.markTerminated(c.ID)
 	case c.Gone:
-		return v.vanish(now, c.ID, lapsed)
-	case v.over(c.ID) || c.Upstream.Address != "" && v.replaced[c.ID] == c.Upstream.Address:
+		return v.entryRemoved(now, c.ID, afterOutage)
+	case v.isTerminated(c.ID) || c.Upstream.Address != "" && v.replacedAt[c.ID] == c.Upstream.Address:
 		return false
 	}
 	if c.Upstream.Lapsed {
-		return v.vanish(now, c.ID, true)
+		return v.entryRemoved(now, c.ID, true)
 	}
-	delete(v.missing, c.ID)
-	delete(v.gone, c.ID)
-	delete(v.heldBack, c.ID)
+	delete(v.missingUntil, c.ID)
+	delete(v.removedAt, c.ID)
+	delete(v.staleSuspects, c.ID)
 	u := c.Upstream
-	if v.departed[u.ID] {
+	if v.seenLeaving[u.ID] {
 		u.Leaving = true
 	}
 	if u.Leaving {
-		v.departed[u.ID] = true
+		v.seenLeaving[u.ID] = true
 	}
-	known, ok := v.upstreams[u.ID]
-	if ok && *known == u {
+	known, found := v.upstreams[u.ID]
+	if found && *known == u {
 		return false
 	}
 	v.upstreams[u.ID] = &u
-	v.atAddress[u.Address] = u.ID
+	v.byAddress[u.Address] = u.ID
 	return true
 }
 
-// vanish handles an entry that is there no more.
-func (v *View) vanish(now clock.Millis, id Incarnation, lapsed bool) bool {
+// entryRemoved handles the removal of an entry, and reports whether the upstream was removed at
+// once.
+func (v *View) entryRemoved(now clock.Millis, id Incarnation, afterOutage bool) bool {
 	if _, ok := v.upstreams[id]; !ok {
-		delete(v.heldBack, id)
+		delete(v.staleSuspects, id)
 		return false
 	}
-	if lapsed || v.away {
-		if _, waiting := v.missing[id]; !waiting {
-			v.missing[id] = v.graceEnds(now)
+	if afterOutage || v.storeDown {
+		if _, missing := v.missingUntil[id]; !missing {
+			v.missingUntil[id] = v.removalDeadline(now)
 		}
 		return false
 	}
 	v.remove(id)
-	v.noteGone(now, id)
+	v.recordRemoval(now, id)
 	return true
 }
 
-// graceEnds is until when an entry that vanishes now may come back. Once the store
-// is back the grace counts from its return, not from when the entry vanished. Where
-// others have noticed an outage that still lasts, there is no return to count from.
-func (v *View) graceEnds(now clock.Millis) clock.Millis {
-	ends := v.back.Add(LapseGrace)
-	if v.away || now >= ends {
-		return now.Add(LapseGrace)
+// removalDeadline returns the time until which an entry that disappears now may reappear. After
+// an outage, the grace period counts from the store's recovery, not from the entry's
+// disappearance. During an outage (which other nodes may have noticed and this one not) there is
+// no recovery to count from, and the grace period starts now.
+func (v *View) removalDeadline(now clock.Millis) clock.Millis {
+	deadline := v.recoveredAt.Add(RemovalGrace)
+	if v.storeDown || now >= deadline {
+		return now.Add(RemovalGrace)
 	}
-	return ends
+	return deadline
 }
 
 func (v *View) remove(id Incarnation) {
-	if u := v.upstreams[id]; u != nil && v.atAddress[u.Address] == id {
-		delete(v.atAddress, u.Address)
+	if u := v.upstreams[id]; u != nil && v.byAddress[u.Address] == id {
+		delete(v.byAddress, u.Address)
 	}
 	delete(v.upstreams, id)
-	delete(v.missing, id)
+	delete(v.missingUntil, id)
 }
 
-// Expire removes entries whose time to come back is over, lists those that were held back for
-// long enough, and returns both. Nothing expires while the store is away.
+// Expire removes upstreams whose missing entries did not reappear in time, adds entries that
+// were held back for long enough, and returns both. Nothing expires while the store is down.
 func (v *View) Expire(now clock.Millis) []Change {
-	if v.away {
+	if v.storeDown {
 		return nil
 	}
 	var changes []Change
-	for id, until := range v.missing {
+	for id, until := range v.missingUntil {
 		if now >= until {
 			changes = append(changes, Change{ID: id, Gone: true})
 		}
 	}
 	for _, c := range changes {
 		v.remove(c.ID)
-		v.noteGone(now, c.ID)
+		v.recordRemoval(now, c.ID)
 	}
-	changes = append(changes, v.listHeldBack(now)...)
+	changes = append(changes, v.releaseStaleSuspects(now)...)
 	slices.SortFunc(changes, func(a, b Change) int { return a.ID.Compare(b.ID) })
 	return changes
 }
 
-// Waiting tells whether some entry may still come back.
-func (v *View) Waiting() bool { return len(v.missing) > 0 }
+// HasMissing reports whether some missing entry may still reappear.
+func (v *View) HasMissing() bool { return len(v.missingUntil) > 0 }
 
-// Lapsed returns the upstreams whose entries may still come back.
-func (v *View) Lapsed() []Incarnation {
-	return slices.SortedFunc(maps.Keys(v.missing), Incarnation.Compare)
+// Missing returns the upstreams whose missing entries may still reappear.
+func (v *View) Missing() []Incarnation {
+	return slices.SortedFunc(maps.Keys(v.missingUntil), Incarnation.Compare)
 }
 
-// Listed tells whether an upstream is known and has an entry.
-func (v *View) Listed(id Incarnation) bool {
-	_, waiting := v.missing[id]
-	return v.Holds(id) && !waiting
+// HasEntry reports whether the view contains an upstream and its entry is not missing.
+func (v *View) HasEntry(id Incarnation) bool {
+	_, missing := v.missingUntil[id]
+	return v.Contains(id) && !missing
 }
 
-// NextExpiry is when Expire has something to do next; ok is false for never.
+// NextExpiry returns when Expire next has an effect; ok is false for never.
 func (v *View) NextExpiry() (at clock.Millis, ok bool) {
-	for _, until := range v.missing {
+	for _, until := range v.missingUntil {
 		if !ok || until < at {
 			at, ok = until, true
 		}
 	}
-	if listed := v.returned.Add(CopyGrace); len(v.heldBack) > 0 && (!ok || listed < at) {
-		at, ok = listed, true
+	if held := v.restoredAt.Add(RestoreGrace); len(v.staleSuspects) > 0 && (!ok || held < at) {
+		at, ok = held, true
 	}
 	return at, ok
 }
 
-// Holds tells whether an upstream is known.
-func (v *View) Holds(id Incarnation) bool { return v.upstreams[id] != nil }
+// Contains reports whether the view contains an upstream.
+func (v *View) Contains(id Incarnation) bool { return v.upstreams[id] != nil }
 
-// Get returns what is known of an upstream; ok is false for nothing.
+// Get returns an upstream; ok is false if the view does not contain it.
 func (v *View) Get(id Incarnation) (u Upstream, ok bool) {
 	known := v.upstreams[id]
 	if known == nil {
 		return Upstream{}, false
 	}
 	u = *known
-	_, u.Lapsed = v.missing[id]
+	_, u.Lapsed = v.missingUntil[id]
 	return u, true
 }
 
-// Len returns how many upstreams are known.
+// Len returns the number of upstreams.
 func (v *View) Len() int { return len(v.upstreams) }
 
-// All returns the upstreams in their order, those among them that may come
-// back as Lapsed.
+// All returns the upstreams in order, with Lapsed set for those whose entries may still
+// reappear.
 func (v *View) All() []Upstream {
 	all := make([]Upstream, 0, len(v.upstreams))
 	for id := range v.upstreams {
--- a/fleetwire/entry.go
+++ b/fleetwire/entry.go
@@ -14,11 +14,11 @@
 
 // IncarnationOf returns the incarnation that a message names.
 func IncarnationOf(msg named) fleet.Incarnation {
-	return fleet.NewIncarnation(fleet.ID(msg.GetId()), fleet.Start(msg.GetBorn()))
+	return fleet.NewIncarnation(fleet.ID(msg.GetId()), fleet.StartTime(msg.GetBorn()))
 }
 
 // Name is the reverse of IncarnationOf, for the fields of a message.
-func Name(i fleet.Incarnation) (id string, born int64) { return string(i.ID()), int64(i.Born()) }
+func Name(i fleet.Incarnation) (id string, born int64) { return string(i.ID()), int64(i.StartedAt()) }
 
 // Names returns incarnations in the form in which nodes tell each other of them.
 func Names(list []fleet.Incarnation) []*wire.Incarnation {
@@ -54,7 +54,7 @@
 	return fleet.Upstream{
 		ID: IncarnationOf(e), Service: e.GetService(), Address: e.GetAddress(), DataCentre: e.GetDataCentre(),
 		Slots: int(e.GetSlots()), Leaving: e.GetLeaving(), Accelerator: e.GetAccelerator(),
-		Held: fleet.Range{From: int(e.GetHeldFrom()), To: int(e.GetHeldTo())}, Lapsed: e.GetLapsed(),
+		Held: fleet.LayerRange{From: int(e.GetHeldFrom()), To: int(e.GetHeldTo())}, Lapsed: e.GetLapsed(),
 		Withheld: e.GetWithheld(),
 	}
 }
--- a/follow/fleet.go
+++ b/follow/fleet.go
@@ -16,7 +16,7 @@
 
 // followedBriefly is for how long a node that has begun to be followed may be one that has
 // just had an outage, and holds what has vanished in it.
-const followedBriefly = fleet.LapseGrace + 800
+const followedBriefly = fleet.RemovalGrace + 800
 
 // expiryCheck is how often entries that may come back are looked at.
 const expiryCheck clock.Millis = 500
@@ -256,7 +256,7 @@
 func (f *Fleet) waiting() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.view.Waiting()
+	return f.view.HasMissing()
 }
 
 // nextExpiry is when the next of them is taken as gone; ok is false for none.
--- a/follow/fleet_take.go
+++ b/follow/fleet_take.go
@@ -20,18 +20,18 @@
 		f.log.Warn("entry_unreadable", logging.Err(err))
 	}
 	if ended := f.outage.Ended(now); ended != clock.Never {
-		f.view.StoreBack(ended)
+		f.view.StoreRecovered(ended)
 		f.view.OutageEnded(ended)
 	}
-	f.view.StoreBack(now)
-	lapsed := f.view.Lapsed()
+	f.view.StoreRecovered(now)
+	lapsed := f.view.Missing()
 	if f.view.Len() == 0 && lapsing {
 		// A node that has started in an outage cannot know what has lapsed in it.
 		f.partial = true
 	}
 	var changes []fleet.Change
 	if reading.Whole {
-		changes = f.view.Replace(now, entriesIn(reading.Changes), lapsing)
+		changes = f.view.ReplaceList(now, entriesIn(reading.Changes), lapsing)
 	} else {
 		changes = f.view.Apply(now, reading.Changes, lapsing)
 	}
@@ -44,10 +44,10 @@
 // lapsedOthers tells whether other entries have lapsed than had before: one of these is
 // listed again, or further ones vanished. Those that follow are told which have.
 func (f *Fleet) lapsedOthers(before []fleet.Incarnation) bool {
-	if slices.ContainsFunc(before, f.view.Listed) {
+	if slices.ContainsFunc(before, f.view.HasEntry) {
 		return true
 	}
-	return slices.ContainsFunc(f.view.Lapsed(), func(id fleet.Incarnation) bool { return !slices.Contains(before, id) })
+	return slices.ContainsFunc(f.view.Missing(), func(id fleet.Incarnation) bool { return !slices.Contains(before, id) })
 }
 
 // expire takes entries as gone whose time to come back is over.
@@ -72,7 +72,7 @@
 func (f *Fleet) Supersede(run fleet.Incarnation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	ended := f.view.Supersede(run)
+	ended := f.view.NoteIncarnation(run)
 	if len(ended) == 0 {
 		return
 	}
@@ -87,7 +87,7 @@
 func (f *Fleet) Leave(id fleet.Incarnation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	left := f.view.Leave(id)
+	left := f.view.MarkLeaving(id)
 	if len(left) == 0 {
 		return
 	}
@@ -100,7 +100,7 @@
 func (f *Fleet) Replaced(id fleet.Incarnation, address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	ended := f.view.Replaced(id, address)
+	ended := f.view.NoteReplacement(id, address)
 	if len(ended) == 0 {
 		return
 	}
@@ -145,10 +145,10 @@
 	for _, c := range changes {
 		told[c.ID] = true
 	}
-	remembers := f.clock.Now() < f.returnedAt.Add(fleet.CopyGrace)
+	remembers := f.clock.Now() < f.returnedAt.Add(fleet.RestoreGrace)
 	var known []fleet.Change
 	for _, c := range reading.Changes {
-		c.ID = f.view.Resolve(c)
+		c.ID = f.view.IncarnationOf(c)
 		switch u, holds := f.view.Get(c.ID); {
 		case told[c.ID]:
 		case c.Gone && !holds:
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -57,7 +57,7 @@
 	if string(raw) == "bad" {
 		return nil, errAway
 	}
-	return catalog.New(uint64(raw[0]-'0'), catalog.WithText(raw, written)), nil
+	return catalog.New(uint64(raw[0]-'0'), catalog.WithSource(raw, written)), nil
 }
 
 func (s *scripted) fleet(call string) (FleetReading, error) {
@@ -136,11 +136,11 @@
 		{"a first failure", func() bool { return o.Lost(10) }, true, 10, true},
 		{"a further one", func() bool { return o.Lost(20) }, false, 20, true},
 		{"an answer", func() bool { return o.Back(100) }, true, 100, true},
-		{"a further one", func() bool { return o.Back(200) }, false, 100 + fleet.LapseGrace - 1, true},
-		{"later", func() bool { return o.Back(9000) }, false, 100 + fleet.LapseGrace, false},
+		{"a further one", func() bool { return o.Back(200) }, false, 100 + fleet.RemovalGrace - 1, true},
+		{"later", func() bool { return o.Back(9000) }, false, 100 + fleet.RemovalGrace, false},
 		{"a second failure", func() bool { return o.Lost(10_000) }, true, 10_000, true},
 		{"another node's answer", func() bool { return o.Told(10_100) }, false, 10_100, true},
-		{"one later", func() bool { return o.Told(10_100 + fleet.LapseGrace) }, false, 10_100 + fleet.LapseGrace, false},
+		{"one later", func() bool { return o.Told(10_100 + fleet.RemovalGrace) }, false, 10_100 + fleet.RemovalGrace, false},
 		{"one long after", func() bool { return o.Told(10_000 + forgottenAfter) }, true, 10_000 + forgottenAfter, false},
 		{"a further one", func() bool { return o.Told(90_000) }, false, 90_000, false},
 		{"a third failure", func() bool { return o.Lost(100_000) }, true, 100_000, true},
@@ -164,7 +164,7 @@
 func TestFleetReadsWholeAfterAnOutage(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	up := func(id string) fleet.Change {
-		return fleet.Change{ID: fleet.Undated(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.Undated(fleet.ID(id))}}
+		return fleet.Change{ID: fleet.IncarnationByID(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.IncarnationByID(fleet.ID(id))}}
 	}
 	source := &scripted{t: t, end: cancel, answers: []scriptedAnswer{
 		{changes: []fleet.Change{up("u1"), up("u2")}}, {err: errAway}, {changes: []fleet.Change{up("u2")}},
--- a/follow/learnt.go
+++ b/follow/learnt.go
@@ -29,7 +29,7 @@
 	defer f.mu.Unlock()
 	if l := f.learnt.Swap(nil); l != nil && now <= l.at.Add(learntLasts) {
 		f.confirmed.Store(int64(l.at))
-		changes := f.view.Learn(now, l.upstreams)
+		changes := f.view.ApplyPeerList(now, l.upstreams)
 		// Those that follow have not been told of it, and the store's next answer will
 		// show it as nothing new.
 		f.inDoubt = f.inDoubt || len(changes) > 0
--- a/follow/limits_test.go
+++ b/follow/limits_test.go
@@ -30,7 +30,7 @@
 		{"the call in which silence shows is silent too", StoreMargin + sitOutFor(1) + firstRetry + storeAnswer, within},
 		{"and the configuration's as well", StoreMargin + retryPause(1) + firstRetry + storeAnswer, within},
 		{"the store is away for long, and back", max(longestRetry, leastHang) + firstRetry + storeAnswer, silenceWithin},
-		{"what vanished meanwhile is taken as gone", max(longestRetry, leastHang) + fleet.LapseGrace + leastWait, silenceWithin},
+		{"what vanished meanwhile is taken as gone", max(longestRetry, leastHang) + fleet.RemovalGrace + leastWait, silenceWithin},
 		{"the node that is followed is frozen", gatherFollowed + readerWait - gatherFollowed + 2*ReaderMargin + storeAnswer, within},
 		{"so is the next one", readerLost + storeAnswer, within},
 		{"the node that is followed has lost the store", VouchFor + ReaderMargin + storeAnswer, within},
--- a/follow/outage.go
+++ b/follow/outage.go
@@ -147,5 +147,5 @@
 func (o *Outage) Lapsing(now clock.Millis) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.away && !o.othersHave(now) || now < o.end(now).Add(fleet.LapseGrace)
+	return o.away && !o.othersHave(now) || now < o.end(now).Add(fleet.RemovalGrace)
 }
--- a/follow/reader_test.go
+++ b/follow/reader_test.go
@@ -163,7 +163,7 @@
 func (l *followersLog) Suspend() { l.calls = append(l.calls, "suspend") }
 
 func listed(id string) fleet.Change {
-	return fleet.Change{ID: fleet.Undated(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.Undated(fleet.ID(id))}}
+	return fleet.Change{ID: fleet.IncarnationByID(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.IncarnationByID(fleet.ID(id))}}
 }
 
 // backSoon ends an outage as the follower of the configuration would.
@@ -210,7 +210,7 @@
 			{err: errAway}, {changes: []fleet.Change{listed("u1")}}, {changes: []fleet.Change{listed("u2")}},
 		}, []string{"suspend", "suspend", "suspend", "suspend"}},
 		{"unknown ends", []scriptedAnswer{
-			{changes: []fleet.Change{listed("u1")}}, {changes: []fleet.Change{{ID: fleet.Undated("u9"), Gone: true}}},
+			{changes: []fleet.Change{listed("u1")}}, {changes: []fleet.Change{{ID: fleet.IncarnationByID("u9"), Gone: true}}},
 		}, []string{"set u1", "add u9true", "suspend"}},
 	}
 	for _, tt := range tests {
@@ -231,7 +231,7 @@
 	f := NewFleet(&scripted{t: t}, clocktest.NewClock(), zap.NewNop(), &Outage{}, func([]fleet.Change) {}, WithReaders(noReaders{}, followers))
 	now := f.clock.Now()
 	f.take(now, FleetReading{AsOf: moment.At(0, 1), Whole: true}, false)
-	f.Learn([]fleet.Upstream{{ID: fleet.Undated("u1")}, {ID: fleet.Undated("u2")}})
+	f.Learn([]fleet.Upstream{{ID: fleet.IncarnationByID("u1")}, {ID: fleet.IncarnationByID("u2")}})
 	f.takeLearnt(now)
 	f.take(now, FleetReading{AsOf: moment.At(0, 4), Changes: []fleet.Change{listed("u1"), listed("u2"), listed("u3")}}, false)
 	checkCalls(t, followers.calls, []string{"set", "set u1 u2 u3"})
@@ -256,7 +256,7 @@
 func TestFleetFollowsAReaderWhileTheStoreIsLost(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	source := &scripted{t: t, end: cancel, answers: []scriptedAnswer{{changes: []fleet.Change{listed("u1")}}, {err: errAway}}}
-	reader := &scriptedReader{store: source, answers: []scriptedAnswer{{changes: []fleet.Change{listed("u2")}}, {changes: []fleet.Change{{ID: fleet.Undated("u1"), Gone: true}}}}}
+	reader := &scriptedReader{store: source, answers: []scriptedAnswer{{changes: []fleet.Change{listed("u2")}}, {changes: []fleet.Change{{ID: fleet.IncarnationByID("u1"), Gone: true}}}}}
 	outage := &Outage{}
 	var seen []string
 	f := NewFleet(source, clocktest.NewClock(), zap.NewNop(), outage, func(changes []fleet.Change) {
@@ -312,14 +312,14 @@
 		}
 	})
 	f.view.Apply(c.Now(), []fleet.Change{listed("u1"), listed("u2")}, false)
-	f.Learn([]fleet.Upstream{{ID: fleet.Undated("u1")}})
-	f.Learn([]fleet.Upstream{{ID: fleet.Undated("u1")}, {ID: fleet.Undated("u2")}, {ID: fleet.Undated("u3")}})
+	f.Learn([]fleet.Upstream{{ID: fleet.IncarnationByID("u1")}})
+	f.Learn([]fleet.Upstream{{ID: fleet.IncarnationByID("u1")}, {ID: fleet.IncarnationByID("u2")}, {ID: fleet.IncarnationByID("u3")}})
 	f.takeLearnt(c.Now())
 	if got, want := strings.Join(told, " "), "u3false"; got != want {
 		t.Errorf("got %q of two lists, want %q of the newer", got, want)
 	}
 	told = nil
-	f.Learn([]fleet.Upstream{{ID: fleet.Undated("u1")}})
+	f.Learn([]fleet.Upstream{{ID: fleet.IncarnationByID("u1")}})
 	f.takeLearnt(c.Now().Add(learntLasts + 1))
 	if len(told) > 0 {
 		t.Errorf("got %q of an old list, want nothing", told)
--- a/lab/node.go
+++ b/lab/node.go
@@ -156,7 +156,7 @@
 
 // replaced takes in that another engine has answered at the address of one.
 func (n *node) replaced(id fleet.Incarnation, address string) {
-	if ended := n.view.Replaced(id, address); len(ended) > 0 {
+	if ended := n.view.NoteReplacement(id, address); len(ended) > 0 {
 		n.pass(ended)
 	}
 }
--- a/lab/node_tell.go
+++ b/lab/node_tell.go
@@ -74,7 +74,7 @@
 		if e := w.at[cmd.Address]; e != nil && e.up {
 			msg.Presence = cmd.Upstream.Presence(e.id.ID())
 		}
-		if msg.Presence == fleet.Another {
+		if msg.Presence == fleet.Replaced {
 			n.replaced(cmd.Upstream, cmd.Address)
 		}
 		n.tell(msg)
--- a/limit/handover_test.go
+++ b/limit/handover_test.go
@@ -12,7 +12,7 @@
 // ownedBy returns an upstream that a node owns among each of some lists of nodes.
 func ownedBy(t *testing.T, owner string, lists ...[]string) fleet.Incarnation {
 	for i := range 1000 {
-		id := fleet.Undated(fleet.ID(fmt.Sprint("u", i)))
+		id := fleet.IncarnationByID(fleet.ID(fmt.Sprint("u", i)))
 		owned := true
 		for _, names := range lists {
 			owned = owned && limit.Order(names, id)[0] == owner
@@ -94,7 +94,7 @@
 // second, one request in 20 s was sent, and callers were refused for as long after its end.
 func TestEndOfALimitOfNothingShowsInTime(t *testing.T) {
 	const atMost = clock.Millis(5000)
-	upstream := fleet.Undated("u")
+	upstream := fleet.IncarnationByID("u")
 	k := limit.New(limit.WithSelf("a"), limit.WithLife(1))
 	k.Named(0, upstream, 0)
 	for now := clock.Millis(0); now <= atMost; now += 100 {
--- a/limit/sim_test.go
+++ b/limit/sim_test.go
@@ -47,7 +47,7 @@
 	simCentres = 3
 )
 
-var simUpstream = fleet.Undated("u")
+var simUpstream = fleet.IncarnationByID("u")
 
 type simPlay struct {
 	events []simEvent
--- a/node/circle.go
+++ b/node/circle.go
@@ -82,7 +82,7 @@
 		n.placer.Tell(placement.RankMsg{Delay: plannerDelay(rank)})
 		return
 	}
-	n.usage.SetRoutes(hubRoutes(circle, others, here))
+	n.usage.SetRecipients(hubRoutes(circle, others, here))
 	n.relay.SetPeers(msg)
 	n.placer.Tell(placement.RankMsg{Delay: plannerDelay(circle.Place), Rests: !circle.Hub, Elsewhere: otherCentres(others, here)})
 }
@@ -129,16 +129,16 @@
 }
 
 // hubRoutes are the routes of a node of a data centre with hubs.
-func hubRoutes(circle *reading.Circle, others []*wire.Member, here string) usage.Routes {
+func hubRoutes(circle *reading.Circle, others []*wire.Member, here string) usage.Recipients {
 	hubs, leaves, far := usageAddresses(circle.Hubs), usageAddresses(circle.Leaves), usageAddresses(toldElsewhere(others, here))
 	absent := usageAddresses(circle.Absent)
 	if !circle.Hub {
-		return usage.Routes{Use: hubs, Absent: absent, Orders: hubs, Silences: hubs, Works: slices.Concat(hubs, far)}
+		return usage.Recipients{Usage: hubs, Absent: absent, Placements: hubs, Unresponsive: hubs, Outcomes: slices.Concat(hubs, far)}
 	}
 	near := slices.Concat(hubs, leaves)
-	r := usage.Routes{Use: hubs, Absent: absent, Hubs: circle.Hubs, Total: far, Leaves: leaves, Orders: near, Silences: near, Works: slices.Concat(near, far)}
+	r := usage.Recipients{Usage: hubs, Absent: absent, Hubs: circle.Hubs, DataCentreTotal: far, Leaves: leaves, Placements: near, Unresponsive: near, Outcomes: slices.Concat(near, far)}
 	if circle.Place < passers {
-		r.PassOn = near
+		r.Forward = near
 	}
 	return r
 }
--- a/node/circle_test.go
+++ b/node/circle_test.go
@@ -45,7 +45,7 @@
 		if circle.Meshed || circle.Hub {
 			t.Fatalf("%d nodes a data centre: got %+v, want a leaf", each, circle)
 		}
-		told := map[string]int{"use": len(r.Use), "orders": len(r.Orders), "silences": len(r.Silences), "works": len(r.Works), "leaves": len(r.Leaves)}
+		told := map[string]int{"use": len(r.Usage), "orders": len(r.Placements), "silences": len(r.Unresponsive), "works": len(r.Outcomes), "leaves": len(r.Leaves)}
 		for what, got := range told {
 			if want := 40; got > want {
 				t.Errorf("%d nodes a data centre: got %d addresses for %s, want %d at most", each, got, what, want)
@@ -64,8 +64,8 @@
 		others := slices.Delete(slices.Clone(members), i, i+1)
 		circle := circleOf(m, others)
 		r := hubRoutes(&circle, others, m.GetDataCentre())
-		routes[m.GetUsageAddress()] = func() []string { return r.Works }
-		passes[m.GetUsageAddress()] = r.PassOn
+		routes[m.GetUsageAddress()] = func() []string { return r.Outcomes }
+		passes[m.GetUsageAddress()] = r.Forward
 	}
 	for _, m := range members {
 		reached := make(map[string]bool)
--- a/node/known.go
+++ b/node/known.go
@@ -28,20 +28,20 @@
 	return taken, k.inForce
 }
 
-// Config implements peering.Knowledge.
+// Config implements peering.LocalState.
 func (k *known) Config() follow.InForce {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.inForce
 }
 
-// Fleet implements peering.Knowledge.
+// Fleet implements peering.LocalState.
 func (k *known) Fleet() ([]fleet.Upstream, bool) { return k.node.fleets.Shown() }
 
-// Listed implements peering.Knowledge.
+// Listed implements peering.LocalState.
 func (k *known) Listed() bool { return k.node.fleets.Listed() }
 
-// LearnConfig implements peering.Learner.
+// LearnConfig implements peering.Receiver.
 func (k *known) LearnConfig(edition catalog.Edition, raw []byte, confirmed clock.Millis) {
 	proof := follow.Proof{Edition: edition, Confirmed: confirmed}
 	if len(raw) > 0 {
@@ -55,7 +55,7 @@
 	k.node.setCatalog(proof)
 }
 
-// LearnFleet implements peering.Learner.
+// LearnFleet implements peering.Receiver.
 func (k *known) LearnFleet(list []fleet.Upstream) { k.node.fleets.Learn(list) }
 
 // nearAll is up to how many nodes tell each other what they have in use across
@@ -65,7 +65,7 @@
 // the nodes, and bytes between data centres are dear.
 const nearAll = 24
 
-// LearnMembers implements peering.Learner.
+// LearnMembers implements peering.Receiver.
 func (k *known) LearnMembers(others []*wire.Member, rank int) {
 	k.node.roster.SetGroup(readingGroup(others, k.node.settings.DataCentre))
 	k.node.members.set(others, rank)
--- a/node/node.go
+++ b/node/node.go
@@ -55,7 +55,7 @@
 	fleets   *follow.Fleet
 	catalogs *follow.Catalog
 	peers    *peering.Peering
-	usage    *usage.Sharing
+	usage    *usage.Exchange
 	known    *known
 	// obeying has the node take one proof of the configuration after the other. Outdated is
 	// the last edition that was shown and is not obeyed, and asking tells that another node
@@ -135,7 +135,7 @@
 		relay.WithCounters("quarantined", expvar.Func(n.quarantined.count)),
 		relay.WithCounters("peers", expvar.Func(func() any { return n.Peers() })),
 		relay.WithListAge(listAge), relay.WithSilence(n.setSilent), relay.WithSharing(n.share), relay.WithLeaving(n.setSaidLeaving), relay.WithReplaced(n.setReplaced), relay.WithQuarantine(n.setQuarantine),
-		relay.WithPermits(n.usage.Ask, n.usage.Give))
+		relay.WithPermits(n.usage.Ask, n.usage.SendPermitGrant))
 	planner := placement.New(placement.WithDelay(plannerDelay(int(hash(s.Name)%unknownRanks))), placement.WithStart(n.clock.Now()))
 	n.placer = placer.New(planner, n.engines, n.clock, n.log, n.tellPlaced, placer.WithSeed(hash(s.Name)), placer.WithListAge(listAge),
 		placer.WithResults(n.orders))
@@ -186,7 +186,7 @@
 func (n *Node) ReadinessAddress() string { return n.readiness.Addr().String() }
 
 // Peers returns how many other nodes are known.
-func (n *Node) Peers() int { return n.peers.Others() }
+func (n *Node) Peers() int { return n.peers.NamedPeers() }
 
 // PeerAddress returns where other nodes ask this one.
 func (n *Node) PeerAddress() string { return n.peer.Addr().String() }
@@ -222,8 +222,8 @@
 	n.addLoop(&g, n.placer.Run)
 	n.addLoop(&g, n.catalogs.Run)
 	n.addLoop(&g, n.fleets.Run)
-	n.addLoop(&g, n.peers.Register)
-	n.addLoop(&g, n.peers.PutBack)
+	n.addLoop(&g, n.peers.MaintainRegistration)
+	n.addLoop(&g, n.peers.RestoreRegistration)
 	n.addLoop(&g, n.peers.Run)
 	n.addLoop(&g, n.followCircle)
 	n.addLoop(&g, n.usage.Run)
--- a/node/quarantined.go
+++ b/node/quarantined.go
@@ -163,7 +163,7 @@
 	switch news := news.(type) {
 	case quarantine.LostNews:
 		n.log.Info("lost", zap.Stringer("work", news.Work), zap.Stringer("upstream", news.Upstream))
-		n.usage.Lost(news.Work, news.Upstream)
+		n.usage.SendCrash(news.Work, news.Upstream)
 	case quarantine.HeldNews:
 		n.log.Warn("quarantined", zap.Stringer("work", news.Work), zap.Stringers("ended", news.Ended), zap.Bool("own", news.Own))
 		n.keep(dispatch.Quarantined{Work: news.Work, Ended: news.Ended}, news.Own)
@@ -189,7 +189,7 @@
 func (n *Node) clear(news quarantine.ClearedNews) {
 	n.quarantined.remove(news.Work)
 	if news.Own {
-		n.usage.Answered(news.Work)
+		n.usage.SendAnswered(news.Work)
 	}
 	if news.Held && (news.Own || news.Lost) {
 		n.keeper.Release(news.Work)
@@ -207,7 +207,7 @@
 // have missed datagrams, know the same within a second or two.
 func (n *Node) compareQuarantine(from *wire.Member, digest uint64) {
 	if n.quarantined.differs(digest) {
-		go n.peers.AskQuarantined(n.life, from)
+		go n.peers.QueryQuarantined(n.life, from)
 	}
 }
 
@@ -220,8 +220,8 @@
 // HearAnswered implements usage.Listener.
 func (l listener) HearAnswered(id work.ID) { l.node.relay.SetAnswered(id) }
 
-// Quarantined implements peering.Knowledge.
+// Quarantined implements peering.LocalState.
 func (k *known) Quarantined() []dispatch.Quarantined { return k.node.quarantined.list() }
 
-// LearnQuarantined implements peering.Learner.
+// LearnQuarantined implements peering.Receiver.
 func (k *known) LearnQuarantined(list []dispatch.Quarantined) { k.node.learnQuarantined(list) }
--- a/placement/heal.go
+++ b/placement/heal.go
@@ -56,9 +56,9 @@
 }
 
 // bestMove returns the engine and its new run that gain most, or nil.
-func (p *plan) bestMove(centre string, fill float64) (*Engine, fleet.Range) {
+func (p *plan) bestMove(centre string, fill float64) (*Engine, fleet.LayerRange) {
 	var best *Engine
-	var run fleet.Range
+	var run fleet.LayerRange
 	most := 0.0
 	for i := range p.engines {
 		e := &p.engines[i]
@@ -67,7 +67,7 @@
 		}
 		for size := capacity(e, fill); size <= p.stretched(e, fill); size++ {
 			for from := 0; from+size <= p.shape.Layers; from++ {
-				r := fleet.Range{From: from, To: from + size}
+				r := fleet.LayerRange{From: from, To: from + size}
 				if gain := p.gain(e, r, fill); gain > most {
 					best, run, most = e, r, gain
 				}
@@ -84,7 +84,7 @@
 
 // gain weighs a new run of layers for an engine. It is zero or less where the
 // move covers nothing, or gives up a layer that has no other holder.
-func (p *plan) gain(e *Engine, r fleet.Range, fill float64) float64 {
+func (p *plan) gain(e *Engine, r fleet.LayerRange, fill float64) float64 {
 	local := p.local[e.DataCentre]
 	gain := 0.0
 	for layer := r.From; layer < r.To; layer++ {
--- a/placement/layout.go
+++ b/placement/layout.go
@@ -29,7 +29,7 @@
 	shape Shape
 	// engines are the fast ones first, and ranges what each of them holds.
 	engines []*Engine
-	ranges  []fleet.Range
+	ranges  []fleet.LayerRange
 
 	// By layer: capacity is the tokens of requests that its holders have memory for,
 	// reads the prompts that they read in a ms, holders how many they are, places the
@@ -52,7 +52,7 @@
 // will hold.
 func newLayout(shape Shape, engines []*Engine) *layout {
 	l := &layout{
-		shape: shape, engines: slices.Clone(engines), ranges: make([]fleet.Range, len(engines)),
+		shape: shape, engines: slices.Clone(engines), ranges: make([]fleet.LayerRange, len(engines)),
 		capacity: make([]float64, shape.Layers), reads: make([]float64, shape.Layers), holders: make([]int, shape.Layers),
 		places: make([]int, shape.Layers), given: make([]float64, shape.Layers), solo: make([]int, len(engines)),
 	}
--- a/placement/model.go
+++ b/placement/model.go
@@ -101,7 +101,7 @@
 // pending is an order that has been given. Its layers are none where the engine could not read
 // it.
 type pending struct {
-	layers fleet.Range
+	layers fleet.LayerRange
 	until  clock.Millis
 }
 
@@ -256,7 +256,7 @@
 		p.until = now.Add(retryIn)
 	case Rejected:
 		// It is not on its way to hold them: others are planned for.
-		p.layers, p.until = fleet.Range{}, now.Add(rejectedFor)
+		p.layers, p.until = fleet.LayerRange{}, now.Add(rejectedFor)
 	}
 	m.pending[msg.Upstream] = p
 	if u, known := m.upstreams[msg.Upstream]; known && msg.Result == Busy && u.Held != msg.Held && !msg.Held.Empty() {
--- a/placement/msg.go
+++ b/placement/msg.go
@@ -37,14 +37,14 @@
 type OrderedMsg struct {
 	Upstream fleet.Incarnation
 	Result   Result
-	Held     fleet.Range
+	Held     fleet.LayerRange
 }
 
 // PlacedMsg tells of an order that another node has given, or, with Holds, that
 // an engine has carried one out.
 type PlacedMsg struct {
 	Upstream fleet.Incarnation
-	Layers   fleet.Range
+	Layers   fleet.LayerRange
 	Holds    bool
 }
 
@@ -88,9 +88,9 @@
 type OrderCmd struct {
 	Upstream fleet.Incarnation
 	Address  string
-	Layers   fleet.Range
+	Layers   fleet.LayerRange
 	// Believed is what the list says that the engine holds.
-	Believed fleet.Range
+	Believed fleet.LayerRange
 	// Missing is how many of them have no holder in the data centre.
 	Missing int
 }
--- a/placement/orders.go
+++ b/placement/orders.go
@@ -65,7 +65,7 @@
 			continue
 		}
 		e := Engine{
-			ID: id, DataCentre: u.DataCentre, Most: s.Pipeline.MostLayers(kind), Memory: s.Pipeline.LayersOf(kind),
+			ID: id, DataCentre: u.DataCentre, Most: s.Pipeline.MaxLayers(kind), Memory: s.Pipeline.MemoryInLayers(kind),
 			LayerTime: s.Pipeline.StepTime(kind, 1), ReadTime: s.Pipeline.ReadTime(kind, 1), Held: u.Held,
 		}
 		e.Reserve = m.planned && m.seen[id] > m.plannedAt && now < m.seen[id].Add(reserveFor)
--- a/placement/pace.go
+++ b/placement/pace.go
@@ -15,7 +15,7 @@
 // memory for, and no more prompts than the slowest layers read.
 func (l *layout) rate(room float64) float64 {
 	held := room / l.shape.tokens() / l.lasts(room)
-	if l.shape.Pass.Read <= 0 {
+	if l.shape.Pass.MaxPromptTokens <= 0 {
 		return held
 	}
 	read := scarcest(l.reads, l.holders, 1)
@@ -26,7 +26,7 @@
 // the streams in its batch that it has memory for.
 func (l *layout) readsInTime(i int) float64 {
 	e, n := l.engines[i], float64(l.ranges[i].Len())
-	return l.shape.Pass.Reads(e.LayerTime*n, e.ReadTime*n, l.share(i)/l.shape.tokens()/2)
+	return l.shape.Pass.PromptRate(e.LayerTime*n, e.ReadTime*n, l.share(i)/l.shape.tokens()/2)
 }
 
 // room is how many tokens the layers have memory for: that of the scarcest ones,
@@ -84,7 +84,7 @@
 	}
 	crowd := 0.0
 	if step > 0 {
-		crowd = l.shape.Pass.Slowdown * room / l.shape.tokens() * squares / step
+		crowd = l.shape.Pass.StreamSlowdown * room / l.shape.tokens() * squares / step
 	}
 	return waiting*(l.shape.Prompt*read+l.shape.Answer*(step+crowd)) + l.shape.Answer*hops
 }
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -34,8 +34,8 @@
 	LayerTime float64
 	ReadTime  float64
 	// Held is what it holds, and Coming what it has been ordered to hold.
-	Held   fleet.Range
-	Coming fleet.Range
+	Held   fleet.LayerRange
+	Coming fleet.LayerRange
 	// Fixed engines get no orders now.
 	Fixed bool
 	// Reserve engines are new; they are kept for layers without a holder.
@@ -47,7 +47,7 @@
 func (e *Engine) serving() int { return int(math.Ceil(e.Memory)) - 1 }
 
 // standing is the range that the engine holds or will.
-func (e *Engine) standing() fleet.Range {
+func (e *Engine) standing() fleet.LayerRange {
 	if !e.Coming.Empty() {
 		return e.Coming
 	}
@@ -57,7 +57,7 @@
 // Order tells an engine which layers to hold.
 type Order struct {
 	ID     fleet.Incarnation
-	Layers fleet.Range
+	Layers fleet.LayerRange
 	// Missing is how many of the layers had no holder in the data centre.
 	Missing int
 }
@@ -109,14 +109,14 @@
 	return p
 }
 
-func (p *plan) count(centre string, r fleet.Range, by int) {
+func (p *plan) count(centre string, r fleet.LayerRange, by int) {
 	for layer := max(r.From, 0); layer < min(r.To, p.shape.Layers); layer++ {
 		p.local[centre][layer] += by
 	}
 }
 
 // whole is the range of all layers.
-func (p *plan) whole() fleet.Range { return fleet.Range{To: p.shape.Layers} }
+func (p *plan) whole() fleet.LayerRange { return fleet.LayerRange{To: p.shape.Layers} }
 
 // of returns the engines of a data centre that can hold a layer.
 func (p *plan) of(centre string) []*Engine {
@@ -238,7 +238,7 @@
 // after the other, the new one first, so layers will soon want a holder.
 func (p *plan) keep(e *Engine) bool { return e.Reserve && p.missing(e.DataCentre, p.whole()) == 0 }
 
-func (p *plan) order(e *Engine, r fleet.Range) Order {
+func (p *plan) order(e *Engine, r fleet.LayerRange) Order {
 	o := Order{ID: e.ID, Layers: r, Missing: p.missing(e.DataCentre, r)}
 	p.count(e.DataCentre, e.standing(), -1)
 	p.count(e.DataCentre, r, 1)
@@ -246,7 +246,7 @@
 	return o
 }
 
-func (p *plan) missing(centre string, r fleet.Range) int {
+func (p *plan) missing(centre string, r fleet.LayerRange) int {
 	n := 0
 	for layer := r.From; layer < r.To; layer++ {
 		if p.local[centre][layer] == 0 {
--- a/placement/search.go
+++ b/placement/search.go
@@ -23,7 +23,7 @@
 
 // searchOver seeks it for some of the engines; the others keep what they have.
 func (l *layout) searchOver(some []int) {
-	var best []fleet.Range
+	var best []fleet.LayerRange
 	most := 0.0
 	for _, fill := range fills {
 		l.spreadOver(some, fill)
@@ -54,10 +54,10 @@
 
 // bestFor returns the range for an engine that raises the value most, and by how
 // much; that is nothing where none does.
-func (l *layout) bestFor(i int) (best fleet.Range, most float64) {
+func (l *layout) bestFor(i int) (best fleet.LayerRange, most float64) {
 	was, before := l.ranges[i], l.value()
 	best = was
-	try := func(r fleet.Range) {
+	try := func(r fleet.LayerRange) {
 		if r.Empty() || r.From < 0 || r.To > l.shape.Layers || r.Len() > l.engines[i].Most || r == was {
 			return
 		}
@@ -74,29 +74,29 @@
 
 // nearby tries a range's ends a layer further in or out, and the range shifted by
 // a layer or two.
-func (l *layout) nearby(r fleet.Range, try func(fleet.Range)) {
+func (l *layout) nearby(r fleet.LayerRange, try func(fleet.LayerRange)) {
 	for from := -1; from <= 1; from++ {
 		for to := -1; to <= 1; to++ {
-			try(fleet.Range{From: r.From + from, To: r.To + to})
+			try(fleet.LayerRange{From: r.From + from, To: r.To + to})
 		}
 	}
-	try(fleet.Range{From: r.From - 2, To: r.To - 2})
-	try(fleet.Range{From: r.From + 2, To: r.To + 2})
+	try(fleet.LayerRange{From: r.From - 2, To: r.To - 2})
+	try(fleet.LayerRange{From: r.From + 2, To: r.To + 2})
 }
 
 // elsewhere tries ranges of the same length and of half of it all over the model.
-func (l *layout) elsewhere(r fleet.Range, try func(fleet.Range)) {
+func (l *layout) elsewhere(r fleet.LayerRange, try func(fleet.LayerRange)) {
 	for _, size := range []int{r.Len(), r.Len() / 2} {
 		for from := 0; from+size <= l.shape.Layers; from += stride {
-			try(fleet.Range{From: from, To: from + size})
+			try(fleet.LayerRange{From: from, To: from + size})
 		}
-		try(fleet.Range{From: l.shape.Layers - size, To: l.shape.Layers})
+		try(fleet.LayerRange{From: l.shape.Layers - size, To: l.shape.Layers})
 	}
 }
 
 // roomiest returns the range for an empty engine with the highest value.
-func (l *layout) roomiest(i int) fleet.Range {
-	best, most := fleet.Range{}, l.value()
+func (l *layout) roomiest(i int) fleet.LayerRange {
+	best, most := fleet.LayerRange{}, l.value()
 	tried := 0
 	for _, fill := range fills {
 		size := min(capacity(l.engines[i], fill), l.shape.Layers)
@@ -105,12 +105,12 @@
 		}
 		tried = size
 		for from := 0; from+size <= l.shape.Layers; from++ {
-			l.ranges[i] = fleet.Range{From: from, To: from + size}
+			l.ranges[i] = fleet.LayerRange{From: from, To: from + size}
 			if v := l.value(); v > most+leastGain {
 				best, most = l.ranges[i], v
 			}
 		}
 	}
-	l.ranges[i] = fleet.Range{}
+	l.ranges[i] = fleet.LayerRange{}
 	return best
 }
--- a/placement/spread.go
+++ b/placement/spread.go
@@ -23,7 +23,7 @@
 func (l *layout) spreadOver(some []int, fill float64) {
 	spans := make([]int, l.shape.Layers)
 	holders := make([]int, l.shape.Layers)
-	hold := func(r fleet.Range) {
+	hold := func(r fleet.LayerRange) {
 		for layer := r.From; layer < r.To; layer++ {
 			holders[layer]++
 			spans[layer] += r.Len()
@@ -50,8 +50,8 @@
 }
 
 // neediest returns the run of layers of a size whose layers need a holder most.
-func neediest(holders, spans []int, size int) fleet.Range {
-	best, most := fleet.Range{}, 0.0
+func neediest(holders, spans []int, size int) fleet.LayerRange {
+	best, most := fleet.LayerRange{}, 0.0
 	for from := 0; from+size <= len(holders); from++ {
 		need := 0.0
 		for layer := from; layer < from+size; layer++ {
@@ -65,7 +65,7 @@
 			}
 		}
 		if need > most+1e-9 {
-			best, most = fleet.Range{From: from, To: from + size}, need
+			best, most = fleet.LayerRange{From: from, To: from + size}, need
 		}
 	}
 	return best
--- a/placement/tick.go
+++ b/placement/tick.go
@@ -23,7 +23,7 @@
 		}
 	}
 	var wanting []*catalog.Service
-	m.catalog.Services(func(s *catalog.Service) {
+	m.catalog.EachService(func(s *catalog.Service) {
 		if s.Pipeline != nil && m.wants(now, s) {
 			wanting = append(wanting, s)
 		}
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -43,13 +43,13 @@
 	Busy bool
 	// OrdersTaken counts its orders since its start.
 	OrdersTaken uint64
-	Held        fleet.Range
+	Held        fleet.LayerRange
 }
 
 // Engines gives orders.
 type Engines interface {
 	State(ctx context.Context, address string, upstream fleet.Incarnation) (State, error)
-	Place(ctx context.Context, address string, upstream fleet.Incarnation, layers fleet.Range, ordersTaken uint64) (Result, error)
+	Place(ctx context.Context, address string, upstream fleet.Incarnation, layers fleet.LayerRange, ordersTaken uint64) (Result, error)
 }
 
 const (
@@ -87,7 +87,7 @@
 	listAge func() clock.Millis
 	// placed tells all nodes, this one included, of an order that was taken or,
 	// with holds, carried out.
-	placed func(upstream fleet.Incarnation, layers fleet.Range, holds bool)
+	placed func(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool)
 	// coverage is what was logged last.
 	coverage []string
 	// results counts orders by what came of them.
@@ -111,7 +111,7 @@
 // New returns a placer that runs a model. Placed tells all nodes of an order
 // that an engine has taken or carried out.
 func New(model *placement.Model, engines Engines, c *clock.Clock, log *zap.Logger,
-	placed func(upstream fleet.Incarnation, layers fleet.Range, holds bool), opts ...Option,
+	placed func(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool), opts ...Option,
 ) *Placer {
 	p := &Placer{
 		model: model, engines: engines, clock: c, log: log, placed: placed,
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -19,7 +19,7 @@
 // promptEngines carry out every order at once.
 type promptEngines struct {
 	mu   sync.Mutex
-	held map[string]fleet.Range
+	held map[string]fleet.LayerRange
 }
 
 func (e *promptEngines) State(_ context.Context, address string, _ fleet.Incarnation) (placer.State, error) {
@@ -28,7 +28,7 @@
 	return placer.State{Held: e.held[address]}, nil
 }
 
-func (e *promptEngines) Place(_ context.Context, address string, _ fleet.Incarnation, layers fleet.Range, _ uint64) (placer.Result, error) {
+func (e *promptEngines) Place(_ context.Context, address string, _ fleet.Incarnation, layers fleet.LayerRange, _ uint64) (placer.Result, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.held[address] = layers
@@ -53,8 +53,8 @@
 	changes := make([]fleet.Change, manyEngines)
 	for i := range changes {
 		id := fmt.Sprintf("e%03d", i)
-		changes[i] = fleet.Change{ID: fleet.Undated(fleet.ID(id)), Upstream: fleet.Upstream{
-			ID: fleet.Undated(fleet.ID(id)), Address: id, Service: "writer", Accelerator: "k", DataCentre: fmt.Sprintf("dc-%d", i/aCentre),
+		changes[i] = fleet.Change{ID: fleet.IncarnationByID(fleet.ID(id)), Upstream: fleet.Upstream{
+			ID: fleet.IncarnationByID(fleet.ID(id)), Address: id, Service: "writer", Accelerator: "k", DataCentre: fmt.Sprintf("dc-%d", i/aCentre),
 		}}
 	}
 	return changes
@@ -63,7 +63,7 @@
 func smallModel() *catalog.Catalog {
 	return catalog.New(1, catalog.WithServices(&catalog.Service{Name: "writer", Pipeline: &catalog.Pipeline{
 		Layers: 10, LayerMB: 100, TokenBytes: 1000, StepMS: 1,
-		Accelerators: map[string]catalog.Accelerator{"k": {Name: "k", MB: 500, StepFactor: 1}},
+		Accelerators: map[string]catalog.Accelerator{"k": {Name: "k", MemoryMB: 500, StepFactor: 1}},
 	}}))
 }
 
@@ -78,9 +78,9 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		c := clocktest.NewClock()
-		engines := &promptEngines{held: make(map[string]fleet.Range)}
+		engines := &promptEngines{held: make(map[string]fleet.LayerRange)}
 		var p *placer.Placer
-		placed := func(upstream fleet.Incarnation, layers fleet.Range, holds bool) {
+		placed := func(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool) {
 			p.Tell(placement.PlacedMsg{Upstream: upstream, Layers: layers, Holds: holds})
 		}
 		p = placer.New(placement.New(placement.WithStart(c.Now())), engines, c, logging.Nop().Logger, placed)
@@ -100,7 +100,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := clocktest.NewClock()
 		// Nobody runs this one, as if it sought a plan all the while.
-		p := placer.New(placement.New(), &promptEngines{}, c, logging.Nop().Logger, func(fleet.Incarnation, fleet.Range, bool) {})
+		p := placer.New(placement.New(), &promptEngines{}, c, logging.Nop().Logger, func(fleet.Incarnation, fleet.LayerRange, bool) {})
 		told := 0
 		go func() {
 			for _, change := range emptyEngines() {
@@ -129,7 +129,7 @@
 	return e.promptEngines.State(ctx, address, upstream)
 }
 
-func (e *slowEngines) Place(ctx context.Context, address string, upstream fleet.Incarnation, layers fleet.Range, taken uint64) (placer.Result, error) {
+func (e *slowEngines) Place(ctx context.Context, address string, upstream fleet.Incarnation, layers fleet.LayerRange, taken uint64) (placer.Result, error) {
 	time.Sleep(orderTakes)
 	e.mu.Lock()
 	e.orders++
@@ -146,9 +146,9 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		c := clocktest.NewClock()
-		engines := &slowEngines{promptEngines: promptEngines{held: make(map[string]fleet.Range)}}
+		engines := &slowEngines{promptEngines: promptEngines{held: make(map[string]fleet.LayerRange)}}
 		var placers []*placer.Placer
-		placed := func(upstream fleet.Incarnation, layers fleet.Range, holds bool) {
+		placed := func(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool) {
 			for _, p := range placers {
 				p.Tell(placement.PlacedMsg{Upstream: upstream, Layers: layers, Holds: holds})
 			}
--- a/quarantine/crowd_test.go
+++ b/quarantine/crowd_test.go
@@ -163,7 +163,7 @@
 	if !by.IsZero() {
 		c.ended[by] = append(c.ended[by], c.now)
 	}
-	next := fleet.NewIncarnation(id.ID(), id.Born()+1)
+	next := fleet.NewIncarnation(id.ID(), id.StartedAt()+1)
 	c.at(downFor, func() { c.up = append(c.up, next) })
 	lost := c.underway[id]
 	delete(c.underway, id)
--- a/reading/log.go
+++ b/reading/log.go
@@ -39,7 +39,7 @@
 	endedTold clock.Millis = 60_000
 	// copyShows is for how long after the store's return it may show what this node knows to
 	// be over.
-	copyShows = fleet.CopyGrace
+	copyShows = fleet.RestoreGrace
 	// endedMissed is for how long a question is answered at once for such an end: some
 	// more than a follower's pause between two questions.
 	endedMissed clock.Millis = 700
@@ -107,7 +107,7 @@
 func (l *Log) SetConfig(k follow.Known) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	news := k.Answered > l.known.Answered || k.Confirmed > l.known.Confirmed || !k.Edition.Same(l.known.Edition)
+	news := k.Answered > l.known.Answered || k.Confirmed > l.known.Confirmed || !k.Edition.SameText(l.known.Edition)
 	k.Answered = max(k.Answered, l.known.Answered)
 	l.known = k
 	if news {
--- a/reading/log_test.go
+++ b/reading/log_test.go
@@ -45,7 +45,7 @@
 	return catalog.NewEdition(version, []byte(text), at(version))
 }
 
-func gone(id fleet.ID) []fleet.Change { return []fleet.Change{{ID: fleet.Undated(id), Gone: true}} }
+func gone(id fleet.ID) []fleet.Change { return []fleet.Change{{ID: fleet.IncarnationByID(id), Gone: true}} }
 
 // newLog returns a log that knows a configuration and the list.
 func newLog(t *testing.T) *reading.Log {
@@ -257,11 +257,11 @@
 	for i := range uint64(many) {
 		l.AddFleet(at(11+i), gone("u"))
 	}
-	l.AddFleet(at(11+many), []fleet.Change{{ID: fleet.Undated("u1"), Upstream: fleet.Upstream{ID: fleet.Undated("u1")}}})
+	l.AddFleet(at(11+many), []fleet.Change{{ID: fleet.IncarnationByID("u1"), Upstream: fleet.Upstream{ID: fleet.IncarnationByID("u1")}}})
 	source := follower(t, l)
 	for _, after := range []uint64{0, 10} {
 		got, err := source.AwaitUpstreams(context.Background(), at(after), 0)
-		if err != nil || !got.Whole || len(got.Changes) != 1 || got.Changes[0].ID != fleet.Undated("u1") {
+		if err != nil || !got.Whole || len(got.Changes) != 1 || got.Changes[0].ID != fleet.IncarnationByID("u1") {
 			t.Errorf("after %d: got whole=%v, %v and error %v, want u1 alone as the whole", after, got.Whole, got.Changes, err)
 		}
 	}
@@ -337,7 +337,7 @@
 		}
 		return r
 	}
-	listed := []fleet.Change{{ID: fleet.Undated("u1"), Upstream: fleet.Upstream{ID: fleet.Undated("u1")}}}
+	listed := []fleet.Change{{ID: fleet.IncarnationByID("u1"), Upstream: fleet.Upstream{ID: fleet.IncarnationByID("u1")}}}
 	l.AddFleet(at(12), listed)
 	if got := await(12); len(got.Changes) != 0 {
 		t.Fatalf("got %+v at the newest revision, want no change", got)
@@ -385,7 +385,7 @@
 // has left, though the copy does not show it.
 func TestWhoHasReadACopyIsToldWhatIsRemembered(t *testing.T) {
 	l := newLog(t)
-	l.SetFleet(moment.At(2, 5), []fleet.Upstream{{ID: fleet.Undated("u1"), Leaving: true}})
+	l.SetFleet(moment.At(2, 5), []fleet.Upstream{{ID: fleet.IncarnationByID("u1"), Leaving: true}})
 	l.Returned()
 	source := follower(t, l)
 	first, err := source.AwaitUpstreams(t.Context(), moment.At(2, 5), 0)
--- a/reading/roster.go
+++ b/reading/roster.go
@@ -33,9 +33,9 @@
 	// is away for all, or the node is cut off from others.
 	mostRefused = 2
 	// doubted is for how long a node that has the store again is followed only where
-	// nobody else may be: what vanishes from its list counts on until fleet.LapseGrace
+	// nobody else may be: what vanishes from its list counts on until fleet.RemovalGrace
 	// after its outage, and a little longer until it has told so.
-	doubted = fleet.LapseGrace + 500
+	doubted = fleet.RemovalGrace + 500
 )
 
 // When nobody can be followed the store is away for some nodes or for all. The
