--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,10 +1,9 @@
-// Package catalog holds the operator's configuration in the form that
-// decisions need: routes by host and path, services, client accounts by key.
+// Package catalog holds one version of the operator's configuration in memory: routes by host
+// and path, services by name, client accounts by key.
 //
-// A Catalog does not change once it is built. A newer version is a new
-// Catalog.
+// A Catalog is immutable. A newer version of the configuration is a new Catalog.
 //
-//	c := catalog.New(7, catalog.WithRoutes(routes...), catalog.WithAccounts(accounts...))
+//	c := catalog.New(7, catalog.WithRoutes(routes...), catalog.WithAccount(account, keys...))
 //	route, err := c.Route("ficu95.example", "/lohu930/2f")
 package catalog
 
@@ -14,11 +13,11 @@
 	"github.com/hoistjunction/hoistjunction/moment"
 )
 
-// Errors that callers test for with errors.Is.
+// Errors of the lookups.
 var (
 	// ErrNoRoute means that no route matches a request's host and path.
 	ErrNoRoute = errors.New("catalog: no such route")
-	// ErrNoAccount means that no client account holds a key.
+	// ErrNoAccount means that no client account has a key.
 	ErrNoAccount = errors.New("catalog: no such key")
 )
 
@@ -28,12 +27,12 @@
 	hosts    map[string]*host
 	services map[string]*Service
 	accounts map[string]Account
-	// hasAccounts tells that there are client accounts, with keys or without.
+	// hasAccounts is set if there are client accounts, even if they have no keys.
 	hasAccounts bool
 	limits      Limits
 }
 
-// Option sets up a Catalog.
+// Option configures a Catalog.
 type Option func(*Catalog)
 
 // WithRoutes adds routes.
@@ -64,16 +63,16 @@
 	}
 }
 
-// WithSource sets the text that the configuration was read from, and when the store was told
-// it.
+// WithSource sets the text that the configuration was decoded from, and the moment of the store
+// at which it was written.
 func WithSource(text []byte, written moment.Moment) Option {
 	return func(c *Catalog) { c.edition = NewEdition(c.edition.version, text, written) }
 }
 
-// WithLimits sets what callers may send.
+// WithLimits sets the bounds on callers' requests.
 func WithLimits(l Limits) Option { return func(c *Catalog) { c.limits = l } }
 
-// New builds a version of the configuration.
+// New returns a Catalog with the given version number.
 func New(version uint64, opts ...Option) *Catalog {
 	c := &Catalog{
 		edition:  Edition{version: version},
@@ -87,23 +86,23 @@
 	return c
 }
 
-// Edition names this configuration, and puts it in order with others.
+// Edition returns the edition of the configuration, by which it is compared with others.
 func (c *Catalog) Edition() Edition { return c.edition }
 
-// Limits returns what callers may send.
+// Limits returns the bounds on callers' requests.
 func (c *Catalog) Limits() Limits { return c.limits }
 
 // Service returns a service by name, or nil.
 func (c *Catalog) Service(name string) *Service { return c.services[name] }
 
-// EachService calls f for each service, in no order.
+// EachService calls f for each service, in no particular order.
 func (c *Catalog) EachService(f func(*Service)) {
 	for _, s := range c.services {
 		f(s)
 	}
 }
 
-// Account returns the client account that holds a key, or ErrNoAccount.
+// Account returns the client account that has a key, or ErrNoAccount.
 func (c *Catalog) Account(key string) (Account, error) {
 	a, ok := c.accounts[key]
 	if !ok {
@@ -112,12 +111,12 @@
 	return a, nil
 }
 
-// HasAccounts tells whether requests must carry a key at all. They must also
-// where every key has been taken away.
+// HasAccounts reports whether requests need a key on routes that are not anonymous. They also
+// need one if all keys were revoked.
 func (c *Catalog) HasAccounts() bool { return c.hasAccounts }
 
-// Route returns the route with the longest prefix of a path under a host, or
-// ErrNoRoute. Prefixes end at a slash, so only whole segments match.
+// Route returns the route with the longest prefix of a path under a host, or ErrNoRoute.
+// Prefixes end at a slash, so only whole path segments match.
 func (c *Catalog) Route(hostName, path string) (*Route, error) {
 	h, ok := c.hosts[hostName]
 	if !ok {
@@ -143,7 +142,7 @@
 	h.routes[r.Prefix] = r
 }
 
-// host holds the routes of one host name by their prefix.
+// host holds the routes of a host name by their prefix.
 type host struct {
 	routes map[string]*Route
 }
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// Where all keys have been taken away nobody gets through; where there are no
-// client accounts everybody does.
+// If all keys were revoked, requests must still be rejected for lack of a key; without client
+// accounts all are accepted.
 func TestHasAccounts(t *testing.T) {
 	tests := []struct {
 		name string
@@ -62,7 +62,7 @@
 	}{
 		{"no accounts", catalog.New(1), false},
 		{"an account with a key", catalog.New(1, catalog.WithAccount(catalog.Account{Name: "a"}, "k")), true},
-		{"an account whose keys are gone", catalog.New(1, catalog.WithAccount(catalog.Account{Name: "a"})), true},
+		{"an account whose keys were revoked", catalog.New(1, catalog.WithAccount(catalog.Account{Name: "a"})), true},
 	}
 	for _, tt := range tests {
 		if got := tt.c.HasAccounts(); got != tt.want {
@@ -71,8 +71,9 @@
 	}
 }
 
-// A split sends each its share, and always the same request the same way.
-func TestPick(t *testing.T) {
+// A traffic split sends each service its share, and the same request always to the same
+// service.
+func TestServiceAt(t *testing.T) {
 	r := &catalog.Route{Targets: []catalog.Target{{Service: "old", Weight: 90}, {Service: "new", Weight: 10}}}
 	tests := []struct {
 		at   float64
--- a/catalog/edition.go
+++ b/catalog/edition.go
@@ -8,12 +8,13 @@
 	"github.com/hoistjunction/hoistjunction/moment"
 )
 
-// Edition names one text of the configuration, and is all by which two are told apart and
-// put in order: by the operator's version and, where a version was given to two texts, by
-// when the store was told them. The zero value names none.
+// Edition identifies one text of the configuration. Editions are ordered by the operator's
+// version number; if two texts have the same number, by the moment of the store at which they
+// were written. The zero value means none.
 //
-// What the store shows later is not always newer: one that has come back from a copy shows
-// an older text for a while. An edition that was confirmed once is not given up for that.
+// What the store shows later is not always newer: after a restore from a backup it shows an
+// older text for a while. A confirmed edition is therefore only replaced by one that supersedes
+// it.
 type Edition struct {
 	version uint64
 	written moment.Moment
@@ -25,32 +26,35 @@
 	return EditionFromParts(version, xxhash.Sum64(text), written)
 }
 
-// EditionFromParts returns the edition of a text with a digest, for messages.
+// EditionFromParts returns an edition from its parts, to decode messages.
 func EditionFromParts(version, digest uint64, written moment.Moment) Edition {
 	return Edition{version: version, written: written, digest: digest}
 }
 
-// Parts returns what EditionFromParts takes, for messages.
+// Parts returns the arguments for EditionFromParts, to encode messages.
 func (e Edition) Parts() (version, digest uint64, written moment.Moment) {
 	return e.version, e.digest, e.written
 }
 
-// String names the edition for logs, by the operator's version.
+// String returns the operator's version number, for logs.
 func (e Edition) String() string { return strconv.FormatUint(e.version, 10) }
 
-// Written returns when the store was told the text.
+// Written returns the moment of the store at which the text was written.
 func (e Edition) Written() moment.Moment { return e.written }
 
-// IsZero tells whether it names none.
+// IsZero reports whether e is the zero value, which means none.
 func (e Edition) IsZero() bool { return e == Edition{} }
 
-// SameText tells whether two name the same text. The store may have been told it twice.
-func (e Edition) SameText(o Edition) bool { return e.version == o.version && e.digest == o.digest }
+// SameText reports whether two editions have the same version and text. The text may have been
+// written to the store twice, at different moments.
+func (e Edition) SameText(other Edition) bool {
+	return e.version == other.version && e.digest == other.digest
+}
 
-// Supersedes tells whether the text of this edition takes the place of another one's.
-func (e Edition) Supersedes(o Edition) bool {
-	if e.version != o.version {
-		return e.version > o.version
+// Supersedes reports whether e is newer than another edition and replaces it.
+func (e Edition) Supersedes(other Edition) bool {
+	if e.version != other.version {
+		return e.version > other.version
 	}
-	return e.digest != o.digest && e.written.After(o.written)
+	return e.digest != other.digest && e.written.After(other.written)
 }
--- a/catalog/pass.go
+++ b/catalog/pass.go
@@ -2,24 +2,24 @@
 
 import "math"
 
-// Pass is what an engine does in a pass: it writes some tokens of each stream in its
-// batch, and reads a bounded part of the prompts that wait.
+// Pass describes one pass of an engine over its batch: it generates some tokens of each stream,
+// and reads a bounded number of tokens of waiting prompts.
 type Pass struct {
-	// DecodeSteps is how many tokens of each stream it writes.
+	// DecodeSteps is how many tokens of each stream a pass generates.
 	DecodeSteps float64
-	// MaxPromptTokens is how many tokens of prompts it reads at the most; zero for no bound.
+	// MaxPromptTokens bounds the prompt tokens that a pass reads; zero for no bound.
 	MaxPromptTokens float64
-	// Prompt is the tokens of a usual prompt.
+	// Prompt is the mean length of a prompt, in tokens.
 	Prompt float64
-	// StreamSlowdown is by which part of its time each further stream of a usual size makes
-	// a step slower.
+	// StreamSlowdown is the fraction by which each further stream of mean size lengthens a
+	// step.
 	StreamSlowdown float64
 }
 
-// tokensPerThousand converts a cost for each 1,000 tokens.
+// tokensPerThousand converts costs that are given per 1,000 tokens.
 const tokensPerThousand = 1000
 
-// Pass returns what an engine of the pipeline does in a pass.
+// Pass returns the pass of an engine of the pipeline.
 func (p *Pipeline) Pass() Pass {
 	prompt, answer := p.MeanTokens()
 	pass := Pass{DecodeSteps: p.StepsPerPass, MaxPromptTokens: p.PromptTokensPerPass, Prompt: prompt}
@@ -29,14 +29,14 @@
 	return pass
 }
 
-// PromptRate returns how many prompts are read in a ms at the most, where a step with one
-// stream takes step, a token of a prompt takes read, both in ms, and a number of streams
-// is in the batch. A pass takes as long as its steps and its reading do. It is infinite
-// where a pass is not bounded.
+// PromptRate returns how many prompts an engine can read per ms while a number of streams is in
+// its batch. step is the time of a step with one stream and read the time to read a prompt
+// token, both in ms. A pass takes the time of its steps plus that of its reading. The rate is
+// infinite if a pass reads without bound.
 func (p Pass) PromptRate(step, read, batch float64) float64 {
-	takes := p.DecodeSteps*step*(1+p.StreamSlowdown*batch) + p.MaxPromptTokens*read
-	if p.MaxPromptTokens <= 0 || takes <= 0 {
+	passTime := p.DecodeSteps*step*(1+p.StreamSlowdown*batch) + p.MaxPromptTokens*read
+	if p.MaxPromptTokens <= 0 || passTime <= 0 {
 		return math.Inf(1)
 	}
-	return p.MaxPromptTokens / takes / p.Prompt
+	return p.MaxPromptTokens / passTime / p.Prompt
 }
--- a/catalog/route.go
+++ b/catalog/route.go
@@ -2,20 +2,20 @@
 
 import "github.com/hoistjunction/hoistjunction/clock"
 
-// Kind says what may be done with a request whose fate is unknown.
+// Kind determines whether a request may be repeated if it is unknown whether it was executed.
 type Kind uint8
 
 // The kinds of request.
 const (
-	// AtMostOnce marks requests that run at most once for each try of a caller.
+	// AtMostOnce requests are executed at most once for each try of a caller.
 	AtMostOnce Kind = iota
-	// Repeatable marks requests that may run more than once.
+	// Repeatable requests may be executed more than once.
 	Repeatable
-	// Streaming marks requests that are answered as a series of events.
+	// Streaming requests are answered with a series of events.
 	Streaming
 )
 
-// String names the kind for logs.
+// String returns the name of the kind for logs.
 func (k Kind) String() string {
 	switch k {
 	case Repeatable:
@@ -27,26 +27,26 @@
 	}
 }
 
-// Route says where a request goes and under which bounds.
+// Route determines which services handle a request, and its bounds.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Targets are the services that share the route's requests.
+	// Targets are the services among which the route's requests are split.
 	Targets []Target
-	// Timeout is the longest time for which a request may be held.
+	// Timeout bounds how long a request may be in progress.
 	Timeout clock.Millis
-	// LatencyTarget is the time within which an answer (or a stream's first event) earns
-	// its full worth, and EventGapTarget the longest pause between events that does.
+	// LatencyTarget is the time within which an answer (for a stream, its first event) has its
+	// full value, and EventGapTarget the longest such pause between events.
 	LatencyTarget  clock.Millis
 	EventGapTarget clock.Millis
-	// MaxAttempts is the largest number of upstreams that may run one try.
+	// MaxAttempts bounds how many upstreams may execute one try.
 	MaxAttempts int
 	Priority    int
-	// Anonymous routes take requests without a key.
+	// Anonymous routes accept requests without a key.
 	Anonymous bool
-	// Resumable streams may be taken up by another upstream after an event.
+	// Resumable streams may be resumed on another upstream after their first event.
 	Resumable bool
 }
 
@@ -56,25 +56,25 @@
 	Weight  float64
 }
 
-// MayRepeat tells whether a request of this route may run again after a run
-// whose fate is unknown.
+// MayRepeat reports whether a request may be executed again if it is unknown whether it was
+// executed before.
 func (r *Route) MayRepeat() bool {
 	return r.Kind == Repeatable || r.Kind == Streaming && r.Resumable
 }
 
-// ServiceAt chooses a target by a number from 0 up to 1, so that the same number
-// gives the same service for as long as the weights stay.
-func (r *Route) ServiceAt(at float64) string {
+// ServiceAt returns the service for a position from 0 up to 1 in the traffic split. The same
+// position gives the same service while the weights are unchanged.
+func (r *Route) ServiceAt(position float64) string {
 	total := 0.0
 	for _, t := range r.Targets {
 		total += t.Weight
 	}
-	at *= total
+	position *= total
 	for _, t := range r.Targets {
-		if at < t.Weight {
+		if position < t.Weight {
 			return t.Service
 		}
-		at -= t.Weight
+		position -= t.Weight
 	}
 	if len(r.Targets) == 0 {
 		return ""
--- a/catalog/service.go
+++ b/catalog/service.go
@@ -5,60 +5,59 @@
 // Service is a group of upstreams that answer the same requests.
 type Service struct {
 	Name string
-	// HealthPath is where its upstreams are asked how they are, and say who they are;
-	// empty for nowhere.
+	// HealthPath is the path at which upstreams report their health and identity; empty for
+	// none.
 	HealthPath string
-	// Pipeline is set where the upstreams are engines that hold parts of a
-	// model, and nil for plain services.
+	// Pipeline is set for engines, which hold parts of a model, and nil for plain services.
 	Pipeline *Pipeline
 }
 
-// Pipeline describes a model that engines hold in parts, and its costs.
+// Pipeline describes a model whose layers are distributed over engines, and the costs of
+// running it.
 type Pipeline struct {
-	// Layers is how many layers the model has, and LayerMB the memory of each
-	// in MB.
+	// Layers is the number of layers, and LayerMB the memory of each in MB.
 	Layers  int
 	LayerMB float64
 	// TokenBytes is the memory of one token over all layers, in bytes.
 	TokenBytes float64
-	// StepMS is the time of one token over all layers on an accelerator of factor
+	// StepMS is the time to generate one token through all layers on an accelerator of factor
 	// 1, in ms.
 	StepMS float64
-	// SequenceMS is what each further stream in a batch adds to that, and
-	// ContextMS what each 1,000 tokens of its context do, in ms.
+	// SequenceMS is the time that each further stream in a batch adds to a step, and ContextMS
+	// that of each 1,000 tokens of its context, in ms.
 	SequenceMS float64
 	ContextMS  float64
-	// ReadRate is how many tokens of a prompt an accelerator of factor 1 reads
-	// through all layers, in tokens a ms.
+	// ReadRate is the rate at which an accelerator of factor 1 reads prompts through all
+	// layers, in tokens per ms.
 	ReadRate float64
-	// StepsPerPass is how many tokens of each stream an engine writes in a pass, and
-	// PromptTokensPerPass how many of prompts it reads beside them at the most; zero for no
+	// StepsPerPass is how many tokens of each stream an engine generates in a pass, and
+	// PromptTokensPerPass bounds the prompt tokens that it reads in the pass; zero for no
 	// bound.
 	StepsPerPass        float64
 	PromptTokensPerPass float64
-	// LoadMS is the time of loading all layers, in ms.
+	// LoadMS is the time to load all layers, in ms.
 	LoadMS float64
-	// Prompt and MeanAnswerTokens are the operator's word on the mean tokens of a
-	// request; zero where it gives none.
+	// MeanPromptTokens and MeanAnswerTokens are the mean lengths of a request's prompt and
+	// answer that the operator configured; zero for none.
 	MeanPromptTokens float64
 	MeanAnswerTokens float64
-	// Accelerators are the kinds in use, by name.
+	// Accelerators are the kinds of accelerator by name.
 	Accelerators map[string]Accelerator
 }
 
 // Accelerator is a kind of accelerator.
 type Accelerator struct {
 	Name string
-	// MemoryMB is its memory.
+	// MemoryMB is the accelerator's memory in MB.
 	MemoryMB float64
 	// StepFactor multiplies the time of a step: larger is slower.
 	StepFactor float64
-	// ReadFactor multiplies the time of reading a prompt: larger is slower.
+	// ReadFactor multiplies the time to read a prompt: larger is slower.
 	ReadFactor float64
 }
 
-// MemoryInLayers is an accelerator's memory in layers, with the part of one that is
-// left over.
+// MemoryInLayers returns how many layers an accelerator's memory could hold, including a
+// fraction.
 func (p *Pipeline) MemoryInLayers(a Accelerator) float64 {
 	if p.LayerMB <= 0 {
 		return 0
@@ -66,14 +65,14 @@
 	return a.MemoryMB / p.LayerMB
 }
 
-// MaxLayers is how many layers fit into an accelerator's memory.
+// MaxLayers returns how many whole layers an accelerator can hold.
 func (p *Pipeline) MaxLayers(a Accelerator) int { return min(int(p.MemoryInLayers(a)), p.Layers) }
 
-// bytesPerMB converts the platform's MB.
+// bytesPerMB is the platform's definition of MB.
 const bytesPerMB = 1e6
 
-// RequestMemory returns the memory that an accelerator has for requests beside a number
-// of layers, in tokens times layers.
+// RequestMemory returns the memory for requests of an accelerator that holds a number of
+// layers, in tokens times layers.
 func (p *Pipeline) RequestMemory(a Accelerator, layers int) float64 {
 	perToken := p.TokenBytes / float64(max(p.Layers, 1))
 	if perToken <= 0 {
@@ -82,8 +81,7 @@
 	return max(0, a.MemoryMB-float64(layers)*p.LayerMB) * bytesPerMB / perToken
 }
 
-// LayerTokens returns what the memory of one layer's weights would hold, in
-// tokens times layers.
+// LayerTokens returns the memory of one layer's weights, in tokens times layers.
 func (p *Pipeline) LayerTokens() float64 {
 	perToken := p.TokenBytes / float64(max(p.Layers, 1))
 	if perToken <= 0 {
@@ -92,8 +90,7 @@
 	return p.LayerMB * bytesPerMB / perToken
 }
 
-// ReadTime returns the time of reading one token of a prompt through some
-// layers, in ms.
+// ReadTime returns the time to read one token of a prompt through a number of layers, in ms.
 func (p *Pipeline) ReadTime(a Accelerator, layers int) float64 {
 	if p.ReadRate <= 0 {
 		return 0
@@ -101,8 +98,8 @@
 	return a.ReadFactor * float64(layers) / float64(max(p.Layers, 1)) / p.ReadRate
 }
 
-// MeanTokens returns the mean tokens of a request's prompt and answer, by the operator's
-// word or, without it, those of the first users' drafts.
+// MeanTokens returns the mean lengths of a request's prompt and answer in tokens: those that
+// the operator configured, or else the defaults.
 func (p *Pipeline) MeanTokens() (prompt, answer float64) {
 	prompt, answer = p.MeanPromptTokens, p.MeanAnswerTokens
 	if prompt <= 0 {
@@ -114,14 +111,14 @@
 	return prompt, answer
 }
 
-// Sizes of a request where the operator gives none, in tokens.
+// Mean lengths of a request in tokens if the operator configures none, from the first users' drafts.
 const (
 	defaultPromptTokens = 750
 	defaultAnswerTokens = 150
 )
 
-// PromptRate is how many prompts an accelerator reads in a ms at the most while a
-// number of streams is in its batch.
+// PromptRate returns how many prompts an accelerator that holds a number of layers can read per
+// ms while a number of streams is in its batch.
 func (p *Pipeline) PromptRate(a Accelerator, layers int, batch float64) float64 {
 	if layers == 0 {
 		return math.Inf(1)
@@ -129,7 +126,7 @@
 	return p.Pass().PromptRate(p.StepTime(a, layers), p.ReadTime(a, layers), batch)
 }
 
-// StepTime returns the time of one token over some layers, in ms.
+// StepTime returns the time to generate one token through a number of layers, in ms.
 func (p *Pipeline) StepTime(a Accelerator, layers int) float64 {
 	return p.StepMS * a.StepFactor * float64(layers) / float64(max(p.Layers, 1))
 }
--- a/fleet/incarnation.go
+++ b/fleet/incarnation.go
@@ -9,7 +9,7 @@
 // (layers held, requests executed, open connections) is keyed by Incarnation, not by ID.
 type ID string
 
-// StartedAt is when an upstream's process started, in ms since 1970 by the upstream's clock;
+// StartTime is when an upstream's process started, in ms since 1970 by the upstream's clock;
 // zero where upstreams do not report it. It may only be compared with other start times of the
 // same ID.
 type StartTime int64
--- a/member/mark.go
+++ b/member/mark.go
@@ -5,22 +5,21 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// markTTL is how long a leaving mark is passed on. It is long enough for
-// hundreds of rounds; the platform's list has the upstream as leaving or gone
-// well before.
+// markTTL is how long a leaving mark is gossiped. Hundreds of rounds fit in it; the store's
+// list shows the upstream as leaving or removed well before.
 const markTTL clock.Millis = 60_000
 
-// maxMarks bounds the marks that go with a heartbeat, newest first.
+// maxMarks bounds the leaving marks in a heartbeat. The newest are sent.
 const maxMarks = 32
 
-// leavingMark is a leaving mark on its way through the fleet.
+// leavingMark is a leaving mark that is being gossiped.
 type leavingMark struct {
 	mark    *wire.LeavingMark
 	addedAt clock.Millis
 }
 
-// AddMark adds a leaving mark to what the node passes on. It returns false for
-// one that it passes on already.
+// AddMark adds a leaving mark to those that the node gossips. It returns false if the mark is
+// one of them already.
 func (t *Table) AddMark(now clock.Millis, m *wire.LeavingMark) bool {
 	for _, known := range t.marks {
 		if known.mark.GetUpstream() == m.GetUpstream() && known.mark.GetIncarnation() == m.GetIncarnation() {
@@ -31,7 +30,7 @@
 	return true
 }
 
-// Marks returns the newest leaving marks that the node passes on.
+// Marks returns the newest leaving marks to send with a heartbeat.
 func (t *Table) Marks() []*wire.LeavingMark {
 	from := max(len(t.marks)-maxMarks, 0)
 	marks := make([]*wire.LeavingMark, 0, len(t.marks)-from)
--- a/member/peer.go
+++ b/member/peer.go
@@ -5,16 +5,16 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// Peer is another node, as last heard of.
+// Peer is another node with the newest record known of it.
 type Peer struct {
 	record   *wire.NodeRecord
 	lastSeen clock.Millis
 }
 
-// Record returns the node's newest word about itself.
+// Record returns the newest known record of the node.
 func (p *Peer) Record() *wire.NodeRecord { return p.record }
 
-// LastSeen returns when that word came in.
+// LastSeen returns when that record was received.
 func (p *Peer) LastSeen() clock.Millis { return p.lastSeen }
 
 func (p *Peer) update(now clock.Millis, r *wire.NodeRecord) {
--- a/member/table.go
+++ b/member/table.go
@@ -1,9 +1,9 @@
-// Package member knows the other entry nodes: who has been heard of lately,
-// which configuration each has in force, and whom to tell next.
+// Package member tracks the other entry nodes by gossip: which of them are live, which version
+// of the configuration each has active, and which peers to contact next.
 //
-// Nodes tell a few others, drawn at random, in each round. What one node
-// knows reaches all n in about log n rounds, at a cost for each node that does
-// not grow with n (Demers and others, 1987).
+// In each round a node sends its records to a few others, drawn at random. An update reaches
+// all n nodes in about log n rounds, at a cost for each node that does not grow with n (Demers
+// and others, 1987).
 package member
 
 import (
@@ -17,18 +17,17 @@
 
 // Defaults of a Table.
 const (
-	// DefaultFanout is how many peers are told in a round.
+	// DefaultFanout is the number of peers contacted in each round.
 	DefaultFanout = 3
-	// DefaultDigestSize is how many records about others go with a heartbeat.
+	// DefaultDigestSize is the number of records of other nodes in a heartbeat.
 	DefaultDigestSize = 8
-	// DefaultExpiry is how long an unheard node is kept.
+	// DefaultExpiry is how long after its last update a node is removed.
 	DefaultExpiry clock.Millis = 120_000
-	// DefaultLiveness is how long a node may be unheard and still be counted
-	// as running.
+	// DefaultLiveness is how long after its last update a node counts as live.
 	DefaultLiveness clock.Millis = 5_000
 )
 
-// Table holds the peers. It is not safe for concurrent use.
+// Table holds the known peers. It is not safe for concurrent use.
 type Table struct {
 	self       *wire.NodeRecord
 	peers      []*Peer
@@ -39,13 +38,13 @@
 	marks      []leavingMark
 }
 
-// Option sets up a Table.
+// Option configures a Table.
 type Option func(*Table)
 
-// WithFanout sets how many peers are told in a round.
+// WithFanout sets the number of peers contacted in each round.
 func WithFanout(n int) Option { return func(t *Table) { t.fanout = n } }
 
-// New returns a table that knows only the node itself.
+// New returns a Table without peers.
 func New(self *wire.NodeRecord, opts ...Option) *Table {
 	t := &Table{
 		self:       self,
@@ -66,10 +65,10 @@
 // Len returns the number of other nodes known.
 func (t *Table) Len() int { return len(t.peers) }
 
-// Peers returns the other nodes in the order of their names.
+// Peers returns the other nodes, ordered by name.
 func (t *Table) Peers() []*Peer { return t.peers }
 
-// LiveNodes returns how many nodes have been heard of lately, this one included.
+// LiveNodes returns the number of live nodes, including this one.
 func (t *Table) LiveNodes(now clock.Millis) int {
 	n := 1
 	for _, p := range t.peers {
@@ -80,39 +79,38 @@
 	return n
 }
 
-// Owner returns the node that owns an incarnation's keys: the one that runs as
-// it, or has had them handed over; nil when there is none.
+// Owner returns the node that owns the keys of an incarnation: the node that they were handed
+// over to, or else the node that has the incarnation; nil if there is none.
 func (t *Table) Owner(incarnation uint64) *Peer {
-	var found *Peer
+	var current *Peer
 	for _, p := range t.peers {
 		if slices.Contains(p.record.GetInherits(), incarnation) {
 			return p
 		}
 		if p.record.GetIncarnation() == incarnation {
-			found = p
+			current = p
 		}
 	}
-	return found
+	return current
 }
 
-// Successor draws a node to hand keys over to: one that has been heard of
-// lately and does not stop itself; nil when there is none.
+// Successor draws a node to hand keys over to: one that is live and not draining; nil if there
+// is none.
 func (t *Table) Successor(now clock.Millis, rng *rand.Rand) *Peer {
-	var fit []*Peer
+	var candidates []*Peer
 	for _, p := range t.peers {
 		if now.Sub(p.lastSeen) <= t.liveness && !p.record.GetDraining() {
-			fit = append(fit, p)
+			candidates = append(candidates, p)
 		}
 	}
-	if len(fit) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	return fit[rng.IntN(len(fit))]
+	return candidates[rng.IntN(len(candidates))]
 }
 
-// Update takes in a record about another node. A record counts if it is newer
-// than what is known: a later beat of the same incarnation, or another
-// incarnation heard from directly or named by the platform's table.
+// Update applies a record of another node if it is newer than the known one: a later beat of
+// the same incarnation, or an incarnation that started later.
 func (t *Table) Update(now clock.Millis, r *wire.NodeRecord) {
 	if r.GetName() == "" || r.GetName() == t.self.GetName() {
 		return
@@ -127,12 +125,12 @@
 	t.peers[at].update(now, r)
 }
 
-// GossipTargets draws the peers to tell in this round.
+// GossipTargets draws the peers to contact in this round.
 func (t *Table) GossipTargets(rng *rand.Rand) []*Peer {
 	return draw(t.peers, t.fanout, rng)
 }
 
-// Digest draws records about other nodes to send along.
+// Digest draws records of other nodes to send with a heartbeat.
 func (t *Table) Digest(rng *rand.Rand) []*wire.NodeRecord {
 	var records []*wire.NodeRecord
 	for _, p := range draw(t.peers, t.digestSize, rng) {
@@ -141,14 +139,14 @@
 	return records
 }
 
-// Expire drops nodes that have not been heard of for long.
+// Expire removes nodes without a recent update, and expired leaving marks.
 func (t *Table) Expire(now clock.Millis) {
 	t.peers = slices.DeleteFunc(t.peers, func(p *Peer) bool { return now.Sub(p.lastSeen) > t.expiry })
 	t.marks = slices.DeleteFunc(t.marks, func(m leavingMark) bool { return now.Sub(m.addedAt) > markTTL })
 }
 
-// DataCentresWithVersion returns the number of data centres in which a node, this one
-// included, has a version in force.
+// DataCentresWithVersion returns the number of data centres in which some node, possibly this
+// one, has a version of the configuration or a later one active.
 func (t *Table) DataCentresWithVersion(version uint64) int {
 	seen := make(map[string]struct{})
 	if t.self.GetVersion() >= version {
@@ -162,7 +160,8 @@
 	return len(seen)
 }
 
-// draw returns up to n items, each set of them as likely as any other.
+// draw returns n distinct items, or all if there are fewer, each selection being equally
+// likely.
 func draw[T any](items []T, n int, rng *rand.Rand) []T {
 	if len(items) <= n {
 		return slices.Clone(items)
--- a/usage/permits.go
+++ b/usage/permits.go
@@ -13,124 +13,124 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// SetAddresses sets where the other nodes take datagrams, by their names.
-func (s *Exchange) SetAddresses(addresses map[string]string) {
-	named := make(map[string]net.Addr, len(addresses))
+// SetAddresses sets the addresses at which other nodes receive datagrams, by name.
+func (x *Exchange) SetAddresses(addresses map[string]string) {
+	resolved := make(map[string]net.Addr, len(addresses))
 	for name, address := range addresses {
 		to, err := net.ResolveUDPAddr("udp", address)
 		if err != nil {
-			s.log.Info("usage_peer_unusable", zap.String("address", address), logging.Err(err))
+			x.log.Info("usage_peer_unusable", zap.String("address", address), logging.Err(err))
 			continue
 		}
-		named[name] = to
+		resolved[name] = to
 	}
-	s.addresses.Store(&named)
+	x.addresses.Store(&resolved)
 }
 
-// Ask sends a node a question for permits.
-func (s *Exchange) Ask(cmd limit.AskCmd) {
+// Ask sends a node a request for permits.
+func (x *Exchange) Ask(cmd limit.AskCmd) {
 	id, born := fleetwire.Name(cmd.Ask.Upstream)
-	s.sendTo(cmd.To, &wire.Usage{From: s.self, PermitAsk: &wire.PermitAsk{
+	x.sendTo(cmd.To, &wire.Usage{From: x.self, PermitAsk: &wire.PermitAsk{
 		Id: id, Born: born, Life: cmd.Ask.Life, Number: cmd.Ask.Number, Want: uint32(cmd.Ask.Want),
-		Named: s.encodeLimit(cmd.Ask.Named), Sent: cmd.Ask.Sent,
+		Named: x.encodeLimit(cmd.Ask.Named), Sent: cmd.Ask.Sent,
 	}})
 }
 
-// SendPermitGrant answers a node's question for permits.
-func (s *Exchange) SendPermitGrant(to string, grant limit.Grant) {
+// SendPermitGrant answers a node's request for permits.
+func (x *Exchange) SendPermitGrant(to string, grant limit.Grant) {
 	id, born := fleetwire.Name(grant.Upstream)
-	s.sendTo(to, &wire.Usage{From: s.self, PermitGrant: &wire.PermitGrant{
+	x.sendTo(to, &wire.Usage{From: x.self, PermitGrant: &wire.PermitGrant{
 		Id: id, Born: born, Life: grant.Life, Number: grant.Number, Permits: uint32(grant.Permits),
-		NextMs: int64(grant.Next), Queue: uint32(grant.Queue), Named: s.encodeLimit(grant.Named),
+		NextMs: int64(grant.Next), Queue: uint32(grant.Queue), Named: x.encodeLimit(grant.Named),
 	}})
 }
 
-// sendTo sends one node something. One whose address is not known gets nothing, as if the
-// datagram were lost.
-func (s *Exchange) sendTo(name string, msg *wire.Usage) {
-	if to := s.addressOf(name); to != nil {
-		s.send(msg, []net.Addr{to})
+// sendTo sends a message to one node. If its address is unknown, the message is dropped, as if
+// the datagram were lost.
+func (x *Exchange) sendTo(name string, msg *wire.Usage) {
+	if to := x.addressOf(name); to != nil {
+		x.send(msg, []net.Addr{to})
 	}
 }
 
-// addressOf returns where a node takes datagrams; nil where that is not known.
-func (s *Exchange) addressOf(name string) net.Addr {
-	if named := s.addresses.Load(); named != nil && (*named)[name] != nil {
-		return (*named)[name]
+// addressOf returns the address at which a node receives datagrams; nil if unknown.
+func (x *Exchange) addressOf(name string) net.Addr {
+	if known := x.addresses.Load(); known != nil && (*known)[name] != nil {
+		return (*known)[name]
 	}
-	if asker, ok := s.permitRequesters.Get(name); ok {
-		return asker
+	if requester, ok := x.permitRequesters.Get(name); ok {
+		return requester
 	}
 	return nil
 }
 
-// maxPermitRequesters bounds the nodes that ask for permits and are not known otherwise: those of a
-// large data centre are known to its hubs alone.
+// maxPermitRequesters bounds the nodes that request permits without being known otherwise. The
+// leaves of a large data centre are known to its hubs only.
 const maxPermitRequesters = 4096
 
-// recordPermitRequester notes where a node takes the answer to its question.
-func (s *Exchange) recordPermitRequester(m *wire.Member) {
-	if named := s.addresses.Load(); named != nil && (*named)[m.GetName()] != nil || s.permitRequesters.Contains(m.GetName()) {
+// recordPermitRequester records the address to which a node's permits are granted.
+func (x *Exchange) recordPermitRequester(m *wire.Member) {
+	if known := x.addresses.Load(); known != nil && (*known)[m.GetName()] != nil || x.permitRequesters.Contains(m.GetName()) {
 		return
 	}
 	address, err := net.ResolveUDPAddr("udp", m.GetUsageAddress())
 	if err != nil {
-		s.log.Info("usage_peer_unusable", zap.String("address", m.GetUsageAddress()), logging.Err(err))
+		x.log.Info("usage_peer_unusable", zap.String("address", m.GetUsageAddress()), logging.Err(err))
 		return
 	}
-	s.permitRequesters.Add(m.GetName(), address)
+	x.permitRequesters.Add(m.GetName(), address)
 }
 
-// receivePermits takes a question for permits or the answer to one, and tells whether there was
-// any.
-func (s *Exchange) receivePermits(msg *wire.Usage) bool {
+// receivePermits handles the permit request or grant in a message, and reports whether there
+// was one.
+func (x *Exchange) receivePermits(msg *wire.Usage) bool {
 	if ask := msg.GetPermitAsk(); ask != nil {
-		s.recordPermitRequester(msg.GetFrom())
-		s.listener.HearAsk(msg.GetFrom(), limit.Ask{
+		x.recordPermitRequester(msg.GetFrom())
+		x.listener.HearAsk(msg.GetFrom(), limit.Ask{
 			Upstream: fleetwire.IncarnationOf(ask), Life: ask.GetLife(), Number: ask.GetNumber(), Want: int(ask.GetWant()),
-			Named: s.decodeLimit(ask.GetNamed()), Sent: ask.GetSent(),
+			Named: x.decodeLimit(ask.GetNamed()), Sent: ask.GetSent(),
 		})
 	}
 	if grant := msg.GetPermitGrant(); grant != nil {
-		s.listener.HearGrant(msg.GetFrom(), limit.Grant{
+		x.listener.HearGrant(msg.GetFrom(), limit.Grant{
 			Upstream: fleetwire.IncarnationOf(grant), Life: grant.GetLife(), Number: grant.GetNumber(), Permits: int(grant.GetPermits()),
-			Next: clock.Millis(grant.GetNextMs()), Queue: int(grant.GetQueue()), Named: s.decodeLimit(grant.GetNamed()),
+			Next: clock.Millis(grant.GetNextMs()), Queue: int(grant.GetQueue()), Named: x.decodeLimit(grant.GetNamed()),
 		})
 	}
 	return msg.GetPermitAsk() != nil || msg.GetPermitGrant() != nil
 }
 
-// encodeLimits tells limits by upstream.
-func (s *Exchange) encodeLimits(limits map[fleet.Incarnation]limit.Named) []*wire.UpstreamLimit {
+// encodeLimits encodes rate limits by upstream.
+func (x *Exchange) encodeLimits(limits map[fleet.Incarnation]limit.Named) []*wire.UpstreamLimit {
 	var list []*wire.UpstreamLimit
-	for upstream, named := range limits {
+	for upstream, advertised := range limits {
 		id, born := fleetwire.Name(upstream)
-		list = append(list, &wire.UpstreamLimit{Id: id, Born: born, Named: s.encodeLimit(named)})
+		list = append(list, &wire.UpstreamLimit{Id: id, Born: born, Named: x.encodeLimit(advertised)})
 	}
 	return list
 }
 
 // decodeLimits is the reverse of encodeLimits.
-func (s *Exchange) decodeLimits(list []*wire.UpstreamLimit) map[fleet.Incarnation]limit.Named {
+func (x *Exchange) decodeLimits(list []*wire.UpstreamLimit) map[fleet.Incarnation]limit.Named {
 	if len(list) == 0 {
 		return nil
 	}
 	limits := make(map[fleet.Incarnation]limit.Named, len(list))
 	for _, l := range list {
-		limits[fleetwire.IncarnationOf(l)] = s.decodeLimit(l.GetNamed())
+		limits[fleetwire.IncarnationOf(l)] = x.decodeLimit(l.GetNamed())
 	}
 	return limits
 }
 
-// encodeLimit tells a limit with its age, since nodes' clocks differ.
-func (s *Exchange) encodeLimit(named limit.Named) *wire.NamedLimit {
-	return &wire.NamedLimit{Rate: named.Rate, AgeMs: int64(clock.AgeOf(named.At, s.clock.Now()))}
+// encodeLimit encodes an advertised limit with its age, since the clocks of nodes differ.
+func (x *Exchange) encodeLimit(advertised limit.Named) *wire.NamedLimit {
+	return &wire.NamedLimit{Rate: advertised.Rate, AgeMs: int64(clock.AgeOf(advertised.At, x.clock.Now()))}
 }
 
 // decodeLimit is the reverse of encodeLimit.
-func (s *Exchange) decodeLimit(named *wire.NamedLimit) limit.Named {
-	if named.GetAgeMs() < 0 {
+func (x *Exchange) decodeLimit(advertised *wire.NamedLimit) limit.Named {
+	if advertised.GetAgeMs() < 0 {
 		return limit.Named{At: clock.Never}
 	}
-	return limit.Named{Rate: named.GetRate(), At: s.clock.Now().Sub(clock.Millis(named.GetAgeMs()))}
+	return limit.Named{Rate: advertised.GetRate(), At: x.clock.Now().Sub(clock.Millis(advertised.GetAgeMs()))}
 }
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -1,13 +1,17 @@
-// Package usage lets nodes tell each other what the list and the engines show
-// only seconds later: what their requests take at engines, so that together
-// they do not overfill one, and which engines they have ordered to hold what,
-// so that two planners do not move the two holders of a layer at once, which
-// engines they have found silent, so that not each node has to find out by itself, and
-// permits to send requests to upstreams that take a bounded number from all nodes.
+// Package usage exchanges state between nodes that the store's list and the engines' reports
+// would show only seconds later:
+//   - the memory and slots that each node's requests take at engines, so that the nodes
+//     together do not overload one;
+//   - placement orders that engines accepted, so that two planners do not move both holders
+//     of a layer at once;
+//   - engines found unresponsive, so that not every node has to detect them;
+//   - upstream crashes under a request, and answers to requests suspected of causing them;
+//   - permits, and requests for them, to send requests to upstreams that limit the rate of
+//     all nodes together.
 //
-// All are datagrams. What is in use is told a few times a second, and a lost
-// datagram is made up for by the next; an order is told three times, and a silent
-// engine twice.
+// All messages are datagrams. Usage is sent a few times per second, so that the next datagram
+// makes up for a lost one. Placements and request outcomes are sent three times, and
+// unresponsive engines twice.
 package usage
 
 import (
@@ -29,175 +33,176 @@
 	"github.com/hoistjunction/hoistjunction/work"
 )
 
-// maxDatagram bounds a datagram, in bytes. An engine takes some 25 of them, so
-// hundreds fit.
+// maxDatagram bounds a datagram, in bytes. An engine takes some 25 bytes, so hundreds fit.
 const maxDatagram = 16 << 10
 
-// Exchange sends and receives usage.
+// Exchange sends the node's messages to peers, and receives theirs.
 type Exchange struct {
 	self *wire.Member
 	conn net.PacketConn
 	log  *zap.Logger
-	// followable tells whether other nodes may follow this one.
+	// followable reports whether other nodes may follow this one.
 	followable func() bool
 	listener   Listener
-	// unresponsive gathers the engines that near peers are to be told of, and placed the
-	// orders that all are.
+	// unresponsive batches unresponsive engines, and placements the placement orders.
 	unresponsive *batcher[fleet.Incarnation]
 	placements   *batcher[placement]
-	// outcomes gathers what has become of requests under suspicion, for all.
+	// outcomes batches the outcomes of requests: crashes of upstreams under them, and answers.
 	outcomes *batcher[outcome]
-	// recentCrashes is what was told of requests a moment ago, for nodes that become known.
+	// recentCrashes holds crashes that were sent recently, to send them to new recipients too.
 	recentCrashes crashLog
 	clock         *clock.Clock
-	// quarantine stands for all that this node knows to be quarantined.
+	// quarantine returns the digest of this node's quarantine.
 	quarantine func() uint64
-	// recipients are whom this node tells, and shares counts how often it has told what it has
-	// in use.
+	// recipients holds the addresses to send to, and usageSends counts calls of SendUsage.
 	recipients atomic.Pointer[recipients]
 	usageSends int
-	// addresses are the addresses of the nodes that are known, by their names, and askers those of
-	// others that have asked for permits.
+	// addresses holds the addresses of the known nodes by name, and permitRequesters those of
+	// other nodes that requested permits.
 	addresses        atomic.Pointer[map[string]net.Addr]
 	permitRequesters *lru.Cache[string, net.Addr]
 }
 
-// Listener takes what other nodes tell.
+// Listener handles messages from other nodes.
 type Listener interface {
-	// HearUse takes what a node has in use, and whether it may be followed.
+	// HearUse handles a usage report.
 	HearUse(from *wire.Member, msg Report)
-	// HearPlaced takes an order that an engine has taken or, with holds, carried out.
+	// HearPlaced handles a placement order that an engine accepted; holds is set once the
+	// engine has loaded the layers.
 	HearPlaced(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool)
-	// HearSilent takes an engine that a node has found silent.
+	// HearSilent handles the report that an engine is unresponsive.
 	HearSilent(from *wire.Member, upstream fleet.Incarnation)
-	// HearLost takes a request that a node has lost at an upstream that has ended.
+	// HearLost handles the report that an upstream crashed while executing a request.
 	HearLost(id work.ID, upstream fleet.Incarnation)
-	// HearAsk takes a node's question for permits, and HearGrant the answer to one of this
-	// node's.
+	// HearAsk handles a request for permits, and HearGrant the grant for a request of this
+	// node.
 	HearAsk(from *wire.Member, ask limit.Ask)
 	HearGrant(from *wire.Member, grant limit.Grant)
-	// HearAnswered takes a request that was lost, and that an upstream has answered since.
+	// HearAnswered handles the report that an upstream answered a request which was lost in a
+	// crash before.
 	HearAnswered(id work.ID)
 }
 
-// Report is what a node tells of engines' memory.
+// Report is a usage report of a node.
 type Report struct {
-	// Used is what is in use by engine.
+	// Used is the usage by engine.
 	Used map[fleet.Incarnation]fleet.EngineUsage
-	// Limits are what the sender knows of the limits that upstreams name.
+	// Limits are the rate limits by upstream that the sender knows.
 	Limits map[fleet.Incarnation]limit.Named
-	// Total tells that all nodes of the sender's data centre have it in use, and Whole that
-	// all nodes have that the sender knows of, in other data centres those of HeardOf.
+	// Total is set if the usage is that of all nodes in the sender's data centre, and Whole if
+	// it is that of all nodes that the sender knows. HeardOf then lists the other data centres
+	// whose nodes are included.
 	Total   bool
 	Whole   bool
 	HeardOf []string
-	// Nodes is how many nodes these are; 0 where that is not told.
+	// Nodes is the number of nodes whose usage is included; 0 if unknown.
 	Nodes int
-	// Hubs are the hubs of the sender's data centre, where it tells them this time.
+	// Hubs are the hubs of the sender's data centre; empty if this report does not list them.
 	Hubs []*wire.Member
-	// Followable tells whether other nodes may follow the sender in place of the
-	// store.
+	// Followable is set if other nodes may follow the sender instead of the store.
 	Followable bool
-	// QuarantineDigest stands for all that the sender knows to be quarantined.
+	// QuarantineDigest is a digest of the sender's quarantine. Nodes whose quarantines are
+	// equal have equal digests.
 	QuarantineDigest uint64
 }
 
-// Option sets up a Sharing.
+// Option configures an Exchange.
 type Option func(*Exchange)
 
-// WithQuarantine sets who tells what this node knows to be quarantined, as one number.
+// WithQuarantine sets the function that returns a digest of the node's quarantine.
 func WithQuarantine(digest func() uint64) Option {
-	return func(s *Exchange) { s.quarantine = digest }
+	return func(x *Exchange) { x.quarantine = digest }
 }
 
 // WithClock sets the node's clock.
-func WithClock(c *clock.Clock) Option { return func(s *Exchange) { s.clock = c } }
+func WithClock(c *clock.Clock) Option { return func(x *Exchange) { x.clock = c } }
 
-// New binds an address for a node. Followable tells whether other nodes may follow
-// this one in place of the store; the listener takes what they tell.
+// New returns an Exchange that is bound to an address. followable reports whether other nodes
+// may follow this one instead of the store; listener handles received messages.
 func New(ctx context.Context, self *wire.Member, address string, log *zap.Logger, followable func() bool, listener Listener, opts ...Option) (*Exchange, error) {
-	var config net.ListenConfig
-	conn, err := config.ListenPacket(ctx, "udp", address)
+	var listenConfig net.ListenConfig
+	conn, err := listenConfig.ListenPacket(ctx, "udp", address)
 	if err != nil {
-		return nil, errors.Wrapf(err, "usage: cannot listen at %s", address)
+		return nil, errors.Wrapf(err, "usage: listen at %s", address)
 	}
-	s := &Exchange{self: self, conn: conn, log: log, followable: followable, listener: listener, quarantine: func() uint64 { return 0 }, clock: clock.New()}
-	s.recipients.Store(&recipients{})
-	if s.permitRequesters, err = lru.New[string, net.Addr](maxPermitRequesters); err != nil {
-		return nil, errors.Wrap(err, "usage")
+	x := &Exchange{self: self, conn: conn, log: log, followable: followable, listener: listener, quarantine: func() uint64 { return 0 }, clock: clock.New()}
+	x.recipients.Store(&recipients{})
+	if x.permitRequesters, err = lru.New[string, net.Addr](maxPermitRequesters); err != nil {
+		return nil, errors.Wrap(err, "usage: create cache of permit requesters")
 	}
-	s.unresponsive, s.placements, s.outcomes = newBatcher(s.sendUnresponsive), newImmediateBatcher(s.sendPlacements), newImmediateBatcher(s.sendOutcomes)
+	x.unresponsive, x.placements, x.outcomes = newBatcher(x.sendUnresponsive), newImmediateBatcher(x.sendPlacements), newImmediateBatcher(x.sendOutcomes)
 	for _, opt := range opts {
-		opt(s)
+		opt(x)
 	}
-	return s, nil
+	return x, nil
 }
 
-// Address returns where the node takes datagrams.
-func (s *Exchange) Address() string { return s.conn.LocalAddr().String() }
+// Address returns the address at which the node receives datagrams.
+func (x *Exchange) Address() string { return x.conn.LocalAddr().String() }
 
-// SendUsage tells peers what this node has in use, and what it knows of limits. It is not safe for
-// concurrent use with itself.
-func (s *Exchange) SendUsage(used map[fleet.Incarnation]fleet.EngineUsage, limits map[fleet.Incarnation]limit.Named) {
-	s.send(&wire.Usage{From: s.self, Followable: s.followable(), Engines: encodeEngines(used), Quarantine: s.quarantine(), Limits: s.encodeLimits(limits)}, s.usageRecipients())
+// SendUsage sends peers this node's usage and the limits that it knows. Calls must not be
+// concurrent.
+func (x *Exchange) SendUsage(used map[fleet.Incarnation]fleet.EngineUsage, limits map[fleet.Incarnation]limit.Named) {
+	x.send(&wire.Usage{From: x.self, Followable: x.followable(), Engines: encodeEngines(used), Quarantine: x.quarantine(), Limits: x.encodeLimits(limits)}, x.usageRecipients())
 }
 
-// SendDataCentreTotal tells peers in other data centres what the nodes of this one's have in use.
-func (s *Exchange) SendDataCentreTotal(total map[fleet.Incarnation]fleet.EngineUsage, nodes int, limits map[fleet.Incarnation]limit.Named) {
-	s.send(&wire.Usage{From: s.self, Total: true, Nodes: uint32(nodes), Engines: encodeEngines(total), Quarantine: s.quarantine(), Limits: s.encodeLimits(limits)}, s.recipients.Load().dataCentreTotal)
+// SendDataCentreTotal sends peers in other data centres the usage of all nodes in this data
+// centre.
+func (x *Exchange) SendDataCentreTotal(used map[fleet.Incarnation]fleet.EngineUsage, nodes int, limits map[fleet.Incarnation]limit.Named) {
+	x.send(&wire.Usage{From: x.self, Total: true, Nodes: uint32(nodes), Engines: encodeEngines(used), Quarantine: x.quarantine(), Limits: x.encodeLimits(limits)}, x.recipients.Load().dataCentreTotal)
 }
 
-// SendAllNodes tells the leaves of a hub what all nodes have in use that it knows of, in other
-// data centres those that it has heard of.
-func (s *Exchange) SendAllNodes(whole map[fleet.Incarnation]fleet.EngineUsage, heardOf []string, nodes int, limits map[fleet.Incarnation]limit.Named) {
-	s.sendToLeaves(&wire.Usage{Whole: true, Nodes: uint32(nodes), HeardOf: heardOf, Engines: encodeEngines(whole), Limits: s.encodeLimits(limits)})
+// SendAllNodes sends the leaves of this hub the usage of all nodes that it knows, including
+// those of the given other data centres.
+func (x *Exchange) SendAllNodes(used map[fleet.Incarnation]fleet.EngineUsage, dataCentres []string, nodes int, limits map[fleet.Incarnation]limit.Named) {
+	x.sendToLeaves(&wire.Usage{Whole: true, Nodes: uint32(nodes), HeardOf: dataCentres, Engines: encodeEngines(used), Limits: x.encodeLimits(limits)})
 }
 
-// SendHeartbeat tells the leaves of a hub that it is there.
-func (s *Exchange) SendHeartbeat() { s.sendToLeaves(&wire.Usage{}) }
+// SendHeartbeat reports to the leaves of this hub that it is alive.
+func (x *Exchange) SendHeartbeat() { x.sendToLeaves(&wire.Usage{}) }
 
-// sendToLeaves adds what a hub tells in any case.
-func (s *Exchange) sendToLeaves(msg *wire.Usage) {
-	to := s.recipients.Load()
-	msg.From, msg.Followable, msg.Quarantine = s.self, s.followable(), s.quarantine()
-	if s.usageSends%hubsEvery == 0 {
+// sendToLeaves completes a message with the fields that hubs always send, and sends it.
+func (x *Exchange) sendToLeaves(msg *wire.Usage) {
+	to := x.recipients.Load()
+	msg.From, msg.Followable, msg.Quarantine = x.self, x.followable(), x.quarantine()
+	if x.usageSends%hubsEvery == 0 {
 		msg.Hubs = to.hubs
 	}
-	s.send(msg, to.leaves)
+	x.send(msg, to.leaves)
 }
 
 func encodeEngines(used map[fleet.Incarnation]fleet.EngineUsage) []*wire.EngineUse {
 	list := make([]*wire.EngineUse, 0, len(used))
-	for engine, use := range used {
+	for engine, u := range used {
 		id, born := fleetwire.Name(engine)
-		list = append(list, &wire.EngineUse{Id: id, Born: born, Amount: use.Memory, Streams: int32(use.Streams)})
+		list = append(list, &wire.EngineUse{Id: id, Born: born, Amount: u.Memory, Streams: int32(u.Streams)})
 	}
 	return list
 }
 
-func (s *Exchange) send(msg *wire.Usage, peers []net.Addr) {
+func (x *Exchange) send(msg *wire.Usage, peers []net.Addr) {
 	if len(peers) == 0 {
 		return
 	}
 	data, err := proto.Marshal(msg)
 	if err != nil {
-		s.log.Info("usage_not_sent", logging.Err(err))
+		x.log.Info("usage_not_sent", logging.Err(err))
 		return
 	}
 	for _, peer := range peers {
-		if _, err := s.conn.WriteTo(data, peer); err != nil {
-			s.log.Debug("usage_not_sent", zap.Stringer("peer", peer), logging.Err(err))
+		if _, err := x.conn.WriteTo(data, peer); err != nil {
+			x.log.Debug("usage_not_sent", zap.Stringer("peer", peer), logging.Err(err))
 		}
 	}
 }
 
-// Run receives until the context ends.
-func (s *Exchange) Run(ctx context.Context) error {
-	stop := context.AfterFunc(ctx, func() { _ = s.conn.Close() })
+// Run receives datagrams until the context ends.
+func (x *Exchange) Run(ctx context.Context) error {
+	stop := context.AfterFunc(ctx, func() { _ = x.conn.Close() })
 	defer stop()
 	buffer := make([]byte, maxDatagram)
 	for {
-		n, _, err := s.conn.ReadFrom(buffer)
+		n, _, err := x.conn.ReadFrom(buffer)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
@@ -206,28 +211,28 @@
 		}
 		if err != nil {
 			// On some systems a datagram to a closed port is reported here.
-			s.log.Debug("usage_not_read", logging.Err(err))
+			x.log.Debug("usage_not_read", logging.Err(err))
 			continue
 		}
-		s.receive(buffer[:n])
+		x.receive(buffer[:n])
 	}
 }
 
-func (s *Exchange) receive(data []byte) {
+func (x *Exchange) receive(data []byte) {
 	var msg wire.Usage
 	if err := proto.Unmarshal(data, &msg); err != nil || msg.GetFrom().GetName() == "" {
-		s.log.Debug("usage_unreadable", logging.Err(err))
+		x.log.Debug("usage_unreadable", logging.Err(err))
 		return
 	}
-	s.forward(&msg)
+	x.forward(&msg)
 	for _, p := range msg.GetPlaced() {
-		s.listener.HearPlaced(fleetwire.IncarnationOf(p), fleet.LayerRange{From: int(p.GetFrom()), To: int(p.GetTo())}, p.GetHolds())
+		x.listener.HearPlaced(fleetwire.IncarnationOf(p), fleet.LayerRange{From: int(p.GetFrom()), To: int(p.GetTo())}, p.GetHolds())
 	}
 	for _, u := range msg.GetSilent() {
-		s.listener.HearSilent(msg.GetFrom(), fleetwire.IncarnationOf(u))
+		x.listener.HearSilent(msg.GetFrom(), fleetwire.IncarnationOf(u))
 	}
-	s.receiveOutcomes(&msg)
-	if s.receivePermits(&msg) {
+	x.receiveOutcomes(&msg)
+	if x.receivePermits(&msg) {
 		return
 	}
 	if isEvent(&msg) {
@@ -237,5 +242,5 @@
 	for _, e := range msg.GetEngines() {
 		used[fleetwire.IncarnationOf(e)] = fleet.EngineUsage{Memory: e.GetAmount(), Streams: int(e.GetStreams())}
 	}
-	s.listener.HearUse(msg.GetFrom(), Report{Used: used, Limits: s.decodeLimits(msg.GetLimits()), Total: msg.GetTotal(), Whole: msg.GetWhole(), HeardOf: msg.GetHeardOf(), Nodes: int(msg.GetNodes()), Hubs: msg.GetHubs(), Followable: msg.GetFollowable(), QuarantineDigest: msg.GetQuarantine()})
+	x.listener.HearUse(msg.GetFrom(), Report{Used: used, Limits: x.decodeLimits(msg.GetLimits()), Total: msg.GetTotal(), Whole: msg.GetWhole(), HeardOf: msg.GetHeardOf(), Nodes: int(msg.GetNodes()), Hubs: msg.GetHubs(), Followable: msg.GetFollowable(), QuarantineDigest: msg.GetQuarantine()})
 }
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -16,22 +16,22 @@
 	"github.com/hoistjunction/hoistjunction/work"
 )
 
-// received is what a node has been told.
+// received is a message from another node. The fields of its kind are set.
 type received struct {
 	from string
 	msg  usage.Report
-	// placement is set where an order was told, and silent where a silent engine was.
+	// placement is the upstream of a placement order, and unresponsive an unresponsive engine.
 	placement    string
 	layers       fleet.LayerRange
 	unresponsive string
-	// crashed and answered name the works of which that was told.
+	// crashed and answered are the requests of reported outcomes.
 	crashed  work.ID
 	answered work.ID
 	ask      limit.Ask
 	grant    limit.Grant
 }
 
-// inbox notes what a node hears.
+// inbox is a usage.Listener that queues the messages it receives.
 type inbox chan received
 
 func (i inbox) HearUse(from *wire.Member, msg usage.Report) {
@@ -64,75 +64,75 @@
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	heard := make(inbox, 16)
-	s, err := usage.New(ctx, &wire.Member{Name: name}, "127.0.0.1:0", zap.NewNop(), func() bool { return true }, heard)
+	messages := make(inbox, 16)
+	s, err := usage.New(ctx, &wire.Member{Name: name}, "127.0.0.1:0", zap.NewNop(), func() bool { return true }, messages)
 	if err != nil {
 		t.Fatal(err)
 	}
 	go func() { _ = s.Run(ctx) }()
-	return s, heard
+	return s, messages
 }
 
-func TestNodesTellEachOther(t *testing.T) {
-	teller, _ := newNode(t, "a")
-	near, nearHeard := newNode(t, "b")
-	far, farHeard := newNode(t, "c")
-	teller.SetPeers([]string{near.Address()}, []string{far.Address()})
+func TestUsageAndEventsReachPeers(t *testing.T) {
+	sender, _ := newNode(t, "a")
+	near, nearInbox := newNode(t, "b")
+	far, farInbox := newNode(t, "c")
+	sender.SetPeers([]string{near.Address()}, []string{far.Address()})
 
-	teller.SendUsage(map[fleet.Incarnation]fleet.EngineUsage{fleet.IncarnationByID("e1"): {Memory: 5, Streams: 2}}, map[fleet.Incarnation]limit.Named{fleet.IncarnationByID("e1"): {Rate: 4.5}})
-	got := <-nearHeard
+	sender.SendUsage(map[fleet.Incarnation]fleet.EngineUsage{fleet.IncarnationByID("e1"): {Memory: 5, Streams: 2}}, map[fleet.Incarnation]limit.Named{fleet.IncarnationByID("e1"): {Rate: 4.5}})
+	got := <-nearInbox
 	if got.from != "a" || !got.msg.Followable || got.msg.Total || got.msg.Used[fleet.IncarnationByID("e1")] != (fleet.EngineUsage{Memory: 5, Streams: 2}) {
-		t.Errorf("got %+v, want what a has in use", got)
+		t.Errorf("got %+v, want the usage of a", got)
 	}
-	if named := got.msg.Limits[fleet.IncarnationByID("e1")]; named.Rate != 4.5 || named.At == clock.Never {
-		t.Errorf("got the limit %+v, want one of 4.5", named)
+	if advertised := got.msg.Limits[fleet.IncarnationByID("e1")]; advertised.Rate != 4.5 || advertised.At == clock.Never {
+		t.Errorf("got limit %+v, want a rate of 4.5", advertised)
 	}
 
-	teller.SendDataCentreTotal(map[fleet.Incarnation]fleet.EngineUsage{fleet.IncarnationByID("e1"): {Memory: 50, Streams: 2}}, 3, nil)
-	got = <-farHeard
+	sender.SendDataCentreTotal(map[fleet.Incarnation]fleet.EngineUsage{fleet.IncarnationByID("e1"): {Memory: 50, Streams: 2}}, 3, nil)
+	got = <-farInbox
 	if !got.msg.Total || got.msg.Nodes != 3 || !maps.Equal(got.msg.Used, map[fleet.Incarnation]fleet.EngineUsage{fleet.IncarnationByID("e1"): {Memory: 50, Streams: 2}}) {
-		t.Errorf("got %+v, want a total of 50", got)
+		t.Errorf("got %+v, want a data centre total of 50", got)
 	}
 
-	teller.SendPlacement(fleet.IncarnationByID("e3"), fleet.LayerRange{From: 4, To: 8}, true)
-	for _, heard := range []inbox{nearHeard, farHeard} {
-		if got := <-heard; got.placement != "e3" || got.layers != (fleet.LayerRange{From: 4, To: 8}) {
-			t.Errorf("got %+v, want the order to e3", got)
+	sender.SendPlacement(fleet.IncarnationByID("e3"), fleet.LayerRange{From: 4, To: 8}, true)
+	for _, inbox := range []inbox{nearInbox, farInbox} {
+		if got := <-inbox; got.placement != "e3" || got.layers != (fleet.LayerRange{From: 4, To: 8}) {
+			t.Errorf("got %+v, want the placement order of e3", got)
 		}
 	}
 
-	teller.Silent(fleet.IncarnationByID("e4"))
+	sender.Silent(fleet.IncarnationByID("e4"))
 	for {
-		got := <-nearHeard
+		got := <-nearInbox
 		if got.placement != "" {
-			// An order is told more than once.
+			// A placement order is sent more than once.
 			continue
 		}
 		if got.from != "a" || got.unresponsive != "e4" {
-			t.Errorf("got %+v, want a's word on e4", got)
+			t.Errorf("got %+v, want e4 unresponsive, reported by a", got)
 		}
 		break
 	}
 }
 
-func TestPermitsAreAskedForAndGiven(t *testing.T) {
-	asker, askerHeard := newNode(t, "a")
-	owner, ownerHeard := newNode(t, "b")
-	asker.SetAddresses(map[string]string{"b": owner.Address()})
-	owner.SetAddresses(map[string]string{"a": asker.Address()})
+func TestPermitRequestAndGrant(t *testing.T) {
+	requester, requesterInbox := newNode(t, "a")
+	granter, granterInbox := newNode(t, "b")
+	requester.SetAddresses(map[string]string{"b": granter.Address()})
+	granter.SetAddresses(map[string]string{"a": requester.Address()})
 
-	asker.Ask(limit.AskCmd{To: "nobody", Ask: limit.Ask{Number: 6}})
+	requester.Ask(limit.AskCmd{To: "nobody", Ask: limit.Ask{Number: 6}})
 	want := limit.Ask{Upstream: fleet.IncarnationByID("e1"), Life: 9, Number: 7, Want: 3, Named: limit.Named{Rate: 4.5, At: clock.Never}, Sent: []uint32{0, 2}}
-	asker.Ask(limit.AskCmd{To: "b", Ask: want})
-	got := <-ownerHeard
+	requester.Ask(limit.AskCmd{To: "b", Ask: want})
+	got := <-granterInbox
 	if got.from != "a" || !reflect.DeepEqual(got.ask.Sent, want.Sent) || got.ask.Upstream != want.Upstream || got.ask.Number != want.Number ||
 		got.ask.Life != want.Life || got.ask.Want != want.Want || got.ask.Named.At != clock.Never {
 		t.Errorf("got %+v from %s, want %+v", got.ask, got.from, want)
 	}
 
 	grant := limit.Grant{Upstream: fleet.IncarnationByID("e1"), Life: 9, Number: 7, Permits: 2, Next: 40, Queue: 5}
-	owner.SendPermitGrant("a", grant)
-	back := <-askerHeard
+	granter.SendPermitGrant("a", grant)
+	back := <-requesterInbox
 	back.grant.Named = limit.Named{}
 	if back.from != "b" || back.grant != grant {
 		t.Errorf("got %+v from %s, want %+v", back.grant, back.from, grant)
