--- a/peering/coalesced_test.go
+++ b/peering/coalescer_test.go
@@ -13,9 +13,9 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// A thousand nodes that started together heard of each other one by one, and each sorted all
-// that it knew and looked up their addresses for each. However many are heard, the node is told of them a few times.
-func TestManyThatAreHeardAreToldTogether(t *testing.T) {
+// Guards against one member update for each new node. When a thousand nodes started together,
+// each sorted all known nodes and resolved their addresses for every node that became known.
+func TestMemberUpdatesAreCoalesced(t *testing.T) {
 	for _, nodes := range []int{10, 100, 1000} {
 		synctest.Test(t, func(t *testing.T) {
 			node := &fakeNode{}
@@ -26,7 +26,7 @@
 			time.Sleep(2 * memberUpdatePause)
 			synctest.Wait()
 			if got, want := node.memberReports, 2; got != want {
-				t.Errorf("got %d nodes told %d times, want %d", nodes, got, want)
+				t.Errorf("got %d nodes reported in %d updates, want %d", nodes, got, want)
 			}
 			if got, want := node.others, nodes; got != want {
 				t.Errorf("got %d other nodes, want %d", got, want)
--- a/peering/directory.go
+++ b/peering/directory.go
@@ -12,33 +12,32 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// registrationTTL is for how long a registration counts that is not renewed:
-// two renewals and a half.
+// registrationTTL is how long a registration is valid without a renewal: two and a half renewal
+// intervals.
 const registrationTTL clock.Millis = 300_000
 
-// announcementTTL is the same for a node that is not registered and tells of itself a few times a
-// second.
+// announcementTTL is how long an unregistered node is kept after its last message. Such nodes
+// send some messages per second.
 const announcementTTL clock.Millis = 60_000
 
-// directory holds the nodes that are known. It is safe for concurrent use.
+// directory holds the known nodes. It is safe for concurrent use.
 type directory struct {
 	self *wire.Member
 	mu   sync.Mutex
-	// byName holds the others. Seeds that have not told their name yet stand
-	// under their address.
+	// byName holds the other nodes. Seeds whose name is unknown are stored under their address.
 	byName map[string]*wire.Member
-	// renewals are the registrations as they were seen to change. VMs are
-	// replaced under other names all the time, and nothing in the store runs out
-	// by itself.
+	// renewals holds the last seen change of each registration. VMs are replaced under new
+	// names all the time, and the store does not expire registrations.
 	renewals map[string]renewal
-	// announcedAt are the nodes that are known by their own word alone, and when that came last.
+	// announcedAt maps unregistered nodes to the time of their last message.
 	announcedAt map[string]clock.Millis
-	// expired are the addresses of nodes whose registrations have run out, by
-	// name. Hearsay does not bring them back.
+	// expired holds the addresses of nodes whose registrations expired, by name. Reports of
+	// other nodes do not add these nodes again.
 	expired map[string]string
 }
 
-// renewal is when the store was told of a registration last, and when that was first seen.
+// renewal is the moment of the store at which a registration was last written, and the time at
+// which this node first saw that write.
 type renewal struct {
 	writtenAt moment.Moment
 	seenAt    clock.Millis
@@ -57,22 +56,22 @@
 	return d
 }
 
-// addReported notes nodes of which others have told, and returns whether any of them is
-// new or has moved.
+// addReported adds nodes that another node reported, and reports whether any of them is new or
+// has a new address.
 func (d *directory) addReported(members ...*wire.Member) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	news := false
+	changed := false
 	for _, m := range members {
 		if address, ok := d.expired[m.GetName()]; ok && address == m.GetAddress() {
 			continue
 		}
-		news = d.put(m) || news
+		changed = d.put(m) || changed
 	}
-	return news
+	return changed
 }
 
-// addSender notes a node that has spoken itself.
+// addSender adds the sender of a message, and reports whether it is new or changed.
 func (d *directory) addSender(now clock.Millis, m *wire.Member) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -83,9 +82,9 @@
 	return d.putOwnRecord(m)
 }
 
-// dropUnannounced forgets the nodes that are not registered and have not been heard for long.
-// The caller holds the lock.
-func (d *directory) dropUnannounced(now clock.Millis) (news bool) {
+// dropUnannounced removes unregistered nodes without a recent message, and reports whether
+// there were any. The caller holds the lock.
+func (d *directory) dropUnannounced(now clock.Millis) (changed bool) {
 	for name, at := range d.announcedAt {
 		_, registered := d.renewals[name]
 		if !registered && now < at.Add(announcementTTL) {
@@ -93,14 +92,15 @@
 		}
 		delete(d.announcedAt, name)
 		if !registered {
-			news = true
+			changed = true
 			delete(d.byName, name)
 		}
 	}
-	return news
+	return changed
 }
 
-// put takes in a node. The caller holds the lock.
+// put adds a node, and reports whether it is new or has a new address. The caller holds the
+// lock.
 func (d *directory) put(m *wire.Member) bool {
 	if m.GetName() == "" || m.GetName() == d.self.GetName() {
 		return false
@@ -113,9 +113,9 @@
 	return true
 }
 
-// putOwnRecord takes in a node by its own word, which also counts where it can do more or less
-// than was known: its VM was changed, or its program before did not tell. The caller holds
-// the lock.
+// putOwnRecord adds a node by its own record, and reports whether it is new or changed. A
+// changed capacity counts too: the VM was resized, or the node's previous version did not
+// report it. The caller holds the lock.
 func (d *directory) putOwnRecord(m *wire.Member) bool {
 	if known, ok := d.byName[m.GetName()]; ok && known.GetStrength() != m.GetStrength() {
 		delete(d.byName, m.GetName())
@@ -123,10 +123,10 @@
 	return d.put(m)
 }
 
-// applyRegistrations notes all registrations, and returns whether the nodes have
-// changed, and the registrations that have not been renewed for too long. What
-// counts is when this node saw them change, so no two clocks are compared.
-func (d *directory) applyRegistrations(now clock.Millis, list []Registration) (news bool, expired []Registration) {
+// applyRegistrations applies a complete list of registrations. It reports whether the known
+// nodes changed, and returns the registrations that expired. Expiry counts from the time at
+// which this node saw a registration change, so that no clocks of two machines are compared.
+func (d *directory) applyRegistrations(now clock.Millis, list []Registration) (changed bool, expired []Registration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	listed := make(map[string]bool, len(list))
@@ -138,20 +138,20 @@
 		case !ok || known.writtenAt != r.Renewed:
 			d.renewals[name] = renewal{writtenAt: r.Renewed, seenAt: now}
 			delete(d.expired, name)
-			news = d.putOwnRecord(r.Member) || news
+			changed = d.putOwnRecord(r.Member) || changed
 		case name != d.self.GetName() && now >= known.seenAt.Add(registrationTTL):
 			expired = append(expired, r)
 			d.expired[name] = r.Member.GetAddress()
-			_, had := d.byName[name]
-			news = news || had
+			_, wasKnown := d.byName[name]
+			changed = changed || wasKnown
 			delete(d.byName, name)
 		}
 	}
 	maps.DeleteFunc(d.renewals, func(name string, _ renewal) bool { return !listed[name] })
-	return d.dropUnannounced(now) || news, expired
+	return d.dropUnannounced(now) || changed, expired
 }
 
-// others returns the other nodes, in the order of their names.
+// others returns the other nodes, ordered by name.
 func (d *directory) others() []*wire.Member {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -165,19 +165,19 @@
 	return list
 }
 
-// shared returns the nodes of which others are told: not those that tell of themselves to whom
-// they are to be known, of which there may be hundreds.
+// shared returns the nodes that are reported to peers. Unregistered nodes are left out: there
+// may be hundreds, and they send messages themselves to the nodes that have to know them.
 func (d *directory) shared() []*wire.Member {
 	list := d.others()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.DeleteFunc(list, func(m *wire.Member) bool {
-		_, heard := d.announcedAt[m.GetName()]
-		return heard
+		_, unregistered := d.announcedAt[m.GetName()]
+		return unregistered
 	})
 }
 
-// rank returns how many nodes come before this one by name.
+// rank returns how many other nodes precede this one by name.
 func (d *directory) rank() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/peering/doc.go
+++ b/peering/doc.go
@@ -1,10 +1,10 @@
-// Package peering lets relay nodes help each other out when some of them have
-// lost the store.
+// Package peering lets nodes that lost the store get the configuration and the list of
+// upstreams from their peers, and maintains the registry of nodes.
 //
-// A node that has not heard from the store for a while asks its peers how
-// fresh their configuration is. The answer counts from the moment at which the
-// question was sent, so nothing that happens on the way, a frozen process
-// included, makes the configuration look fresher than it is.
+// A node that has not reached the store for a while asks its peers how fresh their
+// configuration is. The age in an answer counts from the time at which the request was sent.
+// Delays on the way, such as a frozen process, therefore never make the configuration look
+// fresher than it is.
 package peering
 
 import (
@@ -19,47 +19,44 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// Registry is where nodes leave their addresses for each other.
+// Registry stores the addresses of nodes, so that they find each other.
 type Registry interface {
-	// Register leaves a node's address, or renews it.
+	// Register writes a node's registration, or renews it.
 	Register(ctx context.Context, m *wire.Member) error
-	// Registrations returns those that can be read, and an error for each that
-	// cannot.
+	// Registrations returns all readable registrations, and an error for each unreadable one.
 	Registrations(ctx context.Context) (list []Registration, unreadable []error, err error)
-	// Remove takes registrations away that have not changed since.
+	// Remove deletes registrations, except those that have changed since they were read.
 	Remove(ctx context.Context, list []Registration) error
 }
 
-// Registration is a node's address in the registry.
+// Registration is a node's entry in the registry.
 type Registration struct {
 	Member *wire.Member
-	// Renewed is when the store was told it last.
+	// Renewed is the moment of the store at which the entry was last written.
 	Renewed moment.Moment
 }
 
-// LocalState is what a node knows and can tell others.
+// LocalState provides the state of this node that peers may ask for.
 type LocalState interface {
-	// Config returns the configuration in force.
+	// Config returns the active configuration.
 	Config() follow.InForce
-	// Fleet returns the list of upstreams; ok is false while the node cannot
-	// vouch for it.
+	// Fleet returns the list of upstreams; ok is false while it may be outdated.
 	Fleet() (list []fleet.Upstream, ok bool)
-	// Listed tells whether the node knows any list of upstreams, vouched for or
-	// not.
+	// Listed reports whether the node has a list of upstreams, even an outdated one.
 	Listed() bool
-	// Quarantined returns the requests that are known to be in quarantine.
+	// Quarantined returns the requests known to be quarantined.
 	Quarantined() []dispatch.Quarantined
 }
 
-// Receiver takes in what a peer has told.
+// Receiver applies what a peer has sent.
 type Receiver interface {
-	// LearnConfig takes an edition of the configuration that was the newest at a time, and
-	// its text; none where it is the one in force.
+	// LearnConfig applies an edition of the configuration, which was the newest one at the time
+	// confirmed, and its text. The text is empty if the edition is active already.
 	LearnConfig(edition catalog.Edition, raw []byte, confirmed clock.Millis)
+	// LearnFleet applies a list of upstreams.
 	LearnFleet(list []fleet.Upstream)
-	// LearnQuarantined takes requests that are in quarantine.
+	// LearnQuarantined adds quarantined requests.
 	LearnQuarantined(list []dispatch.Quarantined)
-	// LearnMembers takes the other nodes that are known, and this node's rank
-	// among all by name.
+	// LearnMembers sets the other known nodes, and this node's rank by name among all.
 	LearnMembers(others []*wire.Member, rank int)
 }
--- a/peering/peering.go
+++ b/peering/peering.go
@@ -18,50 +18,51 @@
 )
 
 const (
-	// checkInterval is how often a node looks whether it needs its peers.
+	// checkInterval is how often a node checks whether to query its peers.
 	checkInterval = 150 * time.Millisecond
-	// queryAfter is how old the proof of freshness may get before peers are
-	// asked. With the store well it stays under 3.6 s, twice a wait there.
+	// queryAfter is how old the last proof that the configuration is fresh may become before
+	// peers are queried. While the store is up, the proof stays younger than 3.6 s, twice the
+	// time that a call waits there for news.
 	queryAfter clock.Millis = 3700
-	// startupWait is how long after its start a node without a configuration
-	// leaves its peers alone; the store answers within some 10 ms. It counts from when
-	// the node may read at all.
+	// startupWait is how long after its start a node without a configuration or list does not
+	// query peers: the store answers within some 10 ms. It counts from the time at which the
+	// node may read the store.
 	startupWait clock.Millis = 1000
-	// maxQueryPause bounds the pause between two rounds of questions that brought
-	// nothing newer: the store is then away for everybody, and all nodes ask.
+	// maxQueryPause bounds the pause between two rounds of queries if the last round returned
+	// nothing newer. The store is then down for all nodes, and all of them query.
 	maxQueryPause clock.Millis = 1200
-	// peersPerQuery is how many peers are asked at a time.
+	// peersPerQuery is how many peers are queried in a round.
 	peersPerQuery = 3
-	// queryTimeout bounds a question. Between data centres an answer takes a few
-	// ms; a frozen peer gives none.
+	// queryTimeout bounds a query. Between data centres an answer takes a few ms; a frozen peer
+	// does not answer.
 	queryTimeout = 500 * time.Millisecond
-	// listQueryAfter is how old the proof of freshness may get before peers are
-	// asked for the list of upstreams too: by then the store is lost.
+	// listQueryAfter is how old the proof of freshness may become before peers are also queried
+	// for the list of upstreams: by then the store counts as lost.
 	listQueryAfter clock.Millis = 4200
-	// listQueryInterval is how often they are asked for it while they vouch for the
-	// configuration, which keeps the proof younger than that. What leaves must be
-	// known within 2 s.
+	// listQueryInterval is how often the list is queried while peers confirm the configuration,
+	// which keeps the proof younger than listQueryAfter. Leaving upstreams must be known within
+	// 2 s.
 	listQueryInterval clock.Millis = 1200
-	// registryReadInterval is how often the registry is read again. Between that, nodes
-	// learn of new ones of their data centre from what those tell.
+	// registryReadInterval is how often the registry is read. In between, nodes learn of new
+	// nodes in their data centre from the messages of these.
 	registryReadInterval = 60 * time.Second
-	// memberUpdatePause is how long others that become known are gathered: where all nodes start
-	// together each hears of hundreds within a second, one by one.
+	// memberUpdatePause is the pause between two member updates. If all nodes start together,
+	// hundreds of others become known within a second, one by one.
 	memberUpdatePause = 150 * time.Millisecond
-	// readsPerRenewal is after how many readings a node renews its own registration.
+	// readsPerRenewal is the number of reads of the registry after which a node renews its own
+	// registration.
 	readsPerRenewal = 2
-	// registryRetryPause is the pause after a registration that failed, and
-	// othersRegisteredAfter the time after which nodes that start together have all
-	// registered.
+	// registryRetryPause is the pause after a failed call of the registry, and
+	// othersRegisteredAfter the time after which all nodes of a common start have registered.
 	registryRetryPause    = time.Second
 	othersRegisteredAfter = 2500 * time.Millisecond
-	// registrationSpread is the time over which the nodes of a system that starts for
-	// the first time register: the store takes 200 writes a second to one table,
-	// and refuses what would wait for over a second.
+	// registrationSpread is the time over which the nodes of a new system register. The store
+	// accepts 200 writes per second to a table, and rejects writes that would wait for more
+	// than a second.
 	registrationSpread clock.Millis = 1500
 )
 
-// Peering asks and answers peers.
+// Peering queries peers and answers their queries.
 type Peering struct {
 	clock      *clock.Clock
 	log        *zap.Logger
@@ -71,44 +72,45 @@
 	directory  *directory
 	rng        *rand.Rand
 	httpClient *http.Client
-	// firstStart tells that the whole system starts for the first time, and
-	// registrationDelay is this node's part of registrationSpread.
+	// firstStart is set if the whole system starts for the first time. registrationDelay is
+	// this node's offset in registrationSpread.
 	firstStart        bool
 	registrationDelay clock.Millis
-	// startupWait is how long after its start the node leaves its peers alone if it knows nothing.
+	// startupWait is how long after its start the node does not query peers if it has no state.
 	startupWait clock.Millis
-	// memberUpdates has this node told which others there are.
+	// memberUpdates passes the known nodes to the receiver.
 	memberUpdates coalescer
-	// registeredAt is when the node was registered last, a clock.Millis, and returned tells
-	// that the store has come back from a copy.
+	// registeredAt is the clock.Millis of the last registration. storeRestored signals a
+	// restore of the store from a backup.
 	registeredAt  atomic.Int64
 	storeRestored chan struct{}
-	// membersReported tells that the registry was read, and how many nodes there are was told. One
-	// that is alone has to know that too. Only the loop of Register uses it.
+	// membersReported is set once the registry was read and the known nodes were passed to the
+	// receiver. A node without peers has to be notified too. Only MaintainRegistration uses the
+	// field.
 	membersReported bool
-	// comparedConfig tells that peers were asked for the configuration since the start.
+	// comparedConfig is set once peers were queried for the configuration after the start.
 	comparedConfig bool
-	// Of the rounds of questions; only the loop of Run uses them.
+	// nextQueryAt, queryPause and newestProof time the rounds of queries. Only Run uses them.
 	nextQueryAt clock.Millis
 	queryPause  clock.Millis
 	newestProof clock.Millis
-	// listQueriedAt is when peers were last asked for the list of upstreams.
+	// listQueriedAt is when peers were last queried for the list of upstreams.
 	listQueriedAt clock.Millis
 }
 
-// Option sets up a Peering.
+// Option configures a Peering.
 type Option func(*Peering)
 
-// WithFirstStart sets whether the whole system starts for the first time, so that
-// nobody can be registered yet.
+// WithFirstStart sets whether the whole system starts for the first time, so that no node is
+// registered yet.
 func WithFirstStart(first bool) Option { return func(p *Peering) { p.firstStart = first } }
 
-// New returns a node's peering. Seeds are addresses where peers may be.
-func New(self *wire.Member, seeds []string, registry Registry, knowledge LocalState, learner Receiver,
+// New returns the Peering of a node. seeds are addresses at which peers may be.
+func New(self *wire.Member, seeds []string, registry Registry, local LocalState, receiver Receiver,
 	c *clock.Clock, log *zap.Logger, transport http.RoundTripper, seed uint64, opts ...Option,
 ) *Peering {
 	p := &Peering{
-		clock: c, log: log, registry: registry, local: knowledge, receiver: learner,
+		clock: c, log: log, registry: registry, local: local, receiver: receiver,
 		directory: newDirectory(self, seeds), rng: rand.New(rand.NewPCG(seed, seed)), newestProof: clock.Never,
 		httpClient:        &http.Client{Transport: transport, Timeout: queryTimeout},
 		registrationDelay: clock.Millis(seed % uint64(registrationSpread)),
@@ -126,18 +128,18 @@
 	return p
 }
 
-// MaintainRegistration leaves the node's address at the registry, if it is needed there, and reads those
-// of others from time to time.
+// MaintainRegistration registers the node and renews its registration if it is needed, and
+// reads those of others periodically, until the context ends.
 func (p *Peering) MaintainRegistration(ctx context.Context) error {
 	registered := p.registerInitially(ctx)
 	for reads := 1; ctx.Err() == nil; reads++ {
 		clock.Pause(ctx, registryReadInterval)
-		standing, err := p.readRegistry(ctx)
+		status, err := p.readRegistry(ctx)
 		if err != nil {
 			p.log.Info("members_not_read", logging.Err(err))
 		}
 		due := reads%readsPerRenewal == 0
-		if err == nil && !standing.registered && !standing.notNeeded || registered && due {
+		if err == nil && !status.registered && !status.notNeeded || registered && due {
 			registered = true
 			if err := p.register(ctx); err != nil {
 				p.log.Info("not_renewed", logging.Err(err))
@@ -147,34 +149,35 @@
 	return ctx.Err()
 }
 
-// registerInitially registers the node unless it is registered since an earlier life, and then so are the
-// others, or there is no need. It tells whether it is registered.
+// registerInitially registers the node at its start, unless its earlier registration still
+// exists or it is not needed. In a system that starts for the first time, nodes take turns. It
+// reports whether the node is registered.
 func (p *Peering) registerInitially(ctx context.Context) (registered bool) {
-	turn, weak := startDelay(p.directory.self.GetStrength())
+	delay, lowCapacity := startDelay(p.directory.self.GetStrength())
 	switch {
-	case p.firstStart && !weak:
+	case p.firstStart && !lowCapacity:
 		clock.Pause(ctx, (p.registrationDelay % spreadFor(p.directory.self.GetStrength())).Duration())
 		p.registerAndRead(ctx)
 		return true
 	case p.firstStart:
-		clock.Pause(ctx, (turn + p.registrationDelay%lowCapacitySpread).Duration())
+		clock.Pause(ctx, (delay + p.registrationDelay%lowCapacitySpread).Duration())
 	}
-	standing, err := p.readRegistry(ctx)
+	status, err := p.readRegistry(ctx)
 	if err != nil {
 		p.log.Info("members_not_read", logging.Err(err))
 	}
 	switch {
-	case standing.registered:
+	case status.registered:
 		return true
-	case standing.notNeeded:
+	case status.notNeeded:
 		return false
 	}
 	p.registerAndRead(ctx)
 	return true
 }
 
-// registerAndRead registers the node and, when those that start with it have
-// registered too, reads the registry.
+// registerAndRead registers the node, waits until nodes that start at the same time have
+// registered, and reads the registry.
 func (p *Peering) registerAndRead(ctx context.Context) {
 	p.retry(ctx, "not_registered", func() error { return p.register(ctx) })
 	clock.Pause(ctx, othersRegisteredAfter)
@@ -184,7 +187,8 @@
 	})
 }
 
-// retry tries a call until it succeeds or the context ends.
+// retry repeats a call until it succeeds or the context ends, and logs each failure as the
+// event.
 func (p *Peering) retry(ctx context.Context, event string, call func() error) {
 	for ctx.Err() == nil {
 		err := call()
@@ -196,9 +200,9 @@
 	}
 }
 
-// readRegistry reads all registrations, and removes those of nodes that have not
-// renewed theirs for long. Several nodes may do so at once; each removes only
-// what has not changed since. It tells how this node stands in it.
+// readRegistry reads all registrations, and removes expired ones. Several nodes may do so at
+// the same time; each removes only registrations that have not changed since it read them. It
+// returns the status of this node in the registry.
 func (p *Peering) readRegistry(ctx context.Context) (registryStatus, error) {
 	list, unreadable, err := p.registry.Registrations(ctx)
 	if err != nil {
@@ -207,18 +211,18 @@
 	for _, err := range unreadable {
 		p.log.Warn("member_unreadable", logging.Err(err))
 	}
-	stands := statusIn(list, p.directory.self)
-	news, expired := p.directory.applyRegistrations(p.clock.Now(), list)
-	if news || !p.membersReported {
+	status := statusIn(list, p.directory.self)
+	changed, expired := p.directory.applyRegistrations(p.clock.Now(), list)
+	if changed || !p.membersReported {
 		p.membersReported = true
 		p.memberUpdates.trigger()
 	}
 	if len(expired) == 0 {
-		return stands, nil
+		return status, nil
 	}
 	err = p.registry.Remove(ctx, expired)
 	p.log.Info("members_expired", zap.Int("count", len(expired)), zap.String("first", expired[0].Member.GetName()), logging.Err(err))
-	return stands, nil
+	return status, nil
 }
 
 // NamedPeers returns how many other nodes are known by name.
@@ -232,14 +236,14 @@
 	return named
 }
 
-// Heard notes a node that has told something.
+// Heard adds the sender of a message to the known nodes.
 func (p *Peering) Heard(m *wire.Member) {
 	if p.directory.addSender(p.clock.Now(), m) {
 		p.memberUpdates.trigger()
 	}
 }
 
-// AddReported notes nodes of which another one has told.
+// AddReported adds nodes that another node reported.
 func (p *Peering) AddReported(members []*wire.Member) { p.addMembers(members...) }
 
 func (p *Peering) addMembers(members ...*wire.Member) {
@@ -248,14 +252,14 @@
 	}
 }
 
-// reportMembers tells this node which others there are.
+// reportMembers passes the known nodes to the receiver.
 func (p *Peering) reportMembers() {
 	others, rank := p.directory.others(), p.directory.rank()
 	p.log.Info("members", zap.Int("others", len(others)), zap.Int("rank", rank))
 	p.receiver.LearnMembers(others, rank)
 }
 
-// Run asks peers while the store does not tell how fresh the configuration is.
+// Run queries peers while the store does not confirm that the configuration is fresh.
 func (p *Peering) Run(ctx context.Context) error {
 	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
@@ -270,28 +274,28 @@
 }
 
 func (p *Peering) queryIfNeeded(ctx context.Context) {
-	inForce := p.local.Config()
+	active := p.local.Config()
 	now := p.clock.Now()
-	age := now.Sub(inForce.Confirmed)
-	needs := p.needsPeers(now, inForce.Edition, age)
-	if now < p.nextQueryAt || !needs && !p.needsComparison(inForce.Edition) {
+	age := now.Sub(active.Confirmed)
+	needs := p.needsPeers(now, active.Edition, age)
+	if now < p.nextQueryAt || !needs && !p.needsComparison(active.Edition) {
 		return
 	}
 	peers := p.directory.others()
 	if !needs && len(peers) == 0 {
 		return
 	}
-	p.comparedConfig = p.comparedConfig || !inForce.Edition.IsZero() && len(peers) > 0
-	p.backOff(now, inForce.Confirmed)
+	p.comparedConfig = p.comparedConfig || !active.Edition.IsZero() && len(peers) > 0
+	p.backOff(now, active.Confirmed)
 	wantFleet := needs && p.needsList(now, age)
 	p.rng.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	for _, peer := range peers[:min(peersPerQuery, len(peers))] {
-		go p.query(ctx, peer, inForce.Edition, wantFleet)
+		go p.query(ctx, peer, active.Edition, wantFleet)
 	}
 }
 
-// needsList tells whether peers are to be asked for the list of upstreams too. A
-// list may have been a part of the whole, and gets old.
+// needsList reports whether to query peers for the list of upstreams too. A list from a peer
+// may be incomplete, and becomes outdated.
 func (p *Peering) needsList(now, age clock.Millis) bool {
 	if p.local.Listed() && age < listQueryAfter && now < p.listQueriedAt.Add(listQueryInterval) {
 		return false
@@ -300,8 +304,8 @@
 	return true
 }
 
-// needsPeers tells whether the node needs its peers. A peer may know the
-// configuration before it knows the list, so each may be lacking by itself.
+// needsPeers reports whether the node has to query peers. A peer may have the configuration
+// before it has the list, so either may be missing.
 func (p *Peering) needsPeers(now clock.Millis, have catalog.Edition, age clock.Millis) bool {
 	if have.IsZero() || !p.local.Listed() {
 		return now >= p.startupWait
@@ -309,14 +313,16 @@
 	return age >= queryAfter
 }
 
-// needsComparison tells whether the node has started, knows a configuration, and has not compared it with
-// a peer's yet: what it has read may be of a copy that the store has just come back from, and
-// they remember. Where the whole system starts for the first time nobody does.
+// needsComparison reports whether the node has a configuration since its start and has not
+// compared it with a peer's yet. The configuration may be from a backup that the store was just
+// restored from, while peers remember newer ones. If the whole system starts for the first
+// time, no peer does.
 func (p *Peering) needsComparison(have catalog.Edition) bool {
 	return !p.comparedConfig && !p.firstStart && !have.IsZero()
 }
 
-// backOff lengthens the pause while questions bring nothing newer.
+// backOff schedules the next round of queries. The pause grows while queries return nothing
+// newer.
 func (p *Peering) backOff(now, confirmed clock.Millis) {
 	p.queryPause = min(max(2*p.queryPause, clock.FromDuration(checkInterval)), maxQueryPause)
 	if confirmed > p.newestProof {
@@ -325,12 +331,12 @@
 	p.nextQueryAt = now.Add(p.queryPause)
 }
 
-// QueryAddress asks the peer at an address, which knows a newer configuration.
+// QueryAddress queries the peer at an address, which has a newer configuration.
 func (p *Peering) QueryAddress(ctx context.Context, address string) {
 	p.query(ctx, &wire.Member{Address: address}, p.local.Config().Edition, false)
 }
 
-// query asks one peer and takes in what it tells.
+// query queries one peer and applies its answer.
 func (p *Peering) query(ctx context.Context, peer *wire.Member, have catalog.Edition, wantFleet bool) {
 	client := wireconnect.NewFreshnessClient(p.httpClient, "http://"+peer.GetAddress())
 	sent := p.clock.Now()
@@ -346,12 +352,12 @@
 }
 
 func (p *Peering) applyAnswer(sent clock.Millis, peer *wire.Member, answer *wire.AskResponse) {
-	edition, inForce := momentwire.EditionOf(answer.GetEdition()), p.local.Config()
-	if edition.IsZero() || answer.GetAgeMs() < 0 || inForce.Edition.Supersedes(edition) {
+	edition, active := momentwire.EditionOf(answer.GetEdition()), p.local.Config()
+	if edition.IsZero() || answer.GetAgeMs() < 0 || active.Edition.Supersedes(edition) {
 		return
 	}
 	confirmed := confirmedAt(sent, answer)
-	if confirmed <= inForce.Confirmed && len(answer.GetConfig()) == 0 && !answer.GetHasFleet() {
+	if confirmed <= active.Confirmed && len(answer.GetConfig()) == 0 && !answer.GetHasFleet() {
 		return
 	}
 	p.log.Info("freshness_from_peer", zap.String("peer", peer.GetName()), zap.Uint64("version", answer.GetEdition().GetVersion()),
--- a/peering/peering_test.go
+++ b/peering/peering_test.go
@@ -18,7 +18,7 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// fakeNode is what a node knows, and what it has learnt.
+// fakeNode is a node with the given state, and records what it receives from peers.
 type fakeNode struct {
 	raw       []byte
 	version   uint64
@@ -26,14 +26,15 @@
 	list      []fleet.Upstream
 	listValid bool
 
-	// listReads counts questions for the list.
+	// listReads counts queries for the list.
 	listReads atomic.Int32
-	// received is told what has been learnt of the configuration; nil for nobody.
+	// received gets each received configuration; nil to discard them.
 	received          chan string
 	receivedRaw       string
 	receivedConfirmed clock.Millis
 	receivedList      []fleet.Upstream
-	// quarantined are told to others, and receivedQuarantined was learnt of them.
+	// quarantined are the node's quarantined requests, and receivedQuarantined those received
+	// from peers.
 	quarantined         []dispatch.Quarantined
 	receivedQuarantined []dispatch.Quarantined
 	others              int
@@ -45,7 +46,7 @@
 	return follow.InForce{Edition: edition(f.version), Raw: f.raw, Confirmed: f.confirmed}
 }
 
-// edition is one of a version, none for 0.
+// edition returns an edition of a version; the zero edition for 0.
 func edition(version uint64) catalog.Edition { return catalog.New(version).Edition() }
 
 func (f *fakeNode) Fleet() ([]fleet.Upstream, bool) {
@@ -78,46 +79,45 @@
 	return p, self
 }
 
-// A peer's word counts from the moment at which it was asked for, less the age
-// that the peer gives; never from when it arrived.
-func TestConfirmedCountsFromTheQuestion(t *testing.T) {
+// The age in an answer counts from the time at which the query was sent, never from the time at
+// which the answer arrived.
+func TestConfirmedCountsFromSending(t *testing.T) {
 	tests := []struct {
 		sent, age, want clock.Millis
 	}{{1000, 0, 1000}, {1000, 300, 700}, {50, 4000, -3950}}
 	for _, tt := range tests {
 		if got := confirmedAt(tt.sent, &wire.AskResponse{AgeMs: int64(tt.age)}); got != tt.want {
-			t.Errorf("got %d for age %d asked at %d, want %d", got, tt.age, tt.sent, tt.want)
+			t.Errorf("got confirmed at %d for age %d and sending at %d, want %d", got, tt.age, tt.sent, tt.want)
 		}
 	}
 }
 
-func TestAskLearnsWhatIsNewer(t *testing.T) {
+func TestQueryAppliesNewerState(t *testing.T) {
 	c := clocktest.NewClock()
-	knowing := &fakeNode{raw: []byte("v7"), version: 7, confirmed: c.Now(), list: []fleet.Upstream{{ID: fleet.IncarnationByID("u1")}}, listValid: true}
-	_, peer := newFakePeer(t, "a", knowing, c)
-	asking := &fakeNode{version: 5, confirmed: -9000}
-	p, _ := newFakePeer(t, "b", asking, c)
+	peerNode := &fakeNode{raw: []byte("v7"), version: 7, confirmed: c.Now(), list: []fleet.Upstream{{ID: fleet.IncarnationByID("u1")}}, listValid: true}
+	_, peer := newFakePeer(t, "a", peerNode, c)
+	node := &fakeNode{version: 5, confirmed: -9000}
+	p, _ := newFakePeer(t, "b", node, c)
 	p.query(context.Background(), peer, edition(5), true)
-	if got, want := asking.receivedRaw, "v7"; got != want {
+	if got, want := node.receivedRaw, "v7"; got != want {
 		t.Errorf("got configuration %q, want %q", got, want)
 	}
-	if got := asking.receivedConfirmed; got > c.Now() || got < knowing.confirmed-c.Now() {
+	if got := node.receivedConfirmed; got > c.Now() || got < peerNode.confirmed-c.Now() {
 		t.Errorf("got confirmed at %d, want no later than now", got)
 	}
-	if got, want := len(asking.receivedList), 1; got != want {
+	if got, want := len(node.receivedList), 1; got != want {
 		t.Errorf("got %d upstreams, want %d", got, want)
 	}
-	if got, want := asking.others, 1; got != want {
+	if got, want := node.others, 1; got != want {
 		t.Errorf("got %d other nodes, want %d", got, want)
 	}
-	if got, want := asking.rank, 1; got != want {
+	if got, want := node.rank, 1; got != want {
 		t.Errorf("got rank %d, want %d", got, want)
 	}
 }
 
-// A node whose peer knew the configuration before it knew the list goes on
-// asking for the list.
-func TestNeeds(t *testing.T) {
+// A node whose peer had the configuration before it had the list must query again for the list.
+func TestNeedsPeers(t *testing.T) {
 	tests := []struct {
 		name    string
 		list    []fleet.Upstream
@@ -127,10 +127,10 @@
 		want    bool
 	}{
 		{"just started", nil, 0, startupWait - 1, 0, false},
-		{"nothing from the store", nil, 0, startupWait, 0, true},
+		{"no answer from the store", nil, 0, startupWait, 0, true},
 		{"no list yet", nil, 3, startupWait, 200, true},
-		{"all known and fresh", []fleet.Upstream{{ID: fleet.IncarnationByID("u1")}}, 3, 9000, queryAfter - 1, false},
-		{"the proof gets old", []fleet.Upstream{{ID: fleet.IncarnationByID("u1")}}, 3, 9000, queryAfter, true},
+		{"configuration and list present and fresh", []fleet.Upstream{{ID: fleet.IncarnationByID("u1")}}, 3, 9000, queryAfter - 1, false},
+		{"old proof of freshness", []fleet.Upstream{{ID: fleet.IncarnationByID("u1")}}, 3, 9000, queryAfter, true},
 	}
 	for _, tt := range tests {
 		node := &fakeNode{list: tt.list}
@@ -141,9 +141,9 @@
 	}
 }
 
-// A node that has a list, and whose peers vouch for its configuration, still asks
-// for the list again: the one that it has may be a part of the whole.
-func TestWantsFleetAgain(t *testing.T) {
+// A node with a list must query it again even while peers confirm its configuration: the list
+// may be incomplete.
+func TestListIsQueriedAgain(t *testing.T) {
 	node := &fakeNode{list: []fleet.Upstream{{ID: fleet.IncarnationByID("u1")}}}
 	p, _ := newFakePeer(t, "a", node, clocktest.NewClock())
 	steps := []struct {
@@ -157,66 +157,67 @@
 	}
 }
 
-// A peer that is behind, or has nothing, proves nothing.
-func TestAskIgnoresWhatProvesNothing(t *testing.T) {
+// A peer with an older configuration, or none, does not prove freshness.
+func TestQueryIgnoresOlderConfigurations(t *testing.T) {
 	c := clocktest.NewClock()
-	for name, behind := range map[string]*fakeNode{
+	for name, peerNode := range map[string]*fakeNode{
 		"older":   {raw: []byte("v4"), version: 4, confirmed: 0},
 		"nothing": {},
 	} {
-		_, peer := newFakePeer(t, "a", behind, c)
-		asking := &fakeNode{version: 5, confirmed: -9000, receivedConfirmed: -1}
-		p, _ := newFakePeer(t, "b", asking, c)
+		_, peer := newFakePeer(t, "a", peerNode, c)
+		node := &fakeNode{version: 5, confirmed: -9000, receivedConfirmed: -1}
+		p, _ := newFakePeer(t, "b", node, c)
 		p.query(context.Background(), peer, edition(5), false)
-		if got, want := asking.receivedConfirmed, clock.Millis(-1); got != want {
-			t.Errorf("%s: got confirmed at %d, want nothing learnt", name, got)
+		if got, want := node.receivedConfirmed, clock.Millis(-1); got != want {
+			t.Errorf("%s: got confirmed at %d, want no update", name, got)
 		}
 	}
 }
 
-// A peer that cannot vouch for its list does not pass it on.
-func TestAskPassesOnNoDoubtfulList(t *testing.T) {
+// A peer must not send a list that may be outdated.
+func TestOutdatedListIsNotSent(t *testing.T) {
 	c := clocktest.NewClock()
 	_, peer := newFakePeer(t, "a", &fakeNode{version: 5, confirmed: 0, list: []fleet.Upstream{{ID: fleet.IncarnationByID("u1")}}}, c)
-	asking := &fakeNode{version: 5, confirmed: -9000}
-	p, _ := newFakePeer(t, "b", asking, c)
+	node := &fakeNode{version: 5, confirmed: -9000}
+	p, _ := newFakePeer(t, "b", node, c)
 	p.query(context.Background(), peer, edition(5), true)
-	if got := asking.receivedList; got != nil {
+	if got := node.receivedList; got != nil {
 		t.Errorf("got list %v, want none", got)
 	}
 }
 
-// A node that has started may have read the store's copy. It compares once what it has read with
-// its peers, who remember more; at the first start of the whole system there is nobody to ask.
-func TestNewNodeComparesWithItsPeers(t *testing.T) {
+// A node that has just started may have read a configuration from a backup that the store was
+// restored from. It compares the configuration once with its peers, which remember newer ones.
+// At the first start of the whole system there is no peer to query.
+func TestStartedNodeComparesConfiguration(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		first bool
 		want  string
-	}{{"a start among others", false, "v7"}, {"the first start of all", true, ""}} {
+	}{{"started beside running nodes", false, "v7"}, {"first start of the whole system", true, ""}} {
 		c := clocktest.NewClock()
-		knowing := &fakeNode{raw: []byte("v7"), version: 7, confirmed: c.Now()}
-		_, peer := newFakePeer(t, "a", knowing, c)
-		learnt := make(chan string, 1)
-		asking := &fakeNode{version: 5, confirmed: c.Now(), list: []fleet.Upstream{{ID: fleet.IncarnationByID("u1")}}, received: learnt}
-		p, _ := newFakePeer(t, "b", asking, c)
+		peerNode := &fakeNode{raw: []byte("v7"), version: 7, confirmed: c.Now()}
+		_, peer := newFakePeer(t, "a", peerNode, c)
+		received := make(chan string, 1)
+		node := &fakeNode{version: 5, confirmed: c.Now(), list: []fleet.Upstream{{ID: fleet.IncarnationByID("u1")}}, received: received}
+		p, _ := newFakePeer(t, "b", node, c)
 		p.firstStart = tt.first
 		p.addMembers(peer)
 		p.queryIfNeeded(t.Context())
 		if p.comparedConfig == tt.first {
-			t.Errorf("%s: got compared=%v, want %v", tt.name, p.comparedConfig, !tt.first)
+			t.Errorf("%s: got comparedConfig %v, want %v", tt.name, p.comparedConfig, !tt.first)
 		}
 		if tt.first {
 			continue
 		}
-		if got := <-learnt; got != tt.want {
-			t.Errorf("%s: got %q, want %q", tt.name, got, tt.want)
+		if got := <-received; got != tt.want {
+			t.Errorf("%s: got configuration %q, want %q", tt.name, got, tt.want)
 		}
-		if got := knowing.listReads.Load(); got != 0 {
-			t.Errorf("%s: got the list asked for %d times, want the configuration alone", tt.name, got)
+		if got := peerNode.listReads.Load(); got != 0 {
+			t.Errorf("%s: got %d queries for the list, want none", tt.name, got)
 		}
 		if p.needsComparison(edition(5)) {
-			t.Errorf("%s: got a node that compares again, want once", tt.name)
+			t.Errorf("%s: configuration is compared again, want once", tt.name)
 		}
 	}
 }
--- a/peering/quarantined.go
+++ b/peering/quarantined.go
@@ -15,7 +15,7 @@
 	"github.com/hoistjunction/hoistjunction/work"
 )
 
-// QueryQuarantined asks a peer for the requests that it knows to be in quarantine.
+// QueryQuarantined queries a peer for the requests that are quarantined there.
 func (p *Peering) QueryQuarantined(ctx context.Context, peer *wire.Member) {
 	client := wireconnect.NewFreshnessClient(p.httpClient, "http://"+peer.GetAddress())
 	resp, err := client.Ask(ctx, connect.NewRequest(&wire.AskRequest{Asker: p.directory.self, WantQuarantined: true}))
@@ -36,9 +36,9 @@
 	return out
 }
 
-func decodeQuarantined(told []*wire.QuarantinedWork) []dispatch.Quarantined {
+func decodeQuarantined(msgs []*wire.QuarantinedWork) []dispatch.Quarantined {
 	var list []dispatch.Quarantined
-	for _, w := range told {
+	for _, w := range msgs {
 		if id, ok := work.IDFrom(w.GetWork()); ok {
 			list = append(list, dispatch.Quarantined{Work: id, Age: clock.Millis(w.GetAgeMs()), Ended: fleetwire.IncarnationsOf(w.GetEnded())})
 		}
--- a/peering/quarantined_test.go
+++ b/peering/quarantined_test.go
@@ -10,17 +10,17 @@
 	"github.com/hoistjunction/hoistjunction/work"
 )
 
-// A node that was cut off learns from a peer which requests end upstreams.
-func TestAsksForQuarantined(t *testing.T) {
+// A node that was partitioned gets the requests that crash upstreams from a peer.
+func TestQueryQuarantined(t *testing.T) {
 	want := []dispatch.Quarantined{{Work: work.ID{}.By("a"), Age: 1200}, {Work: work.ID{}.By("b"), Ended: []fleet.Incarnation{fleet.NewIncarnation("e1", 17), fleet.IncarnationByID("e2")}}}
-	knowing, asking := &fakeNode{quarantined: want}, &fakeNode{}
-	_, peer := newFakePeer(t, "knowing", knowing, clocktest.NewClock())
-	p, _ := newFakePeer(t, "asking", asking, clocktest.NewClock())
+	peerNode, node := &fakeNode{quarantined: want}, &fakeNode{}
+	_, peer := newFakePeer(t, "knowing", peerNode, clocktest.NewClock())
+	p, _ := newFakePeer(t, "asking", node, clocktest.NewClock())
 	p.QueryQuarantined(t.Context(), peer)
-	if got := asking.receivedQuarantined; !reflect.DeepEqual(got, want) {
+	if got := node.receivedQuarantined; !reflect.DeepEqual(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
-	if asking.receivedConfirmed != 0 {
-		t.Errorf("got a configuration confirmed at %d, want none", asking.receivedConfirmed)
+	if node.receivedConfirmed != 0 {
+		t.Errorf("got a configuration confirmed at %d, want none", node.receivedConfirmed)
 	}
 }
--- a/peering/register_test.go
+++ b/peering/register_test.go
@@ -15,8 +15,8 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// scriptedRegistry holds registrations, and ends the test's context after so many
-// calls.
+// scriptedRegistry records its calls, and cancels the test's context at call number maxCalls.
+// Later calls fail.
 type scriptedRegistry struct {
 	list     []Registration
 	maxCalls int
@@ -48,9 +48,9 @@
 	return r.recordCall("remove")
 }
 
-// A node whose registration of an earlier life still stands knows the others with
-// one call. Only where the whole system starts, and nobody can be registered yet,
-// is the registry not read first.
+// A node whose registration from an earlier start still exists needs one call to know the
+// others. The registry is read before registering unless the whole system starts for the first
+// time, when no node can be registered.
 func TestRegister(t *testing.T) {
 	tests := []struct {
 		name       string
@@ -59,10 +59,10 @@
 		want       string
 		wantOthers int
 	}{
-		{"the whole system starts", true, nil, "register read", 0},
-		{"its registration stands", false, []*wire.Member{member("a"), member("me")}, "read", 1},
-		{"it has moved", false, []*wire.Member{member("a"), {Name: "me", Address: "elsewhere:1"}}, "read register read", 1},
-		{"it is new", false, []*wire.Member{member("a"), member("b")}, "read register read", 2},
+		{"first start of the whole system", true, nil, "register read", 0},
+		{"registered before", false, []*wire.Member{member("a"), member("me")}, "read", 1},
+		{"registered at another address", false, []*wire.Member{member("a"), {Name: "me", Address: "elsewhere:1"}}, "read register read", 1},
+		{"not registered", false, []*wire.Member{member("a"), member("b")}, "read register read", 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -81,7 +81,7 @@
 				t.Errorf("got calls %q, want %q", got, tt.want)
 			}
 			if node.memberReports != 1 {
-				t.Errorf("got the nodes told %d times, want once, also where there are no others", node.memberReports)
+				t.Errorf("got %d member updates, want 1, also without other nodes", node.memberReports)
 			}
 			if got := fmt.Sprint(node.others); got != fmt.Sprint(tt.wantOthers) {
 				t.Errorf("got %s others, want %d", got, tt.wantOthers)
--- a/peering/put_back.go
+++ b/peering/restore_registration.go
@@ -7,7 +7,7 @@
 	"github.com/hoistjunction/hoistjunction/moment"
 )
 
-// register leaves the node's address at the registry.
+// register writes the node's registration.
 func (p *Peering) register(ctx context.Context) error {
 	err := p.registry.Register(ctx, p.directory.self)
 	if err == nil {
@@ -16,7 +16,7 @@
 	return err
 }
 
-// StoreReturned notes that the store has come back from a copy.
+// StoreReturned notifies RestoreRegistration that the store was restored from a backup.
 func (p *Peering) StoreReturned() {
 	select {
 	case p.storeRestored <- struct{}{}:
@@ -24,9 +24,9 @@
 	}
 }
 
-// RestoreRegistration registers the node again whenever the store may have lost its registration. Nodes
-// that were registered for longer than a copy reaches back stand in it. The others were few,
-// and take the same turns as at a start.
+// RestoreRegistration registers the node again after each restore of the store that may have
+// lost its registration. Backups contain the registrations of nodes that registered longer ago
+// than a backup may date back. The other nodes are few, and take the same turns as at a start.
 func (p *Peering) RestoreRegistration(ctx context.Context) error {
 	for {
 		select {
--- a/peering/put_back_test.go
+++ b/peering/restore_registration_test.go
@@ -15,18 +15,18 @@
 	"github.com/hoistjunction/hoistjunction/moment"
 )
 
-// A registration that a copy may lack is written again, once for each return; one that was
-// there before is not, and neither is that of a node that has none.
-func TestPutBack(t *testing.T) {
+// After each store restore, a registration that the backup may lack is written again. An older
+// registration is not, and neither is that of a node that was not registered.
+func TestRestoreRegistration(t *testing.T) {
 	tests := []struct {
 		name       string
 		registered bool
 		after      time.Duration
-		returns    int
+		restores   int
 		want       string
 	}{
 		{"registered right before", true, time.Second, 1, "register register"},
-		{"two returns", true, time.Second, 2, "register register register"},
+		{"two restores", true, time.Second, 2, "register register register"},
 		{"registered long before", true, moment.CopyReaches.Duration(), 1, "register"},
 		{"not registered", false, time.Second, 1, ""},
 	}
@@ -34,8 +34,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				const many = 100
-				registry := &scriptedRegistry{cancel: cancel, maxCalls: many}
+				const maxCalls = 100
+				registry := &scriptedRegistry{cancel: cancel, maxCalls: maxCalls}
 				node := &fakeNode{}
 				p := New(member("me"), nil, registry, node, node, clocktest.NewClock(), zap.NewNop(), http.DefaultTransport, 1)
 				if tt.registered {
@@ -43,15 +43,15 @@
 						t.Fatal(err)
 					}
 				}
-				ended := make(chan error, 1)
-				go func() { ended <- p.RestoreRegistration(ctx) }()
-				for range tt.returns {
+				result := make(chan error, 1)
+				go func() { result <- p.RestoreRegistration(ctx) }()
+				for range tt.restores {
 					time.Sleep(tt.after)
 					p.StoreReturned()
 					time.Sleep(registrationSpread.Duration())
 				}
 				cancel()
-				if err := <-ended; !errors.Is(err, context.Canceled) {
+				if err := <-result; !errors.Is(err, context.Canceled) {
 					t.Errorf("got error %v, want %v", err, context.Canceled)
 				}
 				if got := strings.Join(registry.calls, " "); got != tt.want {
--- a/peering/server.go
+++ b/peering/server.go
@@ -14,22 +14,22 @@
 	"github.com/hoistjunction/hoistjunction/wire/wireconnect"
 )
 
-// Ask answers a peer. It implements wireconnect.FreshnessHandler.
+// Ask answers a peer's query. It implements wireconnect.FreshnessHandler.
 func (p *Peering) Ask(_ context.Context, req *connect.Request[wire.AskRequest]) (*connect.Response[wire.AskResponse], error) {
 	p.Heard(req.Msg.GetAsker())
 	if req.Msg.GetWantQuarantined() {
 		return connect.NewResponse(&wire.AskResponse{AgeMs: -1, Quarantined: p.encodeQuarantined()}), nil
 	}
-	inForce := p.local.Config()
+	active := p.local.Config()
 	answer := &wire.AskResponse{
-		Edition: momentwire.Edition(inForce.Edition), AgeMs: int64(p.clock.Now().Sub(inForce.Confirmed)),
+		Edition: momentwire.Edition(active.Edition), AgeMs: int64(p.clock.Now().Sub(active.Confirmed)),
 		Members: append(p.directory.shared(), p.directory.self),
 	}
-	if inForce.Edition.IsZero() {
+	if active.Edition.IsZero() {
 		answer.AgeMs = -1
 	}
-	if inForce.Edition.Supersedes(momentwire.EditionOf(req.Msg.GetHave())) {
-		answer.Config = inForce.Raw
+	if active.Edition.Supersedes(momentwire.EditionOf(req.Msg.GetHave())) {
+		answer.Config = active.Raw
 	}
 	if req.Msg.GetWantFleet() {
 		answer.Fleet, answer.HasFleet = p.encodeList()
@@ -37,7 +37,7 @@
 	return connect.NewResponse(answer), nil
 }
 
-// Handler serves the peers' questions, at the path that it returns.
+// Handler returns the handler of peers' queries, and the path that it serves.
 func (p *Peering) Handler() (path string, handler http.Handler) {
 	return wireconnect.NewFreshnessHandler(p)
 }
@@ -62,9 +62,9 @@
 	return out
 }
 
-// confirmedAt works out since when an answer shows the asker's configuration
-// to be the newest. The answer was made after the question was sent, so
-// counting its age from the sending errs on the safe side.
+// confirmedAt returns the time at which, according to an answer, the configuration was
+// confirmed as the newest. The peer answered after the query was sent, so counting the age in
+// the answer from the sending time never makes the configuration look fresher than it is.
 func confirmedAt(sent clock.Millis, answer *wire.AskResponse) clock.Millis {
 	return sent.Sub(clock.Millis(answer.GetAgeMs()))
 }
--- a/peering/silent_connections_test.go
+++ b/peering/stalled_connections_test.go
@@ -25,30 +25,30 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// testNode is a node that has a configuration, and learns how fresh it is.
+// testNode is a node with a configuration. It records the newest confirmation from its peers.
 type testNode struct {
 	mu        sync.Mutex
 	confirmed clock.Millis
-	// store is the clock of a node that has the store; nil for one that lost it.
+	// store is the node's clock if it can reach the store; nil if it has lost it.
 	store *clock.Clock
 }
 
-func (k *testNode) Config() follow.InForce {
-	inForce := follow.InForce{Edition: catalog.New(1).Edition(), Raw: []byte("c")}
-	if k.store != nil {
-		inForce.Confirmed = k.store.Now()
-		return inForce
+func (n *testNode) Config() follow.InForce {
+	active := follow.InForce{Edition: catalog.New(1).Edition(), Raw: []byte("c")}
+	if n.store != nil {
+		active.Confirmed = n.store.Now()
+		return active
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	inForce.Confirmed = k.confirmed
-	return inForce
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	active.Confirmed = n.confirmed
+	return active
 }
 
-func (k *testNode) LearnConfig(_ catalog.Edition, _ []byte, confirmed clock.Millis) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.confirmed = max(k.confirmed, confirmed)
+func (n *testNode) LearnConfig(_ catalog.Edition, _ []byte, confirmed clock.Millis) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.confirmed = max(n.confirmed, confirmed)
 }
 
 func (*testNode) Fleet() ([]fleet.Upstream, bool) {
@@ -61,14 +61,14 @@
 func (*testNode) Quarantined() []dispatch.Quarantined     { return nil }
 func (*testNode) LearnQuarantined([]dispatch.Quarantined) {}
 
-// slowPeers are nodes that have the store and may be slow to answer.
+// slowPeers are nodes that can reach the store, and answer slowly while slow is set.
 type slowPeers struct {
 	network *pipenet.Network
 	slow    atomic.Bool
 	seeds   []string
 }
 
-// slowAnswer is how long a slow node takes: three rounds of questions overlap.
+// slowAnswer is the time that a slow node takes to answer. Three rounds of queries overlap.
 const slowAnswer = 480 * time.Millisecond
 
 func startSlowPeers(t *testing.T, c *clock.Clock, count int) *slowPeers {
@@ -93,30 +93,30 @@
 	return s
 }
 
-// A node that has lost the store asks others how fresh its configuration is. While they
-// were slow several connections to each had been made; these were kept and went silent
-// for good, round after round of questions was lost on them, and the configuration got
-// too old for requests with keys.
-func TestProofAfterSilentConnections(t *testing.T) {
+// Guards against losing the proof of freshness to stalled connections. While the peers are
+// slow, a node that lost the store opens several connections to each. The connections are kept
+// and then stall for good. If further rounds of queries were sent on them, all would be lost,
+// and the configuration would become too old for requests with keys.
+func TestProofAfterStalledConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := clocktest.NewClock()
 		peers := startSlowPeers(t, c, 3)
 		transport := platform.NewQuestionTransport()
 		transport.DialContext = peers.network.DialContext
 		t.Cleanup(transport.CloseIdleConnections)
-		asker := &testNode{}
-		p := peering.New(&wire.Member{Name: "asker", Address: "asker:80"}, peers.seeds, nil, asker, asker, c, zap.NewNop(), transport, 1)
+		node := &testNode{}
+		p := peering.New(&wire.Member{Name: "asker", Address: "asker:80"}, peers.seeds, nil, node, node, c, zap.NewNop(), transport, 1)
 		ctx, cancel := context.WithCancel(context.Background())
-		ended := make(chan struct{})
+		done := make(chan struct{})
 		go func() {
-			defer close(ended)
+			defer close(done)
 			if err := p.Run(ctx); !errors.Is(err, context.Canceled) {
-				t.Errorf("got %v at the end, want the end of its context", err)
+				t.Errorf("got error %v from Run, want context canceled", err)
 			}
 		}()
 		t.Cleanup(func() {
 			cancel()
-			<-ended
+			<-done
 		})
 		time.Sleep(5 * time.Second)
 		peers.slow.Store(false)
@@ -124,12 +124,13 @@
 		oldest := clock.Millis(0)
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
-			oldest = max(oldest, c.Now().Sub(asker.Config().Confirmed))
+			oldest = max(oldest, c.Now().Sub(node.Config().Confirmed))
 		}
-		// Keys may be 5 s old, less the 0.7 s from a decision to its write.
-		const keysWithin clock.Millis = 4300
-		if oldest > keysWithin {
-			t.Errorf("got a proof that was %d ms old, want %d at most", oldest, keysWithin)
+		// Requests with keys need a configuration of at most 5 s of age, of which 0.7 s pass
+		// between a decision and its write.
+		const maxAge clock.Millis = 4300
+		if oldest > maxAge {
+			t.Errorf("got a proof of freshness of %d ms, want at most %d", oldest, maxAge)
 		}
 	})
 }
