--- a/fleet/presence.go
+++ b/fleet/presence.go
@@ -6,12 +6,12 @@
 
 // The results of a comparison.
 const (
-	// PresenceUnknown: the answer does not identify the incarnation.
+	// PresenceUnknown means that the answer does not identify the incarnation.
 	PresenceUnknown Presence = iota
-	// Present: the expected incarnation answered.
+	// Present means that the expected incarnation answered.
 	Present
-	// Replaced: another upstream answered, so the expected incarnation has terminated or
-	// never had this address.
+	// Replaced means that another upstream answered, so the expected incarnation has
+	// terminated or never had this address.
 	Replaced
 )
 
--- a/fleet/view_incarnations.go
+++ b/fleet/view_incarnations.go
@@ -65,11 +65,11 @@
 	return c.ID
 }
 
-// terminateAtReusedAddress terminates incarnations at whose address a new one is listed, and
-// returns them as removed. It applies to incarnations that are leaving or have no entry: their
-// processes have terminated, even if their entries remain or may reappear after an outage. An
-// incarnation with an entry stays beside the new one, since either entry may be from another
-// writer. The answer to a request at the address then shows which of them is there.
+// terminateAtReusedAddress terminates incarnations that are leaving or have no entry, and at
+// whose address the changes list a new incarnation. It returns them as removed. Their processes
+// have terminated, even if their entries remain or may reappear after an outage. An incarnation
+// with an entry stays beside the new one, since either entry may have been written by mistake.
+// The answer to a request shows which of the two is at the address.
 func (v *View) terminateAtReusedAddress(changes []Change) []Change {
 	leavingOrGone := make(map[Incarnation]bool)
 	for _, c := range changes {
--- a/peering/peering.go
+++ b/peering/peering.go
@@ -43,8 +43,8 @@
 	// which keeps the proof younger than listQueryAfter. Leaving upstreams must be known within
 	// 2 s.
 	listQueryInterval clock.Millis = 1200
-	// registryReadInterval is how often the registry is read. In between, nodes learn of new
-	// nodes in their data centre from the messages of these.
+	// registryReadInterval is how often the registry is read. In between, new nodes of the
+	// same data centre become known through their messages.
 	registryReadInterval = 60 * time.Second
 	// memberUpdatePause is the pause between two member updates. If all nodes start together,
 	// hundreds of others become known within a second, one by one.
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -87,10 +87,10 @@
 type Report struct {
 	// Used is the usage by engine.
 	Used map[fleet.Incarnation]fleet.EngineUsage
-	// Limits are the rate limits by upstream that the sender knows.
+	// Limits are the rate limits by upstream that are known to the sender.
 	Limits map[fleet.Incarnation]limit.Named
 	// Total is set if the usage is that of all nodes in the sender's data centre, and Whole if
-	// it is that of all nodes that the sender knows. HeardOf then lists the other data centres
+	// it is that of all nodes known to the sender. HeardOf then lists the other data centres
 	// whose nodes are included.
 	Total   bool
 	Whole   bool
@@ -140,7 +140,7 @@
 // Address returns the address at which the node receives datagrams.
 func (x *Exchange) Address() string { return x.conn.LocalAddr().String() }
 
-// SendUsage sends peers this node's usage and the limits that it knows. Calls must not be
+// SendUsage sends peers this node's usage and the limits known to it. Calls must not be
 // concurrent.
 func (x *Exchange) SendUsage(used map[fleet.Incarnation]fleet.EngineUsage, limits map[fleet.Incarnation]limit.Named) {
 	x.send(&wire.Usage{From: x.self, Followable: x.followable(), Engines: encodeEngines(used), Quarantine: x.quarantine(), Limits: x.encodeLimits(limits)}, x.usageRecipients())
@@ -152,7 +152,7 @@
 	x.send(&wire.Usage{From: x.self, Total: true, Nodes: uint32(nodes), Engines: encodeEngines(used), Quarantine: x.quarantine(), Limits: x.encodeLimits(limits)}, x.recipients.Load().dataCentreTotal)
 }
 
-// SendAllNodes sends the leaves of this hub the usage of all nodes that it knows, including
+// SendAllNodes sends the leaves of this hub the usage of all known nodes, including
 // those of the given other data centres.
 func (x *Exchange) SendAllNodes(used map[fleet.Incarnation]fleet.EngineUsage, dataCentres []string, nodes int, limits map[fleet.Incarnation]limit.Named) {
 	x.sendToLeaves(&wire.Usage{Whole: true, Nodes: uint32(nodes), HeardOf: dataCentres, Engines: encodeEngines(used), Limits: x.encodeLimits(limits)})
