--- a/dispatch/arrive.go
+++ b/dispatch/arrive.go
@@ -33,7 +33,7 @@
 	if cmds := m.admitKey(r); cmds != nil {
 		return cmds
 	}
-	r.work = msg.Asked.By(r.account.Name)
+	r.work = msg.Asked.ForAccount(r.account.Name)
 	r.deadline = m.now.Add(noDeadline)
 	if msg.Remaining > 0 {
 		r.deadline = m.now.Add(msg.Remaining)
--- a/dispatch/script_test.go
+++ b/dispatch/script_test.go
@@ -126,7 +126,7 @@
 	case "permits":
 		return dispatch.PermitsMsg{From: s.Word(0), Grant: limit.Grant{
 			Upstream: script.Incarnation(s.Word(1)), Number: uint64(s.Int("number", 1)), Permits: s.Int("permits", 0),
-			Next: clock.Millis(s.Int("next", 0)), Queue: s.Int("queue", 0),
+			NextIn: clock.Millis(s.Int("next", 0)), Queue: s.Int("queue", 0),
 		}}
 	}
 	return nil
@@ -169,7 +169,7 @@
 	if same, ok := s.Named["asked"]; ok {
 		name = same
 	}
-	return work.ID{}.By(name)
+	return work.ID{}.ForAccount(name)
 }
 
 // incarnations reads upstreams' names with commas between.
@@ -184,7 +184,7 @@
 }
 
 // workOf names what the client account clinic asks for.
-func workOf(asked string) work.ID { return work.ID{}.By(asked).By("clinic") }
+func workOf(asked string) work.ID { return work.ID{}.ForAccount(asked).ForAccount("clinic") }
 
 // delivered is what the caller has: part of an answer that is no stream (part=yes), or
 // the events that a line names.
@@ -317,14 +317,14 @@
 
 func showNews(news quarantine.News) string {
 	switch n := news.(type) {
-	case quarantine.LostNews:
+	case quarantine.LossNews:
 		return "lost at " + n.Upstream.String()
-	case quarantine.HeldNews:
+	case quarantine.QuarantinedNews:
 		return fmt.Sprintf("quarantined for %v", n.Ended)
-	case quarantine.CertainNews:
-		return fmt.Sprintf("certain own=%v", n.Own)
+	case quarantine.ConfirmedNews:
+		return fmt.Sprintf("certain own=%v", n.Local)
 	case quarantine.ClearedNews:
-		return fmt.Sprintf("cleared own=%v held=%v", n.Own, n.Held)
+		return fmt.Sprintf("cleared own=%v held=%v", n.Local, n.WasQuarantined)
 	}
 	return fmt.Sprintf("%T", news)
 }
--- a/dispatch/usage.go
+++ b/dispatch/usage.go
@@ -51,7 +51,7 @@
 		}
 	}
 	m.told = used
-	cmd := ShareCmd{Used: used, Limits: m.limits.Known(m.now)}
+	cmd := ShareCmd{Used: used, Limits: m.limits.Snapshot(m.now)}
 	if !m.summed {
 		cmd.Total, cmd.Whole, cmd.HeardOf = m.total(used), m.whole(), m.heardOf()
 		cmd.Nodes = m.nodes.all
@@ -142,13 +142,13 @@
 // noteLife notes signs of life in what another node tells.
 func (m *Model) noteLife(msg UsageMsg) {
 	if msg.Total || msg.Whole {
-		m.limits.HeardAll(m.now, msg.DataCentre)
+		m.limits.RecordDataCentreSeen(m.now, msg.DataCentre)
 	}
 	for _, centre := range msg.HeardOf {
-		m.limits.HeardAll(m.now, centre)
+		m.limits.RecordDataCentreSeen(m.now, centre)
 	}
 	if !msg.Total {
-		m.limits.Heard(m.now, msg.Node)
+		m.limits.RecordSeen(m.now, msg.Node)
 	}
 }
 
--- a/fleet/view_restore.go
+++ b/fleet/view_restore.go
@@ -25,7 +25,7 @@
 	if !removed || c.Gone || c.Unreadable || v.restoredAt == clock.Never {
 		return false
 	}
-	if now >= v.restoredAt.Add(RestoreGrace) || removedAt.Add(moment.CopyReaches) < v.restoredAt {
+	if now >= v.restoredAt.Add(RestoreGrace) || removedAt.Add(moment.MaxBackupAge) < v.restoredAt {
 		return false
 	}
 	v.staleSuspects[c.ID] = c.Upstream
@@ -42,7 +42,7 @@
 		return
 	}
 	v.prunedAt = now
-	maps.DeleteFunc(v.removedAt, func(_ Incarnation, at clock.Millis) bool { return now >= at.Add(moment.CopyReaches+RestoreGrace) })
+	maps.DeleteFunc(v.removedAt, func(_ Incarnation, at clock.Millis) bool { return now >= at.Add(moment.MaxBackupAge+RestoreGrace) })
 }
 
 // releaseStaleSuspects adds the held-back entries that stayed listed for longer than entries of
--- a/fleet/view_restore_test.go
+++ b/fleet/view_restore_test.go
@@ -21,7 +21,7 @@
 		v.Apply(now, []fleet.Change{{ID: id, Gone: true}}, false)
 		now += interval
 	}
-	limit := int((moment.CopyReaches + 2*fleet.RestoreGrace) / interval)
+	limit := int((moment.MaxBackupAge + 2*fleet.RestoreGrace) / interval)
 	if got := v.RemovedCount(); got > limit {
 		t.Errorf("got %d removed upstreams remembered, want at most %d", got, limit)
 	}
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -127,7 +127,7 @@
 // note notes changes that were written.
 func (k *Keeper) note(changes map[work.ID]change) {
 	now := k.clock.Now()
-	maps.DeleteFunc(k.written, func(_ work.ID, c change) bool { return now >= c.at.Add(moment.CopyReaches) })
+	maps.DeleteFunc(k.written, func(_ work.ID, c change) bool { return now >= c.at.Add(moment.MaxBackupAge) })
 	for id, c := range changes {
 		if _, known := k.written[id]; !known && len(k.written) >= waiting {
 			k.log.Warn("quarantine_not_remembered", zap.Stringer("work", id), zap.Int("most", waiting))
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -81,7 +81,7 @@
 }
 
 func TestKeeper(t *testing.T) {
-	a, b := work.ID{}.By("a"), work.ID{}.By("b")
+	a, b := work.ID{}.ForAccount("a"), work.ID{}.ForAccount("b")
 	nothing := func(*Keeper) {}
 	tests := []struct {
 		name   string
@@ -106,7 +106,7 @@
 			"one that is refused for good does not hold up others", &fakeStore{refuses: b}, true, func(k *Keeper) {
 				k.Keep(dispatch.Quarantined{Work: b})
 				k.Keep(dispatch.Quarantined{Work: a})
-				k.Release(work.ID{}.By("c"))
+				k.Release(work.ID{}.ForAccount("c"))
 			}, []string{"keep2", "keep1", "keep1", "release1"}, []int{0},
 		},
 		{"writes until the store is back", &fakeStore{fails: 1}, true, func(k *Keeper) { k.Keep(dispatch.Quarantined{Work: a}) }, []string{"keep1", "keep1"}, []int{0}},
@@ -140,7 +140,7 @@
 // What was written right before the store came back from a copy is written again: the last word
 // on each request, so that one that was released stays released, with the age that it has.
 func TestKeeperPutsBackWhatACopyLacks(t *testing.T) {
-	a, b := work.ID{}.By("a"), work.ID{}.By("b")
+	a, b := work.ID{}.ForAccount("a"), work.ID{}.ForAccount("b")
 	store := &fakeStore{}
 	calls, _ := run(t, store, true, func(k *Keeper) {
 		k.Keep(dispatch.Quarantined{Work: a})
@@ -149,7 +149,7 @@
 		k.Release(a)
 		time.Sleep(time.Second)
 		k.StoreReturned()
-		time.Sleep(moment.CopyReaches.Duration())
+		time.Sleep(moment.MaxBackupAge.Duration())
 		k.StoreReturned()
 	}, time.Second)
 	if got, want := calls, []string{"keep2", "release1", "keep1", "release1"}; !slices.Equal(got, want) {
--- a/node/known.go
+++ b/node/known.go
@@ -17,29 +17,29 @@
 type known struct {
 	node    *Node
 	mu      sync.Mutex
-	inForce follow.InForce
+	inForce follow.ActiveConfig
 }
 
 // take takes in what was shown of the configuration, and returns what is in force then.
-func (k *known) take(p follow.Proof) (follow.Taken, follow.InForce) {
+func (k *known) take(p follow.Proof) (follow.ProofResult, follow.ActiveConfig) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	taken := k.inForce.Take(p)
+	taken := k.inForce.Apply(p)
 	return taken, k.inForce
 }
 
 // Config implements peering.LocalState.
-func (k *known) Config() follow.InForce {
+func (k *known) Config() follow.ActiveConfig {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.inForce
 }
 
 // Fleet implements peering.LocalState.
-func (k *known) Fleet() ([]fleet.Upstream, bool) { return k.node.fleets.Shown() }
+func (k *known) Fleet() ([]fleet.Upstream, bool) { return k.node.fleets.ConfirmedList() }
 
 // Listed implements peering.LocalState.
-func (k *known) Listed() bool { return k.node.fleets.Listed() }
+func (k *known) Listed() bool { return k.node.fleets.HasList() }
 
 // LearnConfig implements peering.Receiver.
 func (k *known) LearnConfig(edition catalog.Edition, raw []byte, confirmed clock.Millis) {
@@ -56,7 +56,7 @@
 }
 
 // LearnFleet implements peering.Receiver.
-func (k *known) LearnFleet(list []fleet.Upstream) { k.node.fleets.Learn(list) }
+func (k *known) LearnFleet(list []fleet.Upstream) { k.node.fleets.AddPeerList(list) }
 
 // nearAll is up to how many nodes tell each other what they have in use across
 // data centres too, where chains go when an engine is lost. In larger systems
--- a/node/learn.go
+++ b/node/learn.go
@@ -16,7 +16,7 @@
 
 // setCatalog takes what was shown of the configuration, and returns what is in force then. The
 // follower of the store and peers both show some: all that hangs on it is told in one order.
-func (n *Node) setCatalog(p follow.Proof) follow.InForce {
+func (n *Node) setCatalog(p follow.Proof) follow.ActiveConfig {
 	n.obeying.Lock()
 	defer n.obeying.Unlock()
 	taken, inForce := n.known.take(p)
@@ -51,11 +51,11 @@
 }
 
 // setSaidLeaving takes in that an upstream has said that it is leaving.
-func (n *Node) setSaidLeaving(upstream fleet.Incarnation) { n.fleets.Leave(upstream) }
+func (n *Node) setSaidLeaving(upstream fleet.Incarnation) { n.fleets.MarkLeaving(upstream) }
 
 // setReplaced takes in that another upstream has answered at the address of one.
 func (n *Node) setReplaced(upstream fleet.Incarnation, address string) {
-	n.fleets.Replaced(upstream, address)
+	n.fleets.MarkReplaced(upstream, address)
 }
 
 // serviceNames returns the services of a configuration.
@@ -80,15 +80,15 @@
 // all of that have.
 func (n *Node) share(cmd dispatch.ShareCmd) {
 	now := n.clock.Now()
-	circle := n.roster.Circle(now)
+	circle := n.roster.Topology(now)
 	n.usage.SendUsage(cmd.Used, cmd.Limits)
-	if circle.Meshed && n.roster.Reads(now) || circle.Leads() {
-		n.usage.SendDataCentreTotal(cmd.Total, circle.Others+1, cmd.Limits)
+	if circle.FullMesh && n.roster.IsReader(now) || circle.IsFirstHub() {
+		n.usage.SendDataCentreTotal(cmd.Total, circle.PeerCount+1, cmd.Limits)
 	}
 	switch {
-	case circle.Leads():
+	case circle.IsFirstHub():
 		n.usage.SendAllNodes(cmd.Whole, cmd.HeardOf, cmd.Nodes, cmd.Limits)
-	case circle.Hub:
+	case circle.IsHub:
 		n.usage.SendHeartbeat()
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -118,7 +118,7 @@
 			QuarantineLasts: s.quarantineLasts(),
 		}),
 		dispatch.WithKeptQuarantine(),
-		dispatch.WithLimits(limit.New(limit.WithSelf(s.Name), limit.WithLife(uint64(time.Now().UnixNano())))),
+		dispatch.WithLimits(limit.New(limit.WithSelf(s.Name), limit.WithBootID(uint64(time.Now().UnixNano())))),
 	)
 	self := &wire.Member{Name: s.Name, DataCentre: s.DataCentre, Address: n.peer.Addr().String(), Strength: s.strength()}
 	sharing, err := usage.New(n.life, self, s.UsageListen, n.log, n.followable, listener{n}, usage.WithQuarantine(n.quarantined.digest), usage.WithClock(n.clock))
@@ -148,15 +148,15 @@
 }
 
 // follow builds the followers of the store, and what they know of other nodes.
-func (n *Node) follow(self *wire.Member, peerTransport http.RoundTripper, setCatalog func(follow.Proof) follow.InForce, setFleet func([]fleet.Change)) {
+func (n *Node) follow(self *wire.Member, peerTransport http.RoundTripper, setCatalog func(follow.Proof) follow.ActiveConfig, setFleet func([]fleet.Change)) {
 	within := n.settings.changesWithin()
-	n.roster = reading.NewRoster(self, n.clock.Now(), follow.Patience(within), reading.WithStartWait(n.settings.startWait()))
-	n.shared = reading.NewLog(n.clock, follow.VouchFor, follow.VouchSoon(within))
+	n.roster = reading.NewRoster(self, n.clock.Now(), follow.FailoverWait(within), reading.WithStartWait(n.settings.startWait()))
+	n.shared = reading.NewLog(n.clock, follow.ProofLifetime, follow.FirstRequestWait(within))
 	n.outage = &follow.Outage{}
-	n.known = &known{node: n, inForce: follow.InForce{Confirmed: clock.Never}}
+	n.known = &known{node: n, inForce: follow.ActiveConfig{Confirmed: clock.Never}}
 	n.readers = &readers{node: n, client: &http.Client{Transport: peerTransport}}
 	share := follow.WithReaders(n.readers, n.shared)
-	bound := follow.WithChangesWithin(within)
+	bound := follow.WithChangeDeadline(within)
 	n.catalogs = follow.NewCatalog(n.store, n.clock, n.log, n.outage, setCatalog, share, bound)
 	n.fleets = follow.NewFleet(n.store, n.clock, n.log, n.outage, setFleet, share, bound)
 }
--- a/peering/doc.go
+++ b/peering/doc.go
@@ -39,7 +39,7 @@
 // LocalState provides the state of this node that peers may ask for.
 type LocalState interface {
 	// Config returns the active configuration.
-	Config() follow.InForce
+	Config() follow.ActiveConfig
 	// Fleet returns the list of upstreams; ok is false while it may be outdated.
 	Fleet() (list []fleet.Upstream, ok bool)
 	// Listed reports whether the node has a list of upstreams, even an outdated one.
--- a/peering/peering_test.go
+++ b/peering/peering_test.go
@@ -42,8 +42,8 @@
 	rank                int
 }
 
-func (f *fakeNode) Config() follow.InForce {
-	return follow.InForce{Edition: edition(f.version), Raw: f.raw, Confirmed: f.confirmed}
+func (f *fakeNode) Config() follow.ActiveConfig {
+	return follow.ActiveConfig{Edition: edition(f.version), Raw: f.raw, Confirmed: f.confirmed}
 }
 
 // edition returns an edition of a version; the zero edition for 0.
--- a/peering/quarantined.go
+++ b/peering/quarantined.go
@@ -31,7 +31,7 @@
 func (p *Peering) encodeQuarantined() []*wire.QuarantinedWork {
 	var out []*wire.QuarantinedWork
 	for _, w := range p.local.Quarantined() {
-		out = append(out, &wire.QuarantinedWork{Work: w.Work.Bytes(), AgeMs: int64(w.Age), Ended: fleetwire.Names(w.Ended)})
+		out = append(out, &wire.QuarantinedWork{Work: w.Work.Bytes(), AgeMs: int64(w.Age), Ended: fleetwire.Incarnations(w.Ended)})
 	}
 	return out
 }
@@ -39,7 +39,7 @@
 func decodeQuarantined(msgs []*wire.QuarantinedWork) []dispatch.Quarantined {
 	var list []dispatch.Quarantined
 	for _, w := range msgs {
-		if id, ok := work.IDFrom(w.GetWork()); ok {
+		if id, ok := work.FromBytes(w.GetWork()); ok {
 			list = append(list, dispatch.Quarantined{Work: id, Age: clock.Millis(w.GetAgeMs()), Ended: fleetwire.IncarnationsOf(w.GetEnded())})
 		}
 	}
--- a/peering/quarantined_test.go
+++ b/peering/quarantined_test.go
@@ -12,7 +12,7 @@
 
 // A node that was partitioned gets the requests that crash upstreams from a peer.
 func TestQueryQuarantined(t *testing.T) {
-	want := []dispatch.Quarantined{{Work: work.ID{}.By("a"), Age: 1200}, {Work: work.ID{}.By("b"), Ended: []fleet.Incarnation{fleet.NewIncarnation("e1", 17), fleet.IncarnationByID("e2")}}}
+	want := []dispatch.Quarantined{{Work: work.ID{}.ForAccount("a"), Age: 1200}, {Work: work.ID{}.ForAccount("b"), Ended: []fleet.Incarnation{fleet.NewIncarnation("e1", 17), fleet.IncarnationByID("e2")}}}
 	peerNode, node := &fakeNode{quarantined: want}, &fakeNode{}
 	_, peer := newFakePeer(t, "knowing", peerNode, clocktest.NewClock())
 	p, _ := newFakePeer(t, "asking", node, clocktest.NewClock())
--- a/peering/restore_registration.go
+++ b/peering/restore_registration.go
@@ -34,7 +34,7 @@
 			return ctx.Err()
 		case <-p.storeRestored:
 		}
-		if p.clock.Now() >= clock.Millis(p.registeredAt.Load()).Add(moment.CopyReaches) {
+		if p.clock.Now() >= clock.Millis(p.registeredAt.Load()).Add(moment.MaxBackupAge) {
 			continue
 		}
 		clock.Pause(ctx, (p.registrationDelay % spreadFor(p.directory.self.GetStrength())).Duration())
--- a/peering/restore_registration_test.go
+++ b/peering/restore_registration_test.go
@@ -27,7 +27,7 @@
 	}{
 		{"registered right before", true, time.Second, 1, "register register"},
 		{"two restores", true, time.Second, 2, "register register register"},
-		{"registered long before", true, moment.CopyReaches.Duration(), 1, "register"},
+		{"registered long before", true, moment.MaxBackupAge.Duration(), 1, "register"},
 		{"not registered", false, time.Second, 1, ""},
 	}
 	for _, tt := range tests {
--- a/peering/server.go
+++ b/peering/server.go
@@ -49,7 +49,7 @@
 	}
 	out := make([]*wire.ListedUpstream, 0, len(list))
 	for _, u := range list {
-		out = append(out, fleetwire.Entry(u))
+		out = append(out, fleetwire.UpstreamMessage(u))
 	}
 	return out, true
 }
--- a/peering/stalled_connections_test.go
+++ b/peering/stalled_connections_test.go
@@ -33,8 +33,8 @@
 	store *clock.Clock
 }
 
-func (n *testNode) Config() follow.InForce {
-	active := follow.InForce{Edition: catalog.New(1).Edition(), Raw: []byte("c")}
+func (n *testNode) Config() follow.ActiveConfig {
+	active := follow.ActiveConfig{Edition: catalog.New(1).Edition(), Raw: []byte("c")}
 	if n.store != nil {
 		active.Confirmed = n.store.Now()
 		return active
--- a/reading/whole_test.go
+++ b/reading/whole_test.go
@@ -41,7 +41,7 @@
 			mux.ServeHTTP(countedWriter{w, &bytes}, r)
 		}))
 		t.Cleanup(server.Close)
-		f := reading.NewSource(server.Client(), server.Listener.Addr().String(), "", vouchSoon)
+		f := reading.NewSource(server.Client(), server.Listener.Addr().String(), "", testFirstRequestWait)
 		ask := func(want int) int64 {
 			t.Helper()
 			before := bytes.Load()
--- a/usage/outcomes.go
+++ b/usage/outcomes.go
@@ -71,7 +71,7 @@
 			msg.Answered = append(msg.Answered, o.work.Bytes())
 			continue
 		}
-		id, born := fleetwire.Name(o.upstream)
+		id, born := fleetwire.IncarnationFields(o.upstream)
 		msg.Lost = append(msg.Lost, &wire.LostWork{Work: o.work.Bytes(), Id: id, Born: born})
 	}
 	return msg
@@ -80,14 +80,14 @@
 // receiveOutcomes handles the request outcomes in a message.
 func (x *Exchange) receiveOutcomes(msg *wire.Usage) {
 	for _, l := range msg.GetLost() {
-		if id, ok := work.IDFrom(l.GetWork()); ok {
+		if id, ok := work.FromBytes(l.GetWork()); ok {
 			x.listener.HearLost(id, fleetwire.IncarnationOf(l))
 			continue
 		}
 		x.log.Debug("usage_unreadable", logging.Err(errMissingWorkID))
 	}
 	for _, raw := range msg.GetAnswered() {
-		if id, ok := work.IDFrom(raw); ok {
+		if id, ok := work.FromBytes(raw); ok {
 			x.listener.HearAnswered(id)
 			continue
 		}
--- a/usage/outcomes_test.go
+++ b/usage/outcomes_test.go
@@ -13,7 +13,7 @@
 	near, nearInbox := newNode(t, "b")
 	far, farInbox := newNode(t, "c")
 	sender.SetPeers([]string{near.Address()}, []string{far.Address()})
-	crashed, answered := work.ID{}.By("lost"), work.ID{}.By("answered")
+	crashed, answered := work.ID{}.ForAccount("lost"), work.ID{}.ForAccount("answered")
 	sender.SendCrash(crashed, fleet.NewIncarnation("e1", 17))
 	for _, inbox := range []inbox{nearInbox, farInbox} {
 		if got, want := <-inbox, "e1@17"; got.crashed != crashed || got.from != want {
--- a/usage/permits.go
+++ b/usage/permits.go
@@ -29,7 +29,7 @@
 
 // Ask sends a node a request for permits.
 func (x *Exchange) Ask(cmd limit.AskCmd) {
-	id, born := fleetwire.Name(cmd.Ask.Upstream)
+	id, born := fleetwire.IncarnationFields(cmd.Ask.Upstream)
 	x.sendTo(cmd.To, &wire.Usage{From: x.self, PermitAsk: &wire.PermitAsk{
 		Id: id, Born: born, Life: cmd.Ask.Life, Number: cmd.Ask.Number, Want: uint32(cmd.Ask.Want),
 		Named: x.encodeLimit(cmd.Ask.Named), Sent: cmd.Ask.Sent,
@@ -38,10 +38,10 @@
 
 // SendPermitGrant answers a node's request for permits.
 func (x *Exchange) SendPermitGrant(to string, grant limit.Grant) {
-	id, born := fleetwire.Name(grant.Upstream)
+	id, born := fleetwire.IncarnationFields(grant.Upstream)
 	x.sendTo(to, &wire.Usage{From: x.self, PermitGrant: &wire.PermitGrant{
 		Id: id, Born: born, Life: grant.Life, Number: grant.Number, Permits: uint32(grant.Permits),
-		NextMs: int64(grant.Next), Queue: uint32(grant.Queue), Named: x.encodeLimit(grant.Named),
+		NextMs: int64(grant.NextIn), Queue: uint32(grant.Queue), Named: x.encodeLimit(grant.Named),
 	}})
 }
 
@@ -94,7 +94,7 @@
 	if grant := msg.GetPermitGrant(); grant != nil {
 		x.listener.HearGrant(msg.GetFrom(), limit.Grant{
 			Upstream: fleetwire.IncarnationOf(grant), Life: grant.GetLife(), Number: grant.GetNumber(), Permits: int(grant.GetPermits()),
-			Next: clock.Millis(grant.GetNextMs()), Queue: int(grant.GetQueue()), Named: x.decodeLimit(grant.GetNamed()),
+			NextIn: clock.Millis(grant.GetNextMs()), Queue: int(grant.GetQueue()), Named: x.decodeLimit(grant.GetNamed()),
 		})
 	}
 	return msg.GetPermitAsk() != nil || msg.GetPermitGrant() != nil
@@ -104,7 +104,7 @@
 func (x *Exchange) encodeLimits(limits map[fleet.Incarnation]limit.Named) []*wire.UpstreamLimit {
 	var list []*wire.UpstreamLimit
 	for upstream, advertised := range limits {
-		id, born := fleetwire.Name(upstream)
+		id, born := fleetwire.IncarnationFields(upstream)
 		list = append(list, &wire.UpstreamLimit{Id: id, Born: born, Named: x.encodeLimit(advertised)})
 	}
 	return list
@@ -124,13 +124,13 @@
 
 // encodeLimit encodes an advertised limit with its age, since the clocks of nodes differ.
 func (x *Exchange) encodeLimit(advertised limit.Named) *wire.NamedLimit {
-	return &wire.NamedLimit{Rate: advertised.Rate, AgeMs: int64(clock.AgeOf(advertised.At, x.clock.Now()))}
+	return &wire.NamedLimit{Rate: advertised.Rate, AgeMs: int64(clock.AgeOf(advertised.ReceivedAt, x.clock.Now()))}
 }
 
 // decodeLimit is the reverse of encodeLimit.
 func (x *Exchange) decodeLimit(advertised *wire.NamedLimit) limit.Named {
 	if advertised.GetAgeMs() < 0 {
-		return limit.Named{At: clock.Never}
+		return limit.Named{ReceivedAt: clock.Never}
 	}
-	return limit.Named{Rate: advertised.GetRate(), At: x.clock.Now().Sub(clock.Millis(advertised.GetAgeMs()))}
+	return limit.Named{Rate: advertised.GetRate(), ReceivedAt: x.clock.Now().Sub(clock.Millis(advertised.GetAgeMs()))}
 }
--- a/usage/placements.go
+++ b/usage/placements.go
@@ -38,7 +38,7 @@
 	for chunk := range slices.Chunk(orders, placementsPerDatagram) {
 		msg := &wire.Usage{From: x.self}
 		for _, o := range chunk {
-			id, born := fleetwire.Name(o.upstream)
+			id, born := fleetwire.IncarnationFields(o.upstream)
 			msg.Placed = append(msg.Placed, &wire.PlacedEngine{
 				Id: id, Born: born, From: int32(o.layers.From), To: int32(o.layers.To), Holds: o.loaded,
 			})
--- a/usage/unresponsive.go
+++ b/usage/unresponsive.go
@@ -19,7 +19,7 @@
 func (x *Exchange) sendUnresponsive(upstreams []fleet.Incarnation) {
 	msg := &wire.Usage{From: x.self}
 	for _, u := range upstreams {
-		id, born := fleetwire.Name(u)
+		id, born := fleetwire.IncarnationFields(u)
 		msg.Silent = append(msg.Silent, &wire.Incarnation{Id: id, Born: born})
 	}
 	x.send(msg, x.recipients.Load().unresponsive)
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -174,7 +174,7 @@
 func encodeEngines(used map[fleet.Incarnation]fleet.EngineUsage) []*wire.EngineUse {
 	list := make([]*wire.EngineUse, 0, len(used))
 	for engine, u := range used {
-		id, born := fleetwire.Name(engine)
+		id, born := fleetwire.IncarnationFields(engine)
 		list = append(list, &wire.EngineUse{Id: id, Born: born, Amount: u.Memory, Streams: int32(u.Streams)})
 	}
 	return list
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -84,7 +84,7 @@
 	if got.from != "a" || !got.msg.Followable || got.msg.Total || got.msg.Used[fleet.IncarnationByID("e1")] != (fleet.EngineUsage{Memory: 5, Streams: 2}) {
 		t.Errorf("got %+v, want the usage of a", got)
 	}
-	if advertised := got.msg.Limits[fleet.IncarnationByID("e1")]; advertised.Rate != 4.5 || advertised.At == clock.Never {
+	if advertised := got.msg.Limits[fleet.IncarnationByID("e1")]; advertised.Rate != 4.5 || advertised.ReceivedAt == clock.Never {
 		t.Errorf("got limit %+v, want a rate of 4.5", advertised)
 	}
 
@@ -122,15 +122,15 @@
 	granter.SetAddresses(map[string]string{"a": requester.Address()})
 
 	requester.Ask(limit.AskCmd{To: "nobody", Ask: limit.Ask{Number: 6}})
-	want := limit.Ask{Upstream: fleet.IncarnationByID("e1"), Life: 9, Number: 7, Want: 3, Named: limit.Named{Rate: 4.5, At: clock.Never}, Sent: []uint32{0, 2}}
+	want := limit.Ask{Upstream: fleet.IncarnationByID("e1"), Life: 9, Number: 7, Want: 3, Named: limit.Named{Rate: 4.5, ReceivedAt: clock.Never}, Sent: []uint32{0, 2}}
 	requester.Ask(limit.AskCmd{To: "b", Ask: want})
 	got := <-granterInbox
 	if got.from != "a" || !reflect.DeepEqual(got.ask.Sent, want.Sent) || got.ask.Upstream != want.Upstream || got.ask.Number != want.Number ||
-		got.ask.Life != want.Life || got.ask.Want != want.Want || got.ask.Named.At != clock.Never {
+		got.ask.Life != want.Life || got.ask.Want != want.Want || got.ask.Named.ReceivedAt != clock.Never {
 		t.Errorf("got %+v from %s, want %+v", got.ask, got.from, want)
 	}
 
-	grant := limit.Grant{Upstream: fleet.IncarnationByID("e1"), Life: 9, Number: 7, Permits: 2, Next: 40, Queue: 5}
+	grant := limit.Grant{Upstream: fleet.IncarnationByID("e1"), Life: 9, Number: 7, Permits: 2, NextIn: 40, Queue: 5}
 	granter.SendPermitGrant("a", grant)
 	back := <-requesterInbox
 	back.grant.Named = limit.Named{}
