--- a/follow/fleet.go
+++ b/follow/fleet.go
@@ -16,7 +16,7 @@
 
 // recentReaderPeriod is how long after the first call to a reader that reader may still hold
 // entries that disappeared in an outage of its own.
-const recentReaderPeriod = fleet.LapseGrace + 800
+const recentReaderPeriod = fleet.RemovalGrace + 800
 
 // expiryCheckInterval is the longest wait while entries are held.
 const expiryCheckInterval clock.Millis = 500
@@ -262,7 +262,7 @@
 func (f *Fleet) hasHeldEntries() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.view.Waiting()
+	return f.view.HasMissing()
 }
 
 // nextExpiry returns when the grace period of the next held entry ends; ok is false if there is
--- a/peering/directory.go
+++ b/peering/directory.go
@@ -12,42 +12,41 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// registrationLasts is for how long a registration counts that is not renewed:
-// two renewals and a half.
-const registrationLasts clock.Millis = 300_000
+// registrationTTL is how long a registration is valid without a renewal: two and a half renewal
+// intervals.
+const registrationTTL clock.Millis = 300_000
 
-// wordLasts is the same for a node that is not registered and tells of itself a few times a
-// second.
-const wordLasts clock.Millis = 60_000
+// announcementTTL is how long an unregistered node is kept after its last message. Such nodes
+// send some messages per second.
+const announcementTTL clock.Millis = 60_000
 
-// directory holds the nodes that are known. It is safe for concurrent use.
+// directory holds the known nodes. It is safe for concurrent use.
 type directory struct {
 	self *wire.Member
 	mu   sync.Mutex
-	// byName holds the others. Seeds that have not told their name yet stand
-	// under their address.
+	// byName holds the other nodes. Seeds whose name is unknown are stored under their address.
 	byName map[string]*wire.Member
-	// renewals are the registrations as they were seen to change. VMs are
-	// replaced under other names all the time, and nothing in the store runs out
-	// by itself.
+	// renewals holds the last seen change of each registration. VMs are replaced under new
+	// names all the time, and the store does not expire registrations.
 	renewals map[string]renewal
-	// heardAt are the nodes that are known by their own word alone, and when that came last.
-	heardAt map[string]clock.Millis
-	// expired are the addresses of nodes whose registrations have run out, by
-	// name. Hearsay does not bring them back.
+	// announcedAt maps unregistered nodes to the time of their last message.
+	announcedAt map[string]clock.Millis
+	// expired holds the addresses of nodes whose registrations expired, by name. Reports of
+	// other nodes do not add these nodes again.
 	expired map[string]string
 }
 
-// renewal is when the store was told of a registration last, and when that was first seen.
+// renewal is the moment of the store at which a registration was last written, and the time at
+// which this node first saw that write.
 type renewal struct {
-	at   moment.Moment
-	seen clock.Millis
+	writtenAt moment.Moment
+	seenAt    clock.Millis
 }
 
 func newDirectory(self *wire.Member, seeds []string) *directory {
 	d := &directory{
 		self: self, byName: make(map[string]*wire.Member),
-		renewals: make(map[string]renewal), heardAt: make(map[string]clock.Millis), expired: make(map[string]string),
+		renewals: make(map[string]renewal), announcedAt: make(map[string]clock.Millis), expired: make(map[string]string),
 	}
 	for _, address := range seeds {
 		if address != self.GetAddress() {
@@ -57,51 +56,52 @@
 	return d
 }
 
-// add notes nodes of which others have told, and returns whether any of them is
-// new or has moved.
-func (d *directory) add(members ...*wire.Member) bool {
+// addReported adds nodes that another node reported, and reports whether any of them is new or
+// has a new address.
+func (d *directory) addReported(members ...*wire.Member) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	news := false
+	changed := false
 	for _, m := range members {
 		if address, ok := d.expired[m.GetName()]; ok && address == m.GetAddress() {
 			continue
 		}
-		news = d.note(m) || news
+		changed = d.put(m) || changed
 	}
-	return news
+	return changed
 }
 
-// heard notes a node that has spoken itself.
-func (d *directory) heard(now clock.Millis, m *wire.Member) bool {
+// addSender adds the sender of a message, and reports whether it is new or changed.
+func (d *directory) addSender(now clock.Millis, m *wire.Member) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.expired, m.GetName())
 	if _, registered := d.renewals[m.GetName()]; !registered {
-		d.heardAt[m.GetName()] = now
+		d.announcedAt[m.GetName()] = now
 	}
-	return d.noteItself(m)
+	return d.putOwnRecord(m)
 }
 
-// forgetUnheard forgets the nodes that are not registered and have not been heard for long.
-// The caller holds the lock.
-func (d *directory) forgetUnheard(now clock.Millis) (news bool) {
-	for name, at := range d.heardAt {
+// dropUnannounced removes unregistered nodes without a recent message, and reports whether
+// there were any. The caller holds the lock.
+func (d *directory) dropUnannounced(now clock.Millis) (changed bool) {
+	for name, at := range d.announcedAt {
 		_, registered := d.renewals[name]
-		if !registered && now < at.Add(wordLasts) {
+		if !registered && now < at.Add(announcementTTL) {
 			continue
 		}
-		delete(d.heardAt, name)
+		delete(d.announcedAt, name)
 		if !registered {
-			news = true
+			changed = true
 			delete(d.byName, name)
 		}
 	}
-	return news
+	return changed
 }
 
-// note takes in a node. The caller holds the lock.
-func (d *directory) note(m *wire.Member) bool {
+// put adds a node, and reports whether it is new or has a new address. The caller holds the
+// lock.
+func (d *directory) put(m *wire.Member) bool {
 	if m.GetName() == "" || m.GetName() == d.self.GetName() {
 		return false
 	}
@@ -113,20 +113,20 @@
 	return true
 }
 
-// noteItself takes in a node by its own word, which also counts where it can do more or less
-// than was known: its VM was changed, or its program before did not tell. The caller holds
-// the lock.
-func (d *directory) noteItself(m *wire.Member) bool {
+// putOwnRecord adds a node by its own record, and reports whether it is new or changed. A
+// changed capacity counts too: the VM was resized, or the node's previous version did not
+// report it. The caller holds the lock.
+func (d *directory) putOwnRecord(m *wire.Member) bool {
 	if known, ok := d.byName[m.GetName()]; ok && known.GetStrength() != m.GetStrength() {
 		delete(d.byName, m.GetName())
 	}
-	return d.note(m)
+	return d.put(m)
 }
 
-// registered notes all registrations, and returns whether the nodes have
-// changed, and the registrations that have not been renewed for too long. What
-// counts is when this node saw them change, so no two clocks are compared.
-func (d *directory) registered(now clock.Millis, list []Registration) (news bool, expired []Registration) {
+// applyRegistrations applies a complete list of registrations. It reports whether the known
+// nodes changed, and returns the registrations that expired. Expiry counts from the time at
+// which this node saw a registration change, so that no clocks of two machines are compared.
+func (d *directory) applyRegistrations(now clock.Millis, list []Registration) (changed bool, expired []Registration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	listed := make(map[string]bool, len(list))
@@ -135,23 +135,23 @@
 		listed[name] = true
 		known, ok := d.renewals[name]
 		switch {
-		case !ok || known.at != r.Renewed:
-			d.renewals[name] = renewal{at: r.Renewed, seen: now}
+		case !ok || known.writtenAt != r.Renewed:
+			d.renewals[name] = renewal{writtenAt: r.Renewed, seenAt: now}
 			delete(d.expired, name)
-			news = d.noteItself(r.Member) || news
-		case name != d.self.GetName() && now >= known.seen.Add(registrationLasts):
+			changed = d.putOwnRecord(r.Member) || changed
+		case name != d.self.GetName() && now >= known.seenAt.Add(registrationTTL):
 			expired = append(expired, r)
 			d.expired[name] = r.Member.GetAddress()
-			_, had := d.byName[name]
-			news = news || had
+			_, wasKnown := d.byName[name]
+			changed = changed || wasKnown
 			delete(d.byName, name)
 		}
 	}
 	maps.DeleteFunc(d.renewals, func(name string, _ renewal) bool { return !listed[name] })
-	return d.forgetUnheard(now) || news, expired
+	return d.dropUnannounced(now) || changed, expired
 }
 
-// others returns the other nodes, in the order of their names.
+// others returns the other nodes, ordered by name.
 func (d *directory) others() []*wire.Member {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -165,19 +165,19 @@
 	return list
 }
 
-// told returns the nodes of which others are told: not those that tell of themselves to whom
-// they are to be known, of which there may be hundreds.
-func (d *directory) told() []*wire.Member {
+// shared returns the nodes that are reported to peers. Unregistered nodes are left out: there
+// may be hundreds, and they send messages themselves to the nodes that have to know them.
+func (d *directory) shared() []*wire.Member {
 	list := d.others()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.DeleteFunc(list, func(m *wire.Member) bool {
-		_, heard := d.heardAt[m.GetName()]
-		return heard
+		_, unregistered := d.announcedAt[m.GetName()]
+		return unregistered
 	})
 }
 
-// rank returns how many nodes come before this one by name.
+// rank returns how many other nodes precede this one by name.
 func (d *directory) rank() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/peering/server.go
+++ b/peering/server.go
@@ -14,36 +14,36 @@
 	"github.com/hoistjunction/hoistjunction/wire/wireconnect"
 )
 
-// Ask answers a peer. It implements wireconnect.FreshnessHandler.
+// Ask answers a peer's query. It implements wireconnect.FreshnessHandler.
 func (p *Peering) Ask(_ context.Context, req *connect.Request[wire.AskRequest]) (*connect.Response[wire.AskResponse], error) {
 	p.Heard(req.Msg.GetAsker())
 	if req.Msg.GetWantQuarantined() {
-		return connect.NewResponse(&wire.AskResponse{AgeMs: -1, Quarantined: p.quarantined()}), nil
+		return connect.NewResponse(&wire.AskResponse{AgeMs: -1, Quarantined: p.encodeQuarantined()}), nil
 	}
-	inForce := p.knowledge.Config()
+	active := p.local.Config()
 	answer := &wire.AskResponse{
-		Edition: momentwire.Edition(inForce.Edition), AgeMs: int64(p.clock.Now().Sub(inForce.Confirmed)),
-		Members: append(p.directory.told(), p.directory.self),
+		Edition: momentwire.Edition(active.Edition), AgeMs: int64(p.clock.Now().Sub(active.Confirmed)),
+		Members: append(p.directory.shared(), p.directory.self),
 	}
-	if inForce.Edition.IsZero() {
+	if active.Edition.IsZero() {
 		answer.AgeMs = -1
 	}
-	if inForce.Edition.Supersedes(momentwire.EditionOf(req.Msg.GetHave())) {
-		answer.Config = inForce.Raw
+	if active.Edition.Supersedes(momentwire.EditionOf(req.Msg.GetHave())) {
+		answer.Config = active.Raw
 	}
 	if req.Msg.GetWantFleet() {
-		answer.Fleet, answer.HasFleet = p.fleet()
+		answer.Fleet, answer.HasFleet = p.encodeList()
 	}
 	return connect.NewResponse(answer), nil
 }
 
-// Handler serves the peers' questions, at the path that it returns.
+// Handler returns the handler of peers' queries, and the path that it serves.
 func (p *Peering) Handler() (path string, handler http.Handler) {
 	return wireconnect.NewFreshnessHandler(p)
 }
 
-func (p *Peering) fleet() ([]*wire.ListedUpstream, bool) {
-	list, ok := p.knowledge.Fleet()
+func (p *Peering) encodeList() ([]*wire.ListedUpstream, bool) {
+	list, ok := p.local.Fleet()
 	if !ok {
 		return nil, false
 	}
@@ -54,7 +54,7 @@
 	return out, true
 }
 
-func upstreamsOf(list []*wire.ListedUpstream) []fleet.Upstream {
+func decodeList(list []*wire.ListedUpstream) []fleet.Upstream {
 	out := make([]fleet.Upstream, 0, len(list))
 	for _, u := range list {
 		out = append(out, fleetwire.Upstream(u))
@@ -62,9 +62,9 @@
 	return out
 }
 
-// confirmedBy works out since when an answer shows the asker's configuration
-// to be the newest. The answer was made after the question was sent, so
-// counting its age from the sending errs on the safe side.
-func confirmedBy(sent clock.Millis, answer *wire.AskResponse) clock.Millis {
+// confirmedAt returns the time at which, according to an answer, the configuration was
+// confirmed as the newest. The peer answered after the query was sent, so counting the age in
+// the answer from the sending time never makes the configuration look fresher than it is.
+func confirmedAt(sent clock.Millis, answer *wire.AskResponse) clock.Millis {
 	return sent.Sub(clock.Millis(answer.GetAgeMs()))
 }
