--- a/dispatch/arrive.go
+++ b/dispatch/arrive.go
@@ -48,7 +48,7 @@
 	}
 	r.tokens = expectedTokens(msg)
 	m.requests[msg.Request] = r
-	m.budget(r.service.Name).Earn(m.now)
+	m.budget(r.service.Name).Deposit(m.now)
 	return m.send(r)
 }
 
--- a/dispatch/cmd.go
+++ b/dispatch/cmd.go
@@ -22,7 +22,7 @@
 	Upstream fleet.Incarnation
 	Address  string
 	// Chain is the way through the engines; nil for plain services.
-	Chain []chain.Part
+	Chain []chain.Stage
 	Route *catalog.Route
 	// Account is the client account's name; empty without a key.
 	Account string
@@ -69,7 +69,7 @@
 
 // Lack says what ran short when no chain could be built, for the log.
 type Lack struct {
-	chain.Lack
+	chain.MissingResource
 	// Word says whose word on the memory left counted, and Age how old it was.
 	Word Word
 	Age  clock.Millis
@@ -107,7 +107,7 @@
 type MoveCmd struct {
 	Request RequestID
 	Attempt int
-	Chain   []chain.Part
+	Chain   []chain.Stage
 	// Away is the engine that the stream leaves.
 	Away fleet.Incarnation
 }
--- a/dispatch/depart.go
+++ b/dispatch/depart.go
@@ -92,5 +92,5 @@
 
 // passes tells whether the attempt under way passes an engine.
 func (r *request) passes(id fleet.Incarnation) bool {
-	return slices.ContainsFunc(r.parts, func(p chain.Part) bool { return p.ID == id })
+	return slices.ContainsFunc(r.parts, func(p chain.Stage) bool { return p.ID == id })
 }
--- a/dispatch/fail.go
+++ b/dispatch/fail.go
@@ -36,14 +36,14 @@
 	cmds := m.resend(r)
 	if r.awaitsPlace && msg.Cause.spends() {
 		// The repeat is paid for when it is made.
-		m.budget(r.service.Name).Return(m.now)
+		m.budget(r.service.Name).Refund(m.now)
 	}
 	if slices.ContainsFunc(cmds, isSend) || !r.awaits.IsZero() || r.awaitsPlace {
 		return cmds
 	}
 	if m.requests[r.msg.Request] == nil && msg.Cause.spends() {
 		// There was nobody to send it to.
-		m.budget(r.service.Name).Return(m.now)
+		m.budget(r.service.Name).Refund(m.now)
 	}
 	if msg.Cause == Failed && !r.begun() {
 		return m.relay(r, msg)
@@ -74,7 +74,7 @@
 		return ReasonRefused
 	case r.left(m.now) < leastLeft:
 		return ReasonTimeout
-	case cause.spends() && !m.budget(r.service.Name).Spend(m.now):
+	case cause.spends() && !m.budget(r.service.Name).TryWithdraw(m.now):
 		return ReasonNoBudget
 	}
 	return ""
--- a/dispatch/lost.go
+++ b/dispatch/lost.go
@@ -219,7 +219,7 @@
 	}
 	for i := range holders {
 		if i != best {
-			holders[i].Begin += apartCost
+			holders[i].EntryCost += apartCost
 		}
 	}
 }
--- a/dispatch/move.go
+++ b/dispatch/move.go
@@ -44,13 +44,13 @@
 }
 
 // detour builds a chain whose first part is the one in use.
-func (m *Model) detour(r *request, away fleet.Incarnation) ([]chain.Part, error) {
+func (m *Model) detour(r *request, away fleet.Incarnation) ([]chain.Stage, error) {
 	first := r.parts[0]
 	holders := m.holders(r, m.byService[r.service.Name], (*upstream).well, first.ID, away)
 	for _, p := range r.parts[1:] {
 		for i := range holders {
 			if holders[i].ID == p.ID {
-				holders[i].Room += r.tokens * float64(p.Layers.Len())
+				holders[i].FreeMemory += r.tokens * float64(p.Layers.Len())
 				holders[i].Penalty -= keepBonus
 			}
 		}
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return append([]chain.Part{first}, rest...), nil
+	return append([]chain.Stage{first}, rest...), nil
 }
 
 // keepBonus speaks for the engines that a stream passes already, since they
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -122,7 +122,7 @@
 		if r == nil {
 			break
 		}
-		if r.sends > 0 && !m.budget(r.service.Name).Spend(m.now) {
+		if r.sends > 0 && !m.budget(r.service.Name).TryWithdraw(m.now) {
 			return append(cmds, m.awaitPlace(r)...)
 		}
 		cmds = append(cmds, m.resend(r)...)
--- a/dispatch/repeats.go
+++ b/dispatch/repeats.go
@@ -23,7 +23,7 @@
 	b, ok := m.budgets[service]
 	if !ok {
 		share, slack := m.allowance()
-		b = budget.NewWindow(m.policy.RetryWindow, share, slack, budget.WithLuck(m.luck))
+		b = budget.NewWindow(m.policy.RetryWindow, share, slack, budget.WithDraw(m.luck))
 		m.budgets[service] = b
 	}
 	return b
@@ -46,6 +46,6 @@
 func (m *Model) setBudgets() {
 	share, slack := m.allowance()
 	for _, b := range m.budgets {
-		b.Set(share, slack)
+		b.SetLimits(share, slack)
 	}
 }
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -57,7 +57,7 @@
 
 	// The attempt under way.
 	first *upstream
-	parts []chain.Part
+	parts []chain.Stage
 	held  []reservation
 	// moving tells that a move is under way, and moves counts them.
 	moving bool
@@ -111,7 +111,7 @@
 }
 
 // reserve notes the memory that a chain takes.
-func (m *Model) reserve(r *request, parts []chain.Part) {
+func (m *Model) reserve(r *request, parts []chain.Stage) {
 	m.release(r)
 	r.parts = parts
 	for _, p := range parts {
--- a/dispatch/script_test.go
+++ b/dispatch/script_test.go
@@ -329,7 +329,7 @@
 	return fmt.Sprintf("%T", news)
 }
 
-func showChain(parts []chain.Part) string {
+func showChain(parts []chain.Stage) string {
 	var words []string
 	for _, p := range parts {
 		words = append(words, fmt.Sprintf("%s:%d-%d", p.ID, p.Layers.From, p.Layers.To))
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -168,10 +168,10 @@
 
 // chainFor builds the chain of a request. The engines of other data centres are looked
 // at only where those at home do not give the cheapest: there may be ten times as many.
-func (m *Model) chainFor(r *request) ([]chain.Part, error) {
+func (m *Model) chainFor(r *request) ([]chain.Stage, error) {
 	m.expireUsage()
 	layers := r.service.Pipeline.Layers
-	if parts, ok := chain.BuildAtHome(layers, r.tokens, m.dataCentre, m.holders(r, m.atHome[r.service.Name], (*upstream).well), m.fastest[r.service.Name]); ok {
+	if parts, ok := chain.BuildLocal(layers, r.tokens, m.dataCentre, m.holders(r, m.atHome[r.service.Name], (*upstream).well), m.fastest[r.service.Name]); ok {
 		return parts, nil
 	}
 	all := m.byService[r.service.Name]
@@ -205,7 +205,7 @@
 }
 
 func chainReason(err error) Reason {
-	if errors.Is(err, chain.ErrNoRoom) {
+	if errors.Is(err, chain.ErrNoMemory) {
 		return ReasonNoRoom
 	}
 	return ReasonNoHolder
@@ -282,10 +282,10 @@
 func (m *Model) holder(r *request, u *upstream) chain.Holder {
 	h := chain.Holder{
 		ID: u.entry.ID, Address: u.entry.Address, DataCentre: u.entry.DataCentre, Held: u.entry.Held,
-		LayerTime: u.layerTime * max(u.pace, 1), Total: u.room, Room: m.free(u),
+		LayerTime: u.layerTime * max(u.pace, 1), TotalMemory: u.room, FreeMemory: m.free(u),
 	}
-	h.Busy = m.busy(u, h.Room)
-	h.Begin = m.slotCost(u)
+	h.PromptLoad = m.busy(u, h.FreeMemory)
+	h.EntryCost = m.slotCost(u)
 	if r.tried[u.entry.ID] {
 		h.Penalty = triedPenalty
 	}
@@ -296,7 +296,7 @@
 		h.Penalty += suspectPenalty
 	}
 	if u.full(m.now) {
-		h.Room = 0
+		h.FreeMemory = 0
 	}
 	return h
 }
--- a/dispatch/usage.go
+++ b/dispatch/usage.go
@@ -276,7 +276,7 @@
 
 // whatLacks says why no chain could be built for a request.
 func (m *Model) whatLacks(r *request) *Lack {
-	lack := &Lack{Lack: chain.WhatLacks(0, r.service.Pipeline.Layers, r.tokens, m.holders(r, m.byService[r.service.Name], m.answers)), Word: WordOwn}
+	lack := &Lack{MissingResource: chain.FindMissingResource(0, r.service.Pipeline.Layers, r.tokens, m.holders(r, m.byService[r.service.Name], m.answers)), Word: WordOwn}
 	if u := m.upstreams[lack.ID]; u != nil {
 		lack.Word, lack.Age = m.word(u)
 	}
--- a/dispatch/wait.go
+++ b/dispatch/wait.go
@@ -52,7 +52,7 @@
 		}
 		reason := r.waitingFor
 		r.waitingFor = ""
-		if reason == ReasonNoBudget && !m.budget(r.service.Name).Spend(m.now) {
+		if reason == ReasonNoBudget && !m.budget(r.service.Name).TryWithdraw(m.now) {
 			cmds = append(cmds, m.waitOrCut(r, reason)...)
 			continue
 		}
--- a/lab/node_share.go
+++ b/lab/node_share.go
@@ -37,7 +37,7 @@
 		if circle.Hub {
 			msg.Here = circle.Others + 1
 		}
-		rank = placement.RankMsg{Delay: planSlot * clock.Millis(circle.Place), Rests: !circle.Hub, Elsewhere: w.elsewhere(n)}
+		rank = placement.RankMsg{Delay: planSlot * clock.Millis(circle.Place), Standby: !circle.Hub, ExcludedDataCentres: w.elsewhere(n)}
 	}
 	n.tell(msg)
 	n.plan(rank)
--- a/lab/node_tell.go
+++ b/lab/node_tell.go
@@ -118,11 +118,11 @@
 		if !n.up || n.life != life {
 			return
 		}
-		msg := placement.OrderedMsg{Upstream: cmd.Upstream, Result: placement.Unanswered}
+		msg := placement.OrderResultMsg{Upstream: cmd.Upstream, Result: placement.Unanswered}
 		e := w.at[cmd.Address]
 		switch {
 		case e == nil || !e.up:
-		case e.busy || e.held != cmd.Believed || e.id != cmd.Upstream:
+		case e.busy || e.held != cmd.ExpectedHeld || e.id != cmd.Upstream:
 			msg.Result, msg.Held = placement.Busy, e.held
 		default:
 			w.result.Orders++
@@ -139,7 +139,7 @@
 func (n *node) placed(cmd placement.OrderCmd, holds bool) {
 	take := func(o *node) {
 		o.tell(dispatch.PlacedMsg{Upstream: cmd.Upstream, Layers: cmd.Layers, Holds: holds})
-		o.plan(placement.PlacedMsg{Upstream: cmd.Upstream, Layers: cmd.Layers, Holds: holds})
+		o.plan(placement.PlacedMsg{Upstream: cmd.Upstream, Layers: cmd.Layers, Completed: holds})
 	}
 	take(n)
 	n.others(take)
--- a/node/circle.go
+++ b/node/circle.go
@@ -79,12 +79,12 @@
 		msg.Near = len(near)
 		n.usage.SetPeers(usageAddresses(near), usageAddresses(far))
 		n.relay.SetPeers(msg)
-		n.placer.Tell(placement.RankMsg{Delay: plannerDelay(rank)})
+		n.placer.Send(placement.RankMsg{Delay: plannerDelay(rank)})
 		return
 	}
 	n.usage.SetRoutes(hubRoutes(circle, others, here))
 	n.relay.SetPeers(msg)
-	n.placer.Tell(placement.RankMsg{Delay: plannerDelay(circle.Place), Rests: !circle.Hub, Elsewhere: otherCentres(others, here)})
+	n.placer.Send(placement.RankMsg{Delay: plannerDelay(circle.Place), Standby: !circle.Hub, ExcludedDataCentres: otherCentres(others, here)})
 }
 
 // peersMsg tells the relay of all nodes that are known. Where others stand in a large data
--- a/node/learn.go
+++ b/node/learn.go
@@ -32,7 +32,7 @@
 	case follow.Replaced:
 		n.log.Info("config", zap.Stringer("version", p.Edition), zap.Stringer("written", p.Edition.Written()), age)
 		n.relay.SetCatalog(p.Catalog, p.Confirmed)
-		n.placer.Tell(placement.CatalogMsg{Catalog: p.Catalog})
+		n.placer.Send(placement.CatalogMsg{Catalog: p.Catalog})
 		n.fleets.SetServices(serviceNames(p.Catalog))
 	}
 	return inForce
@@ -69,7 +69,7 @@
 // nodes of one that they have not told of.
 func (n *Node) setSilent(cmd dispatch.SilentCmd) {
 	n.log.Info("silent", zap.Stringer("upstream", cmd.Upstream), zap.Bool("silent", cmd.Silent), zap.Bool("agreed", cmd.Agreed))
-	n.placer.Tell(placement.SilentMsg{Upstream: cmd.Upstream, Silent: cmd.Silent, Agreed: cmd.Agreed})
+	n.placer.Send(placement.UnresponsiveMsg{Upstream: cmd.Upstream, Unresponsive: cmd.Silent, Confirmed: cmd.Agreed})
 	if cmd.Silent && !cmd.Agreed {
 		n.usage.Silent(cmd.Upstream)
 	}
@@ -158,10 +158,10 @@
 // setPlaced takes an order that this node or another one has given.
 func (n *Node) setPlaced(upstream fleet.Incarnation, layers fleet.Range, holds bool) {
 	n.relay.SetPlaced(upstream, layers, holds)
-	n.placer.Tell(placement.PlacedMsg{Upstream: upstream, Layers: layers, Holds: holds})
+	n.placer.Send(placement.PlacedMsg{Upstream: upstream, Layers: layers, Completed: holds})
 }
 
 func (n *Node) setFleet(changes []fleet.Change) {
 	n.relay.SetFleet(changes)
-	n.placer.Tell(placement.FleetMsg{Changes: changes})
+	n.placer.Send(placement.FleetMsg{Changes: changes})
 }
--- a/node/put_back.go
+++ b/node/put_back.go
@@ -12,7 +12,7 @@
 func (n *Node) putBack() {
 	n.log.Info("put_back")
 	n.peers.StoreReturned()
-	n.keeper.StoreReturned()
+	n.keeper.StoreRestored()
 	if !n.roster.Reads(n.clock.Now()) {
 		return
 	}
--- a/placement/coverage_test.go
+++ b/placement/coverage_test.go
@@ -13,22 +13,22 @@
 
 // Whatever happens, what is covered is the same as if it were worked out anew: once a
 // second that looked at all engines, for nothing.
-func TestCoverageIsThatOfNow(t *testing.T) {
+func TestCoverageCacheMatchesComputation(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, seed))
 		m, now := New(), clock.Millis(0)
 		for step := range 400 {
 			now = now.Add(clock.Millis(random.IntN(400)))
-			m.Update(now, anyMsg(random))
-			if got, want := m.Coverage(now), m.coverage(now); !slices.Equal(got, want) {
+			m.Update(now, randomMsg(random))
+			if got, want := m.Coverage(now), m.computeCoverage(now); !slices.Equal(got, want) {
 				t.Fatalf("seed %d, step %d: got %q, want %q", seed, step, got, want)
 			}
 		}
 	}
 }
 
-// anyMsg is something that may happen to a few engines of a model of ten layers.
-func anyMsg(random *rand.Rand) Msg {
+// randomMsg is something that may happen to a few engines of a model of ten layers.
+func randomMsg(random *rand.Rand) Msg {
 	name := fmt.Sprintf("e%d", random.IntN(6))
 	id := fleet.Undated(fleet.ID(name))
 	from := random.IntN(8)
@@ -44,11 +44,11 @@
 			ID: id, Service: "writer", Address: name, DataCentre: "a", Accelerator: "k", Leaving: random.IntN(5) == 0, Held: layers,
 		}}}}
 	case 3:
-		return SilentMsg{Upstream: id, Silent: random.IntN(2) == 0, Agreed: random.IntN(2) == 0}
+		return UnresponsiveMsg{Upstream: id, Unresponsive: random.IntN(2) == 0, Confirmed: random.IntN(2) == 0}
 	case 4:
-		return OrderedMsg{Upstream: id, Result: Result(random.IntN(4)), Held: layers}
+		return OrderResultMsg{Upstream: id, Result: Result(random.IntN(4)), Held: layers}
 	case 5:
-		return PlacedMsg{Upstream: id, Layers: layers, Holds: random.IntN(2) == 0}
+		return PlacedMsg{Upstream: id, Layers: layers, Completed: random.IntN(2) == 0}
 	default:
 		return TickMsg{}
 	}
--- a/placement/msg.go
+++ b/placement/msg.go
@@ -19,22 +19,22 @@
 // node has learnt of them.
 type RankMsg struct {
 	Delay clock.Millis
-	// Rests tells that other nodes plan and this one does not.
-	Rests bool
-	// Elsewhere are the data centres whose engines their own nodes plan for.
-	Elsewhere []string
+	// Standby tells that other nodes plan and this one does not.
+	Standby bool
+	// ExcludedDataCentres are the data centres whose engines their own nodes plan for.
+	ExcludedDataCentres []string
 }
 
-// SilentMsg tells that an engine does not answer this node, or does again.
-type SilentMsg struct {
-	Upstream fleet.Incarnation
-	Silent   bool
-	// Agreed tells that another node has found it silent too.
-	Agreed bool
+// UnresponsiveMsg tells that an engine does not answer this node, or does again.
+type UnresponsiveMsg struct {
+	Upstream     fleet.Incarnation
+	Unresponsive bool
+	// Confirmed tells that another node has found it silent too.
+	Confirmed bool
 }
 
-// OrderedMsg tells what came of an OrderCmd.
-type OrderedMsg struct {
+// OrderResultMsg tells what came of an OrderCmd.
+type OrderResultMsg struct {
 	Upstream fleet.Incarnation
 	Result   Result
 	Held     fleet.Range
@@ -43,9 +43,9 @@
 // PlacedMsg tells of an order that another node has given, or, with Holds, that
 // an engine has carried one out.
 type PlacedMsg struct {
-	Upstream fleet.Incarnation
-	Layers   fleet.Range
-	Holds    bool
+	Upstream  fleet.Incarnation
+	Layers    fleet.Range
+	Completed bool
 }
 
 // TickMsg drives what depends on time alone.
@@ -54,13 +54,13 @@
 	ListAge clock.Millis
 }
 
-func (CatalogMsg) placementMsg() {}
-func (FleetMsg) placementMsg()   {}
-func (RankMsg) placementMsg()    {}
-func (SilentMsg) placementMsg()  {}
-func (OrderedMsg) placementMsg() {}
-func (PlacedMsg) placementMsg()  {}
-func (TickMsg) placementMsg()    {}
+func (CatalogMsg) placementMsg()      {}
+func (FleetMsg) placementMsg()        {}
+func (RankMsg) placementMsg()         {}
+func (UnresponsiveMsg) placementMsg() {}
+func (OrderResultMsg) placementMsg()  {}
+func (PlacedMsg) placementMsg()       {}
+func (TickMsg) placementMsg()         {}
 
 // Result is what came of an order.
 type Result uint8
@@ -89,8 +89,8 @@
 	Upstream fleet.Incarnation
 	Address  string
 	Layers   fleet.Range
-	// Believed is what the list says that the engine holds.
-	Believed fleet.Range
+	// ExpectedHeld is what the list says that the engine holds.
+	ExpectedHeld fleet.Range
 	// Missing is how many of them have no holder in the data centre.
 	Missing int
 }
--- a/placement/refill_test.go
+++ b/placement/refill_test.go
@@ -12,7 +12,7 @@
 // given its layers when the others were listed again, so these were given theirs one by one, the
 // first ones to the last layer. What is left to be placed is planned together: it has nearly
 // the room that it would have had from nothing.
-func TestEnginesThatComeBackAreFilledTogether(t *testing.T) {
+func TestReturningEnginesAreFilledTogether(t *testing.T) {
 	const (
 		layers  = 80
 		roomOf  = 0.8
@@ -25,12 +25,12 @@
 	build := func() []Engine {
 		var list []Engine
 		for i := range engines {
-			e := Engine{ID: fleet.Undated(fleet.ID(fmt.Sprintf("e%02d", i))), DataCentre: "a", Most: 8, Memory: 8.2, LayerTime: 0.16, ReadTime: 0.0007}
+			e := Engine{ID: fleet.Undated(fleet.ID(fmt.Sprintf("e%02d", i))), DataCentre: "a", MaxLayers: 8, MemoryLayers: 8.2, LayerTime: 0.16, ReadTime: 0.0007}
 			switch {
 			case i == 0:
-				e.Most, e.Memory, e.LayerTime, e.ReadTime = 20, 20.5, 0.03, 0.0002
+				e.MaxLayers, e.MemoryLayers, e.LayerTime, e.ReadTime = 20, 20.5, 0.03, 0.0002
 			case i < 6:
-				e.Most, e.Memory, e.LayerTime, e.ReadTime = 12, 12.3, 0.17, 0.0004
+				e.MaxLayers, e.MemoryLayers, e.LayerTime, e.ReadTime = 12, 12.3, 0.17, 0.0004
 			}
 			list = append(list, e)
 		}
@@ -49,10 +49,10 @@
 			refs = append(refs, &list[i])
 		}
 		l := newLayout(shape, refs)
-		if missing := l.count(); missing > 0 {
+		if missing := l.countHolders(); missing > 0 {
 			t.Fatalf("got %d layers without an engine, want none", missing)
 		}
-		return l.room()
+		return l.requestCapacity()
 	}
 	anew := roomAfter(build())
 	begun := build()
--- a/placement/shape.go
+++ b/placement/shape.go
@@ -10,9 +10,9 @@
 	LayerTokens float64
 	// LoadTime is the time of loading one layer, in ms.
 	LoadTime float64
-	// Prompt and Answer are the tokens of a usual request.
-	Prompt float64
-	Answer float64
+	// PromptTokens and Answer are the tokens of a usual request.
+	PromptTokens float64
+	AnswerTokens float64
 	// Pass is what an engine does in a pass.
 	Pass catalog.Pass
 }
@@ -23,9 +23,9 @@
 		Layers: p.Layers, LayerTokens: p.LayerTokens(), LoadTime: p.LoadMS / float64(max(p.Layers, 1)),
 		Pass: p.Pass(),
 	}
-	s.Prompt, s.Answer = p.Usual()
+	s.PromptTokens, s.AnswerTokens = p.Usual()
 	return s
 }
 
-// tokens is the memory that a usual request takes at each layer.
-func (s *Shape) tokens() float64 { return s.Prompt + s.Answer }
+// requestTokens is the memory that a usual request takes at each layer.
+func (s *Shape) requestTokens() float64 { return s.PromptTokens + s.AnswerTokens }
--- a/placement/size_bench_test.go
+++ b/placement/size_bench_test.go
@@ -17,13 +17,13 @@
 	return slices.Concat(engines("a", largeFast, large), engines("a", smallFast, small), engines("a", slow, n-large-small))
 }
 
-// BenchmarkPlanOfOneDataCentre is a first plan, and one of a data centre where another
+// BenchmarkPlanSingleDataCentre is a first plan, and one of a data centre where another
 // node has given the first order already.
-func BenchmarkPlanOfOneDataCentre(b *testing.B) {
+func BenchmarkPlanSingleDataCentre(b *testing.B) {
 	for _, n := range []int{13, 38, 73, 100, 333} {
 		list := mixedEngines(n)
 		begun := slices.Clone(list)
-		begun[0].Held = fleet.Range{To: begun[0].Most / 2}
+		begun[0].Held = fleet.Range{To: begun[0].MaxLayers / 2}
 		for name, list := range map[string][]placement.Engine{"first": list, "begun": begun} {
 			b.Run(fmt.Sprintf("%s-%d", name, n), func(b *testing.B) {
 				for b.Loop() {
--- a/placement/turn_test.go
+++ b/placement/turn_test.go
@@ -9,13 +9,13 @@
 	"github.com/hoistjunction/hoistjunction/placement"
 )
 
-// mostAllocations is far under what seeking a plan for so many engines takes, which
+// maxAllocations is far under what seeking a plan for so many engines takes, which
 // is some thousands.
-const mostAllocations = 300
+const maxAllocations = 300
 
 // A node that leaves the orders to others does not seek a plan either: on the
 // smallest VMs that takes a quarter of a second, and the node answers late for it.
-func TestNodeThatIsNotDueDoesNotPlan(t *testing.T) {
+func TestNoPlanningBeforeDelay(t *testing.T) {
 	m := placement.New(placement.WithDelay(60_000))
 	m.Update(0, placement.CatalogMsg{Catalog: testCatalog(80)})
 	var changes []fleet.Change
@@ -31,7 +31,7 @@
 			t.Fatalf("got %d orders, want none yet", len(cmds))
 		}
 	})
-	if got > mostAllocations {
-		t.Errorf("got %v allocations a tick, want at most %d", got, mostAllocations)
+	if got > maxAllocations {
+		t.Errorf("got %v allocations a tick, want at most %d", got, maxAllocations)
 	}
 }
--- a/relay/attempt_test.go
+++ b/relay/attempt_test.go
@@ -191,7 +191,7 @@
 // it names. In a late answer to another request only the leaving is still so.
 func TestWhoseWordItIs(t *testing.T) {
 	first, second := fleet.Undated("e1"), fleet.Undated("e2")
-	parts := []chain.Part{{ID: first, Address: "a1"}, {ID: second, Address: "a2"}}
+	parts := []chain.Stage{{ID: first, Address: "a1"}, {ID: second, Address: "a2"}}
 	rest := Word{Rest: 3000}
 	tests := []struct {
 		name string
--- a/relay/fixture_test.go
+++ b/relay/fixture_test.go
@@ -52,7 +52,7 @@
 	return EngineReport{}, errTakenBack
 }
 
-func (noEngines) Move(context.Context, string, string, []chain.Part) (result dispatch.MoveResult, at string) {
+func (noEngines) Move(context.Context, string, string, []chain.Stage) (result dispatch.MoveResult, at string) {
 	return dispatch.MoveUnanswered, ""
 }
 
--- a/relay/log.go
+++ b/relay/log.go
@@ -137,8 +137,8 @@
 		e.AddString("lacks", string(appendRange(nil, lack.Layers.From, lack.Layers.To)))
 		e.AddInt("holders", lack.Holders)
 		e.AddString("at", lack.ID.String())
-		e.AddInt64("left", int64(lack.Room))
-		e.AddInt64("asked", int64(lack.Need))
+		e.AddInt64("left", int64(lack.FreeMemory))
+		e.AddInt64("asked", int64(lack.RequiredMemory))
 		e.AddString("word_of", string(lack.Word))
 		e.AddInt64("word_age_ms", int64(lack.Age))
 		return nil
--- a/relay/stall.go
+++ b/relay/stall.go
@@ -54,8 +54,8 @@
 	streams []StalledStream
 	// silent are the parts whose engines did not answer, and slow the one that
 	// is slowest, with its pace.
-	silent []chain.Part
-	slow   chain.Part
+	silent []chain.Stage
+	slow   chain.Stage
 	pace   float64
 }
 
@@ -272,7 +272,7 @@
 	}
 }
 
-func chainText(parts []chain.Part) string {
+func chainText(parts []chain.Stage) string {
 	text := make([]byte, 0, len(parts)*bytesEachPart)
 	for i, p := range parts {
 		if i > 0 {
--- a/sizing/fleet.go
+++ b/sizing/fleet.go
@@ -139,7 +139,7 @@
 		for i := range n {
 			list = append(list, placement.Engine{
 				ID: fleet.Undated(fleet.ID(fmt.Sprintf("%s-%s-%d", centre, kind, i+1))), DataCentre: centre,
-				Most: f.pipeline.MostLayers(a), Memory: f.pipeline.LayersOf(a),
+				MaxLayers: f.pipeline.MostLayers(a), MemoryLayers: f.pipeline.LayersOf(a),
 				LayerTime: f.pipeline.StepTime(a, 1), ReadTime: f.pipeline.ReadTime(a, 1),
 			})
 		}
