--- a/lab/node.go
+++ b/lab/node.go
@@ -167,7 +167,7 @@
 	case dispatch.ShareCmd:
 		n.share(cmd)
 	case dispatch.SilentCmd:
-		n.plan(placement.UnresponsiveMsg{Upstream: cmd.Upstream, Unresponsive: cmd.Silent, Confirmed: cmd.Agreed})
+		n.plan(placement.ResponsivenessMsg{Upstream: cmd.Upstream, Unresponsive: cmd.Silent, Confirmed: cmd.Agreed})
 		if cmd.Silent && !cmd.Agreed && !n.world.variant.NoSilence {
 			n.others(func(o *node) {
 				if o.centre == n.centre || len(n.world.nodes) < nearAll {
--- a/node/learn.go
+++ b/node/learn.go
@@ -69,7 +69,7 @@
 // nodes of one that they have not told of.
 func (n *Node) setSilent(cmd dispatch.SilentCmd) {
 	n.log.Info("silent", zap.Stringer("upstream", cmd.Upstream), zap.Bool("silent", cmd.Silent), zap.Bool("agreed", cmd.Agreed))
-	n.placer.Send(placement.UnresponsiveMsg{Upstream: cmd.Upstream, Unresponsive: cmd.Silent, Confirmed: cmd.Agreed})
+	n.placer.Send(placement.ResponsivenessMsg{Upstream: cmd.Upstream, Unresponsive: cmd.Silent, Confirmed: cmd.Agreed})
 	if cmd.Silent && !cmd.Agreed {
 		n.usage.Silent(cmd.Upstream)
 	}
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/hoistjunction/hoistjunction/placement"
 )
 
-// benchShape is a model of 80 layers.
-var benchShape = placement.Shape{Layers: 80, LayerTokens: 237_000, LoadTime: 175, PromptTokens: 775, AnswerTokens: 220, Pass: catalog.Pass{Slowdown: 0.01}}
+// benchShape is the shape of a model with 80 layers.
+var benchShape = placement.Shape{Layers: 80, LayerTokens: 237_000, LoadTime: 175, Prompt: 775, Answer: 220, Pass: catalog.Pass{Slowdown: 0.01}}
 
 func benchEngines(n int, placed bool) []placement.Engine {
 	engines := make([]placement.Engine, n)
@@ -37,7 +37,7 @@
 	}
 }
 
-// modelWithEngines returns a planner that knows engines which hold all layers.
+// modelWithEngines returns a planner with n engines that together hold all layers.
 func modelWithEngines(n int) *placement.Model {
 	m := placement.New()
 	m.Update(0, placement.CatalogMsg{Catalog: testCatalog(benchShape.Layers)})
@@ -51,7 +51,8 @@
 	return m
 }
 
-// BenchmarkTick is what the planner costs four times a second while nothing is wanted.
+// BenchmarkTick measures a tick when nothing is to be ordered. The planner gets four ticks per
+// second.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{38, 99, 330, 990} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -63,8 +64,8 @@
 	}
 }
 
-// BenchmarkCoverage is what the log of who holds what costs once a second while nothing
-// happens.
+// BenchmarkCoverage measures Coverage when nothing has changed. It is called once per second for
+// the log.
 func BenchmarkCoverage(b *testing.B) {
 	for _, n := range []int{38, 330, 990, 7100} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/placement/coverage.go
+++ b/placement/coverage.go
@@ -9,9 +9,9 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// Coverage says, for each pipeline service and data centre, which layers have
-// no holder there, as "writer dc-1 missing=0-9,32-40 empty=2". It is for the
-// log, and worked out again only after something has changed.
+// Coverage returns one line for each pipeline service and data centre, such as "writer dc-1
+// missing=0-9,32-40 empty=2": the layers without a holder and the number of engines without
+// layers. The lines are intended for the log and are recomputed only after a change.
 func (m *Model) Coverage(now clock.Millis) []string {
 	if m.coverageCache.changeCount != m.changeCount {
 		m.coverageCache = coverageCache{changeCount: m.changeCount, lines: m.computeCoverage(now)}
@@ -19,7 +19,7 @@
 	return m.coverageCache.lines
 }
 
-// coverageCache is what Coverage returned last, and after how many changes.
+// coverageCache is the last result of Coverage and the change count for which it was computed.
 type coverageCache struct {
 	changeCount uint64
 	lines       []string
@@ -34,7 +34,7 @@
 		if s.Pipeline == nil {
 			return
 		}
-		p := newPlan(ShapeOf(s.Pipeline), m.plannableEngines(now, s))
+		p := newPlan(ShapeOf(s.Pipeline), m.engines(now, s))
 		empty := make(map[string]int)
 		for _, e := range p.engines {
 			if e.assigned().Empty() {
@@ -49,7 +49,7 @@
 	return lines
 }
 
-// missingRanges lists the runs of layers without a holder in a data centre.
+// missingRanges formats the ranges of layers that have no holder in a data centre.
 func (p *plan) missingRanges(centre string) string {
 	var gaps []string
 	for from := 0; from < p.shape.Layers; from++ {
--- a/placement/coverage_test.go
+++ b/placement/coverage_test.go
@@ -11,8 +11,8 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// Whatever happens, what is covered is the same as if it were worked out anew: once a
-// second that looked at all engines, for nothing.
+// Coverage must return the same lines from its cache as a fresh computation, whatever messages
+// arrive. Without the cache, it visited all engines once per second.
 func TestCoverageCacheMatchesComputation(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, seed))
@@ -21,13 +21,13 @@
 			now = now.Add(clock.Millis(random.IntN(400)))
 			m.Update(now, randomMsg(random))
 			if got, want := m.Coverage(now), m.computeCoverage(now); !slices.Equal(got, want) {
-				t.Fatalf("seed %d, step %d: got %q, want %q", seed, step, got, want)
+				t.Fatalf("seed %d, step %d: got coverage %q, want %q", seed, step, got, want)
 			}
 		}
 	}
 }
 
-// randomMsg is something that may happen to a few engines of a model of ten layers.
+// randomMsg returns a random message about one of six engines, for a model of ten layers.
 func randomMsg(random *rand.Rand) Msg {
 	name := fmt.Sprintf("e%d", random.IntN(6))
 	id := fleet.Undated(fleet.ID(name))
@@ -44,7 +44,7 @@
 			ID: id, Service: "writer", Address: name, DataCentre: "a", Accelerator: "k", Leaving: random.IntN(5) == 0, Held: layers,
 		}}}}
 	case 3:
-		return UnresponsiveMsg{Upstream: id, Unresponsive: random.IntN(2) == 0, Confirmed: random.IntN(2) == 0}
+		return ResponsivenessMsg{Upstream: id, Unresponsive: random.IntN(2) == 0, Confirmed: random.IntN(2) == 0}
 	case 4:
 		return OrderResultMsg{Upstream: id, Result: Result(random.IntN(4)), Held: layers}
 	case 5:
--- a/placement/turn_test.go
+++ b/placement/delay_test.go
@@ -9,12 +9,12 @@
 	"github.com/hoistjunction/hoistjunction/placement"
 )
 
-// maxAllocations is far under what seeking a plan for so many engines takes, which
-// is some thousands.
+// maxAllocations is far below the allocations of a plan for this number of engines, which are
+// several thousand.
 const maxAllocations = 300
 
-// A node that leaves the orders to others does not seek a plan either: on the
-// smallest VMs that takes a quarter of a second, and the node answers late for it.
+// A node must not compute a plan before its delay has passed. A plan takes a quarter of a second
+// on the smallest VMs and delays the node's responses.
 func TestNoPlanningBeforeDelay(t *testing.T) {
 	m := placement.New(placement.WithDelay(60_000))
 	m.Update(0, placement.CatalogMsg{Catalog: testCatalog(80)})
@@ -32,6 +32,6 @@
 		}
 	})
 	if got > maxAllocations {
-		t.Errorf("got %v allocations a tick, want at most %d", got, maxAllocations)
+		t.Errorf("got %v allocations per tick, want at most %d", got, maxAllocations)
 	}
 }
--- a/placement/groups.go
+++ b/placement/groups.go
@@ -6,19 +6,20 @@
 )
 
 const (
-	// maxGroupSize is how many engines of a data centre are planned together at the
-	// most. Each engine's range is weighed by looking at all that are planned with it, so
-	// that the cost of a plan grows with their square. The largest data centres that have
-	// been measured have 44 engines, and are planned whole; a plan of 64 takes some 0.1 s.
+	// maxGroupSize is the maximum number of engines of a data centre that are planned together.
+	// Evaluating one range of an engine takes time proportional to the number of engines in the
+	// group, so the cost of a plan grows with the square of the group size. The largest data
+	// centres measured have 44 engines and are planned as one group; a plan for 64 engines takes
+	// about 0.1 s.
 	maxGroupSize = 64
-	// minGroupCopies is how many copies of the model the engines of a group have memory for
-	// at the least: one, and as much again for requests and second holders.
+	// minGroupCopies is the minimum number of model copies that fit into the memory of a group's
+	// engines: one copy, plus the same amount of memory for requests and second holders.
 	minGroupCopies = 2
 )
 
-// groups divides a data centre's engines into groups that are planned one by one, each
-// as if it were a data centre of its own. Engines that hold the same go to different
-// groups, and so do those of a kind: each group has an even share of both.
+// groups divides the engines of a data centre into groups, each of which is planned as if it were
+// a data centre. Engines of the same kind, or with the same layers, are distributed evenly over
+// the groups.
 func (p *plan) groups(centre string) [][]*Engine {
 	engines := p.enginesIn(centre)
 	n := p.groupCount(engines)
@@ -35,24 +36,25 @@
 	return groups
 }
 
-// groupCount is into how many groups engines are divided: as many as keep them small
-// enough, if each can hold the model.
+// groupCount returns the number of groups for the given engines: the smallest number that keeps
+// every group within maxGroupSize, limited so that each group can hold the model.
 func (p *plan) groupCount(engines []*Engine) int {
 	layers := 0
 	for _, e := range engines {
 		layers += e.MaxLayers
 	}
-	wanted := (len(engines) + maxGroupSize - 1) / maxGroupSize
-	return min(wanted, layers/(minGroupCopies*max(p.shape.Layers, 1)))
+	bySize := (len(engines) + maxGroupSize - 1) / maxGroupSize
+	return min(bySize, layers/(minGroupCopies*max(p.shape.Layers, 1)))
 }
 
-// compareBySpeed orders engines by speed, then by memory, then by name.
+// compareBySpeed orders engines by speed (fastest first), then by memory (largest first), then by
+// ID.
 func compareBySpeed(a, b *Engine) int {
 	return cmp.Or(cmp.Compare(a.LayerTime, b.LayerTime), cmp.Compare(b.MaxLayers, a.MaxLayers), a.ID.Compare(b.ID))
 }
 
-// sameKinds tells whether another layout has engines of the same kinds in the same order,
-// so that what is best for one is best for the other.
+// sameKinds reports whether another layout has the same kinds of engines in the same order, so
+// that both layouts have the same best ranges.
 func (l *layout) sameKinds(other *layout) bool {
 	return slices.EqualFunc(l.engines, other.engines, func(a, b *Engine) bool {
 		return a.MaxLayers == b.MaxLayers && a.MemoryLayers == b.MemoryLayers && a.LayerTime == b.LayerTime && a.ReadTime == b.ReadTime
--- a/placement/heal.go
+++ b/placement/heal.go
@@ -2,31 +2,31 @@
 
 import "github.com/hoistjunction/hoistjunction/fleet"
 
-// healFills are the shares of an engine's memory that layers may take where it is
-// moved to close a gap. The first that gives the data centre a whole copy is taken.
+// healFills are the shares of an engine's memory that layers may occupy when the engine closes a
+// coverage gap. The first share at which the data centre can hold a whole copy of the model is
+// used.
 var healFills = []float64{0.8, 0.85, 0.9, 0.95, 1}
 
 const (
-	// stretchFill is the share of an engine's memory that layers may take
-	// where that closes a gap. What it leaves holds some 40 requests.
+	// stretchFill is the share of an engine's memory that layers may occupy if this closes a
+	// coverage gap. The remaining memory holds about 40 requests.
 	stretchFill = 0.93
-	// Weights of a move: each layer that it covers counts far more than what it
-	// costs, which is the layers to be loaded, second holders that are given up,
-	// and memory beyond the usual fill.
+	// Weights of a move. Covering a layer counts far more than the costs: loading layers, giving
+	// up second holders, and using memory beyond the normal fill.
 	coverGain      = 1000.0
 	loadCost       = 1.0
 	redundancyCost = 2.0
 	stretchCost    = 8.0
-	// fastEngineCost is for moving a fast engine; slow ones go first. A layer takes a
-	// fast one some fastLayerTime, in ms.
+	// fastEngineCost is the cost of moving a very fast engine, so that slow engines are moved
+	// first. An engine with a LayerTime of fastLayerTime, in milliseconds, costs half of it.
 	fastEngineCost = 1.0
 	fastLayerTime  = 0.1
 )
 
-// heal closes the gaps of a data centre with engines that are in use: each may
-// hold another run of layers if what it gives up has another holder. A neighbour
-// that takes on a layer or two is loaded in a fraction of a second; an engine
-// that can be spared as a whole closes larger gaps.
+// heal closes the coverage gaps of a data centre by moving engines that already hold layers. An
+// engine may get another range if all layers that it gives up have another holder. Extending a
+// neighbour by one or two layers takes a fraction of a second; larger gaps are closed by engines
+// whose whole range is redundant.
 func (p *plan) heal(centre string) []Order {
 	var orders []Order
 	fill := p.smallestFill(centre)
@@ -40,8 +40,8 @@
 	return orders
 }
 
-// smallestFill returns the smallest fill that gives the data centre a whole copy,
-// and the first where none does.
+// smallestFill returns the smallest of healFills at which the data centre can hold a whole copy of
+// the model, or the first one if there is none.
 func (p *plan) smallestFill(centre string) float64 {
 	for _, fill := range healFills {
 		sum := 0
@@ -55,10 +55,11 @@
 	return healFills[0]
 }
 
-// bestMove returns the engine and its new run that gain most, or nil.
+// bestMove returns the engine and the new range with the highest gain, or nil if no move has a
+// gain.
 func (p *plan) bestMove(centre string, fill float64) (*Engine, fleet.Range) {
 	var best *Engine
-	var run fleet.Range
+	var target fleet.Range
 	most := 0.0
 	for i := range p.engines {
 		e := &p.engines[i]
@@ -69,30 +70,31 @@
 			for from := 0; from+size <= p.shape.Layers; from++ {
 				r := fleet.Range{From: from, To: from + size}
 				if gain := p.moveGain(e, r, fill); gain > most {
-					best, run, most = e, r, gain
+					best, target, most = e, r, gain
 				}
 			}
 		}
 	}
-	return best, run
+	return best, target
 }
 
-// maxHealLayers is the most layers that an engine is given to close a gap.
+// maxHealLayers returns the maximum number of layers that an engine may hold to close a coverage
+// gap.
 func (p *plan) maxHealLayers(e *Engine, fill float64) int {
 	return min(max(layersAtFill(e, stretchFill), layersAtFill(e, fill)), p.shape.Layers)
 }
 
-// moveGain weighs a new run of layers for an engine. It is zero or less where the
-// move covers nothing, or gives up a layer that has no other holder.
+// moveGain returns the gain of giving an engine a new range. It is zero or negative if the move
+// covers no layer or if the engine is the only holder of a layer that it would give up.
 func (p *plan) moveGain(e *Engine, r fleet.Range, fill float64) float64 {
-	local := p.holderCounts[e.DataCentre]
+	counts := p.holderCounts[e.DataCentre]
 	gain := 0.0
 	for layer := r.From; layer < r.To; layer++ {
 		if e.Held.Holds(layer) {
 			continue
 		}
 		gain -= loadCost
-		if local[layer] == 0 {
+		if counts[layer] == 0 {
 			gain += coverGain
 		}
 	}
@@ -100,13 +102,13 @@
 		if r.Holds(layer) {
 			continue
 		}
-		if local[layer] < 2 {
+		if counts[layer] < 2 {
 			return 0
 		}
 		gain -= redundancyCost
 	}
-	if over := r.Len() - layersAtFill(e, fill); over > 0 {
-		gain -= stretchCost * float64(over)
+	if excess := r.Len() - layersAtFill(e, fill); excess > 0 {
+		gain -= stretchCost * float64(excess)
 	}
 	return gain - fastEngineCost/(1+e.LayerTime/fastLayerTime)
 }
--- a/placement/layout.go
+++ b/placement/layout.go
@@ -7,49 +7,49 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// Figures of what a layout is worth.
+// Parameters of a layout's value.
 const (
-	// uncoveredPenalty is taken off for each layer without a holder in the data centre. It
-	// outweighs all that a layout can gain otherwise.
+	// uncoveredPenalty is subtracted for each layer without a holder in the data centre. It
+	// outweighs every other difference between layouts.
 	uncoveredPenalty = 10.0
-	// crashInterval is how long an engine is planned to last, in ms. It weighs second
-	// holders against memory for requests. Of 50, 100, 180 and 300 s it is the one
-	// that served best on three deployments together (docs/CUSTOMER.md).
+	// crashInterval is the assumed time between two crashes of an engine, in milliseconds. It
+	// determines how second holders are weighed against memory for requests. Of 50, 100, 180 and
+	// 300 s, this value served the most requests over three deployments together
+	// (docs/CUSTOMER.md).
 	crashInterval = 100_000.0
-	// defaultDemandShare is the part of the most that a data centre could bear, with no
-	// thought for losses, which it is planned for while its demand is not known:
-	// fleets are sized so that the busiest hour and the loss of an engine leave as
-	// much again.
+	// defaultDemandShare is the assumed demand of a data centre while the real demand is unknown,
+	// as a share of its maximum rate without crashes. Fleets are sized so that, in the busiest
+	// hour and after a crash of one engine, as much capacity as is in use is still free.
 	defaultDemandShare = 0.4
 )
 
-// layout is what the engines of one data centre hold, and weighs it. It is not
-// safe for concurrent use.
+// layout is an assignment of layer ranges to the engines of one data centre, with the data to
+// evaluate it. It is not safe for concurrent use.
 type layout struct {
 	shape Shape
-	// engines are the fast ones first, and ranges what each of them holds.
+	// engines is sorted by compareBySpeed; ranges holds the range of each engine.
 	engines []*Engine
 	ranges  []fleet.Range
 
-	// By layer: capacity is the tokens of requests that its holders have memory for,
-	// reads the prompts that they read in a ms, holders how many they are, places the
-	// sum of their places (the place itself where there is one), and given the tokens
-	// that are shared out among them so far.
+	// The following slices are indexed by layer: the request tokens that fit into the memory of
+	// the layer's holders, the prompts that the holders process per millisecond, the number of
+	// holders, the sum of the holders' indexes in engines (the index itself if there is one
+	// holder), and the request tokens that streamDuration has allocated so far.
 	layerCapacity   []float64
 	promptRates     []float64
 	holderCounts    []int
 	holderIndexSums []int
 	allocated       []float64
-	// soleLayers is by engine: how many layers it holds alone.
+	// soleLayers is the number of layers without another holder, by engine index.
 	soleLayers []int
-	// demand is how many streams a ms are to be borne.
+	// demand is the required rate in streams per millisecond.
 	demand float64
-	// evaluatedEngines counts the engines that have been looked at for values.
+	// evaluatedEngines counts the engines visited by all evaluations. Tests use it to bound the
+	// cost of a plan.
 	evaluatedEngines int
 }
 
-// newLayout returns a layout of a data centre's engines with what they hold or
-// will hold.
+// newLayout returns a layout of a data centre's engines with their current or ordered ranges.
 func newLayout(shape Shape, engines []*Engine) *layout {
 	l := &layout{
 		shape: shape, engines: slices.Clone(engines), ranges: make([]fleet.Range, len(engines)),
@@ -64,55 +64,54 @@
 	return l
 }
 
-// maxRate is how many streams a ms the data centre bears at the most, whatever
-// happens when engines are lost: of layouts that fill all engines in the same part.
+// maxRate returns the highest rate, in streams per millisecond, that the data centre supports
+// without crashes. It compares the layouts that fill all engines to the same share.
 func (l *layout) maxRate() float64 {
-	most := 0.0
+	highest := 0.0
 	for _, fill := range searchFills {
 		l.spread(fill)
 		if l.countHolders() > 0 {
 			continue
 		}
-		if room := l.requestCapacity(); room > 0 {
-			most = max(most, l.streamRate(room))
+		if capacity := l.requestCapacity(); capacity > 0 {
+			highest = max(highest, l.streamRate(capacity))
 		}
 	}
-	return most
+	return highest
 }
 
-// engineTokens returns how many tokens of requests an engine has memory for at each of
-// its layers.
+// engineTokens returns how many request tokens fit into an engine's memory at each of its layers.
 func (l *layout) engineTokens(i int) float64 {
 	n := float64(l.ranges[i].Len())
 	return max(0, l.engines[i].MemoryLayers-n) * l.shape.LayerTokens / n
 }
 
-// value is about the logarithm of the share of its requests that the data centre
-// serves, less what it is expected to lose of that while engines are replaced, and
-// less uncovered for each layer without a holder. It is never over zero.
+// value returns approximately the logarithm of the share of requests that the data centre serves,
+// minus the share expected to be lost while crashed engines are replaced, minus uncoveredPenalty
+// for each layer without a holder. It is never positive.
 func (l *layout) value() float64 {
 	l.evaluatedEngines += len(l.engines)
 	missing := l.countHolders()
-	room := l.requestCapacity()
-	if room <= 0 {
+	capacity := l.requestCapacity()
+	if capacity <= 0 {
 		return -uncoveredPenalty * float64(l.shape.Layers+missing)
 	}
-	rate := l.streamRate(room)
-	return l.logServedShare(rate) - l.expectedCrashLoss(room, rate)/crashInterval - uncoveredPenalty*float64(missing)
+	rate := l.streamRate(capacity)
+	return l.logServedShare(rate) - l.expectedCrashLoss(capacity, rate)/crashInterval - uncoveredPenalty*float64(missing)
 }
 
-// logServedShare is the logarithm of the share of requests that is served at a rate. It
-// has no edge at the demand: requests come unevenly, in sizes that differ.
+// logServedShare returns the logarithm of the share of requests that is served at a rate. The
+// function is smooth around the demand because requests arrive unevenly and differ in size.
 func (l *layout) logServedShare(rate float64) float64 {
 	if rate <= 0 {
 		return -uncoveredPenalty
 	}
-	lack := l.demand / rate
-	return -math.Log1p(lack*lack*lack) / 3
+	loadRatio := l.demand / rate
+	return -math.Log1p(loadRatio*loadRatio*loadRatio) / 3
 }
 
-// countHolders fills in what is kept by layer, and returns how many layers have no
-// holder.
+// countHolders recomputes the slices that are indexed by layer and returns the number of layers
+// without a holder.
 func (l *layout) countHolders() int {
 	clear(l.layerCapacity)
 	clear(l.promptRates)
@@ -122,10 +121,10 @@
 		if r.Empty() {
 			continue
 		}
-		share, reads := l.engineTokens(i), l.promptRate(i)
+		tokens, prompts := l.engineTokens(i), l.promptRate(i)
 		for layer := r.From; layer < r.To; layer++ {
-			l.layerCapacity[layer] += share
-			l.promptRates[layer] += reads
+			l.layerCapacity[layer] += tokens
+			l.promptRates[layer] += prompts
 			l.holderCounts[layer]++
 			l.holderIndexSums[layer] += i
 		}
--- a/placement/model.go
+++ b/placement/model.go
@@ -6,118 +6,113 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// Figures of the planner, in ms.
+// Time limits and bounds of the planner.
 const (
-	// emptyListStableFor is how long the list must have stood still before the first orders,
-	// where no engine holds anything yet: servers write their entries within a
-	// heartbeat of 1.2 s, and the list shows them up to 0.8 s late, in batches that
-	// came 1.5 s apart. A first plan from one such batch had engines filled to the
-	// last layer for the whole day (docs/CUSTOMER.md).
+	// emptyListStableFor is how long the upstream list must be unchanged before the first orders
+	// if no engine holds layers. Servers write their entries within a heartbeat of 1.2 s, and the
+	// list shows them up to 0.8 s late, in batches up to 1.5 s apart. A first plan made from a
+	// single batch filled engines to the last layer for a whole day (docs/CUSTOMER.md).
 	emptyListStableFor clock.Millis = 2500
-	// populatedListStableFor is the same where engines hold layers already, for a node that
-	// has started again: the list is there as a whole.
+	// populatedListStableFor is the corresponding time if engines already hold layers. This is the
+	// case after a restart of the node, when the list is already complete.
 	populatedListStableFor clock.Millis = 1500
-	// maxListWait bounds the wait for a list that never stands still.
+	// maxListWait bounds the wait for a list that keeps changing.
 	maxListWait clock.Millis = 5000
-	// orderTimeout is how long an order that was taken may take to show in the
-	// list: a load of a quarter of the layers, slowed by others, and the lag.
+	// orderTimeout is how long an accepted order may take to appear in the list: loading a quarter
+	// of the layers while other engines load too, plus the delay of the list.
 	orderTimeout clock.Millis = 9000
-	// busyRetryDelay is how long an engine that another node's order keeps busy is
-	// left alone.
+	// busyRetryDelay is how long an engine that executes another node's order gets no order.
 	busyRetryDelay clock.Millis = 3000
-	// orderRetryDelay is how soon an order that got no answer is tried again. It may
-	// still be carried out; the engine's count of orders guards against both.
+	// orderRetryDelay is the delay before an unanswered order is sent again. The engine may still
+	// execute the first order; its order count prevents executing both.
 	orderRetryDelay clock.Millis = 2500
-	// rejectedRetryDelay is for how long an engine that cannot read an order gets none. The same
-	// order would say the same to it; only another program at one of the two ends mends that.
+	// rejectedRetryDelay is how long an engine that could not decode an order gets no order. It
+	// would reject the same order again until one of the two programs is updated.
 	rejectedRetryDelay clock.Millis = 30_000
-	// reserveDuration is for how long a new engine is kept for layers that lose their
-	// holder: servers of a service are replaced about a second apart, and the old
-	// one states that it is leaving after the new one has started.
+	// reserveDuration is how long a new engine is reserved for layers that lose their holder.
+	// Servers of a service are replaced about one second apart, and the old server announces that
+	// it is leaving after the new one has started.
 	reserveDuration clock.Millis = 4000
-	// heldReportLifetime is for how long word of what an engine holds counts more than
-	// the list: its lag and a heartbeat.
+	// heldReportLifetime is how long a report that an engine holds its ordered layers takes
+	// precedence over the list: the delay of the list plus one heartbeat.
 	heldReportLifetime clock.Millis = 3000
-	// withheldGracePeriod is for how long an engine whose entry cannot be used counts as holding
-	// its layers: it writes its entry again within a heartbeat of 1.2 s, and the list shows
-	// that up to 0.8 s late. Moving other engines for it costs seconds of their work.
+	// withheldGracePeriod is how long an engine with an unusable entry still counts as a holder of
+	// its layers. The engine rewrites its entry within a heartbeat of 1.2 s, and the list shows it
+	// up to 0.8 s late. Moving other engines instead would take them out of service for seconds.
 	withheldGracePeriod clock.Millis = 3000
-	// healDelay is how long layers must have been without a holder before an
-	// engine that is in use is moved to them, so that one change of the list is
-	// seen whole.
+	// healDelay is how long layers must have been without a holder before an engine with layers is
+	// moved to them. A change of the list that arrives in parts is then seen as a whole.
 	healDelay clock.Millis = 300
-	// maxIdle is for how long at the most a planner that has found nothing to do looks
-	// at nothing while nothing happens. A look costs some 2 µs an engine, four times
-	// a second, and five times that on the smallest VMs.
+	// maxIdle is the maximum time between two checks of the engines when nothing is to be ordered
+	// and no message arrives. A check costs about 2 µs per engine, four times per second, and five
+	// times as much on the smallest VMs.
 	maxIdle clock.Millis = 1000
-	// maxUnresponsive is how many engines of a service may be silent to this node alone at
-	// a time. With more it is the node that is cut off, and only the list and what
-	// other nodes have found too counts.
+	// maxUnresponsive is the maximum number of engines that may be unresponsive to this node
+	// alone. With more of them, this node is assumed to be disconnected, and only engines that are
+	// missing in the list or unresponsive to other nodes too count as lost.
 	maxUnresponsive = 4
 )
 
-// Model plans for every pipeline service. It is pure and not safe for
-// concurrent use.
+// Model plans the placement of every pipeline service. It is pure and not safe for concurrent use.
 type Model struct {
 	delay clock.Millis
-	// standby tells that other nodes plan, and elsewhere are the data centres whose own nodes
-	// do so. A plan takes a second for hundreds of engines, and the nodes of another data
-	// centre would find the same one.
+	// standby is set while other nodes plan and this node does not. The nodes in
+	// excludedDataCentres plan for their own data centres. A plan for hundreds of engines takes a
+	// second, and nodes of other data centres would compute the same one.
 	standby             bool
 	excludedDataCentres []string
 	startedAt           clock.Millis
 	listChangedAt       clock.Millis
-	// listConfirmedAt is when the list was last confirmed.
+	// listConfirmedAt is the time of the last confirmation that the list is current.
 	listConfirmedAt clock.Millis
 	ready           bool
 	readyAt         clock.Millis
 	catalog         *catalog.Catalog
 	upstreams       map[fleet.Incarnation]fleet.Upstream
-	// unresponsive are engines that are in the list and do not answer this node alone, and
-	// agreed those that do not answer others either.
+	// unresponsive holds the listed engines that do not answer this node, and
+	// confirmedUnresponsive those that other nodes report as unresponsive too.
 	unresponsive          map[fleet.Incarnation]bool
 	confirmedUnresponsive map[fleet.Incarnation]bool
 	pending               map[fleet.Incarnation]pendingOrder
-	// heldReportedUntil is until when word of what an engine holds counts more than an
-	// entry without layers.
+	// heldReportedUntil is the time until which the reported layers of an engine take precedence
+	// over an entry without layers.
 	heldReportedUntil map[fleet.Incarnation]clock.Millis
-	// firstSeen is when an engine was first in the list.
+	// firstSeen is the time at which an engine first appeared in the list.
 	firstSeen map[fleet.Incarnation]clock.Millis
-	// withheldSince is since when an engine's entry cannot be used.
+	// withheldSince is the time since which the entry of an engine has been unusable.
 	withheldSince map[fleet.Incarnation]clock.Millis
-	// uncoveredSince is since when a service has had layers without a holder.
+	// uncoveredSince is the time since which a service has had layers without a holder.
 	uncoveredSince map[string]clock.Millis
-	// plans are by service.
+	// plans holds the last plan of each service.
 	plans map[string]cachedPlan
-	// dueSince is since when there have been orders to give and nobody else gave any.
+	// dueSince is the time since which orders have been needed and no other node has given any.
 	dueSince clock.Millis
-	// idleUntil is until when nothing is to be looked at if nothing happens.
+	// idleUntil is the time of the next check if no message arrives.
 	idleUntil clock.Millis
-	// changeCount counts what may have changed who holds what, and covered is for Coverage.
+	// changeCount counts the changes that may affect the result of Coverage.
 	changeCount   uint64
 	coverageCache coverageCache
 }
 
-// pendingOrder is an order that has been given. Its layers are none where the engine could not read
-// it.
+// pendingOrder is an order that was given. The layers are empty if the engine rejected the order.
 type pendingOrder struct {
 	layers fleet.Range
 	until  clock.Millis
 }
 
-// Option sets up a Model.
+// Option configures a Model.
 type Option func(*Model)
 
-// WithDelay sets how long the planner leaves orders to others first. Nodes
-// with different delays seldom give the same order twice.
+// WithDelay sets how long the planner waits for other nodes to give the orders. Nodes with
+// different delays rarely give the same order twice.
 func WithDelay(d clock.Millis) Option { return func(m *Model) { m.delay = d } }
 
-// WithStart sets the time at which the planner begins.
+// WithStart sets the start time of the planner.
 func WithStart(now clock.Millis) Option {
 	return func(m *Model) { m.startedAt, m.listChangedAt = now, now }
 }
 
-// New returns a planner that knows nothing.
+// New returns a planner without engines and configuration.
 func New(opts ...Option) *Model {
 	m := &Model{
 		upstreams:             make(map[fleet.Incarnation]fleet.Upstream),
@@ -137,7 +132,7 @@
 	return m
 }
 
-// Update takes in one message and returns the orders to give.
+// Update handles a message and returns the orders to give.
 func (m *Model) Update(now clock.Millis, msg Msg) []OrderCmd {
 	if _, tick := msg.(TickMsg); !tick {
 		m.idleUntil = 0
@@ -150,7 +145,7 @@
 		m.applyFleetChanges(now, msg.Changes)
 	case RankMsg:
 		m.delay, m.standby, m.excludedDataCentres = msg.Delay, msg.Standby, msg.ExcludedDataCentres
-	case UnresponsiveMsg:
+	case ResponsivenessMsg:
 		m.setUnresponsive(msg)
 	case OrderResultMsg:
 		m.applyOrderResult(now, msg)
@@ -189,7 +184,7 @@
 			m.withheldSince[c.ID] = now
 		}
 		if known && c.Upstream.Held.Empty() && now < m.heldReportedUntil[c.ID] {
-			// The list still shows what was before an order was carried out.
+			// The list still shows the state before the order was executed.
 			c.Upstream.Held = before.Held
 		}
 		if p, ok := m.pending[c.ID]; ok && !p.layers.Empty() && c.Upstream.Held == p.layers {
@@ -210,14 +205,15 @@
 		delete(m.pending, msg.Upstream)
 	case u.Held != msg.Layers:
 		if m.pending[msg.Upstream].layers != msg.Layers {
-			// Another node is at it. Its plan goes on, and would be sought here in vain.
+			// Another node is giving the orders of its plan. Planning now would produce the same
+			// orders.
 			m.dueSince = 0
 		}
 		m.pending[msg.Upstream] = pendingOrder{layers: msg.Layers, until: now.Add(orderTimeout)}
 	}
 }
 
-func (m *Model) setUnresponsive(msg UnresponsiveMsg) {
+func (m *Model) setUnresponsive(msg ResponsivenessMsg) {
 	delete(m.unresponsive, msg.Upstream)
 	delete(m.confirmedUnresponsive, msg.Upstream)
 	_, known := m.upstreams[msg.Upstream]
@@ -230,14 +226,14 @@
 	}
 }
 
-// withheldTooLong tells whether an engine's entry has not been usable for so long that it counts
-// as lost.
+// withheldTooLong reports whether an engine's entry has been unusable for at least
+// withheldGracePeriod, so that the engine counts as lost.
 func (m *Model) withheldTooLong(now clock.Millis, id fleet.Incarnation) bool {
 	since, ok := m.withheldSince[id]
 	return ok && now >= since.Add(withheldGracePeriod)
 }
 
-// isLost tells whether an engine counts as lost for its silence.
+// isLost reports whether an engine counts as lost because it is unresponsive.
 func (m *Model) isLost(id fleet.Incarnation) bool {
 	return m.confirmedUnresponsive[id] || m.unresponsive[id] && len(m.unresponsive) <= maxUnresponsive
 }
@@ -255,7 +251,7 @@
 	case Refused, Unanswered:
 		p.until = now.Add(orderRetryDelay)
 	case Rejected:
-		// It is not on its way to hold them: others are planned for.
+		// The engine will not hold these layers, so others may get them.
 		p.layers, p.until = fleet.Range{}, now.Add(rejectedRetryDelay)
 	}
 	m.pending[msg.Upstream] = p
--- a/placement/msg.go
+++ b/placement/msg.go
@@ -6,91 +6,93 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// Msg is something that has happened.
+// Msg is an input of the planner.
 type Msg interface{ placementMsg() }
 
-// CatalogMsg brings a version of the configuration.
+// CatalogMsg contains a new version of the configuration.
 type CatalogMsg struct{ Catalog *catalog.Catalog }
 
-// FleetMsg brings changes of the list of upstreams.
+// FleetMsg contains changes of the upstream list.
 type FleetMsg struct{ Changes []fleet.Change }
 
-// RankMsg changes how long the planner leaves orders to others first, when the
-// node has learnt of them.
+// RankMsg sets the delay and the role of this node in planning. It is sent when the set of known
+// nodes changes.
 type RankMsg struct {
 	Delay clock.Millis
-	// Standby tells that other nodes plan and this one does not.
+	// Standby is set if other nodes plan and this node does not.
 	Standby bool
-	// ExcludedDataCentres are the data centres whose engines their own nodes plan for.
+	// ExcludedDataCentres are the data centres that are planned by nodes of their own.
 	ExcludedDataCentres []string
 }
 
-// UnresponsiveMsg tells that an engine does not answer this node, or does again.
-type UnresponsiveMsg struct {
+// ResponsivenessMsg reports that an engine became unresponsive to this node, or answers again.
+type ResponsivenessMsg struct {
 	Upstream     fleet.Incarnation
 	Unresponsive bool
-	// Confirmed tells that another node has found it silent too.
+	// Confirmed is set if another node also found the engine unresponsive.
 	Confirmed bool
 }
 
-// OrderResultMsg tells what came of an OrderCmd.
+// OrderResultMsg reports the result of an OrderCmd.
 type OrderResultMsg struct {
 	Upstream fleet.Incarnation
 	Result   Result
 	Held     fleet.Range
 }
 
-// PlacedMsg tells of an order that another node has given, or, with Holds, that
-// an engine has carried one out.
+// PlacedMsg reports an order that a node has given or, if Completed is set, that the engine now
+// holds the ordered layers.
 type PlacedMsg struct {
 	Upstream  fleet.Incarnation
 	Layers    fleet.Range
 	Completed bool
 }
 
-// TickMsg drives what depends on time alone.
+// TickMsg is sent at regular intervals.
 type TickMsg struct {
-	// ListAge is how long ago the list of upstreams was last confirmed.
+	// ListAge is the time since the last confirmation that the upstream list is current.
 	ListAge clock.Millis
 }
 
-func (CatalogMsg) placementMsg()      {}
-func (FleetMsg) placementMsg()        {}
-func (RankMsg) placementMsg()         {}
-func (UnresponsiveMsg) placementMsg() {}
-func (OrderResultMsg) placementMsg()  {}
-func (PlacedMsg) placementMsg()       {}
-func (TickMsg) placementMsg()         {}
+func (CatalogMsg) placementMsg()        {}
+func (FleetMsg) placementMsg()          {}
+func (RankMsg) placementMsg()           {}
+func (ResponsivenessMsg) placementMsg() {}
+func (OrderResultMsg) placementMsg()    {}
+func (PlacedMsg) placementMsg()         {}
+func (TickMsg) placementMsg()           {}
 
-// Result is what came of an order.
+// Result is the result of an order.
 type Result uint8
 
-// The results of an order.
+// Results of an order.
 const (
-	// Taken: the engine has begun, or holds the layers already.
+	// Taken means that the engine has accepted the order or already holds the layers.
 	Taken Result = iota
-	// Refused: it does not fit the engine's state, or another order came first.
+	// Refused means that the order does not match the engine's state, or that another order was
+	// accepted first.
 	Refused
-	// Busy: the engine carries out another order.
+	// Busy means that the engine is executing another order.
 	Busy
-	// Unanswered: the order may have been taken, or may yet be.
+	// Unanswered means that the order may or may not have been accepted, or may still be.
 	Unanswered
-	// Rejected: the engine cannot read the order. It would say the same of the next one.
+	// Rejected means that the engine could not decode the order. It would reject a repeated order
+	// too.
 	Rejected
 )
 
 var resultNames = [...]string{"taken", "refused", "busy", "unanswered", "rejected"}
 
-// String names the result for logs.
+// String returns the name of the result in logs and metrics.
 func (r Result) String() string { return resultNames[r] }
 
-// OrderCmd has an engine hold a range of layers.
+// OrderCmd orders an engine to hold a range of layers.
 type OrderCmd struct {
 	Upstream fleet.Incarnation
 	Address  string
 	Layers   fleet.Range
-	// ExpectedHeld is what the list says that the engine holds.
+	// ExpectedHeld is the range that the engine holds according to the list.
 	ExpectedHeld fleet.Range
-	// Missing is how many of them have no holder in the data centre.
+	// Missing is the number of ordered layers that had no holder in the data centre.
 	Missing int
 }
--- a/placement/orders.go
+++ b/placement/orders.go
@@ -7,18 +7,18 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// cachedPlan is a plan, and the pipeline and engines that it is for. A plan is sought
-// once for the same: on the smallest VMs the first one takes a quarter of a second.
+// cachedPlan is a plan with the pipeline and engines for which it was computed. The same input is
+// planned only once, since a first plan takes a quarter of a second on the smallest VMs.
 type cachedPlan struct {
 	shape   Shape
 	engines []Engine
 	orders  []Order
 }
 
-// needsOrders tells whether a service has engines to be filled, or layers that have been
-// without a holder for a while. It costs next to nothing.
+// needsOrders reports whether a service has empty engines that may get layers, or layers that have
+// been without a holder for healDelay. It is cheap compared with a plan.
 func (m *Model) needsOrders(now clock.Millis, s *catalog.Service) bool {
-	p := newPlan(ShapeOf(s.Pipeline), m.plannableEngines(now, s))
+	p := newPlan(ShapeOf(s.Pipeline), m.engines(now, s))
 	missing, empty := p.needs()
 	if !missing {
 		delete(m.uncoveredSince, s.Name)
@@ -30,7 +30,8 @@
 	return empty || m.canHeal(now, s.Name)
 }
 
-// canHeal tells whether engines that are in use may be moved.
+// canHeal reports whether layers of a service have been without a holder for long enough to move
+// engines that already hold layers.
 func (m *Model) canHeal(now clock.Millis, service string) bool {
 	since, missing := m.uncoveredSince[service]
 	return missing && now >= since.Add(healDelay)
@@ -38,14 +39,14 @@
 
 // planService returns the orders for a service that may be given now.
 func (m *Model) planService(now clock.Millis, s *catalog.Service) []OrderCmd {
-	shape, engines := ShapeOf(s.Pipeline), m.plannableEngines(now, s)
-	last := m.plans[s.Name]
-	if shape != last.shape || !slices.Equal(engines, last.engines) {
-		last = cachedPlan{shape: shape, engines: engines, orders: Plan(shape, engines)}
-		m.plans[s.Name] = last
+	shape, engines := ShapeOf(s.Pipeline), m.engines(now, s)
+	cached := m.plans[s.Name]
+	if shape != cached.shape || !slices.Equal(engines, cached.engines) {
+		cached = cachedPlan{shape: shape, engines: engines, orders: Plan(shape, engines)}
+		m.plans[s.Name] = cached
 	}
 	var cmds []OrderCmd
-	for _, o := range last.orders {
+	for _, o := range cached.orders {
 		u := m.upstreams[o.ID]
 		if !u.Held.Empty() && !m.canHeal(now, s.Name) {
 			continue
@@ -55,9 +56,8 @@
 	return cmds
 }
 
-// plannableEngines returns a service's engines that may hold layers, as the planner is to
-// see them.
-func (m *Model) plannableEngines(now clock.Millis, s *catalog.Service) []Engine {
+// engines returns the planner's input for the engines of a service that may hold layers.
+func (m *Model) engines(now clock.Millis, s *catalog.Service) []Engine {
 	var engines []Engine
 	for id, u := range m.upstreams {
 		kind, ok := s.Pipeline.Accelerators[u.Accelerator]
@@ -70,7 +70,7 @@
 		}
 		e.Reserved = m.ready && m.firstSeen[id] > m.readyAt && now < m.firstSeen[id].Add(reserveDuration)
 		e.Fixed = u.Withheld
-		if p, waiting := m.pending[id]; waiting {
+		if p, ordered := m.pending[id]; ordered {
 			e.Ordered, e.Fixed = p.layers, true
 		}
 		engines = append(engines, e)
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -1,16 +1,15 @@
 // Package placement decides which engine holds which layers of a model.
 //
-// Each data centre gets a whole copy if its engines can hold one. What engines
-// hold is chosen by what it is worth (layout.value): the streams a second that the
-// data centre bears, which falls with the memory that layers take away from
-// requests and with the time that slow engines hold it, less what is lost while
-// an engine that goes is replaced, which second holders save. The first plan is
-// sought as a whole. Later, empty engines are given the range that is worth most,
-// and where a layer has lost its only holder in a data centre, an engine whose
-// layers all have another holder moves there.
+// Each data centre gets a whole copy of the model if its engines have enough memory. Layouts are
+// compared by their value (layout.value): the rate of streams that the data centre supports, minus
+// the expected loss while a crashed engine is replaced. The rate falls with the memory that layers
+// take from requests and with the time that slow engines hold requests in memory. Second holders
+// reduce the expected loss. The initial plan is computed for all engines together. Later, each
+// empty engine gets the range with the highest value. If a layer has lost its only holder in a
+// data centre, an engine whose layers all have another holder is moved to it.
 //
-// Plan is pure, and the same engines give the same plan, so that two nodes
-// that plan at the same time ask for the same.
+// Plan is a pure function of the engines. Two nodes that plan at the same time therefore produce
+// the same orders.
 package placement
 
 import (
@@ -21,32 +20,32 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// Engine is an engine as the planner sees it.
+// Engine is the planner's input for an engine.
 type Engine struct {
 	ID         fleet.Incarnation
 	DataCentre string
-	// MaxLayers is how many layers fit into its memory, and Memory the same with the
-	// part of a layer that is left over.
+	// MaxLayers is the number of whole layers that fit into the engine's memory, and MemoryLayers
+	// the size of that memory in layers, including the fraction.
 	MaxLayers    int
 	MemoryLayers float64
-	// LayerTime is the time of one token through one layer, and ReadTime that of
-	// one token of a prompt, in ms.
+	// LayerTime is the time to generate one token in one layer, and ReadTime the time to process
+	// one prompt token in one layer, in milliseconds.
 	LayerTime float64
 	ReadTime  float64
-	// Held is what it holds, and Coming what it has been ordered to hold.
+	// Held is the range that the engine holds, and Ordered the range of a pending order.
 	Held    fleet.Range
 	Ordered fleet.Range
-	// Fixed engines get no orders now.
+	// Fixed engines get no orders at present.
 	Fixed bool
-	// Reserved engines are new; they are kept for layers without a holder.
+	// Reserved engines are new and only used for layers without a holder.
 	Reserved bool
 }
 
-// servingLayers is how many layers an engine can hold and serve. One that its layers fill to the
-// last byte has no memory for a request: its layers look held, and nobody is served.
+// servingLayers returns the maximum number of layers that leave memory for requests. An engine
+// that is filled to the last byte counts as a holder of its layers but cannot serve any request.
 func (e *Engine) servingLayers() int { return int(math.Ceil(e.MemoryLayers)) - 1 }
 
-// assigned is the range that the engine holds or will.
+// assigned returns the range of the pending order or, without one, the held range.
 func (e *Engine) assigned() fleet.Range {
 	if !e.Ordered.Empty() {
 		return e.Ordered
@@ -54,22 +53,22 @@
 	return e.Held
 }
 
-// Order tells an engine which layers to hold.
+// Order assigns a range of layers to an engine.
 type Order struct {
 	ID     fleet.Incarnation
 	Layers fleet.Range
-	// Missing is how many of the layers had no holder in the data centre.
+	// Missing is the number of these layers that had no holder in the data centre.
 	Missing int
 }
 
-// searchFills are the shares of an engine's memory that layers may take when a first
-// plan is sought, and from which the best is improved on.
+// searchFills are the shares of an engine's memory that layers may occupy in the starting points
+// of a search. The best starting point is improved further.
 var searchFills = []float64{0.55, 0.6, 0.65, 0.7, 0.75, 0.8, 0.85, 0.9, 0.95, 1}
 
-// Plan returns the orders to be given now, most urgent first.
+// Plan returns the orders to give now, most urgent first.
 func Plan(shape Shape, engines []Engine) []Order { return newPlan(shape, engines).computeOrders() }
 
-// computeOrders returns the orders to be given now.
+// computeOrders returns the orders to give now, most urgent first.
 func (p *plan) computeOrders() []Order {
 	var orders []Order
 	for _, centre := range p.dataCentres {
@@ -84,13 +83,14 @@
 	return orders
 }
 
-// plan counts the holders of each layer while orders are added.
+// plan is the state of planning: the engines and the number of holders of each layer, by data
+// centre, including the orders added so far.
 type plan struct {
 	shape        Shape
 	engines      []Engine
 	dataCentres  []string
 	holderCounts map[string][]int
-	// evaluatedEngines counts the engines that have been looked at for the values of layouts.
+	// evaluatedEngines counts the engines visited by all evaluations of layouts.
 	evaluatedEngines int
 }
 
@@ -109,16 +109,16 @@
 	return p
 }
 
-func (p *plan) addHolders(centre string, r fleet.Range, by int) {
+func (p *plan) addHolders(centre string, r fleet.Range, delta int) {
 	for layer := max(r.From, 0); layer < min(r.To, p.shape.Layers); layer++ {
-		p.holderCounts[centre][layer] += by
+		p.holderCounts[centre][layer] += delta
 	}
 }
 
-// allLayers is the range of all layers.
+// allLayers returns the range of all layers.
 func (p *plan) allLayers() fleet.Range { return fleet.Range{To: p.shape.Layers} }
 
-// enginesIn returns the engines of a data centre that can hold a layer.
+// enginesIn returns the engines of a data centre whose memory holds at least one layer.
 func (p *plan) enginesIn(centre string) []*Engine {
 	var list []*Engine
 	for i := range p.engines {
@@ -129,7 +129,7 @@
 	return list
 }
 
-// isEmpty tells whether no engine of a data centre holds anything or is to.
+// isEmpty reports whether no engine of a data centre holds layers or has a pending order.
 func (p *plan) isEmpty(centre string) bool {
 	for _, e := range p.enginesIn(centre) {
 		if !e.assigned().Empty() || e.Fixed {
@@ -139,23 +139,23 @@
 	return true
 }
 
-// layersAtFill is how many layers an engine is given at a fill, if that leaves memory for
-// requests.
+// layersAtFill returns how many layers an engine gets at a fill, limited so that memory for
+// requests is left.
 func layersAtFill(e *Engine, fill float64) int {
 	return max(1, min(int(float64(e.MaxLayers)*fill), e.servingLayers()))
 }
 
-// planInitial plans a data centre whose engines are all empty.
+// planInitial plans a data centre in which all engines are empty.
 func (p *plan) planInitial(centre string) []Order {
 	var orders []Order
-	var found []*layout
+	var solved []*layout
 	for _, group := range p.groups(centre) {
 		l := newLayout(p.shape, group)
-		if i := slices.IndexFunc(found, l.sameKinds); i >= 0 {
-			copy(l.ranges, found[i].ranges)
+		if i := slices.IndexFunc(solved, l.sameKinds); i >= 0 {
+			copy(l.ranges, solved[i].ranges)
 		} else {
 			l.search()
-			found = append(found, l)
+			solved = append(solved, l)
 			p.evaluatedEngines += l.evaluatedEngines
 		}
 		for i, e := range l.engines {
@@ -167,8 +167,8 @@
 	return orders
 }
 
-// needs tells whether some layer lacks a holder in a data centre, and whether some
-// engine is to be filled.
+// needs reports whether a layer has no holder in some data centre, and whether an empty engine may
+// get layers.
 func (p *plan) needs() (missing, empty bool) {
 	for _, centre := range p.dataCentres {
 		missing = missing || p.missingLayers(centre, p.allLayers()) > 0
@@ -179,12 +179,12 @@
 	return missing, empty
 }
 
-// fillable tells whether an engine is empty and may get an order now.
+// fillable reports whether an engine is empty and may get an order now.
 func (p *plan) fillable(e *Engine) bool {
 	return e.MaxLayers > 0 && e.assigned().Empty() && !e.Fixed && !p.isReserved(e)
 }
 
-// fillEmpty gives the empty engines of a data centre the ranges that are worth most.
+// fillEmpty gives each empty engine of a data centre the range with the highest value.
 func (p *plan) fillEmpty(centre string) []Order {
 	var orders []Order
 	for _, group := range p.groups(centre) {
@@ -198,11 +198,11 @@
 func (p *plan) fillGroup(engines []*Engine) []Order {
 	var orders []Order
 	l := newLayout(p.shape, engines)
-	if open := p.fillableIndexes(l); len(open) > 1 && 2*l.countHolders() > p.shape.Layers {
-		// One after the other, the first would be filled to the last layer, since each layer
-		// without a holder outweighs all else, and have no memory for requests.
-		l.searchEngines(open)
-		for _, i := range open {
+	if empty := p.fillableIndexes(l); len(empty) > 1 && 2*l.countHolders() > p.shape.Layers {
+		// Since each layer without a holder outweighs everything else, filling the engines one by
+		// one would fill the first ones completely and leave them no memory for requests.
+		l.searchEngines(empty)
+		for _, i := range empty {
 			orders = append(orders, p.addOrder(l.engines[i], l.ranges[i]))
 		}
 		p.evaluatedEngines += l.evaluatedEngines
@@ -223,19 +223,19 @@
 	return orders
 }
 
-// fillableIndexes are the places of the engines of a layout that may be filled.
+// fillableIndexes returns the indexes of the engines in a layout that may be filled.
 func (p *plan) fillableIndexes(l *layout) []int {
-	var open []int
+	var empty []int
 	for i, e := range l.engines {
 		if p.fillable(e) {
-			open = append(open, i)
+			empty = append(empty, i)
 		}
 	}
-	return open
+	return empty
 }
 
-// isReserved tells whether an engine is held in reserve: servers are replaced one
-// after the other, the new one first, so layers will soon want a holder.
+// isReserved reports whether an engine is kept in reserve. Servers are replaced one after the
+// other, and each new server starts before the old one leaves, so layers will soon need a holder.
 func (p *plan) isReserved(e *Engine) bool {
 	return e.Reserved && p.missingLayers(e.DataCentre, p.allLayers()) == 0
 }
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -10,8 +10,8 @@
 	"github.com/hoistjunction/hoistjunction/placement"
 )
 
-// accelerator is a kind of accelerator of the tests: its memory in layers, and the time
-// of a token and of reading one through a layer, in ms.
+// accelerator is a kind of accelerator: the size of its memory in layers, and the times to
+// generate one token and to process one prompt token in one layer, in milliseconds.
 type accelerator struct {
 	name      string
 	memory    float64
@@ -36,7 +36,7 @@
 	return list
 }
 
-// holders counts the holders of each layer after the orders.
+// holders returns the number of holders of each layer after the orders.
 func holders(orders []placement.Order, layers int) []int {
 	n := make([]int, layers)
 	for _, o := range orders {
@@ -47,8 +47,8 @@
 	return n
 }
 
-// The fast engines carry the model where they can, and every engine keeps room
-// for requests.
+// Fast engines must hold the whole model if they can, and every engine must keep memory for
+// requests.
 func TestPlanPrefersFastEngines(t *testing.T) {
 	list := slices.Concat(engines("a", largeFast, 1), engines("a", smallFast, 10), engines("a", slow, 4))
 	orders := placement.Plan(benchShape, list)
@@ -56,7 +56,7 @@
 	for _, o := range orders {
 		i := slices.IndexFunc(list, func(e placement.Engine) bool { return e.ID == o.ID })
 		if share := float64(o.Layers.Len()) / list[i].MemoryLayers; share > 0.9 {
-			t.Errorf("%s: got %v of its memory for layers, want at most 0.9", o.ID, share)
+			t.Errorf("%s: got a share of %v of its memory for layers, want at most 0.9", o.ID, share)
 		}
 		if list[i].LayerTime < slow.layerTime {
 			fast += o.Layers.Len()
@@ -65,34 +65,34 @@
 	if fast < benchShape.Layers {
 		t.Errorf("got %d layers on fast engines, want %d or more", fast, benchShape.Layers)
 	}
-	if least := slices.Min(holders(orders, benchShape.Layers)); least < 1 {
-		t.Errorf("got %d holders of some layer, want 1 or more", least)
+	if fewest := slices.Min(holders(orders, benchShape.Layers)); fewest < 1 {
+		t.Errorf("got a layer with %d holders, want 1 or more", fewest)
 	}
 }
 
-// Whatever the engines are, no order exceeds an engine's memory, and a data
-// centre that can hold the model does.
+// For any set of engines, no order may exceed an engine's memory, and a data centre whose engines
+// can hold the model must hold all layers.
 func TestPlanRandomEngines(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	for range 60 {
 		list := randomEngines(random)
-		most, room := 0, 0
+		largest, total := 0, 0
 		orders := placement.Plan(benchShape, list)
 		for _, e := range list {
-			room += e.MaxLayers
-			most = max(most, e.MaxLayers)
+			total += e.MaxLayers
+			largest = max(largest, e.MaxLayers)
 			for _, o := range orders {
 				if o.ID == e.ID && (o.Layers.Len() > e.MaxLayers || o.Layers.From < 0 || o.Layers.To > benchShape.Layers) {
-					t.Errorf("got order %v for an engine of %d layers", o, e.MaxLayers)
+					t.Errorf("got order %v for an engine with memory for %d layers", o, e.MaxLayers)
 				}
 			}
 		}
-		// Ranges of one length seldom fill a model exactly: one engine is left out.
-		if room-most < benchShape.Layers {
+		// Ranges of equal length rarely fill the model exactly, so one engine does not count.
+		if total-largest < benchShape.Layers {
 			continue
 		}
-		if least := slices.Min(holders(orders, benchShape.Layers)); least < 1 {
-			t.Errorf("got a layer without a holder of %d engines with room for %d layers, want none", len(list), room)
+		if fewest := slices.Min(holders(orders, benchShape.Layers)); fewest < 1 {
+			t.Errorf("got a layer without a holder, want none: %d engines have memory for %d layers", len(list), total)
 		}
 	}
 }
@@ -112,12 +112,12 @@
 	return list
 }
 
-// The same engines give the same plan, in whatever order they are listed.
+// Plan must return the same orders for the same engines in any order.
 func TestPlanIgnoresEngineOrder(t *testing.T) {
 	list := slices.Concat(engines("a", slow, 9), engines("b", smallFast, 14), engines("b", largeFast, 2))
 	want := fmt.Sprint(placement.Plan(benchShape, list))
 	slices.Reverse(list)
 	if got := fmt.Sprint(placement.Plan(benchShape, list)); got != want {
-		t.Errorf("got %s, want %s", got, want)
+		t.Errorf("got orders %s, want %s", got, want)
 	}
 }
--- a/placement/refill_test.go
+++ b/placement/refill_test.go
@@ -8,15 +8,15 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// A data centre that had lost all of its engines was short of memory for good: one engine had been
-// given its layers when the others were listed again, so these were given theirs one by one, the
-// first ones to the last layer. What is left to be placed is planned together: it has nearly
-// the room that it would have had from nothing.
+// Guards against a permanent shortage of memory after a data centre has lost all of its engines.
+// One engine had got its layers before the others were listed again. The others were then planned
+// one by one, and the first ones were filled to the last layer. Empty engines must be planned
+// together and reach nearly the request capacity of an initial plan.
 func TestReturningEnginesAreFilledTogether(t *testing.T) {
 	const (
-		layers  = 80
-		roomOf  = 0.8
-		engines = 13
+		layers        = 80
+		requiredShare = 0.8
+		engines       = 13
 	)
 	shape := ShapeOf(&catalog.Pipeline{
 		Layers: layers, LayerMB: 1750, TokenBytes: 459_000, StepMS: 0.85, SequenceMS: 0.00297, ContextMS: 0.00398, ReadRate: 252, ReadInPass: 512,
@@ -36,7 +36,7 @@
 		}
 		return list
 	}
-	roomAfter := func(list []Engine) float64 {
+	capacityAfter := func(list []Engine) float64 {
 		for _, o := range Plan(shape, list) {
 			for i := range list {
 				if list[i].ID == o.ID {
@@ -44,20 +44,20 @@
 				}
 			}
 		}
-		var refs []*Engine
+		var pointers []*Engine
 		for i := range list {
-			refs = append(refs, &list[i])
+			pointers = append(pointers, &list[i])
 		}
-		l := newLayout(shape, refs)
+		l := newLayout(shape, pointers)
 		if missing := l.countHolders(); missing > 0 {
-			t.Fatalf("got %d layers without an engine, want none", missing)
+			t.Fatalf("got %d layers without a holder, want none", missing)
 		}
 		return l.requestCapacity()
 	}
-	anew := roomAfter(build())
-	begun := build()
-	begun[5].Held = fleet.Range{From: 0, To: 9}
-	if got, want := roomAfter(begun), roomOf*anew; got < want {
-		t.Errorf("got room for %.0f tokens, want %.0f at least: from nothing there is %.0f", got, want, anew)
+	fresh := capacityAfter(build())
+	partial := build()
+	partial[5].Held = fleet.Range{From: 0, To: 9}
+	if got, want := capacityAfter(partial), requiredShare*fresh; got < want {
+		t.Errorf("got memory for %.0f request tokens, want at least %.0f; an initial plan has %.0f", got, want, fresh)
 	}
 }
--- a/placement/script_test.go
+++ b/placement/script_test.go
@@ -15,7 +15,8 @@
 
 func TestScripts(t *testing.T) { runScripts(t, "testdata") }
 
-// The scripts tell how streams were never served since no engine could read an order.
+// The scripts guard against repeating orders that an engine cannot decode, which left all streams
+// unserved.
 func TestRejectedOrders(t *testing.T) { runScripts(t, "testdata/rejected") }
 
 func runScripts(t *testing.T, folder string) {
@@ -25,7 +26,7 @@
 	})
 }
 
-// scriptRunner carries out the lines of a script.
+// scriptRunner executes the steps of a script.
 type scriptRunner struct {
 	t     *testing.T
 	model *placement.Model
@@ -55,7 +56,7 @@
 	case "rank":
 		return placement.RankMsg{Delay: clock.Millis(s.Int("delay", 0))}
 	case "silent":
-		return placement.UnresponsiveMsg{Upstream: script.Incarnation(s.Word(0)), Unresponsive: s.Named["silent"] != "no", Confirmed: s.Named["agreed"] == "yes"}
+		return placement.ResponsivenessMsg{Upstream: script.Incarnation(s.Word(0)), Unresponsive: s.Named["silent"] != "no", Confirmed: s.Named["agreed"] == "yes"}
 	case "ordered":
 		return placement.OrderResultMsg{Upstream: script.Incarnation(s.Word(0)), Result: parseResult(p.t, s.Named["result"]), Held: parseRange(s.Named["held"])}
 	case "placed":
@@ -63,7 +64,7 @@
 	case "tick":
 		return placement.TickMsg{ListAge: clock.Millis(s.Int("list_age", 0))}
 	}
-	p.t.Fatalf("line %d: no such verb %q", s.Line, s.Verb)
+	p.t.Fatalf("line %d: unknown verb %q", s.Line, s.Verb)
 	return nil
 }
 
@@ -81,12 +82,12 @@
 			return r
 		}
 	}
-	t.Fatalf("no such result %q", name)
+	t.Fatalf("unknown result %q", name)
 	return 0
 }
 
-// testCatalog has a model of 100 MB a layer; five layers go on an engine of
-// either kind, and four are given to it.
+// testCatalog returns a configuration with layers of 100 MB. Five layers fit into a "fast" or
+// "slow" engine, which normally gets four.
 func testCatalog(layers int) *catalog.Catalog {
 	return catalog.New(1, catalog.WithServices(&catalog.Service{Name: "writer", Pipeline: &catalog.Pipeline{
 		Layers: layers, LayerMB: 100, TokenBytes: 1000, StepMS: 1,
--- a/placement/search.go
+++ b/placement/search.go
@@ -7,40 +7,40 @@
 )
 
 const (
-	// maxSweeps bounds how often all engines of a data centre are looked at for a
-	// better range; a sweep without a change ends the search.
+	// maxSweeps bounds the number of passes over all engines that look for better ranges. The
+	// search ends earlier if a pass changes nothing.
 	maxSweeps = 6
-	// minGain is the least gain in value for which a range is changed while a
-	// first plan is sought.
+	// minGain is the minimum gain in value for which a range is changed during a search.
 	minGain = 1e-6
-	// searchStride is the step of the ranges that lie elsewhere in the model.
+	// searchStride is the distance between the ranges tried by tryElsewhere, in layers.
 	searchStride = 8
 )
 
-// search seeks the best layout: of those that fill engines in the same part, fast ones
-// first, the best is improved on.
+// search looks for the layout with the highest value. It spreads the engines at each of
+// searchFills and improves the best result.
 func (l *layout) search() { l.searchEngines(l.allIndexes()) }
 
-// searchEngines seeks it for some of the engines; the others keep what they have.
-func (l *layout) searchEngines(some []int) {
+// searchEngines searches ranges for the engines at the given indexes; the other engines keep their
+// ranges.
+func (l *layout) searchEngines(indexes []int) {
 	var best []fleet.Range
 	most := 0.0
 	for _, fill := range searchFills {
-		l.spreadEngines(some, fill)
+		l.spreadEngines(indexes, fill)
 		if v := l.value(); best == nil || v > most {
 			best, most = slices.Clone(l.ranges), v
 		}
 	}
 	copy(l.ranges, best)
-	l.improve(some)
+	l.improve(indexes)
 }
 
-// improve changes ranges of some engines for as long as each change raises the value,
-// within bounds.
-func (l *layout) improve(some []int) {
+// improve changes the ranges of the engines at the given indexes as long as this raises the value,
+// for at most maxSweeps passes.
+func (l *layout) improve(indexes []int) {
 	for range maxSweeps {
 		changed := false
-		for _, i := range some {
+		for _, i := range indexes {
 			if r, gain := l.bestRange(i); gain > minGain {
 				l.ranges[i] = r
 				changed = true
@@ -52,28 +52,28 @@
 	}
 }
 
-// bestRange returns the range for an engine that raises the value most, and by how
-// much; that is nothing where none does.
+// bestRange returns the range for an engine that raises the value most, and the gain. The gain is
+// zero if no range raises the value.
 func (l *layout) bestRange(i int) (best fleet.Range, most float64) {
-	was, before := l.ranges[i], l.value()
-	best = was
+	current, base := l.ranges[i], l.value()
+	best = current
 	try := func(r fleet.Range) {
-		if r.Empty() || r.From < 0 || r.To > l.shape.Layers || r.Len() > l.engines[i].MaxLayers || r == was {
+		if r.Empty() || r.From < 0 || r.To > l.shape.Layers || r.Len() > l.engines[i].MaxLayers || r == current {
 			return
 		}
 		l.ranges[i] = r
-		if gain := l.value() - before; gain > most {
+		if gain := l.value() - base; gain > most {
 			best, most = r, gain
 		}
 	}
-	l.tryNearby(was, try)
-	l.tryElsewhere(was, try)
-	l.ranges[i] = was
+	l.tryNearby(current, try)
+	l.tryElsewhere(current, try)
+	l.ranges[i] = current
 	return best, most
 }
 
-// tryNearby tries a range's ends a layer further in or out, and the range shifted by
-// a layer or two.
+// tryNearby tries to move each end of the range by one layer, and to shift the range by one or two
+// layers.
 func (l *layout) tryNearby(r fleet.Range, try func(fleet.Range)) {
 	for from := -1; from <= 1; from++ {
 		for to := -1; to <= 1; to++ {
@@ -84,7 +84,7 @@
 	try(fleet.Range{From: r.From + 2, To: r.To + 2})
 }
 
-// tryElsewhere tries ranges of the same length and of half of it all over the model.
+// tryElsewhere tries ranges of the same length and of half the length throughout the model.
 func (l *layout) tryElsewhere(r fleet.Range, try func(fleet.Range)) {
 	for _, size := range []int{r.Len(), r.Len() / 2} {
 		for from := 0; from+size <= l.shape.Layers; from += searchStride {
@@ -94,7 +94,7 @@
 	}
 }
 
-// bestInitialRange returns the range for an empty engine with the highest value.
+// bestInitialRange returns the range with the highest value for an empty engine.
 func (l *layout) bestInitialRange(i int) fleet.Range {
 	best, most := fleet.Range{}, l.value()
 	tried := 0
--- a/placement/shape.go
+++ b/placement/shape.go
@@ -2,18 +2,18 @@
 
 import "github.com/hoistjunction/hoistjunction/catalog"
 
-// Shape is what a plan has to know of a pipeline.
+// Shape contains the properties of a pipeline that a plan depends on.
 type Shape struct {
 	Layers int
-	// LayerTokens is what the memory of one layer's weights would hold, in tokens
-	// times layers.
+	// LayerTokens is the number of request tokens, for one layer, that fit into the memory of one
+	// layer's weights.
 	LayerTokens float64
-	// LoadTime is the time of loading one layer, in ms.
+	// LoadTime is the time to load one layer, in milliseconds.
 	LoadTime float64
-	// PromptTokens and Answer are the tokens of a usual request.
-	PromptTokens float64
-	AnswerTokens float64
-	// Pass is what an engine does in a pass.
+	// Prompt and Answer are the tokens of a request of the usual size.
+	Prompt float64
+	Answer float64
+	// Pass describes the cost of an engine's pass.
 	Pass catalog.Pass
 }
 
@@ -23,9 +23,10 @@
 		Layers: p.Layers, LayerTokens: p.LayerTokens(), LoadTime: p.LoadMS / float64(max(p.Layers, 1)),
 		Pass: p.Pass(),
 	}
-	s.PromptTokens, s.AnswerTokens = p.Usual()
+	s.Prompt, s.Answer = p.Usual()
 	return s
 }
 
-// requestTokens is the memory that a usual request takes at each layer.
-func (s *Shape) requestTokens() float64 { return s.PromptTokens + s.AnswerTokens }
+// requestTokens returns the tokens of a request of the usual size, which occupy memory at each
+// layer.
+func (s *Shape) requestTokens() float64 { return s.Prompt + s.Answer }
--- a/placement/size_bench_test.go
+++ b/placement/size_bench_test.go
@@ -9,22 +9,22 @@
 	"github.com/hoistjunction/hoistjunction/placement"
 )
 
-// mixedEngines are engines of one data centre: one in eight large and fast, the rest
-// small ones of two kinds.
+// mixedEngines returns engines of one data centre: one in eight is large and fast, the others are
+// small and of two kinds.
 func mixedEngines(n int) []placement.Engine {
 	large := max(n/8, 1)
 	small := (n - large) / 2
 	return slices.Concat(engines("a", largeFast, large), engines("a", smallFast, small), engines("a", slow, n-large-small))
 }
 
-// BenchmarkPlanSingleDataCentre is a first plan, and one of a data centre where another
-// node has given the first order already.
+// BenchmarkPlanSingleDataCentre measures an initial plan, and a plan after another node has given
+// the first order.
 func BenchmarkPlanSingleDataCentre(b *testing.B) {
 	for _, n := range []int{13, 38, 73, 100, 333} {
 		list := mixedEngines(n)
-		begun := slices.Clone(list)
-		begun[0].Held = fleet.Range{To: begun[0].MaxLayers / 2}
-		for name, list := range map[string][]placement.Engine{"first": list, "begun": begun} {
+		partial := slices.Clone(list)
+		partial[0].Held = fleet.Range{To: partial[0].MaxLayers / 2}
+		for name, list := range map[string][]placement.Engine{"first": list, "partial": partial} {
 			b.Run(fmt.Sprintf("%s-%d", name, n), func(b *testing.B) {
 				for b.Loop() {
 					placement.Plan(benchShape, list)
--- a/placement/size_test.go
+++ b/placement/size_test.go
@@ -9,11 +9,12 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// sizeShape is a model of 80 layers, and sizeKinds are engines for it: memory in
-// layers, and the time of a token and of reading one through a layer, in ms.
+// sizeShape is the shape of a model with 80 layers. sizeKinds are kinds of engines: the size of
+// the memory in layers, and the times to generate one token and to process one prompt token in one
+// layer, in milliseconds.
 var (
 	sizeShape = Shape{
-		Layers: 80, LayerTokens: 4000, LoadTime: 175, PromptTokens: 740, AnswerTokens: 77,
+		Layers: 80, LayerTokens: 4000, LoadTime: 175, Prompt: 740, Answer: 77,
 		Pass: catalog.Pass{Slowdown: 0.004, Steps: 1, Read: 100, Prompt: 740},
 	}
 	sizeKinds = []Engine{
@@ -23,8 +24,8 @@
 	}
 )
 
-// sizeEngines are the engines of one data centre: one in eight of the fast kind, the
-// others of the two slow ones by halves.
+// sizeEngines returns engines of one data centre: one in eight is of the fast kind, the others are
+// of the two slow kinds in equal parts.
 func sizeEngines(n int) []Engine {
 	list := make([]Engine, n)
 	for i := range list {
@@ -38,24 +39,23 @@
 	return list
 }
 
-// With 99 nodes and 998 servers in three data centres requests took a quarter of a
-// second through a node, seven in ten were refused, and upstreams got work after they
-// had left. A profile of all nodes had nine tenths of their processor time in the search
-// for a plan: each engine's ranges were weighed by looking at all engines of its data
-// centre, so that a plan of 333 engines took 2.3 s, and several times that on a small
-// VM. What an engine costs must not grow with the others.
+// Guards against a planning cost per engine that grows with the number of engines. With 99 nodes
+// and 998 servers in three data centres, 90% of all processor time was spent on plans: evaluating
+// each range visited all engines of the data centre, so a plan of 333 engines took 2.3 s, and
+// several times as long on a small VM. Requests took 0.25 s through a node, 70% of them were
+// refused, and upstreams got requests after they had left.
 func TestPlanCostPerEngineIsBounded(t *testing.T) {
-	begun := func(n int) []Engine {
+	partial := func(n int) []Engine {
 		list := sizeEngines(n)
 		list[0].Held = fleet.Range{To: 12}
 		return list
 	}
-	for name, list := range map[string]func(int) []Engine{"first": sizeEngines, "begun": begun} {
+	for name, list := range map[string]func(int) []Engine{"first": sizeEngines, "partial": partial} {
 		t.Run(name, func(t *testing.T) {
-			few := evaluationsPerEngine(list(48))
+			baseline := evaluationsPerEngine(list(48))
 			for _, n := range []int{96, 333, 960} {
-				if got := evaluationsPerEngine(list(n)); got > 2*few {
-					t.Errorf("%d engines: got %d weighed for each, want %d at most, twice what 48 take", n, got, 2*few)
+				if got := evaluationsPerEngine(list(n)); got > 2*baseline {
+					t.Errorf("%d engines: got %d evaluations per engine, want at most %d, twice those of 48 engines", n, got, 2*baseline)
 				}
 			}
 		})
@@ -68,12 +68,12 @@
 	return p.evaluatedEngines / len(list)
 }
 
-// maxValueLoss is by how much the value of a plan in groups may be lower, as a part of the
-// requests served.
+// maxValueLoss is the maximum reduction of a plan's value due to planning in groups, approximately
+// as a share of the served requests.
 const maxValueLoss = 0.02
 
-// Planned in groups, a data centre of any engines has a holder for each layer, and is
-// worth about as much as planned whole, which takes far longer.
+// A plan in groups must have a holder for each layer and about the same value as a plan for the
+// whole data centre, which takes far longer.
 func TestPlanInGroupsKeepsValue(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 7))
 	for range 8 {
@@ -87,12 +87,12 @@
 			t.Errorf("%d engines: got %d layers without a holder, want none", len(list), n)
 		}
 		if got, want := got.value(), want.value(); got < want-maxValueLoss {
-			t.Errorf("%d engines: got a plan worth %.4f, want %.4f at least, where one of all is worth %.4f", len(list), got, want-maxValueLoss, want)
+			t.Errorf("%d engines: got a plan of value %.4f, want at least %.4f; the plan without groups has %.4f", len(list), got, want-maxValueLoss, want)
 		}
 	}
 }
 
-// A data centre that is planned whole has the plan that it had.
+// A data centre with at most maxGroupSize engines must be planned as one group.
 func TestSmallDataCentreIsOneGroup(t *testing.T) {
 	p := newPlan(sizeShape, sizeEngines(maxGroupSize))
 	if got := len(p.groups("a")); got != 1 {
@@ -100,8 +100,8 @@
 	}
 }
 
-// Each group can hold the model: engines of one layer each are not divided into groups
-// that lack some.
+// Each group must be able to hold the model: engines with memory for one layer each must not be
+// divided into groups with missing layers.
 func TestGroupsCanHoldTheModel(t *testing.T) {
 	list := sizeEngines(200)
 	for i := range list {
@@ -109,11 +109,11 @@
 	}
 	p := newPlan(sizeShape, list)
 	if got := len(p.groups("a")); got != 1 {
-		t.Errorf("got %d groups of 200 engines of a layer each, want 1", got)
+		t.Errorf("got %d groups of 200 engines with memory for one layer each, want 1", got)
 	}
 }
 
-// randomSizeEngines are engines of up to four kinds drawn at random.
+// randomSizeEngines returns engines of up to four random kinds.
 func randomSizeEngines(random *rand.Rand, n int) []Engine {
 	kinds := make([]Engine, 1+random.IntN(4))
 	for i := range kinds {
--- a/placement/spread.go
+++ b/placement/spread.go
@@ -6,41 +6,42 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// Weights of a layer's need of a holder while a layout is spread. A second holder
-// matters more the more layers would be lost with the first, since they take that
-// much longer to be loaded again.
+// Weights of a layer's need for another holder when a layout is spread. The weight of a second
+// holder is multiplied by the length of the first holder's range: the more layers a crash leaves
+// uncovered, the longer it takes to load them again.
 const (
 	firstHolderWeight  = 1e5
 	secondHolderWeight = 1.0
 	extraHolderWeight  = 1e-3
 )
 
-// spread gives each engine, the fast ones first, the run of layers that needs a
-// holder most, as long as the fill lets it be.
+// spread assigns to each engine, fastest first, the range of layers with the greatest need for a
+// holder. The fill limits the length of the ranges.
 func (l *layout) spread(fill float64) { l.spreadEngines(l.allIndexes(), fill) }
 
-// spreadEngines does so with some of the engines; the others keep what they have.
-func (l *layout) spreadEngines(some []int, fill float64) {
+// spreadEngines does the same for the engines at the given indexes; the other engines keep their
+// ranges.
+func (l *layout) spreadEngines(indexes []int, fill float64) {
 	spans := make([]int, l.shape.Layers)
 	holders := make([]int, l.shape.Layers)
-	hold := func(r fleet.Range) {
+	add := func(r fleet.Range) {
 		for layer := r.From; layer < r.To; layer++ {
 			holders[layer]++
 			spans[layer] += r.Len()
 		}
 	}
 	for i, r := range l.ranges {
-		if !slices.Contains(some, i) {
-			hold(r)
+		if !slices.Contains(indexes, i) {
+			add(r)
 		}
 	}
-	for _, i := range some {
+	for _, i := range indexes {
 		l.ranges[i] = neediestRange(holders, spans, min(layersAtFill(l.engines[i], fill), l.shape.Layers))
-		hold(l.ranges[i])
+		add(l.ranges[i])
 	}
 }
 
-// allIndexes are the places of all engines.
+// allIndexes returns the indexes of all engines.
 func (l *layout) allIndexes() []int {
 	list := make([]int, len(l.engines))
 	for i := range list {
@@ -49,7 +50,8 @@
 	return list
 }
 
-// neediestRange returns the run of layers of a size whose layers need a holder most.
+// neediestRange returns the range of the given size whose layers have the greatest need for a
+// holder.
 func neediestRange(holders, spans []int, size int) fleet.Range {
 	best, most := fleet.Range{}, 0.0
 	for from := 0; from+size <= len(holders); from++ {
--- a/placement/tick.go
+++ b/placement/tick.go
@@ -7,7 +7,7 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// tick plans, once the list is settled and others have had their chance.
+// tick returns the orders of a plan if the list is settled and the delay of this node has passed.
 func (m *Model) tick(now clock.Millis) []OrderCmd {
 	if m.standby || now < m.idleUntil {
 		return nil
@@ -22,23 +22,23 @@
 			m.changeCount++
 		}
 	}
-	var wanting []*catalog.Service
+	var services []*catalog.Service
 	m.catalog.Services(func(s *catalog.Service) {
 		if s.Pipeline != nil && m.needsOrders(now, s) {
-			wanting = append(wanting, s)
+			services = append(services, s)
 		}
 	})
-	if len(wanting) == 0 && len(m.uncoveredSince) == 0 {
+	if len(services) == 0 && len(m.uncoveredSince) == 0 {
 		m.idleUntil = m.nextCheck(now)
 	}
-	if !m.isDue(now, len(wanting) > 0) {
+	if !m.isDue(now, len(services) > 0) {
 		return nil
 	}
-	return m.issueOrders(now, wanting)
+	return m.issueOrders(now, services)
 }
 
-// nextCheck is when to look again if nothing happens: in a while, or when an order has
-// lasted too long or an engine is kept in reserve no longer.
+// nextCheck returns the time of the next check if no message arrives: after maxIdle, or earlier if
+// a pending order, a grace period or a reservation ends.
 func (m *Model) nextCheck(now clock.Millis) clock.Millis {
 	next := now.Add(maxIdle)
 	for _, p := range m.pending {
@@ -57,8 +57,8 @@
 	return next
 }
 
-// listSettled tells whether the list can be planned from: it has stood still while it was
-// looked at, or has been waited for for long enough.
+// listSettled reports whether the list is complete enough for a plan: either it was confirmed
+// unchanged for long enough, or maxListWait has passed.
 func (m *Model) listSettled(now clock.Millis) bool {
 	if m.ready {
 		return true
@@ -69,19 +69,18 @@
 			wait = populatedListStableFor
 		}
 	}
-	// A list that nobody has looked at may have grown meanwhile.
-	still := len(m.upstreams) > 0 && m.listConfirmedAt >= m.listChangedAt.Add(wait)
-	// Orders are held back for the node's delay, and the list may go on growing
-	// meanwhile.
-	m.ready = still && now >= m.listChangedAt.Add(wait+m.delay) || now >= m.startedAt.Add(maxListWait)
+	// An unconfirmed list may have grown in the meantime.
+	stable := len(m.upstreams) > 0 && m.listConfirmedAt >= m.listChangedAt.Add(wait)
+	// The list may still grow during the delay of this node.
+	m.ready = stable && now >= m.listChangedAt.Add(wait+m.delay) || now >= m.startedAt.Add(maxListWait)
 	m.readyAt = now
-	return still || m.ready
+	return stable || m.ready
 }
 
-// isDue tells whether it is this node's turn: others have left something to be ordered,
-// and given no order, for its delay.
-func (m *Model) isDue(now clock.Millis, wanted bool) bool {
-	if !wanted {
+// isDue reports whether this node may give orders: orders have been needed for its delay, and no
+// other node has given any.
+func (m *Model) isDue(now clock.Millis, needed bool) bool {
+	if !needed {
 		m.dueSince = 0
 		return false
 	}
@@ -91,14 +90,14 @@
 	return now >= m.dueSince.Add(m.delay)
 }
 
-// issueOrders plans for services, and returns the orders.
+// issueOrders plans the given services and returns the orders.
 func (m *Model) issueOrders(now clock.Millis, services []*catalog.Service) []OrderCmd {
 	var cmds []OrderCmd
 	for _, s := range services {
 		cmds = append(cmds, m.planService(now, s)...)
 	}
 	if len(cmds) == 0 {
-		// What is wanted cannot be had now. Others get their turn again.
+		// The needed orders are not possible now. Other nodes get their turn again.
 		m.dueSince = 0
 	}
 	for _, c := range cmds {
--- a/placer/inbox.go
+++ b/placer/inbox.go
@@ -6,20 +6,20 @@
 	"github.com/hoistjunction/hoistjunction/placement"
 )
 
-// inbox holds what the planner is yet to take in. It has no bound, since nobody who
-// tells something may wait for a plan that is sought, and a planner that misses a change
-// plans wrongly: it holds what other nodes and the list tell in the seconds of one plan,
-// at most some thousand messages of 100 bytes each. It is safe for concurrent use.
+// inbox is the queue of messages to the planner. It is unbounded because senders must not wait
+// while a plan is computed, and a planner that misses a change plans wrongly. It holds at most the
+// messages of other nodes and changes of the list that arrive during one plan: some thousand
+// messages of 100 bytes each. It is safe for concurrent use.
 type inbox struct {
 	mu   sync.Mutex
 	msgs []placement.Msg
-	// ready has an item while there are messages.
+	// ready contains an item while there are messages.
 	ready chan struct{}
 }
 
 func newInbox() *inbox { return &inbox{ready: make(chan struct{}, 1)} }
 
-// put adds a message.
+// put appends a message.
 func (i *inbox) put(msg placement.Msg) {
 	i.mu.Lock()
 	i.msgs = append(i.msgs, msg)
@@ -30,7 +30,7 @@
 	}
 }
 
-// take removes all messages, in the order in which they came.
+// take removes and returns all messages, in order of arrival.
 func (i *inbox) take() []placement.Msg {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/placer/runs_test.go
+++ b/placer/incarnation_test.go
@@ -15,7 +15,7 @@
 	"github.com/hoistjunction/hoistjunction/placer"
 )
 
-// restartedEngines answer as a later run than is asked.
+// restartedEngines respond as a newer incarnation than the requested one.
 type restartedEngines struct {
 	immediateEngines
 	stateRequests int
@@ -25,12 +25,12 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.stateRequests++
-	return placer.State{}, errors.Mark(errors.New("as another run"), placer.ErrOtherIncarnation)
+	return placer.State{}, errors.Mark(errors.New("response of another incarnation"), placer.ErrOtherIncarnation)
 }
 
-// An engine starts again between a plan and its order. Its count of orders begins anew, so
-// the count that an order names does not keep it from the new run: what it believes to be
-// held there was held by the earlier one.
+// Guards against an order for an engine that has restarted since the plan. The restart resets the
+// engine's order count, so the count in the order does not prevent the new incarnation from
+// accepting it, although the plan relied on the layers of the previous one.
 func TestNoOrderForOtherIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -43,7 +43,7 @@
 		p.Send(placement.FleetMsg{Changes: emptyEngineChanges()})
 		time.Sleep(time.Minute)
 		if engines.stateRequests == 0 || engines.orderedCount() != 0 {
-			t.Errorf("got %d engines asked and %d ordered, want some asked and none ordered", engines.stateRequests, engines.orderedCount())
+			t.Errorf("got %d state requests and %d engines with an order, want some requests and no order", engines.stateRequests, engines.orderedCount())
 		}
 	})
 }
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -1,9 +1,9 @@
-// Package placer carries out what the planner of layers decides: it asks an
-// engine for its state and gives it the order.
+// Package placer executes the decisions of the placement planner: it requests the state of each
+// engine and sends it the order.
 //
-// Every order carries the number of orders that the engine had taken when it
-// was asked. Of two planners only one gets through, and an order that is
-// carried out late, after a newer one, does nothing.
+// Each order contains the number of orders that the engine had accepted when its state was
+// requested. If two planners send orders at the same time, the engine accepts only one of them,
+// and an order that arrives after a newer one has no effect.
 package placer
 
 import (
@@ -21,11 +21,11 @@
 	"github.com/hoistjunction/hoistjunction/placement"
 )
 
-// ErrOtherIncarnation means that whoever answered is another run of the upstream's process than
-// the one that was asked: nothing that was known of that one holds for it.
-var ErrOtherIncarnation = errors.New("placer: another run of the upstream answered")
+// ErrOtherIncarnation means that the response came from another incarnation of the upstream than
+// the requested one, so that nothing known about the requested one applies.
+var ErrOtherIncarnation = errors.New("placer: another incarnation of the upstream responded")
 
-// Results of orders, under the names that engines' clients use.
+// Results of orders, as returned by implementations of Engines.
 const (
 	Taken      = placement.Taken
 	Refused    = placement.Refused
@@ -34,84 +34,85 @@
 	Rejected   = placement.Rejected
 )
 
-// Result is what came of an order.
+// Result is the result of an order.
 type Result = placement.Result
 
-// State is an engine's own account of itself.
+// State is the state reported by an engine.
 type State struct {
-	// Busy tells that it is carrying out an order.
+	// Busy is set while the engine executes an order.
 	Busy bool
-	// OrdersTaken counts its orders since its start.
+	// OrdersTaken is the number of orders that the engine has accepted since its start.
 	OrdersTaken uint64
 	Held        fleet.Range
 }
 
-// Engines gives orders.
+// Engines is a client for the placement API of engines.
 type Engines interface {
 	State(ctx context.Context, address string, upstream fleet.Incarnation) (State, error)
 	Place(ctx context.Context, address string, upstream fleet.Incarnation, layers fleet.Range, ordersTaken uint64) (Result, error)
 }
 
 const (
-	// tickInterval is how often the planner looks at its engines.
+	// tickInterval is the time between two ticks of the planner.
 	tickInterval = 250 * time.Millisecond
-	// coverageLogTicks is at which of the planner's ticks it is looked whether other
-	// layers are held than were logged last: once a second.
+	// coverageLogTicks is the number of ticks between two checks for changed coverage, which is
+	// once per second.
 	coverageLogTicks = 4
-	// watchInterval is how often an engine that loads is asked whether it is done,
-	// and watchTimeout for how long; it is first asked after firstWatchDelay, when all have been
-	// told of the order. A load takes 0.2 s to some three seconds; the list shows its end
-	// up to three seconds late.
+	// While an engine loads layers, its state is requested every watchInterval, for at most
+	// watchTimeout. The first request is sent after firstWatchDelay, when all nodes know the
+	// order. Loading takes from 0.2 s to about three seconds, and the list shows the result up to
+	// three seconds late.
 	firstWatchDelay = 600 * time.Millisecond
 	watchInterval   = 300 * time.Millisecond
 	watchTimeout    = 12 * time.Second
-	// maxConcurrentOrders bounds the orders that are given at a time.
+	// maxConcurrentOrders is the maximum number of orders that are being sent at a time.
 	maxConcurrentOrders = 8
-	// slowPlanThreshold is from which time on a plan without orders is logged too: it takes a
-	// VM's processor from requests for several turns of the scheduler, of 10 ms each.
+	// slowPlanThreshold is the duration from which a plan is logged even if it has no orders.
+	// During such a plan, requests on the VM have to wait for several scheduler time slices of 10
+	// ms.
 	slowPlanThreshold clock.Millis = 50
 )
 
-// Placer runs a planner.
+// Placer runs a planner and executes its orders.
 type Placer struct {
 	model   *placement.Model
 	engines Engines
 	clock   *clock.Clock
 	log     *zap.Logger
 	inbox   *inbox
-	// queued are orders that nobody gives yet, and orders takes them to who does. The
-	// planner itself never waits for that.
+	// queued contains the orders that no worker has started; orders passes them to the workers.
+	// The planner never waits for a worker.
 	queued queue
 	orders chan placement.OrderCmd
-	// listAge tells how long ago the list of upstreams was last confirmed.
+	// listAge returns the time since the last confirmation that the upstream list is current.
 	listAge func() clock.Millis
-	// notifyPlaced tells all nodes, this one included, of an order that was taken or,
-	// with holds, carried out.
-	notifyPlaced func(upstream fleet.Incarnation, layers fleet.Range, holds bool)
-	// loggedCoverage is what was logged last.
+	// notifyPlaced informs all nodes, including this one, that an engine has accepted an order or,
+	// if completed is set, executed it.
+	notifyPlaced func(upstream fleet.Incarnation, layers fleet.Range, completed bool)
+	// loggedCoverage is the coverage that was logged last.
 	loggedCoverage []string
-	// results counts orders by what came of them.
+	// results counts the orders by result.
 	results *expvar.Map
 }
 
-// Option sets up a Placer.
+// Option configures a Placer.
 type Option func(*Placer)
 
-// WithSeed sets which of a plan's orders a node gives first. Nodes that find the same
-// plan share its orders where their seeds differ.
+// WithSeed sets which order of a plan this node sends first. Nodes that compute the same plan
+// share its orders if their seeds differ.
 func WithSeed(seed uint64) Option { return func(p *Placer) { p.queued.seed = seed } }
 
-// WithListAge sets who tells how long ago the list of upstreams was last confirmed. Without
-// it the list counts as confirmed at all times.
+// WithListAge sets the function that returns the time since the last confirmation of the upstream
+// list. By default the list always counts as confirmed.
 func WithListAge(age func() clock.Millis) Option { return func(p *Placer) { p.listAge = age } }
 
-// WithResults sets where orders are counted by what came of them.
+// WithResults sets the map in which orders are counted by result.
 func WithResults(counts *expvar.Map) Option { return func(p *Placer) { p.results = counts } }
 
-// New returns a placer that runs a model. Placed tells all nodes of an order
-// that an engine has taken or carried out.
+// New returns a placer that runs a model. It calls placed to inform all nodes of an order that an
+// engine has accepted or completed.
 func New(model *placement.Model, engines Engines, c *clock.Clock, log *zap.Logger,
-	placed func(upstream fleet.Incarnation, layers fleet.Range, holds bool), opts ...Option,
+	placed func(upstream fleet.Incarnation, layers fleet.Range, completed bool), opts ...Option,
 ) *Placer {
 	p := &Placer{
 		model: model, engines: engines, clock: c, log: log, notifyPlaced: placed,
@@ -123,10 +124,10 @@
 	return p
 }
 
-// Send hands a message to the planner. It does not wait.
+// Send passes a message to the planner without blocking.
 func (p *Placer) Send(msg placement.Msg) { p.inbox.put(msg) }
 
-// Run plans until the context ends.
+// Run runs the planner until the context is cancelled.
 func (p *Placer) Run(ctx context.Context) error {
 	for range maxConcurrentOrders {
 		go p.processOrders(ctx)
@@ -144,7 +145,7 @@
 		case to <- order:
 			p.queued.removeFirst()
 		case <-tick.C:
-			// A plan is for what is known by now.
+			// Plan with all messages received so far.
 			p.processInbox()
 			p.queued.add(p.plan())
 			if ticks++; ticks%coverageLogTicks == 0 {
@@ -154,7 +155,7 @@
 	}
 }
 
-// processInbox hands the planner what it has been told.
+// processInbox passes the received messages to the planner.
 func (p *Placer) processInbox() {
 	for _, msg := range p.inbox.take() {
 		if placed, ok := msg.(placement.PlacedMsg); ok {
@@ -164,7 +165,7 @@
 	}
 }
 
-// plan has the planner look at its engines, and logs what that took.
+// plan runs a tick of the planner and logs its duration.
 func (p *Placer) plan() []placement.OrderCmd {
 	began := p.clock.Now()
 	cmds := p.model.Update(began, placement.TickMsg{ListAge: p.listAge()})
@@ -174,7 +175,7 @@
 	return cmds
 }
 
-// logCoverage logs which layers are held where, when that has changed.
+// logCoverage logs the coverage if it has changed since the last log entry.
 func (p *Placer) logCoverage() {
 	coverage := p.model.Coverage(p.clock.Now())
 	if slices.Equal(coverage, p.loggedCoverage) {
@@ -186,7 +187,8 @@
 	}
 }
 
-// nextOrder returns the first order that waits, and where it goes; nowhere if none does.
+// nextOrder returns the next queued order and the channel to send it to, which is nil if there is
+// no order.
 func (p *Placer) nextOrder() (to chan<- placement.OrderCmd, order placement.OrderCmd) {
 	order, ok := p.queued.first()
 	if !ok {
@@ -195,7 +197,7 @@
 	return p.orders, order
 }
 
-// processOrders gives orders one after the other.
+// processOrders sends orders one at a time until the context is cancelled.
 func (p *Placer) processOrders(ctx context.Context) {
 	for {
 		select {
@@ -207,8 +209,8 @@
 	}
 }
 
-// giveOrder asks an engine for its state, and gives it the order if it is idle and
-// still holds what the planner believes.
+// giveOrder requests the state of an engine and sends it the order if it is idle and still holds
+// the range that the planner expected.
 func (p *Placer) giveOrder(ctx context.Context, cmd placement.OrderCmd) placement.OrderResultMsg {
 	msg := placement.OrderResultMsg{Upstream: cmd.Upstream, Result: Unanswered}
 	state, err := p.engines.State(ctx, cmd.Address, cmd.Upstream)
@@ -233,7 +235,8 @@
 	return msg
 }
 
-// watchOrder tells all nodes that an order was taken, and that it was carried out.
+// watchOrder informs all nodes that an order was accepted and, once the engine holds the layers,
+// that it was completed.
 func (p *Placer) watchOrder(ctx context.Context, cmd placement.OrderCmd) {
 	p.notifyPlaced(cmd.Upstream, cmd.Layers, false)
 	until := p.clock.Now().Add(clock.FromDuration(watchTimeout))
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -16,7 +16,7 @@
 	"github.com/hoistjunction/hoistjunction/placer"
 )
 
-// immediateEngines carry out every order at once.
+// immediateEngines complete every order immediately.
 type immediateEngines struct {
 	mu   sync.Mutex
 	held map[string]fleet.Range
@@ -42,13 +42,13 @@
 }
 
 const (
-	// engineCount are more than the orders and messages that waited for each other.
+	// engineCount exceeds the number of orders and messages at which the planner deadlocked.
 	engineCount = 600
-	// enginesPerDataCentre is how many of them stand in a data centre.
+	// enginesPerDataCentre is the number of engines in each data centre.
 	enginesPerDataCentre = 6
 )
 
-// emptyEngineChanges are the entries of engines that hold nothing.
+// emptyEngineChanges returns the list entries of engines without layers.
 func emptyEngineChanges() []fleet.Change {
 	changes := make([]fleet.Change, engineCount)
 	for i := range changes {
@@ -67,12 +67,12 @@
 	}}))
 }
 
-// After a start of 99 nodes and 418 empty engines, some nodes used upstreams long after
-// these had left, until they were stopped. The first plan had more orders than may wait
-// for those who give them. The planner waited for room there; who gave the orders waited
-// for room to tell it what came of them; and the follower of the list, who tells it what
-// has changed, waited behind them, for ever. The logs of all nodes proved it: each that
-// had planned over 264 orders at a time had no change of the list from then on.
+// Guards against a deadlock between the planner, its workers and the follower of the upstream
+// list. The initial plan for 418 empty engines on 99 nodes had more orders than fit into a bounded
+// queue. The planner waited for space in this queue, the workers waited for space to report
+// results to the planner, and the follower waited behind them to report changes. Nodes that had
+// planned more than 264 orders at a time got no change of the list any more and kept using
+// upstreams long after these had left.
 func TestPlanWithManyOrdersDoesNotDeadlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -80,8 +80,8 @@
 		c := clocktest.NewClock()
 		engines := &immediateEngines{held: make(map[string]fleet.Range)}
 		var p *placer.Placer
-		placed := func(upstream fleet.Incarnation, layers fleet.Range, holds bool) {
-			p.Send(placement.PlacedMsg{Upstream: upstream, Layers: layers, Completed: holds})
+		placed := func(upstream fleet.Incarnation, layers fleet.Range, completed bool) {
+			p.Send(placement.PlacedMsg{Upstream: upstream, Layers: layers, Completed: completed})
 		}
 		p = placer.New(placement.New(placement.WithStart(c.Now())), engines, c, logging.Nop().Logger, placed)
 		go func() { _ = p.Run(ctx) }()
@@ -89,39 +89,39 @@
 		p.Send(placement.FleetMsg{Changes: emptyEngineChanges()})
 		time.Sleep(time.Minute)
 		if got := engines.orderedCount(); got != engineCount {
-			t.Errorf("got %d engines ordered to hold something, want %d", got, engineCount)
+			t.Errorf("got %d engines with an order, want %d", got, engineCount)
 		}
 	})
 }
 
-// While a plan is sought, which takes seconds on the smallest VMs, who tells the planner
-// something goes on: the follower of the list has others to tell too.
+// Send must not block while a plan is computed, which takes seconds on the smallest VMs. The
+// follower of the list also has to notify other components.
 func TestSendDoesNotBlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := clocktest.NewClock()
-		// Nobody runs this one, as if it sought a plan all the while.
+		// This placer is not running, as if it were computing a plan all the time.
 		p := placer.New(placement.New(), &immediateEngines{}, c, logging.Nop().Logger, func(fleet.Incarnation, fleet.Range, bool) {})
-		told := 0
+		sent := 0
 		go func() {
 			for _, change := range emptyEngineChanges() {
 				p.Send(placement.FleetMsg{Changes: []fleet.Change{change}})
-				told++
+				sent++
 			}
 		}()
 		synctest.Wait()
-		if told != engineCount {
-			t.Errorf("got %d changes told, want %d", told, engineCount)
+		if sent != engineCount {
+			t.Errorf("got %d changes sent without blocking, want %d", sent, engineCount)
 		}
 	})
 }
 
-// slowEngines take an order after a while, and count the orders.
+// slowEngines respond after a delay and count the orders.
 type slowEngines struct {
 	immediateEngines
 	orderCount int
 }
 
-// responseDelay is how long an engine takes to answer.
+// responseDelay is the time that an engine takes to respond.
 const responseDelay = 2 * time.Millisecond
 
 func (e *slowEngines) State(ctx context.Context, address string, upstream fleet.Incarnation) (placer.State, error) {
@@ -137,10 +137,10 @@
 	return e.immediateEngines.Place(ctx, address, upstream, layers, taken)
 }
 
-// Where a plan takes longer than a turn, several nodes find the same one. 912 engines
-// then got 3,400 orders, each of which is paid for: all gave theirs in the same sequence,
-// at the same moments. They are to share them: each begins elsewhere, and what another
-// node has ordered by then is not ordered again.
+// Nodes that compute the same plan must share its orders. If a plan takes longer than the delay of
+// a node, several nodes compute the same one. When all nodes sent the orders in the same sequence,
+// 912 engines got 3,400 orders, each of which is billed. Each node now starts at another order and
+// skips the orders that other nodes have already given.
 func TestPlannersShareOrdersOfSamePlan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -148,9 +148,9 @@
 		c := clocktest.NewClock()
 		engines := &slowEngines{immediateEngines: immediateEngines{held: make(map[string]fleet.Range)}}
 		var placers []*placer.Placer
-		placed := func(upstream fleet.Incarnation, layers fleet.Range, holds bool) {
+		placed := func(upstream fleet.Incarnation, layers fleet.Range, completed bool) {
 			for _, p := range placers {
-				p.Send(placement.PlacedMsg{Upstream: upstream, Layers: layers, Completed: holds})
+				p.Send(placement.PlacedMsg{Upstream: upstream, Layers: layers, Completed: completed})
 			}
 		}
 		for seed := range uint64(3) {
@@ -164,10 +164,10 @@
 		}
 		time.Sleep(time.Minute)
 		if got := engines.orderedCount(); got != engineCount {
-			t.Errorf("got %d engines ordered to hold something, want %d", got, engineCount)
+			t.Errorf("got %d engines with an order, want %d", got, engineCount)
 		}
 		if got := engines.orderCount; got > engineCount {
-			t.Errorf("got %d orders to %d engines, want one each", got, engineCount)
+			t.Errorf("got %d orders for %d engines, want one for each", got, engineCount)
 		}
 	})
 }
--- a/placer/queue.go
+++ b/placer/queue.go
@@ -7,14 +7,14 @@
 	"github.com/hoistjunction/hoistjunction/placement"
 )
 
-// queue holds the orders that are yet to be given. Only the planner's loop uses it.
+// queue contains the orders that have not been sent. It is only used by the planner's loop.
 type queue struct {
-	// seed says where in a plan's orders this node begins. Several nodes may have found
-	// the same plan, and share its orders if each begins elsewhere.
+	// seed determines which order of a plan is sent first. Several nodes may have computed the
+	// same plan; they share its orders if they start at different ones.
 	seed   uint64
 	orders []placement.OrderCmd
-	// alreadyOrdered are engines that have been ordered since the last orders were added, by
-	// whichever node.
+	// alreadyOrdered contains the engines to which any node has given an order since the last plan
+	// was added.
 	alreadyOrdered map[fleet.Incarnation]bool
 }
 
@@ -25,19 +25,19 @@
 	}
 	q.orders = slices.DeleteFunc(q.orders, func(o placement.OrderCmd) bool { return q.alreadyOrdered[o.Upstream] })
 	q.alreadyOrdered = make(map[fleet.Incarnation]bool)
-	begin := int(q.seed % uint64(len(orders)))
-	q.orders = append(append(q.orders, orders[begin:]...), orders[:begin]...)
+	start := int(q.seed % uint64(len(orders)))
+	q.orders = append(append(q.orders, orders[start:]...), orders[:start]...)
 }
 
-// markOrdered notes that an engine has been ordered to hold something: it takes no second
-// order that believes what was before.
+// markOrdered records that a node has given an order to an engine. The engine would refuse a
+// second order that expects its previous range.
 func (q *queue) markOrdered(upstream fleet.Incarnation) {
 	if len(q.orders) > 0 {
 		q.alreadyOrdered[upstream] = true
 	}
 }
 
-// first returns the order that is to be given next, if there is one.
+// first returns the next order to send, if there is one.
 func (q *queue) first() (order placement.OrderCmd, ok bool) {
 	for len(q.orders) > 0 && q.alreadyOrdered[q.orders[0].Upstream] {
 		q.orders = q.orders[1:]
@@ -48,5 +48,5 @@
 	return q.orders[0], true
 }
 
-// removeFirst removes the order that has been taken up.
+// removeFirst removes the first order, which a worker has started.
 func (q *queue) removeFirst() { q.orders = q.orders[1:] }
