--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -1,6 +1,5 @@
-// Package keeper keeps the requests that are quarantined where they outlast all nodes: in
-// the store. A node that starts reads them, and so knows after the loss of all nodes what
-// they had found out.
+// Package keeper stores the quarantined requests in the store, where they survive the loss of all
+// nodes. A node reads them when it starts.
 package keeper
 
 import (
@@ -21,71 +20,72 @@
 )
 
 const (
-	// maxPending bounds what waits to be written. What does not fit is known to this node and
-	// its peers, and written by those of them that have lost it too.
+	// maxPending bounds the number of changes that wait to be written. A change beyond it is still
+	// known to this node and its peers, and is written by any peer that also observed the crash.
 	maxPending = 256
-	// batchDelay is for how long changes are gathered for one write.
+	// batchDelay is how long changes are collected for one write.
 	batchDelay = 50 * time.Millisecond
-	// minRetryDelay is the pause after a call that failed, which doubles up to maxRetryDelay:
-	// the store may be away for half a minute, and each call is priced.
+	// minRetryDelay is the delay after a failed call. It doubles with each failure, up to
+	// maxRetryDelay. The store may be unavailable for half a minute, and each call is billed.
 	minRetryDelay = 200 * time.Millisecond
 	maxRetryDelay = 3 * time.Second
 )
 
-// ErrRefused means that a store refuses a call for good: it will never be done, however
-// often it is made.
-var ErrRefused = errors.New("keeper: refused for good")
+// ErrRefused means that the store permanently refuses a call, so that retrying it is useless.
+var ErrRefused = errors.New("keeper: permanently refused by the store")
 
-// Store is where requests are kept. Errors of writes that cannot succeed wrap ErrRefused.
+// Store stores quarantined requests. Errors of writes that cannot succeed wrap ErrRefused.
 type Store interface {
-	// Quarantined returns those that can be read, and an error for each that cannot.
+	// Quarantined returns the readable requests, and an error for each unreadable one.
 	Quarantined(ctx context.Context) (list []dispatch.Quarantined, unreadable []error, err error)
-	// Quarantine keeps requests.
+	// Quarantine adds requests.
 	Quarantine(ctx context.Context, works []dispatch.Quarantined) error
-	// Release takes requests away.
+	// Release removes requests.
 	Release(ctx context.Context, works []work.ID) error
 }
 
-// change is a request that is to be kept, or not any longer.
+// change is a change to the store: adding or releasing a request.
 type change struct {
 	dispatch.Quarantined
 	release bool
-	// recordedAt is as of when its age counts.
+	// recordedAt is the time to which the request's age refers.
 	recordedAt clock.Millis
 }
 
-// Keeper keeps requests in a store.
+// Keeper writes quarantined requests to a store.
 type Keeper struct {
 	store  Store
 	log    *zap.Logger
 	onRead func([]dispatch.Quarantined)
-	// firstStart tells that the whole system starts for the first time: nothing is kept yet.
+	// firstStart is set if the whole system starts for the first time, so that the store contains
+	// no requests.
 	firstStart bool
 	clock      *clock.Clock
 	pending    *ring.Ring[change]
-	// recentWrites are the last words that were written on requests, as long as a copy may lack
-	// them, and returned tells that the store has come back from one. Only Run uses written.
+	// recentWrites contains the last change written for each request, for as long as a restored
+	// backup may lack it. It is only used by Run. restored signals that the store was restored
+	// from a backup.
 	recentWrites map[work.ID]change
 	restored     chan struct{}
-	// refused counts the changes that the store refuses for good.
+	// refused counts the changes that the store has permanently refused.
 	refused expvar.Int
 }
 
-// New returns a keeper. Learn takes what was kept.
-func New(store Store, c *clock.Clock, log *zap.Logger, firstStart bool, learn func([]dispatch.Quarantined)) *Keeper {
+// New returns a keeper. Run calls onRead once with the requests read from the store.
+func New(store Store, c *clock.Clock, log *zap.Logger, firstStart bool, onRead func([]dispatch.Quarantined)) *Keeper {
 	return &Keeper{
-		store: store, clock: c, log: log, onRead: learn, firstStart: firstStart, pending: ring.New[change](maxPending),
+		store: store, clock: c, log: log, onRead: onRead, firstStart: firstStart, pending: ring.New[change](maxPending),
 		recentWrites: make(map[work.ID]change), restored: make(chan struct{}, 1),
 	}
 }
 
-// Refused returns the counter of changes that the store has refused for good.
+// Refused returns the counter of changes that the store has permanently refused.
 func (k *Keeper) Refused() *expvar.Int { return &k.refused }
 
-// Keep has a request kept. It does not wait for that.
+// Keep adds a request to the store asynchronously.
 func (k *Keeper) Keep(w dispatch.Quarantined) { k.enqueue(change{Quarantined: w}) }
 
-// Release has a request kept no longer. It does not wait for that.
+// Release removes a request from the store asynchronously.
 func (k *Keeper) Release(id work.ID) {
 	k.enqueue(change{Quarantined: dispatch.Quarantined{Work: id}, release: true})
 }
@@ -97,7 +97,7 @@
 	}
 }
 
-// Run reads what is kept, and then writes until the context ends.
+// Run reads the stored requests and then writes changes until the context is cancelled.
 func (k *Keeper) Run(ctx context.Context) error {
 	k.read(ctx)
 	for {
@@ -115,16 +115,16 @@
 	}
 }
 
-// StoreRestored notes that the store has come back from a copy, which may lack what was
-// written last.
-func (k *Keeper) StoreRestored() {
+// StoreReturned records that the store was restored from a backup, which may lack the most recent
+// writes.
+func (k *Keeper) StoreReturned() {
 	select {
 	case k.restored <- struct{}{}:
 	default:
 	}
 }
 
-// rememberWrites notes changes that were written.
+// rememberWrites adds changes to recentWrites and removes the expired ones.
 func (k *Keeper) rememberWrites(changes map[work.ID]change) {
 	now := k.clock.Now()
 	maps.DeleteFunc(k.recentWrites, func(_ work.ID, c change) bool { return now >= c.recordedAt.Add(moment.CopyReaches) })
@@ -137,7 +137,8 @@
 	}
 }
 
-// possiblyLost returns what a copy may lack, with the ages that requests have now.
+// possiblyLost returns the changes that a restored backup may lack, with the current ages of the
+// requests.
 func (k *Keeper) possiblyLost() map[work.ID]change {
 	k.rememberWrites(nil)
 	now := k.clock.Now()
@@ -149,7 +150,8 @@
 	return changes
 }
 
-// read reads what is kept, and tells also of nothing: the node waits for it.
+// read reads the stored requests and calls onRead even if there are none, because the node waits
+// for it.
 func (k *Keeper) read(ctx context.Context) {
 	if k.firstStart {
 		k.onRead(nil)
@@ -173,8 +175,8 @@
 	}
 }
 
-// collectBatch returns a change and those that wait behind it; the last word on each request
-// counts.
+// collectBatch returns a change and those waiting behind it, reduced to the last change for each
+// request.
 func (k *Keeper) collectBatch(first change) map[work.ID]change {
 	changes := map[work.ID]change{first.Work: first}
 	for {
@@ -201,8 +203,9 @@
 	writeAll(ctx, k, release, k.store.Release, func(id work.ID) work.ID { return id })
 }
 
-// writeAll writes changes of one kind until the store has taken them. Where it refuses them
-// for good, each is written by itself, so that one does not hold up the others.
+// writeAll writes changes of one kind until the store accepts them. If the store permanently
+// refuses a batch, each change is written separately, so that one change does not block the
+// others.
 func writeAll[T any](ctx context.Context, k *Keeper, list []T, call func(context.Context, []T) error, name func(T) work.ID) {
 	if len(list) == 0 {
 		return
@@ -221,8 +224,8 @@
 	}
 }
 
-// retry tries a call until it succeeds or the context ends. It returns an error that wraps
-// ErrRefused for one that never will.
+// retry repeats a call until it succeeds or the context is cancelled. If the store permanently
+// refuses the call, retry returns an error that wraps ErrRefused.
 func (k *Keeper) retry(ctx context.Context, event string, call func() error) error {
 	for pause := minRetryDelay; ctx.Err() == nil; pause = min(2*pause, maxRetryDelay) {
 		err := call()
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -18,16 +18,16 @@
 	"github.com/hoistjunction/hoistjunction/work"
 )
 
-var errUnavailable = errors.New("the store is away")
+var errUnavailable = errors.New("store unavailable")
 
-// fakeStore notes what it is asked, and fails as often as it is told to.
+// fakeStore records its calls and fails the first ones.
 type fakeStore struct {
 	mu       sync.Mutex
 	failures int
-	// refusedWork is a work that it refuses for good.
+	// refusedWork is a request that the store permanently refuses.
 	refusedWork work.ID
 	calls       []string
-	// lastAge is that of the request that was kept last.
+	// lastAge is the age of the last request that was added.
 	lastAge clock.Millis
 	kept    []dispatch.Quarantined
 }
@@ -62,40 +62,41 @@
 
 func callSuffix(n int) string { return string(rune('0' + n)) }
 
-// runKeeper runs a keeper for a time, and returns what the store was asked and how much was learnt.
-func runKeeper(t *testing.T, store *fakeStore, first bool, feed func(*Keeper), d time.Duration) (calls []string, learnt []int) {
+// runKeeper runs a keeper for the given time and returns the calls to the store and the number of
+// requests in each call of onRead.
+func runKeeper(t *testing.T, store *fakeStore, firstStart bool, act func(*Keeper), d time.Duration) (calls []string, loaded []int) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		k := New(store, clocktest.NewClock(), zap.NewNop(), first, func(list []dispatch.Quarantined) { learnt = append(learnt, len(list)) })
+		k := New(store, clocktest.NewClock(), zap.NewNop(), firstStart, func(list []dispatch.Quarantined) { loaded = append(loaded, len(list)) })
 		ctx, cancel := context.WithCancel(t.Context())
-		ended := make(chan error, 1)
-		go func() { ended <- k.Run(ctx) }()
-		feed(k)
+		done := make(chan error, 1)
+		go func() { done <- k.Run(ctx) }()
+		act(k)
 		time.Sleep(d)
 		cancel()
-		if err := <-ended; !errors.Is(err, context.Canceled) {
-			t.Errorf("got %v, want the end of the context", err)
+		if err := <-done; !errors.Is(err, context.Canceled) {
+			t.Errorf("got error %v, want context.Canceled", err)
 		}
 	})
-	return store.calls, learnt
+	return store.calls, loaded
 }
 
 func TestKeeper(t *testing.T) {
 	a, b := work.ID{}.By("a"), work.ID{}.By("b")
 	nothing := func(*Keeper) {}
 	tests := []struct {
-		name   string
-		store  *fakeStore
-		first  bool
-		feed   func(*Keeper)
-		calls  []string
-		learnt []int
+		name       string
+		store      *fakeStore
+		firstStart bool
+		act        func(*Keeper)
+		calls      []string
+		loaded     []int
 	}{
-		{"reads what is kept", &fakeStore{kept: []dispatch.Quarantined{{Work: a}}}, false, nothing, []string{"read"}, []int{1}},
-		{"asks nothing at the first start", &fakeStore{}, true, nothing, nil, []int{0}},
-		{"reads until the store is back", &fakeStore{failures: 2}, false, nothing, []string{"read", "read", "read"}, []int{0}},
+		{"reads stored requests", &fakeStore{kept: []dispatch.Quarantined{{Work: a}}}, false, nothing, []string{"read"}, []int{1}},
+		{"reads nothing at the first start", &fakeStore{}, true, nothing, nil, []int{0}},
+		{"retries reads until the store is available", &fakeStore{failures: 2}, false, nothing, []string{"read", "read", "read"}, []int{0}},
 		{
-			"writes changes of a moment together, the last word on each", &fakeStore{}, true, func(k *Keeper) {
+			"batches changes, the last one for each request", &fakeStore{}, true, func(k *Keeper) {
 				k.Keep(dispatch.Quarantined{Work: a})
 				k.Keep(dispatch.Quarantined{Work: b})
 				k.Keep(dispatch.Quarantined{Work: a})
@@ -103,28 +104,28 @@
 			}, []string{"keep1", "release1"}, []int{0},
 		},
 		{
-			"one that is refused for good does not hold up others", &fakeStore{refusedWork: b}, true, func(k *Keeper) {
+			"a permanently refused change does not block others", &fakeStore{refusedWork: b}, true, func(k *Keeper) {
 				k.Keep(dispatch.Quarantined{Work: b})
 				k.Keep(dispatch.Quarantined{Work: a})
 				k.Release(work.ID{}.By("c"))
 			}, []string{"keep2", "keep1", "keep1", "release1"}, []int{0},
 		},
-		{"writes until the store is back", &fakeStore{failures: 1}, true, func(k *Keeper) { k.Keep(dispatch.Quarantined{Work: a}) }, []string{"keep1", "keep1"}, []int{0}},
+		{"retries writes until the store is available", &fakeStore{failures: 1}, true, func(k *Keeper) { k.Keep(dispatch.Quarantined{Work: a}) }, []string{"keep1", "keep1"}, []int{0}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			calls, learnt := runKeeper(t, tt.store, tt.first, tt.feed, 2*time.Second)
+			calls, loaded := runKeeper(t, tt.store, tt.firstStart, tt.act, 2*time.Second)
 			if !slices.Equal(calls, tt.calls) {
 				t.Errorf("got calls %v, want %v", calls, tt.calls)
 			}
-			if !slices.Equal(learnt, tt.learnt) {
-				t.Errorf("got learnt %v, want %v", learnt, tt.learnt)
+			if !slices.Equal(loaded, tt.loaded) {
+				t.Errorf("got onRead calls with %v requests, want %v", loaded, tt.loaded)
 			}
 		})
 	}
 }
 
-// A thousand verdicts while the store is away leave a bounded number to be written.
+// The number of pending changes must be bounded while the store is unavailable.
 func TestPendingChangesAreBounded(t *testing.T) {
 	store := &fakeStore{failures: 1 << 20}
 	runKeeper(t, store, true, func(k *Keeper) {
@@ -132,13 +133,13 @@
 			k.Keep(dispatch.Quarantined{Work: work.ID{byte(i), byte(i >> 8)}})
 		}
 		if got := k.pending.Len(); got > maxPending {
-			t.Errorf("got %d waiting, want %d at most", got, maxPending)
+			t.Errorf("got %d pending changes, want at most %d", got, maxPending)
 		}
 	}, time.Second)
 }
 
-// What was written right before the store came back from a copy is written again: the last word
-// on each request, so that one that was released stays released, with the age that it has.
+// After a store restore, the changes written shortly before must be written again: the last change
+// for each request, so that a released request stays released, with the current age.
 func TestKeeperRewritesLostEntriesAfterRestore(t *testing.T) {
 	a, b := work.ID{}.By("a"), work.ID{}.By("b")
 	store := &fakeStore{}
@@ -148,14 +149,14 @@
 		time.Sleep(time.Second)
 		k.Release(a)
 		time.Sleep(time.Second)
-		k.StoreRestored()
+		k.StoreReturned()
 		time.Sleep(moment.CopyReaches.Duration())
-		k.StoreRestored()
+		k.StoreReturned()
 	}, time.Second)
 	if got, want := calls, []string{"keep2", "release1", "keep1", "release1"}; !slices.Equal(got, want) {
 		t.Errorf("got calls %v, want %v", got, want)
 	}
 	if got, want := store.lastAge, clock.Millis(2000); got < want || got > want+100 {
-		t.Errorf("got the age %d put back, want about %d", got, want)
+		t.Errorf("got age %d in the repeated write, want about %d", got, want)
 	}
 }
--- a/node/put_back.go
+++ b/node/put_back.go
@@ -12,7 +12,7 @@
 func (n *Node) putBack() {
 	n.log.Info("put_back")
 	n.peers.StoreReturned()
-	n.keeper.StoreRestored()
+	n.keeper.StoreReturned()
 	if !n.roster.Reads(n.clock.Now()) {
 		return
 	}
