--- a/chain/builder.go
+++ b/chain/builder.go
@@ -7,28 +7,29 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// builder finds the cheapest way from a layer to the last, over the layers at
-// which some engine's range begins or ends.
+// builder finds the cheapest path from a layer to the last one, over the layers at which the range
+// of an engine begins or ends.
 type builder struct {
 	from    int
 	layers  int
 	tokens  float64
 	origin  string
 	holders []Holder
-	// boundaries are the layers at which a part may begin or end, rising.
+	// boundaries are the layers at which a stage may begin or end, in ascending order.
 	boundaries []int
-	// dataCentres numbers the data centres; 0 is the origin.
+	// dataCentres contains the index of each data centre; the origin has index 0.
 	dataCentres map[string]int
 	steps       []step
-	// outOfMemory notes that an engine was passed over for lack of memory.
+	// outOfMemory is set if an engine was skipped because of insufficient free memory.
 	outOfMemory bool
 }
 
-// step is the cheapest known way to a layer that ends in a data centre.
+// step is the cheapest known path that ends at a boundary and in a data centre. from is the index
+// of the preceding step.
 type step struct {
-	cost     float64
-	previous int
-	holder   int
+	cost   float64
+	from   int
+	holder int
 }
 
 func newBuilder(from, layers int, tokens float64, origin string, holders []Holder) *builder {
@@ -45,21 +46,21 @@
 			b.dataCentres[h.DataCentre] = len(b.dataCentres)
 		}
 	}
-	for layer, cut := range seen {
-		if cut {
+	for layer, isBoundary := range seen {
+		if isBoundary {
 			b.boundaries = append(b.boundaries, layer)
 		}
 	}
 	b.steps = make([]step, len(b.boundaries)*len(b.dataCentres))
 	for i := range b.steps {
-		b.steps[i] = step{cost: math.Inf(1), previous: -1, holder: -1}
+		b.steps[i] = step{cost: math.Inf(1), from: -1, holder: -1}
 	}
 	b.steps[0].cost = 0
 	return b
 }
 
-// best returns the cheapest chain and what it costs, or nil.
-func (b *builder) best() (parts []Stage, cost float64) {
+// best returns the cheapest chain and its cost, or nil if there is no chain.
+func (b *builder) best() (stages []Stage, cost float64) {
 	for at := range b.boundaries {
 		for centre := range len(b.dataCentres) {
 			if !math.IsInf(b.steps[b.index(at, centre)].cost, 1) {
@@ -78,21 +79,21 @@
 	if end < 0 {
 		return nil, 0
 	}
-	parts = b.stages(end)
-	if !validFrom(b.from, b.layers, parts) {
+	stages = b.stages(end)
+	if !validFrom(b.from, b.layers, stages) {
 		return nil, 0
 	}
-	return parts, b.steps[end].cost
+	return stages, b.steps[end].cost
 }
 
 func (b *builder) index(at, centre int) int { return at*len(b.dataCentres) + centre }
 
-// extend tries every engine that holds the layer at a cut.
+// extend extends a step by each engine that holds the layer at its boundary.
 func (b *builder) extend(at, centre int) {
-	here := b.index(at, centre)
+	current := b.index(at, centre)
 	for i := range b.holders {
 		h := &b.holders[i]
-		if !h.Held.Holds(b.boundaries[at]) || h.Held.To > b.layers || b.uses(here, i) {
+		if !h.Held.Holds(b.boundaries[at]) || h.Held.To > b.layers || b.uses(current, i) {
 			continue
 		}
 		b.extendWith(at, centre, i)
@@ -115,48 +116,48 @@
 	}
 	for next := at + 1; next < len(b.boundaries) && b.boundaries[next] <= h.Held.To; next++ {
 		span := b.boundaries[next] - b.boundaries[at]
-		need := b.tokens * float64(span)
-		if need > h.FreeMemory-memoryReserve*h.TotalMemory {
+		required := b.tokens * float64(span)
+		if required > h.FreeMemory-memoryReserve*h.TotalMemory {
 			b.outOfMemory = true
 			return
 		}
-		cost := base + h.LayerTime*float64(span) + loadCost(h, need)
+		cost := base + h.LayerTime*float64(span) + loadCost(h, required)
 		s := &b.steps[b.index(next, to)]
 		if cost < s.cost {
-			*s = step{cost: cost, previous: b.index(at, centre), holder: holder}
+			*s = step{cost: cost, from: b.index(at, centre), holder: holder}
 		}
 	}
 }
 
-// loadCost prices an engine by how full its memory would be, or how busy it is with
-// reading.
-func loadCost(h *Holder, need float64) float64 {
-	full := h.PromptLoad
+// loadCost returns the cost of an engine's load: the share of its memory in use after the request
+// was added, or its prompt load if this is higher.
+func loadCost(h *Holder, required float64) float64 {
+	load := h.PromptLoad
 	if h.TotalMemory > 0 {
-		full = max(full, 1-(h.FreeMemory-need)/h.TotalMemory)
+		load = max(load, 1-(h.FreeMemory-required)/h.TotalMemory)
 	}
-	return fullLoadCost * full * full * full * full
+	return fullLoadCost * load * load * load * load
 }
 
-// uses tells whether the way to a step passes an engine already.
+// uses reports whether the path to a step already uses an engine.
 func (b *builder) uses(at, holder int) bool {
 	for at > 0 && b.steps[at].holder >= 0 {
 		if b.steps[at].holder == holder {
 			return true
 		}
-		at = b.steps[at].previous
+		at = b.steps[at].from
 	}
 	return false
 }
 
 func (b *builder) stages(end int) []Stage {
-	var parts []Stage
-	for at := end; b.steps[at].holder >= 0; at = b.steps[at].previous {
+	var stages []Stage
+	for at := end; b.steps[at].holder >= 0; at = b.steps[at].from {
 		s := b.steps[at]
 		h := &b.holders[s.holder]
-		layers := fleet.Range{From: b.boundaries[s.previous/len(b.dataCentres)], To: b.boundaries[at/len(b.dataCentres)]}
-		parts = append(parts, Stage{ID: h.ID, Address: h.Address, Layers: layers})
+		layers := fleet.Range{From: b.boundaries[s.from/len(b.dataCentres)], To: b.boundaries[at/len(b.dataCentres)]}
+		stages = append(stages, Stage{ID: h.ID, Address: h.Address, Layers: layers})
 	}
-	slices.Reverse(parts)
-	return parts
+	slices.Reverse(stages)
+	return stages
 }
--- a/chain/chain.go
+++ b/chain/chain.go
@@ -1,12 +1,11 @@
-// Package chain chooses which engines a request passes, and which layers each
-// of them runs.
+// Package chain chooses the engines that a request passes through, and the layers that each of
+// them executes.
 //
-// A chain runs every layer exactly once, in order, and names no engine twice.
-// Among all such chains the builder takes the cheapest, by the time of a token
-// at each stage, the hops between stages, the crossings between data centres
-// and how full the engines' memory is.
+// A chain executes every layer exactly once, in order, and uses no engine twice. The builder
+// returns the cheapest such chain. The cost consists of the time per token at each stage, the hops
+// between stages, the passes between data centres, and the load of the engines.
 //
-//	parts, err := chain.Build(80, tokens, "dc-1", holders)
+//	stages, err := chain.Build(80, tokens, "dc-1", holders)
 package chain
 
 import (
@@ -15,94 +14,93 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// Errors that callers test for with errors.Is.
+// Errors returned by Build and BuildFrom.
 var (
-	// ErrNoHolder means that some layer has no engine that may be used.
-	ErrNoHolder = errors.New("chain: a layer has no engine")
-	// ErrNoMemory means that the engines of some layer lack memory for the
-	// request.
-	ErrNoMemory = errors.New("chain: no memory left for the request")
+	// ErrNoHolder means that no usable engine holds some layer.
+	ErrNoHolder = errors.New("chain: no usable engine holds some layer")
+	// ErrNoMemory means that the engines that hold some layer have insufficient free memory for
+	// the request.
+	ErrNoMemory = errors.New("chain: insufficient free memory for the request")
 )
 
-// Holder is an engine that may take part in a chain.
+// Holder is an engine that may be used in a chain.
 type Holder struct {
 	ID         fleet.Incarnation
 	Address    string
 	DataCentre string
 	Held       fleet.Range
-	// LayerTime is the time of one token through one layer, in ms.
+	// LayerTime is the time to generate one token in one layer, in milliseconds.
 	LayerTime float64
-	// FreeMemory is the memory left for requests, and Total all of it, in tokens
-	// times layers.
+	// FreeMemory is the memory available for requests, and TotalMemory the whole memory for
+	// requests, in tokens times layers.
 	FreeMemory  float64
 	TotalMemory float64
-	// PromptLoad is the part of the prompts that it can read in time which it gets; over
-	// one, prompts wait there ever longer.
+	// PromptLoad is the rate of prompts that the engine gets, divided by the rate that it can
+	// process. Above 1, the queue of prompts grows.
 	PromptLoad float64
-	// EntryCost is added to the cost of a chain that begins with this engine, in ms for each
-	// token: it works on a bounded number of those.
+	// EntryCost is added to the cost of a chain that begins with this engine, in milliseconds per
+	// token. An engine serves a limited number of requests as their first stage.
 	EntryCost float64
-	// Penalty is added to the cost of each part on this engine, in ms for each
-	// token. It speaks for avoiding the engine where there is another.
+	// Penalty is added to the cost of each stage on this engine, in milliseconds per token, so
+	// that other engines are preferred.
 	Penalty float64
 }
 
-// Stage is a stage of a chain: an engine and the layers that it runs.
+// Stage is an engine and the layers that it executes.
 type Stage struct {
 	ID      fleet.Incarnation
 	Address string
 	Layers  fleet.Range
 }
 
-// Weights of the cost, in ms for each token.
+// Cost weights in milliseconds per token.
 const (
-	// hopCost is a pass from one engine to the next inside a data centre: 0.2
-	// ms on the way and some for the pass itself.
+	// hopCost is the cost of a pass from one engine to the next within a data centre: 0.2 ms on
+	// the network plus the overhead of the pass.
 	hopCost = 0.4
-	// crossingCost is a pass to another data centre. The delay is under 1 ms;
-	// the rest speaks for the shared pipes, which one crossing of all of a data
-	// centre's prompts fills by half (docs/PLATFORM.md).
+	// crossingCost is the cost of a pass to another data centre. The delay is below 1 ms. The rest
+	// protects the shared links: if all prompts of a data centre cross once, they use half of a
+	// link (docs/PLATFORM.md).
 	crossingCost = 20.0
-	// remoteEntryCost is for beginning in another data centre: its delay at each token, and
-	// for what crosses beside the events of the stream. No prompt does.
+	// remoteEntryCost is the cost of a first stage in another data centre: the delay of each token
+	// and the traffic in addition to the stream's events. Prompt activations do not cross then.
 	remoteEntryCost = 10.0
-	// fullLoadCost is added for an engine whose memory is full, or that gets as many
-	// prompts as it can read, and less by the fourth power of that part: a slower
-	// engine with memory and time left takes over before. An engine that runs out of
-	// memory puts requests back in the middle of their streams. With 20, requests
-	// went over slow engines too soon, and held memory for longer
+	// fullLoadCost is the cost of an engine at full load of memory or prompts. It is scaled by the
+	// fourth power of the load, so that slower engines with free capacity are chosen before an
+	// engine is full. An engine that runs out of memory preempts requests in the middle of their
+	// streams. With 20, requests used slow engines too early and occupied memory for longer
 	// (docs/CUSTOMER.md).
 	fullLoadCost = 8.0
-	// memoryReserve is the part of an engine's memory that is left free, for
-	// requests that grow beyond what was expected of them.
+	// memoryReserve is the share of an engine's memory that is kept free for requests that grow
+	// beyond their expected length.
 	memoryReserve = 0.06
 )
 
-// Build returns the cheapest chain over all layers for a request of so many
-// tokens that enters at a data centre.
+// Build returns the cheapest chain over all layers for a request with the given number of tokens
+// that enters at the data centre origin.
 func Build(layers int, tokens float64, origin string, holders []Holder) ([]Stage, error) {
 	return BuildFrom(0, layers, tokens, origin, holders)
 }
 
-// BuildLocal returns the cheapest chain over the holders of the origin's data centre,
-// if it costs less than any that leaves it: then the others need not be looked at. The
-// holders are those of the data centre alone; fastest is the time of a token through all
-// layers on the fastest engine anywhere, in ms.
-func BuildLocal(layers int, tokens float64, origin string, holders []Holder, fastest float64) (parts []Stage, ok bool) {
+// BuildLocal returns the cheapest chain over the holders of the origin's data centre if it costs
+// less than any chain that uses another data centre, so that other engines need not be considered.
+// holders contains only engines of that data centre. fastest is the time to generate one token in
+// all layers on the fastest engine of all data centres, in milliseconds.
+func BuildLocal(layers int, tokens float64, origin string, holders []Holder, fastest float64) (stages []Stage, ok bool) {
 	b := newBuilder(0, layers, tokens, origin, holders)
-	parts, cost := b.best()
-	return parts, parts != nil && cost < remoteEntryCost+fastest
+	stages, cost := b.best()
+	return stages, stages != nil && cost < remoteEntryCost+fastest
 }
 
-// BuildFrom is Build for the layers from a given one on.
+// BuildFrom returns the cheapest chain over the layers from the given one to the last.
 func BuildFrom(from, layers int, tokens float64, origin string, holders []Holder) ([]Stage, error) {
 	if from == layers {
 		return nil, nil
 	}
 	b := newBuilder(from, layers, tokens, origin, holders)
-	parts, _ := b.best()
-	if parts != nil {
-		return parts, nil
+	stages, _ := b.best()
+	if stages != nil {
+		return stages, nil
 	}
 	if b.outOfMemory {
 		return nil, ErrNoMemory
@@ -110,14 +108,14 @@
 	return nil, ErrNoHolder
 }
 
-// Valid tells whether parts run each of the layers once and in order, without
-// naming an engine twice.
-func Valid(layers int, parts []Stage) bool { return validFrom(0, layers, parts) }
+// Valid reports whether the stages execute each layer exactly once and in order, without using an
+// engine twice.
+func Valid(layers int, stages []Stage) bool { return validFrom(0, layers, stages) }
 
-func validFrom(from, layers int, parts []Stage) bool {
+func validFrom(from, layers int, stages []Stage) bool {
 	next := from
-	seen := make(map[fleet.Incarnation]bool, len(parts))
-	for _, p := range parts {
+	seen := make(map[fleet.Incarnation]bool, len(stages))
+	for _, p := range stages {
 		if p.Layers.From != next || p.Layers.Empty() || seen[p.ID] {
 			return false
 		}
--- a/chain/chain_test.go
+++ b/chain/chain_test.go
@@ -10,16 +10,16 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-func holder(id, centre string, from, to int, layerTime, room float64) chain.Holder {
+func holder(id, centre string, from, to int, layerTime, freeMemory float64) chain.Holder {
 	return chain.Holder{
 		ID: fleet.Undated(fleet.ID(id)), Address: id + ":80", DataCentre: centre, Held: fleet.Range{From: from, To: to},
-		LayerTime: layerTime, FreeMemory: room, TotalMemory: room,
+		LayerTime: layerTime, FreeMemory: freeMemory, TotalMemory: freeMemory,
 	}
 }
 
-func formatStages(parts []chain.Stage) string {
+func formatStages(stages []chain.Stage) string {
 	text := ""
-	for _, p := range parts {
+	for _, p := range stages {
 		text += fmt.Sprintf("%s:%d-%d ", p.ID, p.Layers.From, p.Layers.To)
 	}
 	return text
@@ -35,43 +35,43 @@
 		err     error
 	}{
 		{"one engine", []chain.Holder{holder("x", "a", 0, 8, 1, ampleMemory)}, "x:0-8 ", nil},
-		{"the fast one", []chain.Holder{holder("x", "a", 0, 8, 9, ampleMemory), holder("y", "a", 0, 8, 1, ampleMemory)}, "y:0-8 ", nil},
+		{"the faster engine", []chain.Holder{holder("x", "a", 0, 8, 9, ampleMemory), holder("y", "a", 0, 8, 1, ampleMemory)}, "y:0-8 ", nil},
 		{
-			"boundaries inside ranges",
+			"boundary inside ranges",
 			[]chain.Holder{holder("x", "a", 0, 5, 1, ampleMemory), holder("y", "a", 3, 8, 9, ampleMemory)},
 			"x:0-5 y:5-8 ", nil,
 		},
 		{
-			"home before a faster engine far away",
+			"local engine before a faster remote one",
 			[]chain.Holder{holder("x", "a", 0, 8, 2, ampleMemory), holder("y", "b", 0, 8, 1, ampleMemory)}, "x:0-8 ", nil,
 		},
 		{
-			"far away where home has no holder",
+			"remote engine without a local holder",
 			[]chain.Holder{holder("x", "a", 0, 4, 2, ampleMemory), holder("y", "b", 4, 8, 1, ampleMemory)}, "x:0-4 y:4-8 ", nil,
 		},
 		{
-			"a full engine is passed over",
+			"full engine is skipped",
 			[]chain.Holder{holder("x", "a", 0, 8, 1, 10), holder("y", "a", 0, 8, 2, ampleMemory)}, "y:0-8 ", nil,
 		},
-		{"no room", []chain.Holder{holder("x", "a", 0, 8, 1, 10)}, "", chain.ErrNoMemory},
-		{"a gap", []chain.Holder{holder("x", "a", 0, 3, 1, ampleMemory), holder("y", "a", 4, 8, 1, ampleMemory)}, "", chain.ErrNoHolder},
-		{"nobody", nil, "", chain.ErrNoHolder},
+		{"no memory", []chain.Holder{holder("x", "a", 0, 8, 1, 10)}, "", chain.ErrNoMemory},
+		{"coverage gap", []chain.Holder{holder("x", "a", 0, 3, 1, ampleMemory), holder("y", "a", 4, 8, 1, ampleMemory)}, "", chain.ErrNoHolder},
+		{"no engines", nil, "", chain.ErrNoHolder},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			parts, err := chain.Build(8, 100, "a", tt.holders)
+			stages, err := chain.Build(8, 100, "a", tt.holders)
 			if !errors.Is(err, tt.err) {
 				t.Fatalf("got error %v, want %v", err, tt.err)
 			}
-			if got := formatStages(parts); got != tt.want {
-				t.Errorf("got %s, want %s", got, tt.want)
+			if got := formatStages(stages); got != tt.want {
+				t.Errorf("got chain %s, want %s", got, tt.want)
 			}
 		})
 	}
 }
 
-// Whatever the engines hold, a chain runs each layer once and in order, and
-// every engine holds its part.
+// For any set of engines, a chain must execute each layer once and in order, on engines that hold
+// the layers.
 func TestBuildCoversEachLayerOnce(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 7))
 	const layers = 20
@@ -84,20 +84,20 @@
 			centre := string(rune('a' + random.IntN(3)))
 			holders = append(holders, holder(fmt.Sprintf("e%d", i), centre, from, to, 1+9*random.Float64(), 3000*random.Float64()))
 		}
-		parts, err := chain.Build(layers, 100, "a", holders)
+		stages, err := chain.Build(layers, 100, "a", holders)
 		if err != nil {
 			continue
 		}
 		found++
-		if !chain.Valid(layers, parts) {
-			t.Fatalf("got %s, which does not run each layer once", formatStages(parts))
+		if !chain.Valid(layers, stages) {
+			t.Fatalf("got %s, want each layer once", formatStages(stages))
 		}
-		for _, p := range parts {
+		for _, p := range stages {
 			checkStage(t, p, holders)
 		}
 	}
 	if found < 500 {
-		t.Errorf("got %d chains, want 500 or more for the test to mean something", found)
+		t.Errorf("got %d chains from random engines, want 500 or more", found)
 	}
 }
 
@@ -108,43 +108,43 @@
 			continue
 		}
 		if !h.Held.Covers(p.Layers) {
-			t.Errorf("got part %v of %s, which holds %v", p.Layers, p.ID, h.Held)
+			t.Errorf("got stage %v on %s, which holds %v", p.Layers, p.ID, h.Held)
 		}
-		if need := 100 * float64(p.Layers.Len()); need > h.FreeMemory {
-			t.Errorf("got %v of memory taken at %s, want at most %v", need, p.ID, h.FreeMemory)
+		if required := 100 * float64(p.Layers.Len()); required > h.FreeMemory {
+			t.Errorf("got %v memory required at %s, want at most %v", required, p.ID, h.FreeMemory)
 		}
 	}
 }
 
 func TestBuildFromMidChain(t *testing.T) {
 	holders := []chain.Holder{holder("x", "a", 2, 8, 1, ampleMemory), holder("y", "a", 0, 5, 1, ampleMemory)}
-	parts, err := chain.BuildFrom(4, 8, 100, "a", holders)
+	stages, err := chain.BuildFrom(4, 8, 100, "a", holders)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := formatStages(parts), "x:4-8 "; got != want {
-		t.Errorf("got %s, want %s", got, want)
+	if got, want := formatStages(stages), "x:4-8 "; got != want {
+		t.Errorf("got chain %s, want %s", got, want)
 	}
 }
 
 func TestValid(t *testing.T) {
-	part := func(id string, from, to int) chain.Stage {
+	stage := func(id string, from, to int) chain.Stage {
 		return chain.Stage{ID: fleet.Undated(fleet.ID(id)), Layers: fleet.Range{From: from, To: to}}
 	}
 	tests := []struct {
-		name  string
-		parts []chain.Stage
-		want  bool
+		name   string
+		stages []chain.Stage
+		want   bool
 	}{
-		{"whole", []chain.Stage{part("x", 0, 3), part("y", 3, 8)}, true},
-		{"gap", []chain.Stage{part("x", 0, 3), part("y", 4, 8)}, false},
-		{"overlap", []chain.Stage{part("x", 0, 4), part("y", 3, 8)}, false},
-		{"order", []chain.Stage{part("y", 3, 8), part("x", 0, 3)}, false},
-		{"short", []chain.Stage{part("x", 0, 3)}, false},
-		{"an engine twice", []chain.Stage{part("x", 0, 3), part("y", 3, 5), part("x", 5, 8)}, false},
+		{"whole", []chain.Stage{stage("x", 0, 3), stage("y", 3, 8)}, true},
+		{"gap", []chain.Stage{stage("x", 0, 3), stage("y", 4, 8)}, false},
+		{"overlap", []chain.Stage{stage("x", 0, 4), stage("y", 3, 8)}, false},
+		{"wrong order", []chain.Stage{stage("y", 3, 8), stage("x", 0, 3)}, false},
+		{"missing end", []chain.Stage{stage("x", 0, 3)}, false},
+		{"engine used twice", []chain.Stage{stage("x", 0, 3), stage("y", 3, 5), stage("x", 5, 8)}, false},
 	}
 	for _, tt := range tests {
-		if got := chain.Valid(8, tt.parts); got != tt.want {
+		if got := chain.Valid(8, tt.stages); got != tt.want {
 			t.Errorf("%s: got %v, want %v", tt.name, got, tt.want)
 		}
 	}
@@ -163,7 +163,7 @@
 	}
 }
 
-// An engine whose prompts wait is left for a slower one with time left.
+// An engine with a high prompt load must be avoided if a slower engine has free capacity.
 func TestBuildAvoidsBusyEngines(t *testing.T) {
 	busy := holder("x", "a", 0, 8, 1, ampleMemory)
 	idle := holder("y", "a", 0, 8, 1.5, ampleMemory)
@@ -172,12 +172,12 @@
 		want string
 	}{{0.2, "x:0-8 "}, {0.95, "y:0-8 "}} {
 		busy.PromptLoad = tt.busy
-		parts, err := chain.Build(8, 100, "a", []chain.Holder{busy, idle})
+		stages, err := chain.Build(8, 100, "a", []chain.Holder{busy, idle})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := formatStages(parts); got != tt.want {
-			t.Errorf("busy for %v: got %s, want %s", tt.busy, got, tt.want)
+		if got := formatStages(stages); got != tt.want {
+			t.Errorf("prompt load %v: got chain %s, want %s", tt.busy, got, tt.want)
 		}
 	}
 }
--- a/chain/home_test.go
+++ b/chain/local_test.go
@@ -8,18 +8,18 @@
 	"github.com/hoistjunction/hoistjunction/chain"
 )
 
-// localHolders returns the holders of a data centre.
+// localHolders returns the holders in a data centre.
 func localHolders(holders []chain.Holder, centre string) []chain.Holder {
-	var home []chain.Holder
+	var local []chain.Holder
 	for _, h := range holders {
 		if h.DataCentre == centre {
-			home = append(home, h)
+			local = append(local, h)
 		}
 	}
-	return home
+	return local
 }
 
-// minLayerTime returns the least time of a token through a layer.
+// minLayerTime returns the lowest time to generate one token in one layer.
 func minLayerTime(holders []chain.Holder) float64 {
 	least := holders[0].LayerTime
 	for _, h := range holders {
@@ -28,9 +28,9 @@
 	return least
 }
 
-// Whatever the engines, a chain that is found at home is the one that is cheapest of
-// all. Engines without room at home begin and end wherever others do, so that the
-// engines of other data centres offer no further boundaries.
+// For any set of engines, a chain returned by BuildLocal must be the one returned by Build. Local
+// engines without free memory add all stage boundaries, so that remote engines add no further
+// ones.
 func TestBuildLocalMatchesBuild(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 5))
 	const layers, step, tokens = 20, 5, 10.0
@@ -43,8 +43,8 @@
 		for i := range 1 + random.IntN(16) {
 			from := step * random.IntN(layers/step)
 			to := min(from+step*(1+random.IntN(2)), layers)
-			room := 40 + 400*random.Float64()
-			h := holder(fmt.Sprintf("e%d", i), string(rune('a'+random.IntN(3))), from, to, 0.05+random.Float64(), room)
+			freeMemory := 40 + 400*random.Float64()
+			h := holder(fmt.Sprintf("e%d", i), string(rune('a'+random.IntN(3))), from, to, 0.05+random.Float64(), freeMemory)
 			holders = append(holders, h)
 		}
 		got, ok := chain.BuildLocal(layers, tokens, "a", localHolders(holders, "a"), layers*minLayerTime(holders))
@@ -54,11 +54,11 @@
 		found++
 		want, err := chain.Build(layers, tokens, "a", holders)
 		if err != nil || formatStages(got) != formatStages(want) {
-			t.Fatalf("got %s at home, want %s (%v) of %+v", formatStages(got), formatStages(want), err, holders)
+			t.Fatalf("got local chain %s, want %s (error %v) for holders %+v", formatStages(got), formatStages(want), err, holders)
 		}
 	}
 	if found == 0 {
-		t.Error("got no chain at home, want some")
+		t.Error("got no local chain in any run, want some")
 	}
 }
 
@@ -67,13 +67,13 @@
 		name    string
 		holders []chain.Holder
 	}{
-		{"a layer has no engine at home", []chain.Holder{holder("x", "a", 0, 4, 1, ampleMemory)}},
-		{"no room at home", []chain.Holder{holder("x", "a", 0, 8, 1, 10)}},
-		{"a chain that leaves may be cheaper", []chain.Holder{holder("x", "a", 0, 8, 9, ampleMemory)}},
+		{"layer without a local holder", []chain.Holder{holder("x", "a", 0, 4, 1, ampleMemory)}},
+		{"no free memory in the data centre", []chain.Holder{holder("x", "a", 0, 8, 1, 10)}},
+		{"remote chain may be cheaper", []chain.Holder{holder("x", "a", 0, 8, 9, ampleMemory)}},
 	}
 	for _, tt := range tests {
-		if parts, ok := chain.BuildLocal(8, 5, "a", tt.holders, 0); ok {
-			t.Errorf("%s: got %s, want none", tt.name, formatStages(parts))
+		if stages, ok := chain.BuildLocal(8, 5, "a", tt.holders, 0); ok {
+			t.Errorf("%s: got chain %s, want none", tt.name, formatStages(stages))
 		}
 	}
 }
