--- a/budget/window.go
+++ b/budget/window.go
@@ -2,23 +2,23 @@
 
 import "github.com/hoistjunction/hoistjunction/clock"
 
-// windowParts is into how many parts a Window is cut. Retries are kept for one part more,
-// so that their sum is never over less than the whole window, and first tries are not, so
-// that theirs is never over more.
+// windowParts is the number of parts into which a Window is divided. Retries are summed over one
+// additional part, so that the sum never covers less than a whole window. First attempts are not,
+// so that their sum never covers more than a window.
 const windowParts = 10
 
-// Window bounds retries in every window of time: to a share of the first tries
-// in it, and a number beyond that. After a burst of retries it is as generous
-// again as before, one window later. It is not safe for concurrent use.
+// Window limits the retries in every time window to a share of the first attempts in it plus a
+// fixed number, the slack. After a burst of retries, the whole budget is available again one
+// window later. It is not safe for concurrent use.
 //
 //	w := budget.NewWindow(10_000, 0.2, 20)
-//	w.Earn(now)
-//	if w.Spend(now) {
+//	w.Deposit(now)
+//	if w.TryWithdraw(now) {
 //	}
 //
-// An allowance of less than one retry is a chance of one: of many windows that hold parts of
-// a whole, as those of a thousand nodes, each would else hold less than a retry, and none
-// would ever make any.
+// An allowance below one retry is used as a probability of one retry. If a budget is divided among
+// a thousand nodes, each window may have less than one retry, and otherwise no node would ever
+// make any.
 type Window struct {
 	partLength clock.Millis
 	share      float64
@@ -27,26 +27,27 @@
 	parts      [windowParts + 1]windowPart
 }
 
-// chanceFactor is the part of an allowance of less than one that counts as a chance. What is
-// left is for windows that are luckier together than the mean.
+// chanceFactor is the share of an allowance below one that is used as a probability. The rest is a
+// margin, because more windows than expected may get a retry.
 const chanceFactor = 0.9
 
-// WindowOption sets up a Window.
+// WindowOption configures a Window.
 type WindowOption func(*Window)
 
-// WithDraw sets what is drawn for a window, from 0 up to 1: where its allowance is less than
-// one, it is one if the chance exceeds what is left of 1. Windows that share a whole are to
-// have draws of their own, which do not change while they are used.
+// WithDraw sets the window's random draw, at least 0 and below 1. An allowance below one becomes
+// one retry if its probability is at least 1 minus the draw. Windows that divide a budget must
+// have independent draws, which stay the same as long as the windows are used.
 func WithDraw(draw float64) WindowOption { return func(w *Window) { w.draw = draw } }
 
-// windowPart counts one part of the time; its number tells a stale one.
+// windowPart counts the attempts in one part of a window. number identifies the part in time, so
+// that an outdated count is recognized.
 type windowPart struct {
 	number        int64
 	firstAttempts int
 	retries       int
 }
 
-// NewWindow returns a budget of a share and a slack in each window of a length.
+// NewWindow returns a budget for windows of the given length, with a share and a slack.
 func NewWindow(length clock.Millis, share, slack float64, opts ...WindowOption) *Window {
 	w := &Window{partLength: max(length/windowParts, 1), share: share, slack: slack}
 	for _, opt := range opts {
@@ -55,33 +56,34 @@
 	return w
 }
 
-// SetLimits changes the share, and the number of retries beyond it.
+// SetLimits sets the share and the slack.
 func (w *Window) SetLimits(share, slack float64) { w.share, w.slack = share, slack }
 
-// Deposit counts one first try.
+// Deposit counts one first attempt.
 func (w *Window) Deposit(now clock.Millis) { w.partAt(now).firstAttempts++ }
 
-// TryWithdraw takes one retry, and reports whether there was one.
+// TryWithdraw takes one retry and reports whether one was available.
 func (w *Window) TryWithdraw(now clock.Millis) bool {
 	current := w.partAt(now)
-	first, retries := w.sums(current.number)
-	if float64(retries+1) > w.allowance(first) {
+	attempts, retries := w.sums(current.number)
+	if float64(retries+1) > w.allowance(attempts) {
 		return false
 	}
 	current.retries++
 	return true
 }
 
-// allowance is how many retries a window with so many first tries may have.
-func (w *Window) allowance(first int) float64 {
-	allowed := w.share*float64(first) + w.slack
+// allowance returns the number of retries allowed in a window with the given number of first
+// attempts.
+func (w *Window) allowance(attempts int) float64 {
+	allowed := w.share*float64(attempts) + w.slack
 	if allowed < 1 && chanceFactor*allowed+w.draw >= 1 {
 		return 1
 	}
 	return allowed
 }
 
-// Refund gives back a retry that was taken at the same moment and not made.
+// Refund returns a retry that was taken at the same time and not used.
 func (w *Window) Refund(now clock.Millis) {
 	current := w.partAt(now)
 	current.retries = max(current.retries-1, 0)
@@ -96,14 +98,14 @@
 	return p
 }
 
-func (w *Window) sums(newest int64) (first, retries int) {
+func (w *Window) sums(newest int64) (attempts, retries int) {
 	for _, p := range w.parts {
 		if p.number > newest-int64(len(w.parts)) {
 			retries += p.retries
 		}
 		if p.number > newest-windowParts {
-			first += p.firstAttempts
+			attempts += p.firstAttempts
 		}
 	}
-	return first, retries
+	return attempts, retries
 }
--- a/budget/window_test.go
+++ b/budget/window_test.go
@@ -18,7 +18,7 @@
 		return n
 	}
 	if got, want := spend(0), 3; got != want {
-		t.Errorf("got %d retries at first, want %d", got, want)
+		t.Errorf("got %d initial retries, want %d", got, want)
 	}
 	if got, want := spend(9_999), 0; got != want {
 		t.Errorf("got %d retries in the same window, want %d", got, want)
@@ -27,15 +27,15 @@
 		w.Deposit(10_500)
 	}
 	if got, want := spend(10_500), 2; got != want {
-		t.Errorf("got %d retries for ten first tries, want %d", got, want)
+		t.Errorf("got %d retries for ten first attempts, want %d", got, want)
 	}
 	if got, want := spend(30_000), 3; got != want {
-		t.Errorf("got %d retries later, want %d", got, want)
+		t.Errorf("got %d retries in a later window, want %d", got, want)
 	}
 }
 
-// No window of ten seconds, wherever it begins, holds more retries than its
-// first tries and those just before it allow.
+// In any window of ten seconds, the retries must not exceed the allowance of the first attempts in
+// this window and the second before it.
 func TestWindowNeverExceedsAllowance(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	w := budget.NewWindow(10_000, 0.2, 5)
@@ -66,8 +66,8 @@
 				retries++
 			}
 		}
-		if most := 0.2*float64(first) + 5; float64(retries) > most {
-			t.Fatalf("got %d retries in the window from %d, want at most %v", retries, begin.at, most)
+		if allowed := 0.2*float64(first) + 5; float64(retries) > allowed {
+			t.Fatalf("got %d retries in the window from %d, want at most %v", retries, begin.at, allowed)
 		}
 	}
 }
@@ -77,18 +77,19 @@
 	w.Refund(0)
 	for at := clock.Millis(0); at < 3; at++ {
 		if !w.TryWithdraw(at) {
-			t.Errorf("at %d: got no retry, want the one that was given back", at)
+			t.Errorf("at %d: got no retry, want the refunded one", at)
 		}
 		w.Refund(at)
 	}
 	if !w.TryWithdraw(5) || w.TryWithdraw(6) {
-		t.Error("got another number of retries than one")
+		t.Error("got no retry or a second one, want exactly one")
 	}
 }
 
-// A thousand nodes had less than half a repeat each, and none ever made one: of 3,000
-// upstreams that were lost, each cost the requests that had begun there. Together they must
-// have nearly what all may have, however many nodes it is split among, and never more.
+// Guards against budgets that are too small when divided among many nodes. A thousand nodes had
+// less than half a retry each and never made one, so that each of 3,000 crashed upstreams failed
+// the requests that it had started. Together, the windows must allow nearly the whole budget,
+// however many nodes divide it, and never more.
 func TestFractionalAllowancesAddUp(t *testing.T) {
 	const slack, share, requests = 468.0, 0.12, 2250
 	for _, nodes := range []int{500, 1000, 2000, 4000} {
--- a/ring/ring.go
+++ b/ring/ring.go
@@ -1,28 +1,26 @@
-// Package ring joins the node's duties: one goroutine puts things in, another
-// takes them out, and the space between is bounded.
+// Package ring provides the bounded queues that connect the goroutines of a node.
 //
-// A full ring refuses, and its user says what that means; nothing waits
-// behind somebody else's full ring.
+// A full queue refuses items instead of blocking the sender, who decides how to handle the
+// refusal.
 //
 //	r := ring.New[core.Msg](1024)
 //	if !r.Offer(msg) {
-//		// shed
+//	\t// shed
 //	}
 package ring
 
 import "sync/atomic"
 
-// Ring is a bounded queue between goroutines. All methods are safe for
-// concurrent use.
+// Ring is a bounded queue between goroutines. It is safe for concurrent use.
 type Ring[T any] struct {
 	items   chan T
 	refused atomic.Uint64
 }
 
-// New returns an empty ring with room for capacity items.
+// New returns an empty ring that holds up to capacity items.
 func New[T any](capacity int) *Ring[T] { return &Ring[T]{items: make(chan T, capacity)} }
 
-// Offer adds an item, or refuses at once when there is no room.
+// Offer adds an item without blocking and reports whether the ring had space for it.
 func (r *Ring[T]) Offer(item T) bool {
 	select {
 	case r.items <- item:
@@ -33,8 +31,7 @@
 	}
 }
 
-// Put adds an item, and waits for room until done is closed. It returns
-// whether the item was added.
+// Put adds an item, waiting for space until done is closed. It reports whether the item was added.
 func (r *Ring[T]) Put(item T, done <-chan struct{}) bool {
 	select {
 	case r.items <- item:
@@ -44,11 +41,11 @@
 	}
 }
 
-// Items returns the channel to take items from.
+// Items returns the channel from which items are received.
 func (r *Ring[T]) Items() <-chan T { return r.items }
 
-// Len returns how many items are waiting.
+// Len returns the number of waiting items.
 func (r *Ring[T]) Len() int { return len(r.items) }
 
-// Refused returns how many items were refused.
+// Refused returns the number of items that Offer has refused.
 func (r *Ring[T]) Refused() uint64 { return r.refused.Load() }
