--- a/chain/builder.go
+++ b/chain/builder.go
@@ -155,7 +155,7 @@
 	for at := end; b.steps[at].holder >= 0; at = b.steps[at].from {
 		s := b.steps[at]
 		h := &b.holders[s.holder]
-		layers := fleet.Range{From: b.boundaries[s.from/len(b.dataCentres)], To: b.boundaries[at/len(b.dataCentres)]}
+		layers := fleet.LayerRange{From: b.boundaries[s.from/len(b.dataCentres)], To: b.boundaries[at/len(b.dataCentres)]}
 		stages = append(stages, Stage{ID: h.ID, Address: h.Address, Layers: layers})
 	}
 	slices.Reverse(stages)
--- a/chain/chain.go
+++ b/chain/chain.go
@@ -28,7 +28,7 @@
 	ID         fleet.Incarnation
 	Address    string
 	DataCentre string
-	Held       fleet.Range
+	Held       fleet.LayerRange
 	// LayerTime is the time to generate one token in one layer, in milliseconds.
 	LayerTime float64
 	// FreeMemory is the memory available for requests, and TotalMemory the whole memory for
@@ -50,7 +50,7 @@
 type Stage struct {
 	ID      fleet.Incarnation
 	Address string
-	Layers  fleet.Range
+	Layers  fleet.LayerRange
 }
 
 // Cost weights in milliseconds per token.
--- a/chain/chain_test.go
+++ b/chain/chain_test.go
@@ -12,7 +12,7 @@
 
 func holder(id, centre string, from, to int, layerTime, freeMemory float64) chain.Holder {
 	return chain.Holder{
-		ID: fleet.Undated(fleet.ID(id)), Address: id + ":80", DataCentre: centre, Held: fleet.Range{From: from, To: to},
+		ID: fleet.IncarnationByID(fleet.ID(id)), Address: id + ":80", DataCentre: centre, Held: fleet.LayerRange{From: from, To: to},
 		LayerTime: layerTime, FreeMemory: freeMemory, TotalMemory: freeMemory,
 	}
 }
@@ -129,7 +129,7 @@
 
 func TestValid(t *testing.T) {
 	stage := func(id string, from, to int) chain.Stage {
-		return chain.Stage{ID: fleet.Undated(fleet.ID(id)), Layers: fleet.Range{From: from, To: to}}
+		return chain.Stage{ID: fleet.IncarnationByID(fleet.ID(id)), Layers: fleet.LayerRange{From: from, To: to}}
 	}
 	tests := []struct {
 		name   string
--- a/chain/missing_resource.go
+++ b/chain/missing_resource.go
@@ -6,7 +6,7 @@
 // all layers have one, the layers with the least free memory.
 type MissingResource struct {
 	// Layers are the adjacent layers with this shortage.
-	Layers fleet.Range
+	Layers fleet.LayerRange
 	// Holders is the number of engines that hold the first of these layers.
 	Holders int
 	// ID is the holder of the first of these layers with the most free memory, or zero if there is
@@ -26,7 +26,7 @@
 		scarcer := layer == from || n == 0 && missing.Holders > 0 || (n > 0) == (missing.Holders > 0) && free < missing.FreeMemory
 		switch {
 		case scarcer:
-			missing.Layers, missing.Holders, missing.ID, missing.FreeMemory = fleet.Range{From: layer, To: layer + 1}, n, id, free
+			missing.Layers, missing.Holders, missing.ID, missing.FreeMemory = fleet.LayerRange{From: layer, To: layer + 1}, n, id, free
 		case missing.Layers.To == layer && n == missing.Holders && id == missing.ID:
 			missing.Layers.To = layer + 1
 		}
--- a/chain/missing_resource_test.go
+++ b/chain/missing_resource_test.go
@@ -16,14 +16,14 @@
 		{
 			"layers without a holder",
 			[]chain.Holder{holder("x", "a", 0, 3, 1, 0), holder("y", "a", 5, 8, 1, ampleMemory)},
-			chain.MissingResource{Layers: fleet.Range{From: 3, To: 5}, RequiredMemory: 200},
+			chain.MissingResource{Layers: fleet.LayerRange{From: 3, To: 5}, RequiredMemory: 200},
 		},
 		{
 			"layers with the least free memory",
 			[]chain.Holder{holder("x", "a", 0, 4, 1, 1000), holder("y", "a", 4, 8, 1, 100), holder("z", "a", 4, 6, 1, 500)},
-			chain.MissingResource{Layers: fleet.Range{From: 6, To: 8}, Holders: 1, ID: fleet.Undated("y"), FreeMemory: 94, RequiredMemory: 200},
+			chain.MissingResource{Layers: fleet.LayerRange{From: 6, To: 8}, Holders: 1, ID: fleet.IncarnationByID("y"), FreeMemory: 94, RequiredMemory: 200},
 		},
-		{"no engines", nil, chain.MissingResource{Layers: fleet.Range{From: 0, To: 8}, RequiredMemory: 800}},
+		{"no engines", nil, chain.MissingResource{Layers: fleet.LayerRange{From: 0, To: 8}, RequiredMemory: 800}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/dispatch/arrive.go
+++ b/dispatch/arrive.go
@@ -33,7 +33,7 @@
 	if cmds := m.admitKey(r); cmds != nil {
 		return cmds
 	}
-	r.work = msg.Asked.By(r.account.Name)
+	r.work = msg.Asked.ForAccount(r.account.Name)
 	r.deadline = m.now.Add(noDeadline)
 	if msg.Remaining > 0 {
 		r.deadline = m.now.Add(msg.Remaining)
@@ -42,7 +42,7 @@
 	if route.Timeout > 0 {
 		r.giveUp = m.now.Add(route.Timeout)
 	}
-	r.service = m.catalog.Service(route.Pick(position(msg.CallerID)))
+	r.service = m.catalog.Service(route.ServiceAt(position(msg.CallerID)))
 	if r.service == nil {
 		return m.refuse(msg.Request, http.StatusServiceUnavailable, ReasonNoUpstream, backHealing)
 	}
--- a/dispatch/busy.go
+++ b/dispatch/busy.go
@@ -27,7 +27,7 @@
 	if !known || layers == 0 || used <= 0 {
 		return 0
 	}
-	prompt, answer := u.pipeline.Usual()
+	prompt, answer := u.pipeline.MeanTokens()
 	streams := used / (prompt + answerHeld*answer) / float64(layers)
-	return streams / m.lasts * max(u.pace, 1) / u.pipeline.ReadsInTime(kind, layers, inBatch*streams)
+	return streams / m.lasts * max(u.pace, 1) / u.pipeline.PromptRate(kind, layers, inBatch*streams)
 }
--- a/dispatch/cmd.go
+++ b/dispatch/cmd.go
@@ -115,13 +115,13 @@
 // ShareCmd tells other nodes what requests take at engines.
 type ShareCmd struct {
 	// Used is what this node's requests take.
-	Used map[fleet.Incarnation]fleet.Use
+	Used map[fleet.Incarnation]fleet.EngineUsage
 	// Total is what those of all nodes that tell each other take, at engines that
 	// are worth telling others of.
-	Total map[fleet.Incarnation]fleet.Use
+	Total map[fleet.Incarnation]fleet.EngineUsage
 	// Whole is what those of all nodes take that are known of, in other data centres those
 	// of HeardOf, at engines of which a node that is told sums is to know.
-	Whole   map[fleet.Incarnation]fleet.Use
+	Whole   map[fleet.Incarnation]fleet.EngineUsage
 	HeardOf []string
 	// Nodes is how many nodes there are; 0 while that is not known.
 	Nodes int
--- a/dispatch/depart.go
+++ b/dispatch/depart.go
@@ -48,7 +48,7 @@
 }
 
 // holds takes in that an engine holds layers, before the list shows it.
-func (m *Model) holds(u *upstream, layers fleet.Range) {
+func (m *Model) holds(u *upstream, layers fleet.LayerRange) {
 	u.entry.Held = layers
 	u.heldAt = m.now
 	u.fullUntil = 0
--- a/dispatch/fail.go
+++ b/dispatch/fail.go
@@ -189,5 +189,5 @@
 		}
 	}
 	m.forget(msg.Request)
-	return append(m.tellNews(m.quarantine.Answered(m.now, r.work, true)), m.takePlaces(r.service.Name, first)...)
+	return append(m.tellNews(m.quarantine.RequestAnswered(m.now, r.work, true)), m.takePlaces(r.service.Name, first)...)
 }
--- a/dispatch/identity.go
+++ b/dispatch/identity.go
@@ -21,16 +21,16 @@
 func (m *Model) foundFate(u *upstream, msg ProbedMsg) []Cmd {
 	switch {
 	case !msg.Answered:
-		return m.tellNews(m.quarantine.Found(m.now, msg.Upstream, quarantine.Silent))
+		return m.tellNews(m.quarantine.SetUpstreamState(m.now, msg.Upstream, quarantine.Unresponsive))
 	case msg.Named:
-		return m.tellNews(m.quarantine.Answers(msg.Upstream))
+		return m.tellNews(m.quarantine.UpstreamAnswered(msg.Upstream))
 	}
 	return m.askName(u)
 }
 
 // askName asks who is at an upstream's address, if that decides about a request.
 func (m *Model) askName(u *upstream) []Cmd {
-	if m.catalog == nil || u.naming || m.now < u.nameAgain || !m.quarantine.Disputed(u.entry.ID) {
+	if m.catalog == nil || u.naming || m.now < u.nameAgain || !m.quarantine.NeedsCheck(u.entry.ID) {
 		return nil
 	}
 	service := m.catalog.Service(u.entry.Service)
@@ -44,7 +44,7 @@
 // askNames asks those again that have not said who they are.
 func (m *Model) askNames() []Cmd {
 	var cmds []Cmd
-	for _, id := range m.quarantine.Disputes() {
+	for _, id := range m.quarantine.UpstreamsToCheck() {
 		if u := m.upstreams[id]; u != nil && u.namesLost > 0 {
 			cmds = append(cmds, m.askName(u)...)
 		}
@@ -60,11 +60,11 @@
 		u.naming = false
 	}
 	switch msg.Presence {
-	case fleet.Itself:
-		return m.tellNews(m.quarantine.Answers(msg.Upstream))
-	case fleet.Another:
-		return m.tellNews(m.quarantine.Found(m.now, msg.Upstream, quarantine.Ended))
-	case fleet.Unnamed:
+	case fleet.Present:
+		return m.tellNews(m.quarantine.UpstreamAnswered(msg.Upstream))
+	case fleet.Replaced:
+		return m.tellNews(m.quarantine.SetUpstreamState(m.now, msg.Upstream, quarantine.Ended))
+	case fleet.PresenceUnknown:
 		if u != nil {
 			u.nameAgain = m.now.Add(min(askNameAgain<<min(u.namesLost, 8), longestAskName))
 			u.namesLost++
--- a/dispatch/limit.go
+++ b/dispatch/limit.go
@@ -78,14 +78,14 @@
 	switch msg := msg.(type) {
 	case LimitMsg:
 		if m.upstreams[msg.Upstream] != nil && m.limits.Named(m.now, msg.Upstream, msg.Rate) {
-			return append(m.limitChanged(msg.Upstream, ""), asked(m.limits.Report(m.now, msg.Upstream))...)
+			return append(m.limitChanged(msg.Upstream, ""), asked(m.limits.ReportSent(m.now, msg.Upstream))...)
 		}
 	case NoLimitMsg:
-		if m.limits.Unnamed(m.now, msg.Upstream, msg.Sent) {
+		if m.limits.SetUnlimited(m.now, msg.Upstream, msg.Sent) {
 			return append(m.limitChanged(msg.Upstream, ""), m.takePermits(msg.Upstream)...)
 		}
 	case PermitAskMsg:
-		grant, asks := m.limits.Asked(m.now, msg.From, msg.Ask)
+		grant, asks := m.limits.HandleAsk(m.now, msg.From, msg.Ask)
 		return append(asked(asks), GivePermitsCmd{To: msg.From, Grant: grant})
 	case PermitsMsg:
 		return m.permits(msg)
@@ -98,11 +98,11 @@
 func (m *Model) toldLimits(msg UsageMsg) []Cmd {
 	var cmds []Cmd
 	for _, id := range slices.SortedFunc(maps.Keys(msg.Limits), fleet.Incarnation.Compare) {
-		if m.upstreams[id] == nil || !m.limits.Told(m.now, id, msg.Limits[id]) {
+		if m.upstreams[id] == nil || !m.limits.Merge(m.now, id, msg.Limits[id]) {
 			continue
 		}
 		cmds = append(cmds, m.limitChanged(id, msg.Node)...)
-		cmds = append(cmds, asked(m.limits.Report(m.now, id))...)
+		cmds = append(cmds, asked(m.limits.ReportSent(m.now, id))...)
 		if msg.Limits[id].Rate == 0 {
 			cmds = append(cmds, m.takePermits(id)...)
 		}
@@ -114,7 +114,7 @@
 func (m *Model) permits(msg PermitsMsg) []Cmd {
 	upstream := msg.Grant.Upstream
 	before, _ := m.limits.Limit(upstream)
-	if !m.limits.Granted(m.now, msg.From, msg.Grant) {
+	if !m.limits.HandleGrant(m.now, msg.From, msg.Grant) {
 		return nil
 	}
 	var cmds []Cmd
@@ -125,13 +125,13 @@
 }
 
 // Limits returns the limits that hold, for metrics.
-func (m *Model) Limits(now clock.Millis) []limit.Shown { return m.limits.Show(now) }
+func (m *Model) Limits(now clock.Millis) []limit.Summary { return m.limits.Summaries(now) }
 
 func (m *Model) limitChanged(upstream fleet.Incarnation, from string) []Cmd {
 	named, _ := m.limits.Limit(upstream)
 	cmd := LimitCmd{Upstream: upstream, Rate: named.Rate, From: from}
 	if named.Rate > 0 {
-		cmd.Age = m.now.Sub(named.At)
+		cmd.Age = m.now.Sub(named.ReceivedAt)
 	}
 	return []Cmd{cmd}
 }
@@ -148,11 +148,11 @@
 // once, or after a permit was asked for.
 func (m *Model) mayBegin(r *request, u *upstream) bool {
 	switch m.limits.State(m.now, u.entry.ID) {
-	case limit.Spent:
+	case limit.Exhausted:
 		return false
-	case limit.Askable, limit.Waiting:
+	case limit.NeedsPermit, limit.RequestPending:
 		return !r.impatient
-	case limit.Free, limit.Permitted:
+	case limit.Unlimited, limit.HasPermit:
 	}
 	return true
 }
@@ -160,7 +160,7 @@
 // needsPermit tells whether a permit must be awaited before a request is sent to an upstream.
 func (m *Model) needsPermit(u *upstream) bool {
 	state := m.limits.State(m.now, u.entry.ID)
-	return state == limit.Askable || state == limit.Waiting
+	return state == limit.NeedsPermit || state == limit.RequestPending
 }
 
 // awaitPermit asks for a permit for a request. This node may be the one that gives it.
@@ -172,7 +172,7 @@
 	r.awaits = id
 	m.awaiting[id] = append(m.awaiting[id], r.msg.Request)
 	cmds := asked(m.limits.Ask(m.now, id, len(m.awaiting[id])))
-	if m.limits.State(m.now, id) == limit.Waiting {
+	if m.limits.State(m.now, id) == limit.RequestPending {
 		return cmds
 	}
 	return append(cmds, m.takePermits(id)...)
@@ -208,7 +208,7 @@
 		cmds = append(cmds, m.takePermits(upstream)...)
 	}
 	for _, upstream := range slices.SortedFunc(maps.Keys(m.awaiting), fleet.Incarnation.Compare) {
-		if m.limits.State(m.now, upstream) != limit.Waiting || m.hasWaited(upstream) {
+		if m.limits.State(m.now, upstream) != limit.RequestPending || m.hasWaited(upstream) {
 			cmds = append(cmds, m.takePermits(upstream)...)
 		}
 	}
@@ -269,7 +269,7 @@
 	rates, soonest := 0.0, longestBack
 	for _, u := range list {
 		named, _ := m.limits.Limit(u.entry.ID)
-		next, queue := m.limits.Next(m.now, u.entry.ID)
+		next, queue := m.limits.NextPermit(m.now, u.entry.ID)
 		rates += named.Rate
 		why.Queue = max(why.Queue, queue)
 		if why.Upstream.IsZero() || next < soonest {
--- a/dispatch/lost.go
+++ b/dispatch/lost.go
@@ -41,7 +41,7 @@
 		return nil
 	}
 	if msg.Events > r.events {
-		return m.tellNews(m.quarantine.Answered(m.now, r.work, true))
+		return m.tellNews(m.quarantine.RequestAnswered(m.now, r.work, true))
 	}
 	if at := m.atFault(r, msg); at != nil {
 		return m.lostAt(r, at)
@@ -56,8 +56,8 @@
 	if u.entry.Leaving {
 		return nil
 	}
-	cmds := m.tellNews(m.quarantine.Lost(m.now, r.work, u.entry.ID, m.fate(u.entry.ID), probed, true))
-	for _, id := range m.quarantine.Pending(r.work) {
+	cmds := m.tellNews(m.quarantine.RecordLoss(m.now, r.work, u.entry.ID, m.fate(u.entry.ID), probed, true))
+	for _, id := range m.quarantine.Unresolved(r.work) {
 		if at := m.upstreams[id]; at != nil {
 			m.askSoon(at)
 		}
@@ -91,15 +91,15 @@
 // fate is what is believed of an upstream's end. One that was never listed may be newer
 // than the list, or have come and gone between two looks at it: it counts as silent, and is
 // asked once it is listed.
-func (m *Model) fate(id fleet.Incarnation) quarantine.Fate {
+func (m *Model) fate(id fleet.Incarnation) quarantine.UpstreamState {
 	u := m.upstreams[id]
 	switch {
 	case u == nil && m.ended.Contains(id), u != nil && u.ended:
 		return quarantine.Ended
 	case u == nil:
-		return quarantine.Silent
+		return quarantine.Unresponsive
 	case u.suspect && u.probesLost > 0:
-		return quarantine.Silent
+		return quarantine.Unresponsive
 	}
 	return quarantine.Unknown
 }
@@ -110,9 +110,9 @@
 func (m *Model) listed(u *upstream) {
 	id := u.entry.ID
 	if m.ended.Remove(id) {
-		m.quarantine.Doubt(id)
+		m.quarantine.RevokeCrash(id)
 	}
-	if m.quarantine.Doubts(id) {
+	if m.quarantine.HasUncertainLosses(id) {
 		m.askSoon(u)
 	}
 }
@@ -123,7 +123,7 @@
 	var cmds []Cmd
 	if r != nil && r.first != nil && !r.begun() && !r.first.entry.Leaving {
 		id := r.first.entry.ID
-		cmds = m.tellNews(m.quarantine.Lost(m.now, r.work, id, m.fate(id), leftEarly, true))
+		cmds = m.tellNews(m.quarantine.RecordLoss(m.now, r.work, id, m.fate(id), leftEarly, true))
 	}
 	if r == nil {
 		return cmds
@@ -140,7 +140,7 @@
 	if u := m.upstreams[msg.Upstream]; u != nil && fate == quarantine.Unknown {
 		m.askSoon(u)
 	}
-	return m.tellNews(m.quarantine.Lost(m.now, msg.Work, msg.Upstream, fate, told, false))
+	return m.tellNews(m.quarantine.RecordLoss(m.now, msg.Work, msg.Upstream, fate, told, false))
 }
 
 // learnQuarantined takes requests that others have quarantined. Where it is not certain that
@@ -151,12 +151,12 @@
 	var cmds []Cmd
 	for _, w := range msg.Works {
 		if len(w.Ended) == 0 {
-			cmds = append(cmds, m.tellNews(m.quarantine.Learn(m.now, w.Work, w.Age))...)
+			cmds = append(cmds, m.tellNews(m.quarantine.AdoptConfirmed(m.now, w.Work, w.Age))...)
 		}
 		for _, id := range w.Ended {
 			cmds = append(cmds, m.toldLost(ToldLostMsg{Work: w.Work, Upstream: id})...)
 		}
-		cmds = append(cmds, m.tellNews(m.quarantine.Agree(m.now, w.Work, w.Ended))...)
+		cmds = append(cmds, m.tellNews(m.quarantine.AdoptUnconfirmed(m.now, w.Work, w.Ended))...)
 	}
 	return cmds
 }
@@ -180,13 +180,13 @@
 	m.quarantine.Expire(m.now)
 	before := m.unlisted
 	m.unlisted = make(map[fleet.Incarnation]bool)
-	for _, id := range m.quarantine.Doubtful() {
+	for _, id := range m.quarantine.Unconfirmed() {
 		u := m.upstreams[id]
 		switch {
 		case u != nil:
 			m.askSoon(u)
 		case m.ended.Contains(id), before[id]:
-			cmds = append(cmds, m.tellNews(m.quarantine.Found(m.now, id, quarantine.Ended))...)
+			cmds = append(cmds, m.tellNews(m.quarantine.SetUpstreamState(m.now, id, quarantine.Ended))...)
 		case len(m.upstreams) > 0:
 			// The list may be older than it.
 			m.unlisted[id] = true
@@ -201,7 +201,7 @@
 	if r.runs > 0 {
 		return m.refuse(id, http.StatusBadGateway, ReasonQuarantined, 0)
 	}
-	if !m.quarantine.Certain(r.work) {
+	if !m.quarantine.Confirmed(r.work) {
 		left = min(left, backHealing)
 	}
 	return m.refuse(id, http.StatusServiceUnavailable, ReasonQuarantined, left)
--- a/dispatch/model.go
+++ b/dispatch/model.go
@@ -52,7 +52,7 @@
 	// usage is what other nodes have in use, by their names, and told what this node has told
 	// last of its own.
 	usage map[string]peerUsage
-	told  map[fleet.Incarnation]fleet.Use
+	told  map[fleet.Incarnation]fleet.EngineUsage
 	// lasts is the mean time of streams, in ms.
 	lasts float64
 	// shortages are by service, and gaps are those among them in which layers had no
@@ -73,7 +73,7 @@
 	unlisted map[fleet.Incarnation]bool
 	// limits are those that upstreams name, and awaiting are the requests that wait for a
 	// permit.
-	limits   *limit.Keeper
+	limits   *limit.Limiter
 	awaiting map[fleet.Incarnation][]RequestID
 	// places are the requests that await a place, by plain service.
 	places map[string]*placeQueue
@@ -107,7 +107,7 @@
 func WithKeptQuarantine() Option { return func(m *Model) { m.awaitsQuarantine = true } }
 
 // WithLimits sets how limits are kept that hold over all nodes together.
-func WithLimits(k *limit.Keeper) Option { return func(m *Model) { m.limits = k } }
+func WithLimits(k *limit.Limiter) Option { return func(m *Model) { m.limits = k } }
 
 // New returns a model that knows no configuration and no upstreams.
 func New(opts ...Option) *Model {
@@ -188,7 +188,7 @@
 	case ToldLostMsg:
 		return m.toldLost(msg)
 	case ToldAnsweredMsg:
-		return m.tellNews(m.quarantine.Answered(m.now, msg.Work, false))
+		return m.tellNews(m.quarantine.RequestAnswered(m.now, msg.Work, false))
 	case QuarantinedMsg:
 		return append(m.learnQuarantined(msg), m.takeEarly()...)
 	case ToldSilentMsg:
@@ -250,9 +250,9 @@
 				m.noteEnd(u)
 			}
 			m.ended.Add(c.ID, true)
-			cmds = append(cmds, m.tellNews(m.quarantine.Found(m.now, c.ID, quarantine.Ended))...)
+			cmds = append(cmds, m.tellNews(m.quarantine.SetUpstreamState(m.now, c.ID, quarantine.Ended))...)
 			delete(m.upstreams, c.ID)
-			m.limits.Forget(c.ID)
+			m.limits.Remove(c.ID)
 			if known && c.Ended {
 				cmds = append(cmds, m.endedFor(u)...)
 			}
--- a/dispatch/msg.go
+++ b/dispatch/msg.go
@@ -46,7 +46,7 @@
 type UsageMsg struct {
 	Node string
 	// Used is by engine.
-	Used map[fleet.Incarnation]fleet.Use
+	Used map[fleet.Incarnation]fleet.EngineUsage
 	// Total tells that it is that of all nodes of another data centre, whose name Node is
 	// made of.
 	Total      bool
@@ -65,7 +65,7 @@
 // Holds, that it does. It waits for what passes through those that it gives up.
 type PlacedMsg struct {
 	Upstream fleet.Incarnation
-	Layers   fleet.Range
+	Layers   fleet.LayerRange
 	Holds    bool
 }
 
--- a/dispatch/probe.go
+++ b/dispatch/probe.go
@@ -55,7 +55,7 @@
 	if msg.Answered && msg.Report.Empty {
 		// It has started again, and the list shows for some seconds what it held before. Each
 		// node that believed that would have a request turned away.
-		u.entry.Held = fleet.Range{}
+		u.entry.Held = fleet.LayerRange{}
 	}
 	cmds := m.foundFate(u, msg)
 	if u.asksFate {
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -16,7 +16,7 @@
 
 // send chooses where a request goes next.
 func (m *Model) send(r *request) []Cmd {
-	if left, held := m.quarantine.Holds(m.now, r.work); held {
+	if left, held := m.quarantine.Quarantined(m.now, r.work); held {
 		return m.refuseQuarantined(r, left)
 	}
 	var cmd SendCmd
@@ -42,7 +42,7 @@
 	}
 	r.sends++
 	r.first.inFlight++
-	m.limits.Sent(m.now, r.first.entry.ID)
+	m.limits.RecordSent(m.now, r.first.entry.ID)
 	named, _ := m.limits.Limit(r.first.entry.ID)
 	cmd.Limit = named.Rate
 	cmd.Request, cmd.Attempt = r.msg.Request, r.sends
@@ -50,7 +50,7 @@
 	cmd.Route, cmd.Account, cmd.Keyed, cmd.Priority = r.route, r.account.Name, r.keyed, r.priority()
 	cmd.Deadline, cmd.GiveUp = r.deadline, r.giveUp
 	cmd.Last = m.isLast(r)
-	cmd.Work, cmd.Suspected = r.work, m.quarantine.Suspects(r.work)
+	cmd.Work, cmd.Suspected = r.work, m.quarantine.IsSuspect(r.work)
 	cmd.Config, cmd.ConfigAge = m.catalog.Edition(), clock.AgeOf(m.confirmed, m.now)
 	cmd.InFlight = r.first.inFlight
 	return []Cmd{cmd}
@@ -118,7 +118,7 @@
 func (m *Model) cheapest(r *request, may func(*upstream) bool) *upstream {
 	var best *upstream
 	bestCost := 0.0
-	suspected := m.quarantine.Suspects(r.work)
+	suspected := m.quarantine.IsSuspect(r.work)
 	for _, u := range m.byService[r.service.Name] {
 		if !u.usable() || u.resting(m.now) || !may(u) || !m.mayBegin(r, u) {
 			continue
@@ -143,7 +143,7 @@
 	if r.route.Kind != catalog.Repeatable || r.runs >= r.mostUpstreams() {
 		return 0
 	}
-	return max(clock.Millis(u.took*tryFactor), clock.Millis(float64(r.route.Aim)*tryShare))
+	return max(clock.Millis(u.took*tryFactor), clock.Millis(float64(r.route.LatencyTarget)*tryShare))
 }
 
 // sendPipeline builds a chain of engines. Engines under suspicion take no part.
@@ -250,7 +250,7 @@
 		}
 		holders = append(holders, h)
 	}
-	if m.quarantine.Suspects(r.work) {
+	if m.quarantine.IsSuspect(r.work) {
 		spreadSuspect(r.work, holders)
 	}
 	return holders
--- a/dispatch/upstream.go
+++ b/dispatch/upstream.go
@@ -20,7 +20,7 @@
 	inFlight int
 	reserved float64
 	// others is what other nodes have told that their requests take.
-	others fleet.Use
+	others fleet.EngineUsage
 	// took is the mean time of its answers in ms, and failing the mean rate of
 	// its failures.
 	took    float64
@@ -121,7 +121,7 @@
 		return
 	}
 	u.layerTime = s.Pipeline.StepTime(kind, 1)
-	u.room = s.Pipeline.Room(kind, u.entry.Held.Len())
+	u.room = s.Pipeline.RequestMemory(kind, u.entry.Held.Len())
 }
 
 // open tells whether it may get new work.
--- a/dispatch/usage.go
+++ b/dispatch/usage.go
@@ -29,7 +29,7 @@
 // peerUsage is what another node has in use.
 type peerUsage struct {
 	at   clock.Millis
-	used map[fleet.Incarnation]fleet.Use
+	used map[fleet.Incarnation]fleet.EngineUsage
 	// total tells that it is another data centre's, whose name is centre, and whole that it
 	// is that of all nodes.
 	total  bool
@@ -44,14 +44,14 @@
 	}
 	m.nodes.add(m.now)
 	m.shared = m.now
-	used := make(map[fleet.Incarnation]fleet.Use)
+	used := make(map[fleet.Incarnation]fleet.EngineUsage)
 	for id, u := range m.upstreams {
 		if u.reserved > 0 {
-			used[id] = fleet.Use{Memory: u.reserved, Streams: u.inFlight}
+			used[id] = fleet.EngineUsage{Memory: u.reserved, Streams: u.inFlight}
 		}
 	}
 	m.told = used
-	cmd := ShareCmd{Used: used, Limits: m.limits.Known(m.now)}
+	cmd := ShareCmd{Used: used, Limits: m.limits.Snapshot(m.now)}
 	if !m.summed {
 		cmd.Total, cmd.Whole, cmd.HeardOf = m.total(used), m.whole(), m.heardOf()
 		cmd.Nodes = m.nodes.all
@@ -61,22 +61,22 @@
 
 // whole is what the requests of all nodes take at the engines that are used most, as far as
 // this node knows.
-func (m *Model) whole() map[fleet.Incarnation]fleet.Use {
+func (m *Model) whole() map[fleet.Incarnation]fleet.EngineUsage {
 	type used struct {
 		id   fleet.Incarnation
-		use  fleet.Use
+		use  fleet.EngineUsage
 		part float64
 	}
 	var list []used
 	for id, u := range m.upstreams {
-		use := u.others.Plus(fleet.Use{Memory: u.reserved, Streams: u.inFlight})
+		use := u.others.Plus(fleet.EngineUsage{Memory: u.reserved, Streams: u.inFlight})
 		part := max(use.Memory/max(u.room, 1), float64(use.Streams)/float64(max(u.entry.Slots, 1)))
 		if u.pipeline != nil && part >= worthSumming {
 			list = append(list, used{id: id, use: use, part: part})
 		}
 	}
 	slices.SortFunc(list, func(a, b used) int { return cmp.Or(cmp.Compare(b.part, a.part), a.id.Compare(b.id)) })
-	whole := make(map[fleet.Incarnation]fleet.Use)
+	whole := make(map[fleet.Incarnation]fleet.EngineUsage)
 	for _, u := range list[:min(len(list), mostSummed)] {
 		whole[u.id] = u.use
 	}
@@ -96,7 +96,7 @@
 }
 
 // total adds up what this node and those that tell it alone have in use.
-func (m *Model) total(own map[fleet.Incarnation]fleet.Use) map[fleet.Incarnation]fleet.Use {
+func (m *Model) total(own map[fleet.Incarnation]fleet.EngineUsage) map[fleet.Incarnation]fleet.EngineUsage {
 	total := maps.Clone(own)
 	for _, peer := range m.usage {
 		if peer.total {
@@ -106,7 +106,7 @@
 			total[id] = total[id].Plus(use)
 		}
 	}
-	maps.DeleteFunc(total, func(id fleet.Incarnation, use fleet.Use) bool {
+	maps.DeleteFunc(total, func(id fleet.Incarnation, use fleet.EngineUsage) bool {
 		u := m.upstreams[id]
 		return u == nil || use.Memory < worthTelling*u.room && float64(use.Streams) < worthTelling*float64(u.entry.Slots)
 	})
@@ -142,22 +142,22 @@
 // noteLife notes signs of life in what another node tells.
 func (m *Model) noteLife(msg UsageMsg) {
 	if msg.Total || msg.Whole {
-		m.limits.HeardAll(m.now, msg.DataCentre)
+		m.limits.RecordDataCentreSeen(m.now, msg.DataCentre)
 	}
 	for _, centre := range msg.HeardOf {
-		m.limits.HeardAll(m.now, centre)
+		m.limits.RecordDataCentreSeen(m.now, centre)
 	}
 	if !msg.Total {
-		m.limits.Heard(m.now, msg.Node)
+		m.limits.RecordSeen(m.now, msg.Node)
 	}
 }
 
 // withoutOwn takes what this node has told last off what all nodes have in use.
-func (m *Model) withoutOwn(whole map[fleet.Incarnation]fleet.Use) map[fleet.Incarnation]fleet.Use {
-	others := make(map[fleet.Incarnation]fleet.Use, len(whole))
+func (m *Model) withoutOwn(whole map[fleet.Incarnation]fleet.EngineUsage) map[fleet.Incarnation]fleet.EngineUsage {
+	others := make(map[fleet.Incarnation]fleet.EngineUsage, len(whole))
 	for id, use := range whole {
 		rest := use.Minus(m.told[id])
-		others[id] = fleet.Use{Memory: max(rest.Memory, 0), Streams: max(rest.Streams, 0)}
+		others[id] = fleet.EngineUsage{Memory: max(rest.Memory, 0), Streams: max(rest.Streams, 0)}
 	}
 	return others
 }
@@ -171,7 +171,7 @@
 }
 
 // takeOff takes what a node has told off the sums.
-func (m *Model) takeOff(used map[fleet.Incarnation]fleet.Use) {
+func (m *Model) takeOff(used map[fleet.Incarnation]fleet.EngineUsage) {
 	for id, use := range used {
 		if u := m.upstreams[id]; u != nil {
 			u.others = u.others.Minus(use)
@@ -180,8 +180,8 @@
 }
 
 // usageOf adds up what other nodes have told of an engine that is new here.
-func (m *Model) usageOf(id fleet.Incarnation) fleet.Use {
-	var sum fleet.Use
+func (m *Model) usageOf(id fleet.Incarnation) fleet.EngineUsage {
+	var sum fleet.EngineUsage
 	for _, peer := range m.usage {
 		sum = sum.Plus(peer.used[id])
 	}
@@ -218,7 +218,7 @@
 // has heard of none, and so have the others if all have started together: each takes the
 // others to choose as it does. Without that all begin at the same engines until they have
 // heard of each other.
-func (m *Model) othersUse(u *upstream) fleet.Use {
+func (m *Model) othersUse(u *upstream) fleet.EngineUsage {
 	use := u.others
 	if m.now >= unheardFor {
 		return use
--- a/dispatch/wait.go
+++ b/dispatch/wait.go
@@ -22,7 +22,7 @@
 
 // patience is for how long a caller waits for the next event.
 func patience(route *catalog.Route) clock.Millis {
-	return max(leastPatience, aimsOfPatience*route.Aim, gapsOfPatience*route.GapAim) + patienceMargin
+	return max(leastPatience, aimsOfPatience*route.LatencyTarget, gapsOfPatience*route.EventGapTarget) + patienceMargin
 }
 
 // waitOrCut keeps a stream that has begun for a while when nothing can take it
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -127,7 +127,7 @@
 // rememberWrites adds changes to recentWrites and removes the expired ones.
 func (k *Keeper) rememberWrites(changes map[work.ID]change) {
 	now := k.clock.Now()
-	maps.DeleteFunc(k.recentWrites, func(_ work.ID, c change) bool { return now >= c.recordedAt.Add(moment.CopyReaches) })
+	maps.DeleteFunc(k.recentWrites, func(_ work.ID, c change) bool { return now >= c.recordedAt.Add(moment.MaxBackupAge) })
 	for id, c := range changes {
 		if _, known := k.recentWrites[id]; !known && len(k.recentWrites) >= maxPending {
 			k.log.Warn("quarantine_not_remembered", zap.Stringer("work", id), zap.Int("most", maxPending))
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -82,7 +82,7 @@
 }
 
 func TestKeeper(t *testing.T) {
-	a, b := work.ID{}.By("a"), work.ID{}.By("b")
+	a, b := work.ID{}.ForAccount("a"), work.ID{}.ForAccount("b")
 	nothing := func(*Keeper) {}
 	tests := []struct {
 		name       string
@@ -107,7 +107,7 @@
 			"a permanently refused change does not block others", &fakeStore{refusedWork: b}, true, func(k *Keeper) {
 				k.Keep(dispatch.Quarantined{Work: b})
 				k.Keep(dispatch.Quarantined{Work: a})
-				k.Release(work.ID{}.By("c"))
+				k.Release(work.ID{}.ForAccount("c"))
 			}, []string{"keep2", "keep1", "keep1", "release1"}, []int{0},
 		},
 		{"retries writes until the store is available", &fakeStore{failures: 1}, true, func(k *Keeper) { k.Keep(dispatch.Quarantined{Work: a}) }, []string{"keep1", "keep1"}, []int{0}},
@@ -141,7 +141,7 @@
 // After a store restore, the changes written shortly before must be written again: the last change
 // for each request, so that a released request stays released, with the current age.
 func TestKeeperRewritesLostEntriesAfterRestore(t *testing.T) {
-	a, b := work.ID{}.By("a"), work.ID{}.By("b")
+	a, b := work.ID{}.ForAccount("a"), work.ID{}.ForAccount("b")
 	store := &fakeStore{}
 	calls, _ := runKeeper(t, store, true, func(k *Keeper) {
 		k.Keep(dispatch.Quarantined{Work: a})
@@ -150,7 +150,7 @@
 		k.Release(a)
 		time.Sleep(time.Second)
 		k.StoreReturned()
-		time.Sleep(moment.CopyReaches.Duration())
+		time.Sleep(moment.MaxBackupAge.Duration())
 		k.StoreReturned()
 	}, time.Second)
 	if got, want := calls, []string{"keep2", "release1", "keep1", "release1"}; !slices.Equal(got, want) {
--- a/lab/attempt.go
+++ b/lab/attempt.go
@@ -39,7 +39,7 @@
 // hop is a part of an attempt's chain.
 type hop struct {
 	engine *engine
-	layers fleet.Range
+	layers fleet.LayerRange
 }
 
 // attempt is one sending of a request, from a node's side and the engines'.
--- a/lab/node_tell.go
+++ b/lab/node_tell.go
@@ -74,7 +74,7 @@
 		if e := w.at[cmd.Address]; e != nil && e.up {
 			msg.Presence = cmd.Upstream.Presence(e.id.ID())
 		}
-		if msg.Presence == fleet.Another {
+		if msg.Presence == fleet.Replaced {
 			n.replaced(cmd.Upstream, cmd.Address)
 		}
 		n.tell(msg)
@@ -91,21 +91,21 @@
 		return
 	}
 	switch news := news.(type) {
-	case quarantine.LostNews:
+	case quarantine.LossNews:
 		n.others(func(o *node) { o.tell(dispatch.ToldLostMsg{Work: news.Work, Upstream: news.Upstream}) })
 	case quarantine.ClearedNews:
 		delete(w.verdicts, news.Work)
-		if news.Own {
+		if news.Local {
 			n.others(func(o *node) { o.tell(dispatch.ToldAnsweredMsg{Work: news.Work}) })
 		}
-	case quarantine.HeldNews:
+	case quarantine.QuarantinedNews:
 		w.keep(dispatch.Quarantined{Work: news.Work, Ended: news.Ended})
 		w.after(clock.Millis(w.random.IntN(comparedWithin)), func() {
 			n.others(func(o *node) {
 				o.tell(dispatch.QuarantinedMsg{Works: []dispatch.Quarantined{{Work: news.Work, Ended: news.Ended}}})
 			})
 		})
-	case quarantine.CertainNews:
+	case quarantine.ConfirmedNews:
 		w.keep(dispatch.Quarantined{Work: news.Work})
 	}
 }
--- a/placement/coverage.go
+++ b/placement/coverage.go
@@ -30,7 +30,7 @@
 		return nil
 	}
 	var lines []string
-	m.catalog.Services(func(s *catalog.Service) {
+	m.catalog.EachService(func(s *catalog.Service) {
 		if s.Pipeline == nil {
 			return
 		}
--- a/placement/coverage_test.go
+++ b/placement/coverage_test.go
@@ -30,14 +30,14 @@
 // randomMsg returns a random message about one of six engines, for a model of ten layers.
 func randomMsg(random *rand.Rand) Msg {
 	name := fmt.Sprintf("e%d", random.IntN(6))
-	id := fleet.Undated(fleet.ID(name))
+	id := fleet.IncarnationByID(fleet.ID(name))
 	from := random.IntN(8)
-	layers := fleet.Range{From: from, To: from + random.IntN(4)}
+	layers := fleet.LayerRange{From: from, To: from + random.IntN(4)}
 	switch random.IntN(9) {
 	case 0:
 		return CatalogMsg{Catalog: catalog.New(1, catalog.WithServices(&catalog.Service{Name: "writer", Pipeline: &catalog.Pipeline{
 			Layers: 10, LayerMB: 100, TokenBytes: 1000, StepMS: 1,
-			Accelerators: map[string]catalog.Accelerator{"k": {Name: "k", MB: 500, StepFactor: 1}},
+			Accelerators: map[string]catalog.Accelerator{"k": {Name: "k", MemoryMB: 500, StepFactor: 1}},
 		}}))}
 	case 1, 2:
 		return FleetMsg{Changes: []fleet.Change{{ID: id, Gone: random.IntN(3) == 0, Upstream: fleet.Upstream{
--- a/placement/delay_test.go
+++ b/placement/delay_test.go
@@ -21,7 +21,7 @@
 	var changes []fleet.Change
 	for i := range 90 {
 		id := fmt.Sprintf("e%02d", i)
-		changes = append(changes, fleet.Change{ID: fleet.Undated(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.Undated(fleet.ID(id)), Service: "writer", DataCentre: "a", Accelerator: "slow"}})
+		changes = append(changes, fleet.Change{ID: fleet.IncarnationByID(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.IncarnationByID(fleet.ID(id)), Service: "writer", DataCentre: "a", Accelerator: "slow"}})
 	}
 	m.Update(0, placement.FleetMsg{Changes: changes})
 	now := clock.Millis(10_000)
--- a/placement/heal.go
+++ b/placement/heal.go
@@ -57,9 +57,9 @@
 
 // bestMove returns the engine and the new range with the highest gain, or nil if no move has a
 // gain.
-func (p *plan) bestMove(centre string, fill float64) (*Engine, fleet.Range) {
+func (p *plan) bestMove(centre string, fill float64) (*Engine, fleet.LayerRange) {
 	var best *Engine
-	var target fleet.Range
+	var target fleet.LayerRange
 	most := 0.0
 	for i := range p.engines {
 		e := &p.engines[i]
@@ -68,7 +68,7 @@
 		}
 		for size := layersAtFill(e, fill); size <= p.maxHealLayers(e, fill); size++ {
 			for from := 0; from+size <= p.shape.Layers; from++ {
-				r := fleet.Range{From: from, To: from + size}
+				r := fleet.LayerRange{From: from, To: from + size}
 				if gain := p.moveGain(e, r, fill); gain > most {
 					best, target, most = e, r, gain
 				}
@@ -86,7 +86,7 @@
 
 // moveGain returns the gain of giving an engine a new range. It is zero or negative if the move
 // covers no layer or if the engine is the only holder of a layer that it would give up.
-func (p *plan) moveGain(e *Engine, r fleet.Range, fill float64) float64 {
+func (p *plan) moveGain(e *Engine, r fleet.LayerRange, fill float64) float64 {
 	counts := p.holderCounts[e.DataCentre]
 	gain := 0.0
 	for layer := r.From; layer < r.To; layer++ {
--- a/placement/layout.go
+++ b/placement/layout.go
@@ -29,7 +29,7 @@
 	shape Shape
 	// engines is sorted by compareBySpeed; ranges holds the range of each engine.
 	engines []*Engine
-	ranges  []fleet.Range
+	ranges  []fleet.LayerRange
 
 	// The following slices are indexed by layer: the request tokens that fit into the memory of
 	// the layer's holders, the prompts that the holders process per millisecond, the number of
@@ -52,7 +52,7 @@
 // newLayout returns a layout of a data centre's engines with their current or ordered ranges.
 func newLayout(shape Shape, engines []*Engine) *layout {
 	l := &layout{
-		shape: shape, engines: slices.Clone(engines), ranges: make([]fleet.Range, len(engines)),
+		shape: shape, engines: slices.Clone(engines), ranges: make([]fleet.LayerRange, len(engines)),
 		layerCapacity: make([]float64, shape.Layers), promptRates: make([]float64, shape.Layers), holderCounts: make([]int, shape.Layers),
 		holderIndexSums: make([]int, shape.Layers), allocated: make([]float64, shape.Layers), soleLayers: make([]int, len(engines)),
 	}
--- a/placement/model.go
+++ b/placement/model.go
@@ -96,7 +96,7 @@
 
 // pendingOrder is an order that was given. The layers are empty if the engine rejected the order.
 type pendingOrder struct {
-	layers fleet.Range
+	layers fleet.LayerRange
 	until  clock.Millis
 }
 
@@ -252,7 +252,7 @@
 		p.until = now.Add(orderRetryDelay)
 	case Rejected:
 		// The engine will not hold these layers, so others may get them.
-		p.layers, p.until = fleet.Range{}, now.Add(rejectedRetryDelay)
+		p.layers, p.until = fleet.LayerRange{}, now.Add(rejectedRetryDelay)
 	}
 	m.pending[msg.Upstream] = p
 	if u, known := m.upstreams[msg.Upstream]; known && msg.Result == Busy && u.Held != msg.Held && !msg.Held.Empty() {
--- a/placement/msg.go
+++ b/placement/msg.go
@@ -37,14 +37,14 @@
 type OrderResultMsg struct {
 	Upstream fleet.Incarnation
 	Result   Result
-	Held     fleet.Range
+	Held     fleet.LayerRange
 }
 
 // PlacedMsg reports an order that a node has given or, if Completed is set, that the engine now
 // holds the ordered layers.
 type PlacedMsg struct {
 	Upstream  fleet.Incarnation
-	Layers    fleet.Range
+	Layers    fleet.LayerRange
 	Completed bool
 }
 
@@ -90,9 +90,9 @@
 type OrderCmd struct {
 	Upstream fleet.Incarnation
 	Address  string
-	Layers   fleet.Range
+	Layers   fleet.LayerRange
 	// ExpectedHeld is the range that the engine holds according to the list.
-	ExpectedHeld fleet.Range
+	ExpectedHeld fleet.LayerRange
 	// Missing is the number of ordered layers that had no holder in the data centre.
 	Missing int
 }
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -33,8 +33,8 @@
 	LayerTime float64
 	ReadTime  float64
 	// Held is the range that the engine holds, and Ordered the range of a pending order.
-	Held    fleet.Range
-	Ordered fleet.Range
+	Held    fleet.LayerRange
+	Ordered fleet.LayerRange
 	// Fixed engines get no orders at present.
 	Fixed bool
 	// Reserved engines are new and only used for layers without a holder.
@@ -46,7 +46,7 @@
 func (e *Engine) servingLayers() int { return int(math.Ceil(e.MemoryLayers)) - 1 }
 
 // assigned returns the range of the pending order or, without one, the held range.
-func (e *Engine) assigned() fleet.Range {
+func (e *Engine) assigned() fleet.LayerRange {
 	if !e.Ordered.Empty() {
 		return e.Ordered
 	}
@@ -56,7 +56,7 @@
 // Order assigns a range of layers to an engine.
 type Order struct {
 	ID     fleet.Incarnation
-	Layers fleet.Range
+	Layers fleet.LayerRange
 	// Missing is the number of these layers that had no holder in the data centre.
 	Missing int
 }
@@ -109,14 +109,14 @@
 	return p
 }
 
-func (p *plan) addHolders(centre string, r fleet.Range, delta int) {
+func (p *plan) addHolders(centre string, r fleet.LayerRange, delta int) {
 	for layer := max(r.From, 0); layer < min(r.To, p.shape.Layers); layer++ {
 		p.holderCounts[centre][layer] += delta
 	}
 }
 
 // allLayers returns the range of all layers.
-func (p *plan) allLayers() fleet.Range { return fleet.Range{To: p.shape.Layers} }
+func (p *plan) allLayers() fleet.LayerRange { return fleet.LayerRange{To: p.shape.Layers} }
 
 // enginesIn returns the engines of a data centre whose memory holds at least one layer.
 func (p *plan) enginesIn(centre string) []*Engine {
@@ -240,7 +240,7 @@
 	return e.Reserved && p.missingLayers(e.DataCentre, p.allLayers()) == 0
 }
 
-func (p *plan) addOrder(e *Engine, r fleet.Range) Order {
+func (p *plan) addOrder(e *Engine, r fleet.LayerRange) Order {
 	o := Order{ID: e.ID, Layers: r, Missing: p.missingLayers(e.DataCentre, r)}
 	p.addHolders(e.DataCentre, e.assigned(), -1)
 	p.addHolders(e.DataCentre, r, 1)
@@ -248,7 +248,7 @@
 	return o
 }
 
-func (p *plan) missingLayers(centre string, r fleet.Range) int {
+func (p *plan) missingLayers(centre string, r fleet.LayerRange) int {
 	n := 0
 	for layer := r.From; layer < r.To; layer++ {
 		if p.holderCounts[centre][layer] == 0 {
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -29,7 +29,7 @@
 	list := make([]placement.Engine, n)
 	for i := range list {
 		list[i] = placement.Engine{
-			ID: fleet.Undated(fleet.ID(fmt.Sprintf("%s-%s-%02d", centre, k.name, i))), DataCentre: centre,
+			ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("%s-%s-%02d", centre, k.name, i))), DataCentre: centre,
 			MaxLayers: int(k.memory), MemoryLayers: k.memory, LayerTime: k.layerTime, ReadTime: k.readTime,
 		}
 	}
@@ -105,7 +105,7 @@
 			memory = 50 * random.Float64()
 		}
 		list[i] = placement.Engine{
-			ID: fleet.Undated(fleet.ID(fmt.Sprintf("e%02d", i))), DataCentre: "a", MaxLayers: int(memory), MemoryLayers: memory,
+			ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%02d", i))), DataCentre: "a", MaxLayers: int(memory), MemoryLayers: memory,
 			LayerTime: 0.02 + random.Float64(), ReadTime: 0.001 * random.Float64(),
 		}
 	}
--- a/placement/rate.go
+++ b/placement/rate.go
@@ -15,7 +15,7 @@
 // bounded by memory, following Little's law, and by the prompt rate of the slowest layers.
 func (l *layout) streamRate(capacity float64) float64 {
 	memoryBound := capacity / l.shape.requestTokens() / l.streamDuration(capacity)
-	if l.shape.Pass.Read <= 0 {
+	if l.shape.Pass.MaxPromptTokens <= 0 {
 		return memoryBound
 	}
 	promptBound := smoothMin(l.promptRates, l.holderCounts, 1)
@@ -26,7 +26,7 @@
 // its batch contains half of the streams that fit into its memory.
 func (l *layout) promptRate(i int) float64 {
 	e, n := l.engines[i], float64(l.ranges[i].Len())
-	return l.shape.Pass.Reads(e.LayerTime*n, e.ReadTime*n, l.engineTokens(i)/l.shape.requestTokens()/2)
+	return l.shape.Pass.PromptRate(e.LayerTime*n, e.ReadTime*n, l.engineTokens(i)/l.shape.requestTokens()/2)
 }
 
 // requestCapacity returns how many request tokens fit into memory at every layer: approximately
@@ -85,7 +85,7 @@
 	}
 	slowdown := 0.0
 	if step > 0 {
-		slowdown = l.shape.Pass.Slowdown * capacity / l.shape.requestTokens() * squares / step
+		slowdown = l.shape.Pass.StreamSlowdown * capacity / l.shape.requestTokens() * squares / step
 	}
 	return batchWaitFactor*(l.shape.Prompt*read+l.shape.Answer*(step+slowdown)) + l.shape.Answer*hops
 }
--- a/placement/refill_test.go
+++ b/placement/refill_test.go
@@ -19,13 +19,13 @@
 		engines       = 13
 	)
 	shape := ShapeOf(&catalog.Pipeline{
-		Layers: layers, LayerMB: 1750, TokenBytes: 459_000, StepMS: 0.85, SequenceMS: 0.00297, ContextMS: 0.00398, ReadRate: 252, ReadInPass: 512,
-		StepsInPass: 2, LoadMS: 14_000, UsualPrompt: 772, UsualAnswer: 154,
+		Layers: layers, LayerMB: 1750, TokenBytes: 459_000, StepMS: 0.85, SequenceMS: 0.00297, ContextMS: 0.00398, ReadRate: 252, PromptTokensPerPass: 512,
+		StepsPerPass: 2, LoadMS: 14_000, MeanPromptTokens: 772, MeanAnswerTokens: 154,
 	})
 	build := func() []Engine {
 		var list []Engine
 		for i := range engines {
-			e := Engine{ID: fleet.Undated(fleet.ID(fmt.Sprintf("e%02d", i))), DataCentre: "a", MaxLayers: 8, MemoryLayers: 8.2, LayerTime: 0.16, ReadTime: 0.0007}
+			e := Engine{ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%02d", i))), DataCentre: "a", MaxLayers: 8, MemoryLayers: 8.2, LayerTime: 0.16, ReadTime: 0.0007}
 			switch {
 			case i == 0:
 				e.MaxLayers, e.MemoryLayers, e.LayerTime, e.ReadTime = 20, 20.5, 0.03, 0.0002
@@ -56,7 +56,7 @@
 	}
 	fresh := capacityAfter(build())
 	partial := build()
-	partial[5].Held = fleet.Range{From: 0, To: 9}
+	partial[5].Held = fleet.LayerRange{From: 0, To: 9}
 	if got, want := capacityAfter(partial), requiredShare*fresh; got < want {
 		t.Errorf("got memory for %.0f request tokens, want at least %.0f; an initial plan has %.0f", got, want, fresh)
 	}
--- a/placement/script_test.go
+++ b/placement/script_test.go
@@ -68,9 +68,9 @@
 	return nil
 }
 
-func parseRange(text string) fleet.Range {
+func parseRange(text string) fleet.LayerRange {
 	from, to, _ := strings.Cut(text, "-")
-	var r fleet.Range
+	var r fleet.LayerRange
 	r.From, _ = strconv.Atoi(from)
 	r.To, _ = strconv.Atoi(to)
 	return r
@@ -92,10 +92,10 @@
 	return catalog.New(1, catalog.WithServices(&catalog.Service{Name: "writer", Pipeline: &catalog.Pipeline{
 		Layers: layers, LayerMB: 100, TokenBytes: 1000, StepMS: 1,
 		Accelerators: map[string]catalog.Accelerator{
-			"fast": {Name: "fast", MB: 500, StepFactor: 1},
-			"slow": {Name: "slow", MB: 500, StepFactor: 10},
-			"big":  {Name: "big", MB: 1000, StepFactor: 1},
-			"tiny": {Name: "tiny", MB: 100, StepFactor: 10},
+			"fast": {Name: "fast", MemoryMB: 500, StepFactor: 1},
+			"slow": {Name: "slow", MemoryMB: 500, StepFactor: 10},
+			"big":  {Name: "big", MemoryMB: 1000, StepFactor: 1},
+			"tiny": {Name: "tiny", MemoryMB: 100, StepFactor: 10},
 		},
 	}}))
 }
--- a/placement/search.go
+++ b/placement/search.go
@@ -23,7 +23,7 @@
 // searchEngines searches ranges for the engines at the given indexes; the other engines keep their
 // ranges.
 func (l *layout) searchEngines(indexes []int) {
-	var best []fleet.Range
+	var best []fleet.LayerRange
 	most := 0.0
 	for _, fill := range searchFills {
 		l.spreadEngines(indexes, fill)
@@ -54,10 +54,10 @@
 
 // bestRange returns the range for an engine that raises the value most, and the gain. The gain is
 // zero if no range raises the value.
-func (l *layout) bestRange(i int) (best fleet.Range, most float64) {
+func (l *layout) bestRange(i int) (best fleet.LayerRange, most float64) {
 	current, base := l.ranges[i], l.value()
 	best = current
-	try := func(r fleet.Range) {
+	try := func(r fleet.LayerRange) {
 		if r.Empty() || r.From < 0 || r.To > l.shape.Layers || r.Len() > l.engines[i].MaxLayers || r == current {
 			return
 		}
@@ -74,29 +74,29 @@
 
 // tryNearby tries to move each end of the range by one layer, and to shift the range by one or two
 // layers.
-func (l *layout) tryNearby(r fleet.Range, try func(fleet.Range)) {
+func (l *layout) tryNearby(r fleet.LayerRange, try func(fleet.LayerRange)) {
 	for from := -1; from <= 1; from++ {
 		for to := -1; to <= 1; to++ {
-			try(fleet.Range{From: r.From + from, To: r.To + to})
+			try(fleet.LayerRange{From: r.From + from, To: r.To + to})
 		}
 	}
-	try(fleet.Range{From: r.From - 2, To: r.To - 2})
-	try(fleet.Range{From: r.From + 2, To: r.To + 2})
+	try(fleet.LayerRange{From: r.From - 2, To: r.To - 2})
+	try(fleet.LayerRange{From: r.From + 2, To: r.To + 2})
 }
 
 // tryElsewhere tries ranges of the same length and of half the length throughout the model.
-func (l *layout) tryElsewhere(r fleet.Range, try func(fleet.Range)) {
+func (l *layout) tryElsewhere(r fleet.LayerRange, try func(fleet.LayerRange)) {
 	for _, size := range []int{r.Len(), r.Len() / 2} {
 		for from := 0; from+size <= l.shape.Layers; from += searchStride {
-			try(fleet.Range{From: from, To: from + size})
+			try(fleet.LayerRange{From: from, To: from + size})
 		}
-		try(fleet.Range{From: l.shape.Layers - size, To: l.shape.Layers})
+		try(fleet.LayerRange{From: l.shape.Layers - size, To: l.shape.Layers})
 	}
 }
 
 // bestInitialRange returns the range with the highest value for an empty engine.
-func (l *layout) bestInitialRange(i int) fleet.Range {
-	best, most := fleet.Range{}, l.value()
+func (l *layout) bestInitialRange(i int) fleet.LayerRange {
+	best, most := fleet.LayerRange{}, l.value()
 	tried := 0
 	for _, fill := range searchFills {
 		size := min(layersAtFill(l.engines[i], fill), l.shape.Layers)
@@ -105,12 +105,12 @@
 		}
 		tried = size
 		for from := 0; from+size <= l.shape.Layers; from++ {
-			l.ranges[i] = fleet.Range{From: from, To: from + size}
+			l.ranges[i] = fleet.LayerRange{From: from, To: from + size}
 			if v := l.value(); v > most+minGain {
 				best, most = l.ranges[i], v
 			}
 		}
 	}
-	l.ranges[i] = fleet.Range{}
+	l.ranges[i] = fleet.LayerRange{}
 	return best
 }
--- a/placement/shape.go
+++ b/placement/shape.go
@@ -23,7 +23,7 @@
 		Layers: p.Layers, LayerTokens: p.LayerTokens(), LoadTime: p.LoadMS / float64(max(p.Layers, 1)),
 		Pass: p.Pass(),
 	}
-	s.Prompt, s.Answer = p.Usual()
+	s.Prompt, s.Answer = p.MeanTokens()
 	return s
 }
 
--- a/placement/size_test.go
+++ b/placement/size_test.go
@@ -15,7 +15,7 @@
 var (
 	sizeShape = Shape{
 		Layers: 80, LayerTokens: 4000, LoadTime: 175, Prompt: 740, Answer: 77,
-		Pass: catalog.Pass{Slowdown: 0.004, Steps: 1, Read: 100, Prompt: 740},
+		Pass: catalog.Pass{StreamSlowdown: 0.004, DecodeSteps: 1, MaxPromptTokens: 100, Prompt: 740},
 	}
 	sizeKinds = []Engine{
 		{MaxLayers: 20, MemoryLayers: 20.6, LayerTime: 0.033, ReadTime: 0.00016},
@@ -34,7 +34,7 @@
 			kind = 0
 		}
 		list[i] = sizeKinds[kind]
-		list[i].ID, list[i].DataCentre = fleet.Undated(fleet.ID(fmt.Sprintf("e%04d", i))), "a"
+		list[i].ID, list[i].DataCentre = fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%04d", i))), "a"
 	}
 	return list
 }
@@ -47,7 +47,7 @@
 func TestPlanCostPerEngineIsBounded(t *testing.T) {
 	partial := func(n int) []Engine {
 		list := sizeEngines(n)
-		list[0].Held = fleet.Range{To: 12}
+		list[0].Held = fleet.LayerRange{To: 12}
 		return list
 	}
 	for name, list := range map[string]func(int) []Engine{"first": sizeEngines, "partial": partial} {
@@ -123,7 +123,7 @@
 	list := make([]Engine, n)
 	for i := range list {
 		list[i] = kinds[random.IntN(len(kinds))]
-		list[i].ID, list[i].DataCentre = fleet.Undated(fleet.ID(fmt.Sprintf("e%04d", i))), "a"
+		list[i].ID, list[i].DataCentre = fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%04d", i))), "a"
 	}
 	return list
 }
--- a/placement/spread.go
+++ b/placement/spread.go
@@ -24,7 +24,7 @@
 func (l *layout) spreadEngines(indexes []int, fill float64) {
 	spans := make([]int, l.shape.Layers)
 	holders := make([]int, l.shape.Layers)
-	add := func(r fleet.Range) {
+	add := func(r fleet.LayerRange) {
 		for layer := r.From; layer < r.To; layer++ {
 			holders[layer]++
 			spans[layer] += r.Len()
@@ -52,8 +52,8 @@
 
 // neediestRange returns the range of the given size whose layers have the greatest need for a
 // holder.
-func neediestRange(holders, spans []int, size int) fleet.Range {
-	best, most := fleet.Range{}, 0.0
+func neediestRange(holders, spans []int, size int) fleet.LayerRange {
+	best, most := fleet.LayerRange{}, 0.0
 	for from := 0; from+size <= len(holders); from++ {
 		need := 0.0
 		for layer := from; layer < from+size; layer++ {
@@ -67,7 +67,7 @@
 			}
 		}
 		if need > most+1e-9 {
-			best, most = fleet.Range{From: from, To: from + size}, need
+			best, most = fleet.LayerRange{From: from, To: from + size}, need
 		}
 	}
 	return best
--- a/placement/tick.go
+++ b/placement/tick.go
@@ -23,7 +23,7 @@
 		}
 	}
 	var services []*catalog.Service
-	m.catalog.Services(func(s *catalog.Service) {
+	m.catalog.EachService(func(s *catalog.Service) {
 		if s.Pipeline != nil && m.needsOrders(now, s) {
 			services = append(services, s)
 		}
--- a/placer/incarnation_test.go
+++ b/placer/incarnation_test.go
@@ -36,8 +36,8 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		c := clocktest.NewClock()
-		engines := &restartedEngines{immediateEngines: immediateEngines{held: make(map[string]fleet.Range)}}
-		p := placer.New(placement.New(placement.WithStart(c.Now())), engines, c, logging.Nop().Logger, func(fleet.Incarnation, fleet.Range, bool) {})
+		engines := &restartedEngines{immediateEngines: immediateEngines{held: make(map[string]fleet.LayerRange)}}
+		p := placer.New(placement.New(placement.WithStart(c.Now())), engines, c, logging.Nop().Logger, func(fleet.Incarnation, fleet.LayerRange, bool) {})
 		go func() { _ = p.Run(ctx) }()
 		p.Send(placement.CatalogMsg{Catalog: smallCatalog()})
 		p.Send(placement.FleetMsg{Changes: emptyEngineChanges()})
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -43,13 +43,13 @@
 	Busy bool
 	// OrdersTaken is the number of orders that the engine has accepted since its start.
 	OrdersTaken uint64
-	Held        fleet.Range
+	Held        fleet.LayerRange
 }
 
 // Engines is a client for the placement API of engines.
 type Engines interface {
 	State(ctx context.Context, address string, upstream fleet.Incarnation) (State, error)
-	Place(ctx context.Context, address string, upstream fleet.Incarnation, layers fleet.Range, ordersTaken uint64) (Result, error)
+	Place(ctx context.Context, address string, upstream fleet.Incarnation, layers fleet.LayerRange, ordersTaken uint64) (Result, error)
 }
 
 const (
@@ -88,7 +88,7 @@
 	listAge func() clock.Millis
 	// notifyPlaced informs all nodes, including this one, that an engine has accepted an order or,
 	// if completed is set, executed it.
-	notifyPlaced func(upstream fleet.Incarnation, layers fleet.Range, completed bool)
+	notifyPlaced func(upstream fleet.Incarnation, layers fleet.LayerRange, completed bool)
 	// loggedCoverage is the coverage that was logged last.
 	loggedCoverage []string
 	// results counts the orders by result.
@@ -112,7 +112,7 @@
 // New returns a placer that runs a model. It calls placed to inform all nodes of an order that an
 // engine has accepted or completed.
 func New(model *placement.Model, engines Engines, c *clock.Clock, log *zap.Logger,
-	placed func(upstream fleet.Incarnation, layers fleet.Range, completed bool), opts ...Option,
+	placed func(upstream fleet.Incarnation, layers fleet.LayerRange, completed bool), opts ...Option,
 ) *Placer {
 	p := &Placer{
 		model: model, engines: engines, clock: c, log: log, notifyPlaced: placed,
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -19,7 +19,7 @@
 // immediateEngines complete every order immediately.
 type immediateEngines struct {
 	mu   sync.Mutex
-	held map[string]fleet.Range
+	held map[string]fleet.LayerRange
 }
 
 func (e *immediateEngines) State(_ context.Context, address string, _ fleet.Incarnation) (placer.State, error) {
@@ -28,7 +28,7 @@
 	return placer.State{Held: e.held[address]}, nil
 }
 
-func (e *immediateEngines) Place(_ context.Context, address string, _ fleet.Incarnation, layers fleet.Range, _ uint64) (placer.Result, error) {
+func (e *immediateEngines) Place(_ context.Context, address string, _ fleet.Incarnation, layers fleet.LayerRange, _ uint64) (placer.Result, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.held[address] = layers
@@ -53,8 +53,8 @@
 	changes := make([]fleet.Change, engineCount)
 	for i := range changes {
 		id := fmt.Sprintf("e%03d", i)
-		changes[i] = fleet.Change{ID: fleet.Undated(fleet.ID(id)), Upstream: fleet.Upstream{
-			ID: fleet.Undated(fleet.ID(id)), Address: id, Service: "writer", Accelerator: "k", DataCentre: fmt.Sprintf("dc-%d", i/enginesPerDataCentre),
+		changes[i] = fleet.Change{ID: fleet.IncarnationByID(fleet.ID(id)), Upstream: fleet.Upstream{
+			ID: fleet.IncarnationByID(fleet.ID(id)), Address: id, Service: "writer", Accelerator: "k", DataCentre: fmt.Sprintf("dc-%d", i/enginesPerDataCentre),
 		}}
 	}
 	return changes
@@ -63,7 +63,7 @@
 func smallCatalog() *catalog.Catalog {
 	return catalog.New(1, catalog.WithServices(&catalog.Service{Name: "writer", Pipeline: &catalog.Pipeline{
 		Layers: 10, LayerMB: 100, TokenBytes: 1000, StepMS: 1,
-		Accelerators: map[string]catalog.Accelerator{"k": {Name: "k", MB: 500, StepFactor: 1}},
+		Accelerators: map[string]catalog.Accelerator{"k": {Name: "k", MemoryMB: 500, StepFactor: 1}},
 	}}))
 }
 
@@ -78,9 +78,9 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		c := clocktest.NewClock()
-		engines := &immediateEngines{held: make(map[string]fleet.Range)}
+		engines := &immediateEngines{held: make(map[string]fleet.LayerRange)}
 		var p *placer.Placer
-		placed := func(upstream fleet.Incarnation, layers fleet.Range, completed bool) {
+		placed := func(upstream fleet.Incarnation, layers fleet.LayerRange, completed bool) {
 			p.Send(placement.PlacedMsg{Upstream: upstream, Layers: layers, Completed: completed})
 		}
 		p = placer.New(placement.New(placement.WithStart(c.Now())), engines, c, logging.Nop().Logger, placed)
@@ -100,7 +100,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := clocktest.NewClock()
 		// This placer is not running, as if it were computing a plan all the time.
-		p := placer.New(placement.New(), &immediateEngines{}, c, logging.Nop().Logger, func(fleet.Incarnation, fleet.Range, bool) {})
+		p := placer.New(placement.New(), &immediateEngines{}, c, logging.Nop().Logger, func(fleet.Incarnation, fleet.LayerRange, bool) {})
 		sent := 0
 		go func() {
 			for _, change := range emptyEngineChanges() {
@@ -129,7 +129,7 @@
 	return e.immediateEngines.State(ctx, address, upstream)
 }
 
-func (e *slowEngines) Place(ctx context.Context, address string, upstream fleet.Incarnation, layers fleet.Range, taken uint64) (placer.Result, error) {
+func (e *slowEngines) Place(ctx context.Context, address string, upstream fleet.Incarnation, layers fleet.LayerRange, taken uint64) (placer.Result, error) {
 	time.Sleep(responseDelay)
 	e.mu.Lock()
 	e.orderCount++
@@ -146,9 +146,9 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		c := clocktest.NewClock()
-		engines := &slowEngines{immediateEngines: immediateEngines{held: make(map[string]fleet.Range)}}
+		engines := &slowEngines{immediateEngines: immediateEngines{held: make(map[string]fleet.LayerRange)}}
 		var placers []*placer.Placer
-		placed := func(upstream fleet.Incarnation, layers fleet.Range, completed bool) {
+		placed := func(upstream fleet.Incarnation, layers fleet.LayerRange, completed bool) {
 			for _, p := range placers {
 				p.Send(placement.PlacedMsg{Upstream: upstream, Layers: layers, Completed: completed})
 			}
--- a/relay/log.go
+++ b/relay/log.go
@@ -76,11 +76,11 @@
 	switch {
 	case s.route == nil:
 		return ""
-	case s.route.Kind == catalog.Streaming && s.route.Aim > 0 && s.first > s.route.Aim:
+	case s.route.Kind == catalog.Streaming && s.route.LatencyTarget > 0 && s.first > s.route.LatencyTarget:
 		return lateFirst
-	case s.route.Kind == catalog.Streaming && s.route.GapAim > 0 && s.pause > s.route.GapAim:
+	case s.route.Kind == catalog.Streaming && s.route.EventGapTarget > 0 && s.pause > s.route.EventGapTarget:
 		return latePause
-	case s.route.Kind != catalog.Streaming && s.route.Aim > 0 && s.age() > s.route.Aim:
+	case s.route.Kind != catalog.Streaming && s.route.LatencyTarget > 0 && s.age() > s.route.LatencyTarget:
 		return lateWhole
 	}
 	return ""
--- a/relay/stall.go
+++ b/relay/stall.go
@@ -267,7 +267,7 @@
 // answeredBy takes in who has answered at an upstream's address. Another one there proves that
 // the upstream has ended, or was never there.
 func (r *Relay) answeredBy(upstream fleet.Incarnation, address string, presence fleet.Presence) {
-	if presence == fleet.Another {
+	if presence == fleet.Replaced {
 		r.replaced(upstream, address)
 	}
 }
