--- a/chain/builder.go
+++ b/chain/builder.go
@@ -7,24 +7,25 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// builder finds the cheapest way from a layer to the last, over the layers at
-// which some engine's range begins or ends.
+// builder finds the cheapest path from a layer to the last one, over the layers at which the range
+// of an engine begins or ends.
 type builder struct {
 	from    int
 	layers  int
 	tokens  float64
 	origin  string
 	holders []Holder
-	// cuts are the layers at which a part may begin or end, rising.
-	cuts []int
-	// centres numbers the data centres; 0 is the origin.
-	centres map[string]int
-	steps   []step
-	// short notes that an engine was passed over for lack of memory.
-	short bool
+	// boundaries are the layers at which a stage may begin or end, in ascending order.
+	boundaries []int
+	// dataCentres contains the index of each data centre; the origin has index 0.
+	dataCentres map[string]int
+	steps       []step
+	// outOfMemory is set if an engine was skipped because of insufficient free memory.
+	outOfMemory bool
 }
 
-// step is the cheapest known way to a layer that ends in a data centre.
+// step is the cheapest known path that ends at a boundary and in a data centre. from is the index
+// of the preceding step.
 type step struct {
 	cost   float64
 	from   int
@@ -32,7 +33,7 @@
 }
 
 func newBuilder(from, layers int, tokens float64, origin string, holders []Holder) *builder {
-	b := &builder{from: from, layers: layers, tokens: tokens, origin: origin, holders: holders, centres: map[string]int{origin: 0}}
+	b := &builder{from: from, layers: layers, tokens: tokens, origin: origin, holders: holders, dataCentres: map[string]int{origin: 0}}
 	seen := make([]bool, layers+1)
 	seen[from], seen[layers] = true, true
 	for i := range holders {
@@ -41,16 +42,16 @@
 			continue
 		}
 		seen[max(h.Held.From, from)], seen[max(h.Held.To, from)] = true, true
-		if _, ok := b.centres[h.DataCentre]; !ok {
-			b.centres[h.DataCentre] = len(b.centres)
+		if _, ok := b.dataCentres[h.DataCentre]; !ok {
+			b.dataCentres[h.DataCentre] = len(b.dataCentres)
 		}
 	}
-	for layer, cut := range seen {
-		if cut {
-			b.cuts = append(b.cuts, layer)
+	for layer, isBoundary := range seen {
+		if isBoundary {
+			b.boundaries = append(b.boundaries, layer)
 		}
 	}
-	b.steps = make([]step, len(b.cuts)*len(b.centres))
+	b.steps = make([]step, len(b.boundaries)*len(b.dataCentres))
 	for i := range b.steps {
 		b.steps[i] = step{cost: math.Inf(1), from: -1, holder: -1}
 	}
@@ -58,18 +59,18 @@
 	return b
 }
 
-// best returns the cheapest chain and what it costs, or nil.
-func (b *builder) best() (parts []Part, cost float64) {
-	for at := range b.cuts {
-		for centre := range len(b.centres) {
+// best returns the cheapest chain and its cost, or nil if there is no chain.
+func (b *builder) best() (stages []Stage, cost float64) {
+	for at := range b.boundaries {
+		for centre := range len(b.dataCentres) {
 			if !math.IsInf(b.steps[b.index(at, centre)].cost, 1) {
 				b.extend(at, centre)
 			}
 		}
 	}
-	last := len(b.cuts) - 1
+	last := len(b.boundaries) - 1
 	end := -1
-	for centre := range len(b.centres) {
+	for centre := range len(b.dataCentres) {
 		i := b.index(last, centre)
 		if !math.IsInf(b.steps[i].cost, 1) && (end < 0 || b.steps[i].cost < b.steps[end].cost) {
 			end = i
@@ -78,21 +79,21 @@
 	if end < 0 {
 		return nil, 0
 	}
-	parts = b.walk(end)
-	if !checkFrom(b.from, b.layers, parts) {
+	stages = b.stages(end)
+	if !validFrom(b.from, b.layers, stages) {
 		return nil, 0
 	}
-	return parts, b.steps[end].cost
+	return stages, b.steps[end].cost
 }
 
-func (b *builder) index(at, centre int) int { return at*len(b.centres) + centre }
+func (b *builder) index(at, centre int) int { return at*len(b.dataCentres) + centre }
 
-// extend tries every engine that holds the layer at a cut.
+// extend extends a step by each engine that holds the layer at its boundary.
 func (b *builder) extend(at, centre int) {
-	here := b.index(at, centre)
+	current := b.index(at, centre)
 	for i := range b.holders {
 		h := &b.holders[i]
-		if !h.Held.Holds(b.cuts[at]) || h.Held.To > b.layers || b.used(here, i) {
+		if !h.Held.Holds(b.boundaries[at]) || h.Held.To > b.layers || b.uses(current, i) {
 			continue
 		}
 		b.extendWith(at, centre, i)
@@ -101,26 +102,26 @@
 
 func (b *builder) extendWith(at, centre, holder int) {
 	h := &b.holders[holder]
-	to := b.centres[h.DataCentre]
+	to := b.dataCentres[h.DataCentre]
 	base := b.steps[b.index(at, centre)].cost + h.Penalty + hopCost
 	switch {
 	case to == centre:
-	case b.cuts[at] == 0:
-		base += enteringCost
+	case b.boundaries[at] == 0:
+		base += remoteEntryCost
 	default:
 		base += crossingCost
 	}
-	if b.cuts[at] == 0 {
-		base += h.Begin
+	if b.boundaries[at] == 0 {
+		base += h.EntryCost
 	}
-	for next := at + 1; next < len(b.cuts) && b.cuts[next] <= h.Held.To; next++ {
-		span := b.cuts[next] - b.cuts[at]
-		need := b.tokens * float64(span)
-		if need > h.Room-spareRoom*h.Total {
-			b.short = true
+	for next := at + 1; next < len(b.boundaries) && b.boundaries[next] <= h.Held.To; next++ {
+		span := b.boundaries[next] - b.boundaries[at]
+		required := b.tokens * float64(span)
+		if required > h.FreeMemory-memoryReserve*h.TotalMemory {
+			b.outOfMemory = true
 			return
 		}
-		cost := base + h.LayerTime*float64(span) + crowd(h, need)
+		cost := base + h.LayerTime*float64(span) + loadCost(h, required)
 		s := &b.steps[b.index(next, to)]
 		if cost < s.cost {
 			*s = step{cost: cost, from: b.index(at, centre), holder: holder}
@@ -128,18 +129,18 @@
 	}
 }
 
-// crowd prices an engine by how full its memory would be, or how busy it is with
-// reading.
-func crowd(h *Holder, need float64) float64 {
-	full := h.Busy
-	if h.Total > 0 {
-		full = max(full, 1-(h.Room-need)/h.Total)
+// loadCost returns the cost of an engine's load: the share of its memory in use after the request
+// was added, or its prompt load if this is higher.
+func loadCost(h *Holder, required float64) float64 {
+	load := h.PromptLoad
+	if h.TotalMemory > 0 {
+		load = max(load, 1-(h.FreeMemory-required)/h.TotalMemory)
 	}
-	return crowdCost * full * full * full * full
+	return fullLoadCost * load * load * load * load
 }
 
-// used tells whether the way to a step passes an engine already.
-func (b *builder) used(at, holder int) bool {
+// uses reports whether the path to a step already uses an engine.
+func (b *builder) uses(at, holder int) bool {
 	for at > 0 && b.steps[at].holder >= 0 {
 		if b.steps[at].holder == holder {
 			return true
@@ -149,14 +150,14 @@
 	return false
 }
 
-func (b *builder) walk(end int) []Part {
-	var parts []Part
+func (b *builder) stages(end int) []Stage {
+	var stages []Stage
 	for at := end; b.steps[at].holder >= 0; at = b.steps[at].from {
 		s := b.steps[at]
 		h := &b.holders[s.holder]
-		layers := fleet.LayerRange{From: b.cuts[s.from/len(b.centres)], To: b.cuts[at/len(b.centres)]}
-		parts = append(parts, Part{ID: h.ID, Address: h.Address, Layers: layers})
+		layers := fleet.LayerRange{From: b.boundaries[s.from/len(b.dataCentres)], To: b.boundaries[at/len(b.dataCentres)]}
+		stages = append(stages, Stage{ID: h.ID, Address: h.Address, Layers: layers})
 	}
-	slices.Reverse(parts)
-	return parts
+	slices.Reverse(stages)
+	return stages
 }
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -1,6 +1,5 @@
-// Package keeper keeps the requests that are quarantined where they outlast all nodes: in
-// the store. A node that starts reads them, and so knows after the loss of all nodes what
-// they had found out.
+// Package keeper stores the quarantined requests in the store, where they survive the loss of all
+// nodes. A node reads them when it starts.
 package keeper
 
 import (
@@ -21,141 +20,144 @@
 )
 
 const (
-	// waiting bounds what waits to be written. What does not fit is known to this node and
-	// its peers, and written by those of them that have lost it too.
-	waiting = 256
-	// gatherFor is for how long changes are gathered for one write.
-	gatherFor = 50 * time.Millisecond
-	// firstPause is the pause after a call that failed, which doubles up to longestPause:
-	// the store may be away for half a minute, and each call is priced.
-	firstPause   = 200 * time.Millisecond
-	longestPause = 3 * time.Second
+	// maxPending bounds the number of changes that wait to be written. A change beyond it is still
+	// known to this node and its peers, and is written by any peer that also observed the crash.
+	maxPending = 256
+	// batchDelay is how long changes are collected for one write.
+	batchDelay = 50 * time.Millisecond
+	// minRetryDelay is the delay after a failed call. It doubles with each failure, up to
+	// maxRetryDelay. The store may be unavailable for half a minute, and each call is billed.
+	minRetryDelay = 200 * time.Millisecond
+	maxRetryDelay = 3 * time.Second
 )
 
-// ErrRefused means that a store refuses a call for good: it will never be done, however
-// often it is made.
-var ErrRefused = errors.New("keeper: refused for good")
+// ErrRefused means that the store permanently refuses a call, so that retrying it is useless.
+var ErrRefused = errors.New("keeper: permanently refused by the store")
 
-// Store is where requests are kept. Errors of writes that cannot succeed wrap ErrRefused.
+// Store stores quarantined requests. Errors of writes that cannot succeed wrap ErrRefused.
 type Store interface {
-	// Quarantined returns those that can be read, and an error for each that cannot.
+	// Quarantined returns the readable requests, and an error for each unreadable one.
 	Quarantined(ctx context.Context) (list []dispatch.Quarantined, unreadable []error, err error)
-	// Quarantine keeps requests.
+	// Quarantine adds requests.
 	Quarantine(ctx context.Context, works []dispatch.Quarantined) error
-	// Release takes requests away.
+	// Release removes requests.
 	Release(ctx context.Context, works []work.ID) error
 }
 
-// change is a request that is to be kept, or not any longer.
+// change is a change to the store: adding or releasing a request.
 type change struct {
 	dispatch.Quarantined
 	release bool
-	// at is as of when its age counts.
-	at clock.Millis
+	// recordedAt is the time to which the request's age refers.
+	recordedAt clock.Millis
 }
 
-// Keeper keeps requests in a store.
+// Keeper writes quarantined requests to a store.
 type Keeper struct {
-	store Store
-	log   *zap.Logger
-	learn func([]dispatch.Quarantined)
-	// first tells that the whole system starts for the first time: nothing is kept yet.
-	first   bool
-	clock   *clock.Clock
-	changes *ring.Ring[change]
-	// written are the last words that were written on requests, as long as a copy may lack
-	// them, and returned tells that the store has come back from one. Only Run uses written.
-	written  map[work.ID]change
-	returned chan struct{}
-	// refused counts the changes that the store refuses for good.
+	store  Store
+	log    *zap.Logger
+	onRead func([]dispatch.Quarantined)
+	// firstStart is set if the whole system starts for the first time, so that the store contains
+	// no requests.
+	firstStart bool
+	clock      *clock.Clock
+	pending    *ring.Ring[change]
+	// recentWrites contains the last change written for each request, for as long as a restored
+	// backup may lack it. It is only used by Run. restored signals that the store was restored
+	// from a backup.
+	recentWrites map[work.ID]change
+	restored     chan struct{}
+	// refused counts the changes that the store has permanently refused.
 	refused expvar.Int
 }
 
-// New returns a keeper. Learn takes what was kept.
-func New(store Store, c *clock.Clock, log *zap.Logger, firstStart bool, learn func([]dispatch.Quarantined)) *Keeper {
+// New returns a keeper. Run calls onRead once with the requests read from the store.
+func New(store Store, c *clock.Clock, log *zap.Logger, firstStart bool, onRead func([]dispatch.Quarantined)) *Keeper {
 	return &Keeper{
-		store: store, clock: c, log: log, learn: learn, first: firstStart, changes: ring.New[change](waiting),
-		written: make(map[work.ID]change), returned: make(chan struct{}, 1),
+		store: store, clock: c, log: log, onRead: onRead, firstStart: firstStart, pending: ring.New[change](maxPending),
+		recentWrites: make(map[work.ID]change), restored: make(chan struct{}, 1),
 	}
 }
 
-// Refused returns the counter of changes that the store has refused for good.
+// Refused returns the counter of changes that the store has permanently refused.
 func (k *Keeper) Refused() *expvar.Int { return &k.refused }
 
-// Keep has a request kept. It does not wait for that.
-func (k *Keeper) Keep(w dispatch.Quarantined) { k.offer(change{Quarantined: w}) }
+// Keep adds a request to the store asynchronously.
+func (k *Keeper) Keep(w dispatch.Quarantined) { k.enqueue(change{Quarantined: w}) }
 
-// Release has a request kept no longer. It does not wait for that.
+// Release removes a request from the store asynchronously.
 func (k *Keeper) Release(id work.ID) {
-	k.offer(change{Quarantined: dispatch.Quarantined{Work: id}, release: true})
+	k.enqueue(change{Quarantined: dispatch.Quarantined{Work: id}, release: true})
 }
 
-func (k *Keeper) offer(c change) {
-	c.at = k.clock.Now()
-	if !k.changes.Offer(c) {
-		k.log.Warn("quarantine_not_kept", zap.Stringer("work", c.Work), zap.Int("waiting", waiting))
+func (k *Keeper) enqueue(c change) {
+	c.recordedAt = k.clock.Now()
+	if !k.pending.Offer(c) {
+		k.log.Warn("quarantine_not_kept", zap.Stringer("work", c.Work), zap.Int("waiting", maxPending))
 	}
 }
 
-// Run reads what is kept, and then writes until the context ends.
+// Run reads the stored requests and then writes changes until the context is cancelled.
 func (k *Keeper) Run(ctx context.Context) error {
 	k.read(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case c := <-k.changes.Items():
-			clock.Pause(ctx, gatherFor)
-			changes := k.gather(c)
+		case c := <-k.pending.Items():
+			clock.Pause(ctx, batchDelay)
+			changes := k.collectBatch(c)
 			k.write(ctx, changes)
-			k.note(changes)
-		case <-k.returned:
-			k.write(ctx, k.lost())
+			k.rememberWrites(changes)
+		case <-k.restored:
+			k.write(ctx, k.possiblyLost())
 		}
 	}
 }
 
-// StoreReturned notes that the store has come back from a copy, which may lack what was
-// written last.
+// StoreReturned records that the store was restored from a backup, which may lack the most recent
+// writes.
 func (k *Keeper) StoreReturned() {
 	select {
-	case k.returned <- struct{}{}:
+	case k.restored <- struct{}{}:
 	default:
 	}
 }
 
-// note notes changes that were written.
-func (k *Keeper) note(changes map[work.ID]change) {
+// rememberWrites adds changes to recentWrites and removes the expired ones.
+func (k *Keeper) rememberWrites(changes map[work.ID]change) {
 	now := k.clock.Now()
-	maps.DeleteFunc(k.written, func(_ work.ID, c change) bool { return now >= c.at.Add(moment.MaxBackupAge) })
+	maps.DeleteFunc(k.recentWrites, func(_ work.ID, c change) bool { return now >= c.recordedAt.Add(moment.MaxBackupAge) })
 	for id, c := range changes {
-		if _, known := k.written[id]; !known && len(k.written) >= waiting {
-			k.log.Warn("quarantine_not_remembered", zap.Stringer("work", id), zap.Int("most", waiting))
+		if _, known := k.recentWrites[id]; !known && len(k.recentWrites) >= maxPending {
+			k.log.Warn("quarantine_not_remembered", zap.Stringer("work", id), zap.Int("most", maxPending))
 			continue
 		}
-		k.written[id] = c
+		k.recentWrites[id] = c
 	}
 }
 
-// lost returns what a copy may lack, with the ages that requests have now.
-func (k *Keeper) lost() map[work.ID]change {
-	k.note(nil)
+// possiblyLost returns the changes that a restored backup may lack, with the current ages of the
+// requests.
+func (k *Keeper) possiblyLost() map[work.ID]change {
+	k.rememberWrites(nil)
 	now := k.clock.Now()
-	changes := make(map[work.ID]change, len(k.written))
-	for id, c := range k.written {
-		c.Age, c.at = c.Age+now.Sub(c.at), now
+	changes := make(map[work.ID]change, len(k.recentWrites))
+	for id, c := range k.recentWrites {
+		c.Age, c.recordedAt = c.Age+now.Sub(c.recordedAt), now
 		changes[id] = c
 	}
 	return changes
 }
 
-// read reads what is kept, and tells also of nothing: the node waits for it.
+// read reads the stored requests and calls onRead even if there are none, because the node waits
+// for it.
 func (k *Keeper) read(ctx context.Context) {
-	if k.first {
-		k.learn(nil)
+	if k.firstStart {
+		k.onRead(nil)
 		return
 	}
-	err := k.until(ctx, "quarantine_not_read", func() error {
+	err := k.retry(ctx, "quarantine_not_read", func() error {
 		list, unreadable, err := k.store.Quarantined(ctx)
 		if err != nil {
 			return err
@@ -164,22 +166,22 @@
 			k.log.Warn("quarantine_unreadable", logging.Err(err))
 		}
 		k.log.Info("quarantine_read", zap.Int("requests", len(list)), zap.Int("unreadable", len(unreadable)))
-		k.learn(list)
+		k.onRead(list)
 		return nil
 	})
 	if err != nil {
 		k.log.Error("quarantine_not_read", logging.Err(err))
-		k.learn(nil)
+		k.onRead(nil)
 	}
 }
 
-// gather returns a change and those that wait behind it; the last word on each request
-// counts.
-func (k *Keeper) gather(first change) map[work.ID]change {
+// collectBatch returns a change and those waiting behind it, reduced to the last change for each
+// request.
+func (k *Keeper) collectBatch(first change) map[work.ID]change {
 	changes := map[work.ID]change{first.Work: first}
 	for {
 		select {
-		case c := <-k.changes.Items():
+		case c := <-k.pending.Items():
 			changes[c.Work] = c
 		default:
 			return changes
@@ -201,13 +203,14 @@
 	writeAll(ctx, k, release, k.store.Release, func(id work.ID) work.ID { return id })
 }
 
-// writeAll writes changes of one kind until the store has taken them. Where it refuses them
-// for good, each is written by itself, so that one does not hold up the others.
+// writeAll writes changes of one kind until the store accepts them. If the store permanently
+// refuses a batch, each change is written separately, so that one change does not block the
+// others.
 func writeAll[T any](ctx context.Context, k *Keeper, list []T, call func(context.Context, []T) error, name func(T) work.ID) {
 	if len(list) == 0 {
 		return
 	}
-	err := k.until(ctx, "quarantine_not_written", func() error { return call(ctx, list) })
+	err := k.retry(ctx, "quarantine_not_written", func() error { return call(ctx, list) })
 	if err == nil {
 		return
 	}
@@ -221,10 +224,10 @@
 	}
 }
 
-// until tries a call until it succeeds or the context ends. It returns an error that wraps
-// ErrRefused for one that never will.
-func (k *Keeper) until(ctx context.Context, event string, call func() error) error {
-	for pause := firstPause; ctx.Err() == nil; pause = min(2*pause, longestPause) {
+// retry repeats a call until it succeeds or the context is cancelled. If the store permanently
+// refuses the call, retry returns an error that wraps ErrRefused.
+func (k *Keeper) retry(ctx context.Context, event string, call func() error) error {
+	for pause := minRetryDelay; ctx.Err() == nil; pause = min(2*pause, maxRetryDelay) {
 		err := call()
 		if err == nil || errors.Is(err, ErrRefused) {
 			return err
--- a/lab/node_share.go
+++ b/lab/node_share.go
@@ -37,7 +37,7 @@
 		if circle.IsHub {
 			msg.Here = circle.PeerCount + 1
 		}
-		rank = placement.RankMsg{Delay: planSlot * clock.Millis(circle.HubIndex), Rests: !circle.IsHub, Elsewhere: w.elsewhere(n)}
+		rank = placement.RankMsg{Delay: planSlot * clock.Millis(circle.HubIndex), Standby: !circle.IsHub, ExcludedDataCentres: w.elsewhere(n)}
 	}
 	n.tell(msg)
 	n.plan(rank)
--- a/node/circle.go
+++ b/node/circle.go
@@ -79,12 +79,12 @@
 		msg.Near = len(near)
 		n.usage.SetPeers(usageAddresses(near), usageAddresses(far))
 		n.relay.SetPeers(msg)
-		n.placer.Tell(placement.RankMsg{Delay: plannerDelay(rank)})
+		n.placer.Send(placement.RankMsg{Delay: plannerDelay(rank)})
 		return
 	}
 	n.usage.SetRecipients(hubRoutes(circle, others, here))
 	n.relay.SetPeers(msg)
-	n.placer.Tell(placement.RankMsg{Delay: plannerDelay(circle.HubIndex), Rests: !circle.IsHub, Elsewhere: otherCentres(others, here)})
+	n.placer.Send(placement.RankMsg{Delay: plannerDelay(circle.HubIndex), Standby: !circle.IsHub, ExcludedDataCentres: otherCentres(others, here)})
 }
 
 // peersMsg tells the relay of all nodes that are known. Where others stand in a large data
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -9,13 +9,13 @@
 	"github.com/hoistjunction/hoistjunction/placement"
 )
 
-// benchShape is a model of 80 layers.
+// benchShape is the shape of a model with 80 layers.
 var benchShape = placement.Shape{Layers: 80, LayerTokens: 237_000, LoadTime: 175, Prompt: 775, Answer: 220, Pass: catalog.Pass{StreamSlowdown: 0.01}}
 
 func benchEngines(n int, placed bool) []placement.Engine {
 	engines := make([]placement.Engine, n)
 	for i := range engines {
-		engines[i] = placement.Engine{ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%04d", i))), DataCentre: fmt.Sprintf("dc-%d", i/33), Most: 10, Memory: 10.5, LayerTime: 0.1, ReadTime: 0.0005}
+		engines[i] = placement.Engine{ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%04d", i))), DataCentre: fmt.Sprintf("dc-%d", i/33), MaxLayers: 10, MemoryLayers: 10.5, LayerTime: 0.1, ReadTime: 0.0005}
 		if placed {
 			from := (i * 8) % 80
 			engines[i].Held = fleet.LayerRange{From: from, To: from + 8}
@@ -37,8 +37,8 @@
 	}
 }
 
-// knowing returns a planner that knows engines which hold all layers.
-func knowing(n int) *placement.Model {
+// modelWithEngines returns a planner with n engines that together hold all layers.
+func modelWithEngines(n int) *placement.Model {
 	m := placement.New()
 	m.Update(0, placement.CatalogMsg{Catalog: testCatalog(benchShape.Layers)})
 	var changes []fleet.Change
@@ -51,11 +51,12 @@
 	return m
 }
 
-// BenchmarkTick is what the planner costs four times a second while nothing is wanted.
+// BenchmarkTick measures a tick when nothing is to be ordered. The planner gets four ticks per
+// second.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{38, 99, 330, 990} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			m := knowing(n)
+			m := modelWithEngines(n)
 			for b.Loop() {
 				m.Update(10_000, placement.TickMsg{})
 			}
@@ -63,12 +64,12 @@
 	}
 }
 
-// BenchmarkCoverage is what the log of who holds what costs once a second while nothing
-// happens.
+// BenchmarkCoverage measures Coverage when nothing has changed. It is called once per second for
+// the log.
 func BenchmarkCoverage(b *testing.B) {
 	for _, n := range []int{38, 330, 990, 7100} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			m := knowing(n)
+			m := modelWithEngines(n)
 			for b.Loop() {
 				m.Coverage(10_000)
 			}
--- a/placement/heal.go
+++ b/placement/heal.go
@@ -2,51 +2,51 @@
 
 import "github.com/hoistjunction/hoistjunction/fleet"
 
-// healFills are the shares of an engine's memory that layers may take where it is
-// moved to close a gap. The first that gives the data centre a whole copy is taken.
+// healFills are the shares of an engine's memory that layers may occupy when the engine closes a
+// coverage gap. The first share at which the data centre can hold a whole copy of the model is
+// used.
 var healFills = []float64{0.8, 0.85, 0.9, 0.95, 1}
 
 const (
-	// stretchedFill is the share of an engine's memory that layers may take
-	// where that closes a gap. What it leaves holds some 40 requests.
-	stretchedFill = 0.93
-	// Weights of a move: each layer that it covers counts far more than what it
-	// costs, which is the layers to be loaded, second holders that are given up,
-	// and memory beyond the usual fill.
-	coverGain   = 1000.0
-	loadCost    = 1.0
-	secondCost  = 2.0
-	stretchCost = 8.0
-	// fastCost is for moving a fast engine; slow ones go first. A layer takes a
-	// fast one some fastTime, in ms.
-	fastCost = 1.0
-	fastTime = 0.1
+	// stretchFill is the share of an engine's memory that layers may occupy if this closes a
+	// coverage gap. The remaining memory holds about 40 requests.
+	stretchFill = 0.93
+	// Weights of a move. Covering a layer counts far more than the costs: loading layers, giving
+	// up second holders, and using memory beyond the normal fill.
+	coverGain      = 1000.0
+	loadCost       = 1.0
+	redundancyCost = 2.0
+	stretchCost    = 8.0
+	// fastEngineCost is the cost of moving a very fast engine, so that slow engines are moved
+	// first. An engine with a LayerTime of fastLayerTime, in milliseconds, costs half of it.
+	fastEngineCost = 1.0
+	fastLayerTime  = 0.1
 )
 
-// heal closes the gaps of a data centre with engines that are in use: each may
-// hold another run of layers if what it gives up has another holder. A neighbour
-// that takes on a layer or two is loaded in a fraction of a second; an engine
-// that can be spared as a whole closes larger gaps.
+// heal closes the coverage gaps of a data centre by moving engines that already hold layers. An
+// engine may get another range if all layers that it gives up have another holder. Extending a
+// neighbour by one or two layers takes a fraction of a second; larger gaps are closed by engines
+// whose whole range is redundant.
 func (p *plan) heal(centre string) []Order {
 	var orders []Order
-	fill := p.fillFor(centre)
-	for p.missing(centre, p.whole()) > 0 {
+	fill := p.smallestFill(centre)
+	for p.missingLayers(centre, p.allLayers()) > 0 {
 		e, r := p.bestMove(centre, fill)
 		if e == nil {
 			break
 		}
-		orders = append(orders, p.order(e, r))
+		orders = append(orders, p.addOrder(e, r))
 	}
 	return orders
 }
 
-// fillFor returns the smallest fill that gives the data centre a whole copy,
-// and the first where none does.
-func (p *plan) fillFor(centre string) float64 {
+// smallestFill returns the smallest of healFills at which the data centre can hold a whole copy of
+// the model, or the first one if there is none.
+func (p *plan) smallestFill(centre string) float64 {
 	for _, fill := range healFills {
 		sum := 0
-		for _, e := range p.of(centre) {
-			sum += capacity(e, fill)
+		for _, e := range p.enginesIn(centre) {
+			sum += layersAtFill(e, fill)
 		}
 		if sum >= p.shape.Layers {
 			return fill
@@ -55,44 +55,46 @@
 	return healFills[0]
 }
 
-// bestMove returns the engine and its new run that gain most, or nil.
+// bestMove returns the engine and the new range with the highest gain, or nil if no move has a
+// gain.
 func (p *plan) bestMove(centre string, fill float64) (*Engine, fleet.LayerRange) {
 	var best *Engine
-	var run fleet.LayerRange
+	var target fleet.LayerRange
 	most := 0.0
 	for i := range p.engines {
 		e := &p.engines[i]
-		if e.DataCentre != centre || e.Fixed || !e.Coming.Empty() || e.Held.Empty() {
+		if e.DataCentre != centre || e.Fixed || !e.Ordered.Empty() || e.Held.Empty() {
 			continue
 		}
-		for size := capacity(e, fill); size <= p.stretched(e, fill); size++ {
+		for size := layersAtFill(e, fill); size <= p.maxHealLayers(e, fill); size++ {
 			for from := 0; from+size <= p.shape.Layers; from++ {
 				r := fleet.LayerRange{From: from, To: from + size}
-				if gain := p.gain(e, r, fill); gain > most {
-					best, run, most = e, r, gain
+				if gain := p.moveGain(e, r, fill); gain > most {
+					best, target, most = e, r, gain
 				}
 			}
 		}
 	}
-	return best, run
+	return best, target
 }
 
-// stretched is the most layers that an engine is given to close a gap.
-func (p *plan) stretched(e *Engine, fill float64) int {
-	return min(max(capacity(e, stretchedFill), capacity(e, fill)), p.shape.Layers)
+// maxHealLayers returns the maximum number of layers that an engine may hold to close a coverage
+// gap.
+func (p *plan) maxHealLayers(e *Engine, fill float64) int {
+	return min(max(layersAtFill(e, stretchFill), layersAtFill(e, fill)), p.shape.Layers)
 }
 
-// gain weighs a new run of layers for an engine. It is zero or less where the
-// move covers nothing, or gives up a layer that has no other holder.
-func (p *plan) gain(e *Engine, r fleet.LayerRange, fill float64) float64 {
-	local := p.local[e.DataCentre]
+// moveGain returns the gain of giving an engine a new range. It is zero or negative if the move
+// covers no layer or if the engine is the only holder of a layer that it would give up.
+func (p *plan) moveGain(e *Engine, r fleet.LayerRange, fill float64) float64 {
+	counts := p.holderCounts[e.DataCentre]
 	gain := 0.0
 	for layer := r.From; layer < r.To; layer++ {
 		if e.Held.Holds(layer) {
 			continue
 		}
 		gain -= loadCost
-		if local[layer] == 0 {
+		if counts[layer] == 0 {
 			gain += coverGain
 		}
 	}
@@ -100,13 +102,13 @@
 		if r.Holds(layer) {
 			continue
 		}
-		if local[layer] < 2 {
+		if counts[layer] < 2 {
 			return 0
 		}
-		gain -= secondCost
+		gain -= redundancyCost
 	}
-	if over := r.Len() - capacity(e, fill); over > 0 {
-		gain -= stretchCost * float64(over)
+	if excess := r.Len() - layersAtFill(e, fill); excess > 0 {
+		gain -= stretchCost * float64(excess)
 	}
-	return gain - fastCost/(1+e.LayerTime/fastTime)
+	return gain - fastEngineCost/(1+e.LayerTime/fastLayerTime)
 }
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -10,33 +10,33 @@
 	"github.com/hoistjunction/hoistjunction/placement"
 )
 
-// kind is a kind of accelerator of the tests: its memory in layers, and the time
-// of a token and of reading one through a layer, in ms.
-type kind struct {
-	name   string
-	memory float64
-	step   float64
-	read   float64
+// accelerator is a kind of accelerator: the size of its memory in layers, and the times to
+// generate one token and to process one prompt token in one layer, in milliseconds.
+type accelerator struct {
+	name      string
+	memory    float64
+	layerTime float64
+	readTime  float64
 }
 
 var (
-	largeFast = kind{"large", 41.1, 0.031, 0.00024}
-	smallFast = kind{"small", 8.2, 0.068, 0.0006}
-	slow      = kind{"slow", 12.3, 0.2, 0.0006}
+	largeFast = accelerator{"large", 41.1, 0.031, 0.00024}
+	smallFast = accelerator{"small", 8.2, 0.068, 0.0006}
+	slow      = accelerator{"slow", 12.3, 0.2, 0.0006}
 )
 
-func engines(centre string, k kind, n int) []placement.Engine {
+func engines(centre string, k accelerator, n int) []placement.Engine {
 	list := make([]placement.Engine, n)
 	for i := range list {
 		list[i] = placement.Engine{
 			ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("%s-%s-%02d", centre, k.name, i))), DataCentre: centre,
-			Most: int(k.memory), Memory: k.memory, LayerTime: k.step, ReadTime: k.read,
+			MaxLayers: int(k.memory), MemoryLayers: k.memory, LayerTime: k.layerTime, ReadTime: k.readTime,
 		}
 	}
 	return list
 }
 
-// holders counts the holders of each layer after the orders.
+// holders returns the number of holders of each layer after the orders.
 func holders(orders []placement.Order, layers int) []int {
 	n := make([]int, layers)
 	for _, o := range orders {
@@ -47,57 +47,57 @@
 	return n
 }
 
-// The fast engines carry the model where they can, and every engine keeps room
-// for requests.
-func TestPlanPutsFastEnginesFirst(t *testing.T) {
+// Fast engines must hold the whole model if they can, and every engine must keep memory for
+// requests.
+func TestPlanPrefersFastEngines(t *testing.T) {
 	list := slices.Concat(engines("a", largeFast, 1), engines("a", smallFast, 10), engines("a", slow, 4))
 	orders := placement.Plan(benchShape, list)
 	fast := 0
 	for _, o := range orders {
 		i := slices.IndexFunc(list, func(e placement.Engine) bool { return e.ID == o.ID })
-		if share := float64(o.Layers.Len()) / list[i].Memory; share > 0.9 {
-			t.Errorf("%s: got %v of its memory for layers, want at most 0.9", o.ID, share)
+		if share := float64(o.Layers.Len()) / list[i].MemoryLayers; share > 0.9 {
+			t.Errorf("%s: got a share of %v of its memory for layers, want at most 0.9", o.ID, share)
 		}
-		if list[i].LayerTime < slow.step {
+		if list[i].LayerTime < slow.layerTime {
 			fast += o.Layers.Len()
 		}
 	}
 	if fast < benchShape.Layers {
 		t.Errorf("got %d layers on fast engines, want %d or more", fast, benchShape.Layers)
 	}
-	if least := slices.Min(holders(orders, benchShape.Layers)); least < 1 {
-		t.Errorf("got %d holders of some layer, want 1 or more", least)
+	if fewest := slices.Min(holders(orders, benchShape.Layers)); fewest < 1 {
+		t.Errorf("got a layer with %d holders, want 1 or more", fewest)
 	}
 }
 
-// Whatever the engines are, no order exceeds an engine's memory, and a data
-// centre that can hold the model does.
-func TestPlanOfAnyEngines(t *testing.T) {
+// For any set of engines, no order may exceed an engine's memory, and a data centre whose engines
+// can hold the model must hold all layers.
+func TestPlanRandomEngines(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	for range 60 {
-		list := anyEngines(random)
-		most, room := 0, 0
+		list := randomEngines(random)
+		largest, total := 0, 0
 		orders := placement.Plan(benchShape, list)
 		for _, e := range list {
-			room += e.Most
-			most = max(most, e.Most)
+			total += e.MaxLayers
+			largest = max(largest, e.MaxLayers)
 			for _, o := range orders {
-				if o.ID == e.ID && (o.Layers.Len() > e.Most || o.Layers.From < 0 || o.Layers.To > benchShape.Layers) {
-					t.Errorf("got order %v for an engine of %d layers", o, e.Most)
+				if o.ID == e.ID && (o.Layers.Len() > e.MaxLayers || o.Layers.From < 0 || o.Layers.To > benchShape.Layers) {
+					t.Errorf("got order %v for an engine with memory for %d layers", o, e.MaxLayers)
 				}
 			}
 		}
-		// Ranges of one length seldom fill a model exactly: one engine is left out.
-		if room-most < benchShape.Layers {
+		// Ranges of equal length rarely fill the model exactly, so one engine does not count.
+		if total-largest < benchShape.Layers {
 			continue
 		}
-		if least := slices.Min(holders(orders, benchShape.Layers)); least < 1 {
-			t.Errorf("got a layer without a holder of %d engines with room for %d layers, want none", len(list), room)
+		if fewest := slices.Min(holders(orders, benchShape.Layers)); fewest < 1 {
+			t.Errorf("got a layer without a holder, want none: %d engines have memory for %d layers", len(list), total)
 		}
 	}
 }
 
-func anyEngines(random *rand.Rand) []placement.Engine {
+func randomEngines(random *rand.Rand) []placement.Engine {
 	list := make([]placement.Engine, 1+random.IntN(30))
 	for i := range list {
 		memory := 14 * random.Float64()
@@ -105,19 +105,19 @@
 			memory = 50 * random.Float64()
 		}
 		list[i] = placement.Engine{
-			ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%02d", i))), DataCentre: "a", Most: int(memory), Memory: memory,
+			ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%02d", i))), DataCentre: "a", MaxLayers: int(memory), MemoryLayers: memory,
 			LayerTime: 0.02 + random.Float64(), ReadTime: 0.001 * random.Float64(),
 		}
 	}
 	return list
 }
 
-// The same engines give the same plan, in whatever order they are listed.
-func TestPlanIsTheSameEverywhere(t *testing.T) {
+// Plan must return the same orders for the same engines in any order.
+func TestPlanIgnoresEngineOrder(t *testing.T) {
 	list := slices.Concat(engines("a", slow, 9), engines("b", smallFast, 14), engines("b", largeFast, 2))
 	want := fmt.Sprint(placement.Plan(benchShape, list))
 	slices.Reverse(list)
 	if got := fmt.Sprint(placement.Plan(benchShape, list)); got != want {
-		t.Errorf("got %s, want %s", got, want)
+		t.Errorf("got orders %s, want %s", got, want)
 	}
 }
--- a/placement/shape.go
+++ b/placement/shape.go
@@ -2,18 +2,18 @@
 
 import "github.com/hoistjunction/hoistjunction/catalog"
 
-// Shape is what a plan has to know of a pipeline.
+// Shape contains the properties of a pipeline that a plan depends on.
 type Shape struct {
 	Layers int
-	// LayerTokens is what the memory of one layer's weights would hold, in tokens
-	// times layers.
+	// LayerTokens is the number of request tokens, for one layer, that fit into the memory of one
+	// layer's weights.
 	LayerTokens float64
-	// LoadTime is the time of loading one layer, in ms.
+	// LoadTime is the time to load one layer, in milliseconds.
 	LoadTime float64
-	// Prompt and Answer are the tokens of a usual request.
+	// Prompt and Answer are the tokens of a request of the usual size.
 	Prompt float64
 	Answer float64
-	// Pass is what an engine does in a pass.
+	// Pass describes the cost of an engine's pass.
 	Pass catalog.Pass
 }
 
@@ -27,5 +27,6 @@
 	return s
 }
 
-// tokens is the memory that a usual request takes at each layer.
-func (s *Shape) tokens() float64 { return s.Prompt + s.Answer }
+// requestTokens returns the tokens of a request of the usual size, which occupy memory at each
+// layer.
+func (s *Shape) requestTokens() float64 { return s.Prompt + s.Answer }
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -1,9 +1,9 @@
-// Package placer carries out what the planner of layers decides: it asks an
-// engine for its state and gives it the order.
+// Package placer executes the decisions of the placement planner: it requests the state of each
+// engine and sends it the order.
 //
-// Every order carries the number of orders that the engine had taken when it
-// was asked. Of two planners only one gets through, and an order that is
-// carried out late, after a newer one, does nothing.
+// Each order contains the number of orders that the engine had accepted when its state was
+// requested. If two planners send orders at the same time, the engine accepts only one of them,
+// and an order that arrives after a newer one has no effect.
 package placer
 
 import (
@@ -21,11 +21,11 @@
 	"github.com/hoistjunction/hoistjunction/placement"
 )
 
-// ErrOtherRun means that whoever answered is another run of the upstream's process than
-// the one that was asked: nothing that was known of that one holds for it.
-var ErrOtherRun = errors.New("placer: another run of the upstream answered")
+// ErrOtherIncarnation means that the response came from another incarnation of the upstream than
+// the requested one, so that nothing known about the requested one applies.
+var ErrOtherIncarnation = errors.New("placer: another incarnation of the upstream responded")
 
-// Results of orders, under the names that engines' clients use.
+// Results of orders, as returned by implementations of Engines.
 const (
 	Taken      = placement.Taken
 	Refused    = placement.Refused
@@ -34,87 +34,88 @@
 	Rejected   = placement.Rejected
 )
 
-// Result is what came of an order.
+// Result is the result of an order.
 type Result = placement.Result
 
-// State is an engine's own account of itself.
+// State is the state reported by an engine.
 type State struct {
-	// Busy tells that it is carrying out an order.
+	// Busy is set while the engine executes an order.
 	Busy bool
-	// OrdersTaken counts its orders since its start.
+	// OrdersTaken is the number of orders that the engine has accepted since its start.
 	OrdersTaken uint64
 	Held        fleet.LayerRange
 }
 
-// Engines gives orders.
+// Engines is a client for the placement API of engines.
 type Engines interface {
 	State(ctx context.Context, address string, upstream fleet.Incarnation) (State, error)
 	Place(ctx context.Context, address string, upstream fleet.Incarnation, layers fleet.LayerRange, ordersTaken uint64) (Result, error)
 }
 
 const (
-	// tickEvery is how often the planner looks at its engines.
-	tickEvery = 250 * time.Millisecond
-	// coverageTicks is at which of the planner's ticks it is looked whether other
-	// layers are held than were logged last: once a second.
-	coverageTicks = 4
-	// watchEvery is how often an engine that loads is asked whether it is done,
-	// and watchFor for how long; it is first asked after watchFirst, when all have been
-	// told of the order. A load takes 0.2 s to some three seconds; the list shows its end
-	// up to three seconds late.
-	watchFirst = 600 * time.Millisecond
-	watchEvery = 300 * time.Millisecond
-	watchFor   = 12 * time.Second
-	// ordersAtOnce bounds the orders that are given at a time.
-	ordersAtOnce = 8
-	// slowPlan is from which time on a plan without orders is logged too: it takes a
-	// VM's processor from requests for several turns of the scheduler, of 10 ms each.
-	slowPlan clock.Millis = 50
+	// tickInterval is the time between two ticks of the planner.
+	tickInterval = 250 * time.Millisecond
+	// coverageLogTicks is the number of ticks between two checks for changed coverage, which is
+	// once per second.
+	coverageLogTicks = 4
+	// While an engine loads layers, its state is requested every watchInterval, for at most
+	// watchTimeout. The first request is sent after firstWatchDelay, when all nodes know the
+	// order. Loading takes from 0.2 s to about three seconds, and the list shows the result up to
+	// three seconds late.
+	firstWatchDelay = 600 * time.Millisecond
+	watchInterval   = 300 * time.Millisecond
+	watchTimeout    = 12 * time.Second
+	// maxConcurrentOrders is the maximum number of orders that are being sent at a time.
+	maxConcurrentOrders = 8
+	// slowPlanThreshold is the duration from which a plan is logged even if it has no orders.
+	// During such a plan, requests on the VM have to wait for several scheduler time slices of 10
+	// ms.
+	slowPlanThreshold clock.Millis = 50
 )
 
-// Placer runs a planner.
+// Placer runs a planner and executes its orders.
 type Placer struct {
 	model   *placement.Model
 	engines Engines
 	clock   *clock.Clock
 	log     *zap.Logger
 	inbox   *inbox
-	// waiting are orders that nobody gives yet, and orders takes them to who does. The
-	// planner itself never waits for that.
-	waiting queue
-	orders  chan placement.OrderCmd
-	// listAge tells how long ago the list of upstreams was last confirmed.
+	// queued contains the orders that no worker has started; orders passes them to the workers.
+	// The planner never waits for a worker.
+	queued queue
+	orders chan placement.OrderCmd
+	// listAge returns the time since the last confirmation that the upstream list is current.
 	listAge func() clock.Millis
-	// placed tells all nodes, this one included, of an order that was taken or,
-	// with holds, carried out.
-	placed func(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool)
-	// coverage is what was logged last.
-	coverage []string
-	// results counts orders by what came of them.
+	// notifyPlaced informs all nodes, including this one, that an engine has accepted an order or,
+	// if completed is set, executed it.
+	notifyPlaced func(upstream fleet.Incarnation, layers fleet.LayerRange, completed bool)
+	// loggedCoverage is the coverage that was logged last.
+	loggedCoverage []string
+	// results counts the orders by result.
 	results *expvar.Map
 }
 
-// Option sets up a Placer.
+// Option configures a Placer.
 type Option func(*Placer)
 
-// WithSeed sets which of a plan's orders a node gives first. Nodes that find the same
-// plan share its orders where their seeds differ.
-func WithSeed(seed uint64) Option { return func(p *Placer) { p.waiting.seed = seed } }
+// WithSeed sets which order of a plan this node sends first. Nodes that compute the same plan
+// share its orders if their seeds differ.
+func WithSeed(seed uint64) Option { return func(p *Placer) { p.queued.seed = seed } }
 
-// WithListAge sets who tells how long ago the list of upstreams was last confirmed. Without
-// it the list counts as confirmed at all times.
+// WithListAge sets the function that returns the time since the last confirmation of the upstream
+// list. By default the list always counts as confirmed.
 func WithListAge(age func() clock.Millis) Option { return func(p *Placer) { p.listAge = age } }
 
-// WithResults sets where orders are counted by what came of them.
+// WithResults sets the map in which orders are counted by result.
 func WithResults(counts *expvar.Map) Option { return func(p *Placer) { p.results = counts } }
 
-// New returns a placer that runs a model. Placed tells all nodes of an order
-// that an engine has taken or carried out.
+// New returns a placer that runs a model. It calls placed to inform all nodes of an order that an
+// engine has accepted or completed.
 func New(model *placement.Model, engines Engines, c *clock.Clock, log *zap.Logger,
-	placed func(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool), opts ...Option,
+	placed func(upstream fleet.Incarnation, layers fleet.LayerRange, completed bool), opts ...Option,
 ) *Placer {
 	p := &Placer{
-		model: model, engines: engines, clock: c, log: log, placed: placed,
+		model: model, engines: engines, clock: c, log: log, notifyPlaced: placed,
 		listAge: func() clock.Millis { return 0 }, inbox: newInbox(), orders: make(chan placement.OrderCmd), results: new(expvar.Map),
 	}
 	for _, opt := range opts {
@@ -123,99 +124,100 @@
 	return p
 }
 
-// Tell hands a message to the planner. It does not wait.
-func (p *Placer) Tell(msg placement.Msg) { p.inbox.put(msg) }
+// Send passes a message to the planner without blocking.
+func (p *Placer) Send(msg placement.Msg) { p.inbox.put(msg) }
 
-// Run plans until the context ends.
+// Run runs the planner until the context is cancelled.
 func (p *Placer) Run(ctx context.Context) error {
-	for range ordersAtOnce {
-		go p.work(ctx)
+	for range maxConcurrentOrders {
+		go p.processOrders(ctx)
 	}
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	ticks := 0
 	for {
-		to, order := p.next()
+		to, order := p.nextOrder()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-p.inbox.some:
-			p.takeIn()
+		case <-p.inbox.ready:
+			p.processInbox()
 		case to <- order:
-			p.waiting.removeFirst()
+			p.queued.removeFirst()
 		case <-tick.C:
-			// A plan is for what is known by now.
-			p.takeIn()
-			p.waiting.add(p.plan())
-			if ticks++; ticks%coverageTicks == 0 {
+			// Plan with all messages received so far.
+			p.processInbox()
+			p.queued.add(p.plan())
+			if ticks++; ticks%coverageLogTicks == 0 {
 				p.logCoverage()
 			}
 		}
 	}
 }
 
-// takeIn hands the planner what it has been told.
-func (p *Placer) takeIn() {
+// processInbox passes the received messages to the planner.
+func (p *Placer) processInbox() {
 	for _, msg := range p.inbox.take() {
 		if placed, ok := msg.(placement.PlacedMsg); ok {
-			p.waiting.ordered(placed.Upstream)
+			p.queued.markOrdered(placed.Upstream)
 		}
 		p.model.Update(p.clock.Now(), msg)
 	}
 }
 
-// plan has the planner look at its engines, and logs what that took.
+// plan runs a tick of the planner and logs its duration.
 func (p *Placer) plan() []placement.OrderCmd {
 	began := p.clock.Now()
 	cmds := p.model.Update(began, placement.TickMsg{ListAge: p.listAge()})
-	if took := p.clock.Now().Sub(began); took >= slowPlan || len(cmds) > 0 {
+	if took := p.clock.Now().Sub(began); took >= slowPlanThreshold || len(cmds) > 0 {
 		p.log.Info("planned", zap.Int("orders", len(cmds)), zap.Int64("took_ms", int64(took)))
 	}
 	return cmds
 }
 
-// logCoverage logs which layers are held where, when that has changed.
+// logCoverage logs the coverage if it has changed since the last log entry.
 func (p *Placer) logCoverage() {
 	coverage := p.model.Coverage(p.clock.Now())
-	if slices.Equal(coverage, p.coverage) {
+	if slices.Equal(coverage, p.loggedCoverage) {
 		return
 	}
-	p.coverage = coverage
+	p.loggedCoverage = coverage
 	for _, line := range coverage {
 		p.log.Info("coverage", zap.String("layers", line))
 	}
 }
 
-// next returns the first order that waits, and where it goes; nowhere if none does.
-func (p *Placer) next() (to chan<- placement.OrderCmd, order placement.OrderCmd) {
-	order, ok := p.waiting.first()
+// nextOrder returns the next queued order and the channel to send it to, which is nil if there is
+// no order.
+func (p *Placer) nextOrder() (to chan<- placement.OrderCmd, order placement.OrderCmd) {
+	order, ok := p.queued.first()
 	if !ok {
 		return nil, order
 	}
 	return p.orders, order
 }
 
-// work gives orders one after the other.
-func (p *Placer) work(ctx context.Context) {
+// processOrders sends orders one at a time until the context is cancelled.
+func (p *Placer) processOrders(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case cmd := <-p.orders:
-			p.Tell(p.give(ctx, cmd))
+			p.Send(p.giveOrder(ctx, cmd))
 		}
 	}
 }
 
-// give asks an engine for its state, and gives it the order if it is idle and
-// still holds what the planner believes.
-func (p *Placer) give(ctx context.Context, cmd placement.OrderCmd) placement.OrderedMsg {
-	msg := placement.OrderedMsg{Upstream: cmd.Upstream, Result: Unanswered}
+// giveOrder requests the state of an engine and sends it the order if it is idle and still holds
+// the range that the planner expected.
+func (p *Placer) giveOrder(ctx context.Context, cmd placement.OrderCmd) placement.OrderResultMsg {
+	msg := placement.OrderResultMsg{Upstream: cmd.Upstream, Result: Unanswered}
 	state, err := p.engines.State(ctx, cmd.Address, cmd.Upstream)
 	if err == nil {
 		msg.Held = state.Held
 		msg.Result = Busy
-		if !state.Busy && state.Held == cmd.Believed {
+		if !state.Busy && state.Held == cmd.ExpectedHeld {
 			msg.Result, err = p.engines.Place(ctx, cmd.Address, cmd.Upstream, cmd.Layers, state.OrdersTaken)
 		}
 	}
@@ -225,7 +227,7 @@
 		zap.Int("held_to", state.Held.To), zap.Stringer("result", msg.Result), logging.Err(err))
 	p.results.Add(msg.Result.String(), 1)
 	if msg.Result == Taken {
-		go p.watch(ctx, cmd)
+		go p.watchOrder(ctx, cmd)
 	}
 	if msg.Result == Rejected {
 		p.log.Error("order_rejected", zap.Stringer("upstream", cmd.Upstream), zap.String("address", cmd.Address), logging.Err(err))
@@ -233,21 +235,22 @@
 	return msg
 }
 
-// watch tells all nodes that an order was taken, and that it was carried out.
-func (p *Placer) watch(ctx context.Context, cmd placement.OrderCmd) {
-	p.placed(cmd.Upstream, cmd.Layers, false)
-	until := p.clock.Now().Add(clock.FromDuration(watchFor))
-	for pause := watchFirst; p.clock.Now() < until && ctx.Err() == nil; pause = watchEvery {
+// watchOrder informs all nodes that an order was accepted and, once the engine holds the layers,
+// that it was completed.
+func (p *Placer) watchOrder(ctx context.Context, cmd placement.OrderCmd) {
+	p.notifyPlaced(cmd.Upstream, cmd.Layers, false)
+	until := p.clock.Now().Add(clock.FromDuration(watchTimeout))
+	for pause := firstWatchDelay; p.clock.Now() < until && ctx.Err() == nil; pause = watchInterval {
 		clock.Pause(ctx, pause)
 		state, err := p.engines.State(ctx, cmd.Address, cmd.Upstream)
-		if errors.Is(err, ErrOtherRun) {
+		if errors.Is(err, ErrOtherIncarnation) {
 			return
 		}
 		if err != nil || state.Busy || state.Held != cmd.Layers {
 			continue
 		}
 		p.log.Info("carried_out", zap.Stringer("upstream", cmd.Upstream), zap.Int("from", cmd.Layers.From), zap.Int("to", cmd.Layers.To))
-		p.placed(cmd.Upstream, cmd.Layers, true)
+		p.notifyPlaced(cmd.Upstream, cmd.Layers, true)
 		return
 	}
 }
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -16,141 +16,141 @@
 	"github.com/hoistjunction/hoistjunction/placer"
 )
 
-// promptEngines carry out every order at once.
-type promptEngines struct {
+// immediateEngines complete every order immediately.
+type immediateEngines struct {
 	mu   sync.Mutex
 	held map[string]fleet.LayerRange
 }
 
-func (e *promptEngines) State(_ context.Context, address string, _ fleet.Incarnation) (placer.State, error) {
+func (e *immediateEngines) State(_ context.Context, address string, _ fleet.Incarnation) (placer.State, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return placer.State{Held: e.held[address]}, nil
 }
 
-func (e *promptEngines) Place(_ context.Context, address string, _ fleet.Incarnation, layers fleet.LayerRange, _ uint64) (placer.Result, error) {
+func (e *immediateEngines) Place(_ context.Context, address string, _ fleet.Incarnation, layers fleet.LayerRange, _ uint64) (placer.Result, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.held[address] = layers
 	return placer.Taken, nil
 }
 
-func (e *promptEngines) ordered() int {
+func (e *immediateEngines) orderedCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.held)
 }
 
 const (
-	// manyEngines are more than the orders and messages that waited for each other.
-	manyEngines = 600
-	// aCentre is how many of them stand in a data centre.
-	aCentre = 6
+	// engineCount exceeds the number of orders and messages at which the planner deadlocked.
+	engineCount = 600
+	// enginesPerDataCentre is the number of engines in each data centre.
+	enginesPerDataCentre = 6
 )
 
-// emptyEngines are the entries of engines that hold nothing.
-func emptyEngines() []fleet.Change {
-	changes := make([]fleet.Change, manyEngines)
+// emptyEngineChanges returns the list entries of engines without layers.
+func emptyEngineChanges() []fleet.Change {
+	changes := make([]fleet.Change, engineCount)
 	for i := range changes {
 		id := fmt.Sprintf("e%03d", i)
 		changes[i] = fleet.Change{ID: fleet.IncarnationByID(fleet.ID(id)), Upstream: fleet.Upstream{
-			ID: fleet.IncarnationByID(fleet.ID(id)), Address: id, Service: "writer", Accelerator: "k", DataCentre: fmt.Sprintf("dc-%d", i/aCentre),
+			ID: fleet.IncarnationByID(fleet.ID(id)), Address: id, Service: "writer", Accelerator: "k", DataCentre: fmt.Sprintf("dc-%d", i/enginesPerDataCentre),
 		}}
 	}
 	return changes
 }
 
-func smallModel() *catalog.Catalog {
+func smallCatalog() *catalog.Catalog {
 	return catalog.New(1, catalog.WithServices(&catalog.Service{Name: "writer", Pipeline: &catalog.Pipeline{
 		Layers: 10, LayerMB: 100, TokenBytes: 1000, StepMS: 1,
 		Accelerators: map[string]catalog.Accelerator{"k": {Name: "k", MemoryMB: 500, StepFactor: 1}},
 	}}))
 }
 
-// After a start of 99 nodes and 418 empty engines, some nodes used upstreams long after
-// these had left, until they were stopped. The first plan had more orders than may wait
-// for those who give them. The planner waited for room there; who gave the orders waited
-// for room to tell it what came of them; and the follower of the list, who tells it what
-// has changed, waited behind them, for ever. The logs of all nodes proved it: each that
-// had planned over 264 orders at a time had no change of the list from then on.
-func TestMoreOrdersThanMayWait(t *testing.T) {
+// Guards against a deadlock between the planner, its workers and the follower of the upstream
+// list. The initial plan for 418 empty engines on 99 nodes had more orders than fit into a bounded
+// queue. The planner waited for space in this queue, the workers waited for space to report
+// results to the planner, and the follower waited behind them to report changes. Nodes that had
+// planned more than 264 orders at a time got no change of the list any more and kept using
+// upstreams long after these had left.
+func TestPlanWithManyOrdersDoesNotDeadlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		c := clocktest.NewClock()
-		engines := &promptEngines{held: make(map[string]fleet.LayerRange)}
+		engines := &immediateEngines{held: make(map[string]fleet.LayerRange)}
 		var p *placer.Placer
-		placed := func(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool) {
-			p.Tell(placement.PlacedMsg{Upstream: upstream, Layers: layers, Holds: holds})
+		placed := func(upstream fleet.Incarnation, layers fleet.LayerRange, completed bool) {
+			p.Send(placement.PlacedMsg{Upstream: upstream, Layers: layers, Completed: completed})
 		}
 		p = placer.New(placement.New(placement.WithStart(c.Now())), engines, c, logging.Nop().Logger, placed)
 		go func() { _ = p.Run(ctx) }()
-		p.Tell(placement.CatalogMsg{Catalog: smallModel()})
-		p.Tell(placement.FleetMsg{Changes: emptyEngines()})
+		p.Send(placement.CatalogMsg{Catalog: smallCatalog()})
+		p.Send(placement.FleetMsg{Changes: emptyEngineChanges()})
 		time.Sleep(time.Minute)
-		if got := engines.ordered(); got != manyEngines {
-			t.Errorf("got %d engines ordered to hold something, want %d", got, manyEngines)
+		if got := engines.orderedCount(); got != engineCount {
+			t.Errorf("got %d engines with an order, want %d", got, engineCount)
 		}
 	})
 }
 
-// While a plan is sought, which takes seconds on the smallest VMs, who tells the planner
-// something goes on: the follower of the list has others to tell too.
-func TestTellingDoesNotWaitForThePlanner(t *testing.T) {
+// Send must not block while a plan is computed, which takes seconds on the smallest VMs. The
+// follower of the list also has to notify other components.
+func TestSendDoesNotBlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := clocktest.NewClock()
-		// Nobody runs this one, as if it sought a plan all the while.
-		p := placer.New(placement.New(), &promptEngines{}, c, logging.Nop().Logger, func(fleet.Incarnation, fleet.LayerRange, bool) {})
-		told := 0
+		// This placer is not running, as if it were computing a plan all the time.
+		p := placer.New(placement.New(), &immediateEngines{}, c, logging.Nop().Logger, func(fleet.Incarnation, fleet.LayerRange, bool) {})
+		sent := 0
 		go func() {
-			for _, change := range emptyEngines() {
-				p.Tell(placement.FleetMsg{Changes: []fleet.Change{change}})
-				told++
+			for _, change := range emptyEngineChanges() {
+				p.Send(placement.FleetMsg{Changes: []fleet.Change{change}})
+				sent++
 			}
 		}()
 		synctest.Wait()
-		if told != manyEngines {
-			t.Errorf("got %d changes told, want %d", told, manyEngines)
+		if sent != engineCount {
+			t.Errorf("got %d changes sent without blocking, want %d", sent, engineCount)
 		}
 	})
 }
 
-// slowEngines take an order after a while, and count the orders.
+// slowEngines respond after a delay and count the orders.
 type slowEngines struct {
-	promptEngines
-	orders int
+	immediateEngines
+	orderCount int
 }
 
-// orderTakes is how long an engine takes to answer.
-const orderTakes = 2 * time.Millisecond
+// responseDelay is the time that an engine takes to respond.
+const responseDelay = 2 * time.Millisecond
 
 func (e *slowEngines) State(ctx context.Context, address string, upstream fleet.Incarnation) (placer.State, error) {
-	time.Sleep(orderTakes)
-	return e.promptEngines.State(ctx, address, upstream)
+	time.Sleep(responseDelay)
+	return e.immediateEngines.State(ctx, address, upstream)
 }
 
 func (e *slowEngines) Place(ctx context.Context, address string, upstream fleet.Incarnation, layers fleet.LayerRange, taken uint64) (placer.Result, error) {
-	time.Sleep(orderTakes)
+	time.Sleep(responseDelay)
 	e.mu.Lock()
-	e.orders++
+	e.orderCount++
 	e.mu.Unlock()
-	return e.promptEngines.Place(ctx, address, upstream, layers, taken)
+	return e.immediateEngines.Place(ctx, address, upstream, layers, taken)
 }
 
-// Where a plan takes longer than a turn, several nodes find the same one. 912 engines
-// then got 3,400 orders, each of which is paid for: all gave theirs in the same sequence,
-// at the same moments. They are to share them: each begins elsewhere, and what another
-// node has ordered by then is not ordered again.
-func TestPlannersOfOnePlanShareItsOrders(t *testing.T) {
+// Nodes that compute the same plan must share its orders. If a plan takes longer than the delay of
+// a node, several nodes compute the same one. When all nodes sent the orders in the same sequence,
+// 912 engines got 3,400 orders, each of which is billed. Each node now starts at another order and
+// skips the orders that other nodes have already given.
+func TestPlannersShareOrdersOfSamePlan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		c := clocktest.NewClock()
-		engines := &slowEngines{promptEngines: promptEngines{held: make(map[string]fleet.LayerRange)}}
+		engines := &slowEngines{immediateEngines: immediateEngines{held: make(map[string]fleet.LayerRange)}}
 		var placers []*placer.Placer
-		placed := func(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool) {
+		placed := func(upstream fleet.Incarnation, layers fleet.LayerRange, completed bool) {
 			for _, p := range placers {
-				p.Tell(placement.PlacedMsg{Upstream: upstream, Layers: layers, Holds: holds})
+				p.Send(placement.PlacedMsg{Upstream: upstream, Layers: layers, Completed: completed})
 			}
 		}
 		for seed := range uint64(3) {
@@ -159,15 +159,15 @@
 		}
 		for _, p := range placers {
 			go func() { _ = p.Run(ctx) }()
-			p.Tell(placement.CatalogMsg{Catalog: smallModel()})
-			p.Tell(placement.FleetMsg{Changes: emptyEngines()})
+			p.Send(placement.CatalogMsg{Catalog: smallCatalog()})
+			p.Send(placement.FleetMsg{Changes: emptyEngineChanges()})
 		}
 		time.Sleep(time.Minute)
-		if got := engines.ordered(); got != manyEngines {
-			t.Errorf("got %d engines ordered to hold something, want %d", got, manyEngines)
+		if got := engines.orderedCount(); got != engineCount {
+			t.Errorf("got %d engines with an order, want %d", got, engineCount)
 		}
-		if got := engines.orders; got > manyEngines {
-			t.Errorf("got %d orders to %d engines, want one each", got, manyEngines)
+		if got := engines.orderCount; got > engineCount {
+			t.Errorf("got %d orders for %d engines, want one for each", got, engineCount)
 		}
 	})
 }
--- a/sizing/fleet.go
+++ b/sizing/fleet.go
@@ -139,7 +139,7 @@
 		for i := range n {
 			list = append(list, placement.Engine{
 				ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("%s-%s-%d", centre, kind, i+1))), DataCentre: centre,
-				Most: f.pipeline.MaxLayers(a), Memory: f.pipeline.MemoryInLayers(a),
+				MaxLayers: f.pipeline.MaxLayers(a), MemoryLayers: f.pipeline.MemoryInLayers(a),
 				LayerTime: f.pipeline.StepTime(a, 1), ReadTime: f.pipeline.ReadTime(a, 1),
 			})
 		}
