--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -37,7 +37,7 @@
 	return m
 }
 
-func BenchmarkArriveAndLeave(b *testing.B) {
+func BenchmarkRequest(b *testing.B) {
 	for _, engines := range []int{38, 99, 330, 990} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			m := benchModel(engines)
@@ -51,18 +51,18 @@
 				if _, ok := cmds[0].(dispatch.SendCmd); !ok {
 					b.Fatalf("got %+v, want a request sent", cmds[0])
 				}
-				m.Update(clock.Millis(id/100), dispatch.GoneMsg{Request: id})
+				m.Update(clock.Millis(id/100), dispatch.RequestEndedMsg{Request: id})
 			}
 		})
 	}
 }
 
-// sizes are how many upstreams the users' sites have, and the size of two years from now.
-var sizes = []int{38, 218, 998, 7100}
+// fleetSizes are how many upstreams the users' sites have, and the size of two years from now.
+var fleetSizes = []int{38, 218, 998, 7100}
 
 // BenchmarkTick is what the decider costs ten times a second while nothing happens.
 func BenchmarkTick(b *testing.B) {
-	for _, engines := range sizes {
+	for _, engines := range fleetSizes {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			m := benchModel(engines)
 			for b.Loop() {
@@ -72,9 +72,9 @@
 	}
 }
 
-// BenchmarkListChange is an engine that comes to hold other layers.
-func BenchmarkListChange(b *testing.B) {
-	for _, engines := range sizes {
+// BenchmarkFleetChange is an engine that comes to hold other layers.
+func BenchmarkFleetChange(b *testing.B) {
+	for _, engines := range fleetSizes {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			m := benchModel(engines)
 			n := 0
@@ -87,11 +87,11 @@
 	}
 }
 
-// BenchmarkHearUsage is a node that tells of as many engines as its streams pass at most:
+// BenchmarkPeerUsage is a node that tells of as many engines as its streams pass at most:
 // 24 streams over nine engines.
-func BenchmarkHearUsage(b *testing.B) {
+func BenchmarkPeerUsage(b *testing.B) {
 	const told = 24 * 9
-	for _, engines := range sizes {
+	for _, engines := range fleetSizes {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			m := benchModel(engines)
 			used := make(map[fleet.Incarnation]fleet.Use)
@@ -99,7 +99,7 @@
 				used[fleet.Undated(fleet.ID(fmt.Sprintf("e%d", i)))] = fleet.Use{Memory: float64(i)}
 			}
 			for b.Loop() {
-				m.Update(1000, dispatch.UsageMsg{Node: "n", Used: used})
+				m.Update(1000, dispatch.UsageMsg{Node: "n", Usage: used})
 			}
 		})
 	}
--- a/node/circle.go
+++ b/node/circle.go
@@ -76,7 +76,7 @@
 	n.usage.SetAddresses(usageAddressesByName(others))
 	if circle.Meshed {
 		near, far := meshedPeers(others, here)
-		msg.Near = len(near)
+		msg.UsagePeers = len(near)
 		n.usage.SetPeers(usageAddresses(near), usageAddresses(far))
 		n.relay.SetPeers(msg)
 		n.placer.Tell(placement.RankMsg{Delay: plannerDelay(rank)})
@@ -91,14 +91,14 @@
 // centre not all of its nodes are, and their number is told.
 func peersMsg(circle *reading.Circle, all []*wire.Member) dispatch.PeersMsg {
 	told := toldIn(all)
-	msg := dispatch.PeersMsg{Near: circle.Others, Members: owners(told)}
+	msg := dispatch.PeersMsg{UsagePeers: circle.Others, Members: owners(told)}
 	switch {
 	case !circle.Meshed && !circle.Hub:
-		msg.Summed = true
+		msg.Aggregated = true
 	case len(told) < len(inDataCentres(all)):
-		msg.Here = circle.Others + 1
+		msg.LocalNodes = circle.Others + 1
 	default:
-		msg.All = len(msg.Members)
+		msg.Nodes = len(msg.Members)
 	}
 	return msg
 }
--- a/node/learn.go
+++ b/node/learn.go
@@ -67,10 +67,10 @@
 
 // setSilent tells the planner that an engine does not answer, or does again, and other
 // nodes of one that they have not told of.
-func (n *Node) setSilent(cmd dispatch.SilentCmd) {
-	n.log.Info("silent", zap.Stringer("upstream", cmd.Upstream), zap.Bool("silent", cmd.Silent), zap.Bool("agreed", cmd.Agreed))
-	n.placer.Tell(placement.SilentMsg{Upstream: cmd.Upstream, Silent: cmd.Silent, Agreed: cmd.Agreed})
-	if cmd.Silent && !cmd.Agreed {
+func (n *Node) setSilent(cmd dispatch.ResponsivenessCmd) {
+	n.log.Info("silent", zap.Stringer("upstream", cmd.Upstream), zap.Bool("silent", cmd.Unresponsive), zap.Bool("agreed", cmd.PeerAgrees))
+	n.placer.Tell(placement.SilentMsg{Upstream: cmd.Upstream, Silent: cmd.Unresponsive, Agreed: cmd.PeerAgrees})
+	if cmd.Unresponsive && !cmd.PeerAgrees {
 		n.usage.Silent(cmd.Upstream)
 	}
 }
@@ -78,16 +78,16 @@
 // share tells other nodes what this one has in use. A hub tells its leaves what all have,
 // and the node that leads, or that reads the store for its data centre, tells others what
 // all of that have.
-func (n *Node) share(cmd dispatch.ShareCmd) {
+func (n *Node) share(cmd dispatch.ShareUsageCmd) {
 	now := n.clock.Now()
 	circle := n.roster.Circle(now)
-	n.usage.Share(cmd.Used, cmd.Limits)
+	n.usage.Share(cmd.OwnUsage, cmd.Limits)
 	if circle.Meshed && n.roster.Reads(now) || circle.Leads() {
-		n.usage.ShareTotal(cmd.Total, circle.Others+1, cmd.Limits)
+		n.usage.ShareTotal(cmd.DataCentreUsage, circle.Others+1, cmd.Limits)
 	}
 	switch {
 	case circle.Leads():
-		n.usage.ShareWhole(cmd.Whole, cmd.HeardOf, cmd.Nodes, cmd.Limits)
+		n.usage.ShareWhole(cmd.AllNodesUsage, cmd.IncludedDataCentres, cmd.Nodes, cmd.Limits)
 	case circle.Hub:
 		n.usage.ShareLife()
 	}
@@ -109,7 +109,7 @@
 		n.roster.Heard(n.clock.Now(), from.GetName(), msg.Followable)
 	}
 	n.relay.SetUsage(dispatch.UsageMsg{
-		Node: from.GetName(), Used: msg.Used, Total: msg.Total, Whole: msg.Whole, HeardOf: msg.HeardOf, Nodes: msg.Nodes,
+		Node: from.GetName(), Usage: msg.Used, WholeDataCentre: msg.Total, AllNodes: msg.Whole, IncludedDataCentres: msg.HeardOf, Nodes: msg.Nodes,
 		DataCentre: from.GetDataCentre(), Limits: msg.Limits,
 	})
 }
--- a/node/node.go
+++ b/node/node.go
@@ -113,11 +113,11 @@
 		dispatch.WithDataCentre(s.DataCentre),
 		dispatch.WithSeed(hash(s.Name)),
 		dispatch.WithPolicy(dispatch.Policy{
-			RevokeWithin: s.keysWithin(), RetryWindow: clock.Millis(s.RetryWindowSeconds * msPerSecond),
+			MaxConfigAge: s.keysWithin(), RetryWindow: clock.Millis(s.RetryWindowSeconds * msPerSecond),
 			RetryShare: s.RetryShare, RetrySlack: s.RetrySlack,
-			QuarantineLasts: s.quarantineLasts(),
+			QuarantineDuration: s.quarantineLasts(),
 		}),
-		dispatch.WithKeptQuarantine(),
+		dispatch.WithStoredQuarantine(),
 		dispatch.WithLimits(limit.New(limit.WithSelf(s.Name), limit.WithLife(uint64(time.Now().UnixNano())))),
 	)
 	self := &wire.Member{Name: s.Name, DataCentre: s.DataCentre, Address: n.peer.Addr().String(), Strength: s.strength()}
--- a/relay/protocol.go
+++ b/relay/protocol.go
@@ -81,14 +81,14 @@
 	Stalled []StalledStream
 	// Named tells that the report says that it is of the run that was asked.
 	Named bool
-	dispatch.Report
+	dispatch.EngineStatus
 }
 
 // Engines asks upstreams for their state and gives them orders. Identify tells who answers
 // at an upstream's address.
 type Engines interface {
 	Report(ctx context.Context, address string, upstream fleet.Incarnation) (EngineReport, error)
-	Move(ctx context.Context, address, callerID string, parts []chain.Part) (result dispatch.MoveResult, at string)
+	Move(ctx context.Context, address, callerID string, parts []chain.Part) (result dispatch.MigrationResult, at string)
 	Probe(ctx context.Context, address string, upstream fleet.Incarnation) error
 	Identify(ctx context.Context, address, path string, upstream fleet.Incarnation) (fleet.Presence, error)
 }
