--- a/dispatch/arrive.go
+++ b/dispatch/arrive.go
@@ -38,9 +38,9 @@
 	if msg.Remaining > 0 {
 		r.callerDeadline = m.now.Add(msg.Remaining)
 	}
-	r.routeDeadline = r.callerDeadline
+	r.giveUp = r.callerDeadline
 	if route.Timeout > 0 {
-		r.routeDeadline = m.now.Add(route.Timeout)
+		r.giveUp = m.now.Add(route.Timeout)
 	}
 	r.service = m.catalog.Service(route.Pick(hashPosition(msg.CallerID)))
 	if r.service == nil {
@@ -48,7 +48,7 @@
 	}
 	r.memoryTokens = expectedMemoryTokens(msg)
 	m.requests[msg.Request] = r
-	m.retryBudget(r.service.Name).Earn(m.now)
+	m.budget(r.service.Name).Earn(m.now)
 	return m.send(r)
 }
 
--- a/dispatch/cmd.go
+++ b/dispatch/cmd.go
@@ -108,20 +108,20 @@
 	Request RequestID
 	Attempt int
 	Chain   []chain.Part
-	// From is the engine that the stream leaves.
-	From fleet.Incarnation
+	// FromEngine is the engine that the stream leaves.
+	FromEngine fleet.Incarnation
 }
 
 // ShareUsageCmd tells other nodes what requests take at engines.
 type ShareUsageCmd struct {
-	// OwnUsage is what this node's requests take.
-	OwnUsage map[fleet.Incarnation]fleet.Use
-	// DataCentreUsage is what those of all nodes that tell each other take, at engines that
+	// Engines is what this node's requests take.
+	Engines map[fleet.Incarnation]fleet.Use
+	// DataCentreTotal is what those of all nodes that tell each other take, at engines that
 	// are worth telling others of.
-	DataCentreUsage map[fleet.Incarnation]fleet.Use
-	// AllNodesUsage is what those of all nodes take that are known of, in other data centres those
+	DataCentreTotal map[fleet.Incarnation]fleet.Use
+	// AllNodes is what those of all nodes take that are known of, in other data centres those
 	// of IncludedDataCentres, at engines of which a node that is told sums is to know.
-	AllNodesUsage       map[fleet.Incarnation]fleet.Use
+	AllNodes            map[fleet.Incarnation]fleet.Use
 	IncludedDataCentres []string
 	// Nodes is how many nodes there are; 0 while that is not known.
 	Nodes int
@@ -134,16 +134,16 @@
 type ResponsivenessCmd struct {
 	Upstream     fleet.Incarnation
 	Unresponsive bool
-	// PeerAgrees tells that another node has found it silent before.
-	PeerAgrees bool
+	// Confirmed tells that another node has found it silent before.
+	Confirmed bool
 }
 
 // RecheckAttemptCmd tells a request that an upstream on its way is under suspicion.
 type RecheckAttemptCmd struct {
 	Request RequestID
 	Attempt int
-	// Address is the upstream's address.
-	Address string
+	// SuspectedAddress is the upstream's address.
+	SuspectedAddress string
 	// Crashed tells that its process has ended for certain.
 	Crashed bool
 }
--- a/dispatch/depart.go
+++ b/dispatch/depart.go
@@ -30,12 +30,12 @@
 // placementChanged takes the layers that an engine gives up out of use, and moves the
 // streams that pass them at once: the engine loads the new ones only when they
 // have gone.
-func (m *Model) placementChanged(msg PlacementMsg) {
+func (m *Model) placementChanged(msg PlacedMsg) {
 	u := m.upstreams[msg.Upstream]
 	if u == nil {
 		return
 	}
-	if msg.Loaded {
+	if msg.Completed {
 		m.layersLoaded(u, msg.Layers)
 		return
 	}
--- a/dispatch/execution.go
+++ b/dispatch/execution.go
@@ -58,7 +58,7 @@
 			r.executedOn[u.entry.ID] = at
 		}
 		if r.first == u || r.passesThrough(u.entry.ID) {
-			cmds = append(cmds, RecheckAttemptCmd{Request: id, Attempt: r.attempts, Address: u.entry.Address, Crashed: true})
+			cmds = append(cmds, RecheckAttemptCmd{Request: id, Attempt: r.attempts, SuspectedAddress: u.entry.Address, Crashed: true})
 		}
 	}
 	return cmds
--- a/dispatch/fail.go
+++ b/dispatch/fail.go
@@ -36,14 +36,14 @@
 	cmds := m.resend(r)
 	if r.awaitsSlot && msg.Cause.spendsRetryBudget() {
 		// The repeat is paid for when it is made.
-		m.retryBudget(r.service.Name).Return(m.now)
+		m.budget(r.service.Name).Return(m.now)
 	}
 	if slices.ContainsFunc(cmds, isSend) || !r.permitUpstream.IsZero() || r.awaitsSlot {
 		return cmds
 	}
 	if m.requests[r.arrival.Request] == nil && msg.Cause.spendsRetryBudget() {
 		// There was nobody to send it to.
-		m.retryBudget(r.service.Name).Return(m.now)
+		m.budget(r.service.Name).Return(m.now)
 	}
 	if msg.Cause == CauseUpstreamFailed && !r.answerBegun() {
 		return m.relayFailure(r, msg)
@@ -74,7 +74,7 @@
 		return ReasonRefused
 	case r.timeLeft(m.now) < minTimeLeft:
 		return ReasonTimeout
-	case cause.spendsRetryBudget() && !m.retryBudget(r.service.Name).Spend(m.now):
+	case cause.spendsRetryBudget() && !m.budget(r.service.Name).Spend(m.now):
 		return ReasonNoRetryBudget
 	}
 	return ""
@@ -164,7 +164,7 @@
 	var cmds []Cmd
 	for _, id := range slices.Sorted(maps.Keys(m.requests)) {
 		if r := m.requests[id]; r != by && r.passesThrough(u.entry.ID) {
-			cmds = append(cmds, RecheckAttemptCmd{Request: id, Attempt: r.attempts, Address: u.entry.Address})
+			cmds = append(cmds, RecheckAttemptCmd{Request: id, Attempt: r.attempts, SuspectedAddress: u.entry.Address})
 		}
 	}
 	return cmds
--- a/dispatch/identity.go
+++ b/dispatch/identity.go
@@ -22,7 +22,7 @@
 	switch {
 	case !msg.Answered:
 		return m.quarantineCmds(m.quarantine.Found(m.now, msg.Upstream, quarantine.Silent))
-	case msg.Identified:
+	case msg.Named:
 		return m.quarantineCmds(m.quarantine.Answers(msg.Upstream))
 	}
 	return m.identify(u)
--- a/dispatch/loss.go
+++ b/dispatch/loss.go
@@ -75,12 +75,12 @@
 	u.statusWanted = true
 }
 
-// maxRemoved bounds the upstreams that are known to have gone. Twice as many have not been
+// maxCrashed bounds the upstreams that are known to have gone. Twice as many have not been
 // seen to go within a minute.
-const maxRemoved = 512
+const maxCrashed = 512
 
-func newRemoved() *simplelru.LRU[fleet.Incarnation, bool] {
-	ended, err := simplelru.NewLRU[fleet.Incarnation, bool](maxRemoved, nil)
+func newCrashed() *simplelru.LRU[fleet.Incarnation, bool] {
+	ended, err := simplelru.NewLRU[fleet.Incarnation, bool](maxCrashed, nil)
 	if err != nil {
 		// Only a size below one is refused.
 		panic(err)
@@ -94,7 +94,7 @@
 func (m *Model) upstreamFate(id fleet.Incarnation) quarantine.Fate {
 	u := m.upstreams[id]
 	switch {
-	case u == nil && m.removed.Contains(id), u != nil && u.crashed:
+	case u == nil && m.crashed.Contains(id), u != nil && u.crashed:
 		return quarantine.Ended
 	case u == nil:
 		return quarantine.Silent
@@ -109,7 +109,7 @@
 // may have told.
 func (m *Model) upstreamListed(u *upstream) {
 	id := u.entry.ID
-	if m.removed.Remove(id) {
+	if m.crashed.Remove(id) {
 		m.quarantine.Doubt(id)
 	}
 	if m.quarantine.Doubts(id) {
@@ -150,13 +150,13 @@
 	m.awaitsStoredQuarantine = false
 	var cmds []Cmd
 	for _, w := range msg.Works {
-		if len(w.SuspectedCrashes) == 0 {
+		if len(w.Ended) == 0 {
 			cmds = append(cmds, m.quarantineCmds(m.quarantine.Learn(m.now, w.Work, w.Age))...)
 		}
-		for _, id := range w.SuspectedCrashes {
+		for _, id := range w.Ended {
 			cmds = append(cmds, m.recordPeerLoss(PeerLossMsg{Work: w.Work, Upstream: id})...)
 		}
-		cmds = append(cmds, m.quarantineCmds(m.quarantine.Agree(m.now, w.Work, w.SuspectedCrashes))...)
+		cmds = append(cmds, m.quarantineCmds(m.quarantine.Agree(m.now, w.Work, w.Ended))...)
 	}
 	return cmds
 }
@@ -185,7 +185,7 @@
 		switch {
 		case u != nil:
 			m.probeNextTick(u)
-		case m.removed.Contains(id), before[id]:
+		case m.crashed.Contains(id), before[id]:
 			cmds = append(cmds, m.quarantineCmds(m.quarantine.Found(m.now, id, quarantine.Ended))...)
 		case len(m.upstreams) > 0:
 			// The list may be older than it.
--- a/dispatch/migrate.go
+++ b/dispatch/migrate.go
@@ -15,7 +15,7 @@
 	if r == nil || msg.Attempt != r.attempts {
 		return nil
 	}
-	at, ok := r.upstreamAt(msg.Address)
+	at, ok := r.upstreamAt(msg.FaultyAddress)
 	if !ok {
 		return nil
 	}
@@ -40,7 +40,7 @@
 	r.migrating = true
 	r.migrations++
 	m.reserve(r, parts)
-	return []Cmd{MigrateCmd{Request: r.arrival.Request, Attempt: r.attempts, Chain: parts, From: away}}
+	return []Cmd{MigrateCmd{Request: r.arrival.Request, Attempt: r.attempts, Chain: parts, FromEngine: away}}
 }
 
 // detourChain builds a chain whose first part is the one in use.
@@ -77,7 +77,7 @@
 	if msg.Result != MigrationRefused {
 		return nil
 	}
-	at, ok := r.upstreamAt(msg.RefusedBy)
+	at, ok := r.upstreamAt(msg.FaultyAddress)
 	if !ok {
 		return nil
 	}
--- a/dispatch/model.go
+++ b/dispatch/model.go
@@ -67,9 +67,9 @@
 	// when what is not certain in it was last looked at.
 	quarantine       *quarantine.Table
 	lossesReviewedAt clock.Millis
-	// removed are the upstreams whose entries went lately, and unlisted those that are
+	// crashed are the upstreams whose entries went lately, and unlisted those that are
 	// thought to have ended under a request and had no entry when that was last looked at.
-	removed  *simplelru.LRU[fleet.Incarnation, bool]
+	crashed  *simplelru.LRU[fleet.Incarnation, bool]
 	unlisted map[fleet.Incarnation]bool
 	// limits are those that upstreams name, and awaiting are the requests that wait for a
 	// permit.
@@ -134,7 +134,7 @@
 		opt(m)
 	}
 	m.quarantine = quarantine.New(m.policy.quarantineDuration())
-	m.removed = newRemoved()
+	m.crashed = newCrashed()
 	return m
 }
 
@@ -151,7 +151,7 @@
 		m.setPeers(msg)
 	case UsageMsg:
 		return m.recordPeerUsage(msg)
-	case PlacementMsg:
+	case PlacedMsg:
 		m.placementChanged(msg)
 	case ArriveMsg:
 		return m.arrive(msg)
@@ -161,8 +161,8 @@
 		return m.attemptDone(msg)
 	case StalledMsg:
 		return m.stalled(msg)
-	case EngineStatusMsg:
-		m.recordStatus(msg.Upstream, msg.Status)
+	case ReportMsg:
+		m.recordStatus(msg.Upstream, msg.Report)
 	case MigratedMsg:
 		return m.migrated(msg)
 	case RequestEndedMsg:
@@ -249,7 +249,7 @@
 			if known {
 				m.entryRemoved(u)
 			}
-			m.removed.Add(c.ID, true)
+			m.crashed.Add(c.ID, true)
 			cmds = append(cmds, m.quarantineCmds(m.quarantine.Found(m.now, c.ID, quarantine.Ended))...)
 			delete(m.upstreams, c.ID)
 			m.limits.Forget(c.ID)
--- a/dispatch/msg.go
+++ b/dispatch/msg.go
@@ -29,8 +29,8 @@
 
 // PeersMsg tells how many nodes there are, this one included.
 type PeersMsg struct {
-	// Nodes is how many there are; 0 where others tell that.
-	Nodes int
+	// TotalNodes is how many there are; 0 where others tell that.
+	TotalNodes int
 	// LocalNodes is how many there are in the data centre, at a node that adds up how many others
 	// tell of theirs; 0 at all others.
 	LocalNodes int
@@ -45,11 +45,11 @@
 // UsageMsg brings what another node's requests take at engines.
 type UsageMsg struct {
 	Node string
-	// Usage is by engine.
-	Usage map[fleet.Incarnation]fleet.Use
-	// WholeDataCentre tells that it is that of all nodes of another data centre, whose name Node is
+	// Engines is by engine.
+	Engines map[fleet.Incarnation]fleet.Use
+	// DataCentreTotal tells that it is that of all nodes of another data centre, whose name Node is
 	// made of.
-	WholeDataCentre bool
+	DataCentreTotal bool
 	DataCentre      string
 	// AllNodes tells that it is that of all nodes, this one included, in other data centres
 	// those of IncludedDataCentres.
@@ -61,12 +61,12 @@
 	Limits map[fleet.Incarnation]limit.Named
 }
 
-// PlacementMsg tells that an engine has been ordered to hold other layers, or, with
+// PlacedMsg tells that an engine has been ordered to hold other layers, or, with
 // Holds, that it does. It waits for what passes through those that it gives up.
-type PlacementMsg struct {
-	Upstream fleet.Incarnation
-	Layers   fleet.Range
-	Loaded   bool
+type PlacedMsg struct {
+	Upstream  fleet.Incarnation
+	Layers    fleet.Range
+	Completed bool
 }
 
 // ArriveMsg brings a request that has been read whole.
@@ -133,20 +133,20 @@
 type StalledMsg struct {
 	Request RequestID
 	Attempt int
-	// Address is the address of the engine that it waits for.
-	Address string
+	// FaultyAddress is the address of the engine that it waits for.
+	FaultyAddress string
 	// Slow tells that the engine is alive, and only slow.
 	Slow bool
 }
 
-// EngineStatusMsg brings what an engine says of itself.
-type EngineStatusMsg struct {
+// ReportMsg brings what an engine says of itself.
+type ReportMsg struct {
 	Upstream fleet.Incarnation
-	Status   EngineStatus
+	Report   Report
 }
 
-// EngineStatus is what an engine says of itself, some hundred ms late.
-type EngineStatus struct {
+// Report is what an engine says of itself, some hundred ms late.
+type Report struct {
 	// Slowdown is how many times slower than usual it is; zero if it does not say.
 	Slowdown float64
 	// FreeMemory is the memory that it has left, in tokens times layers, and All what
@@ -155,8 +155,8 @@
 	TotalMemory float64
 	// Queued is how many requests wait there for a slot.
 	Queued int
-	// Unassigned tells that it holds no layers and has taken no order since its start.
-	Unassigned bool
+	// Empty tells that it holds no layers and has taken no order since its start.
+	Empty bool
 }
 
 // BackOffMsg tells that an upstream has turned a request away and wants no other from this
@@ -171,8 +171,8 @@
 	Request RequestID
 	Attempt int
 	Result  MigrationResult
-	// RefusedBy is the address of the engine that refused, if the answer named one.
-	RefusedBy string
+	// FaultyAddress is the address of the engine that refused, if the answer named one.
+	FaultyAddress string
 }
 
 // RequestEndedMsg tells that a request is over: its caller has left, its time is up,
@@ -185,10 +185,10 @@
 type ProbedMsg struct {
 	Upstream fleet.Incarnation
 	Answered bool
-	// Identified tells that the answer says that it is of the run that was asked. Without that
+	// Named tells that the answer says that it is of the run that was asked. Without that
 	// it may be of the next process at the address.
-	Identified bool
-	Status     EngineStatus
+	Named  bool
+	Report Report
 }
 
 // PeerUnresponsiveMsg tells that another node has found an engine that answers neither
@@ -211,16 +211,16 @@
 
 // QuarantinedMsg brings requests that are quarantined, from the store or another node.
 type QuarantinedMsg struct {
-	Works []QuarantinedWork
+	Works []Quarantined
 }
 
-// QuarantinedWork is a request that was quarantined some time ago.
-type QuarantinedWork struct {
+// Quarantined is a request that was quarantined some time ago.
+type Quarantined struct {
 	Work work.ID
 	Age  clock.Millis
-	// SuspectedCrashes are the upstreams that are thought to have ended under it; none where that is
+	// Ended are the upstreams that are thought to have ended under it; none where that is
 	// certain.
-	SuspectedCrashes []fleet.Incarnation
+	Ended []fleet.Incarnation
 }
 
 // VMResumedMsg tells that the VM goes on after it was suspended.
@@ -279,12 +279,12 @@
 func (FleetMsg) dispatchMsg()            {}
 func (PeersMsg) dispatchMsg()            {}
 func (UsageMsg) dispatchMsg()            {}
-func (PlacementMsg) dispatchMsg()        {}
+func (PlacedMsg) dispatchMsg()           {}
 func (ArriveMsg) dispatchMsg()           {}
 func (AttemptFailedMsg) dispatchMsg()    {}
 func (AttemptDoneMsg) dispatchMsg()      {}
 func (StalledMsg) dispatchMsg()          {}
-func (EngineStatusMsg) dispatchMsg()     {}
+func (ReportMsg) dispatchMsg()           {}
 func (MigratedMsg) dispatchMsg()         {}
 func (BackOffMsg) dispatchMsg()          {}
 func (RequestEndedMsg) dispatchMsg()     {}
--- a/dispatch/node_count.go
+++ b/dispatch/node_count.go
@@ -28,7 +28,7 @@
 	c.local = msg.LocalNodes
 	if msg.LocalNodes == 0 && !msg.Aggregated {
 		// All are known by name, and who is lost is taken off after minutes.
-		c.total, c.countedAt = msg.Nodes, now
+		c.total, c.countedAt = msg.TotalNodes, now
 	}
 	c.recount(now)
 }
--- a/dispatch/preference_test.go
+++ b/dispatch/preference_test.go
@@ -40,7 +40,7 @@
 				Targets: []catalog.Target{{Service: "s", Weight: 1}}, MaxAttempts: 2, Timeout: 20_000, Aim: 500}),
 			catalog.WithServices(&catalog.Service{Name: "s", Pipeline: pipeline}))})
 		m.Update(0, FleetMsg{Changes: changes})
-		m.Update(0, PeersMsg{Nodes: preferenceNodes, UsagePeers: preferenceNodes - 1, Aggregated: large})
+		m.Update(0, PeersMsg{TotalNodes: preferenceNodes, UsagePeers: preferenceNodes - 1, Aggregated: large})
 		cmds := m.Update(2000, ArriveMsg{Request: 1, CallerID: fmt.Sprint(node), Host: "h", Path: "/a", Remaining: 20_000, PromptTokens: 100, AnswerTokens: 50})
 		send, ok := cmds[len(cmds)-1].(SendCmd)
 		if !ok {
--- a/dispatch/probe.go
+++ b/dispatch/probe.go
@@ -28,7 +28,7 @@
 }
 
 // recordStatus notes how slow an engine is, and how much memory it has left.
-func (m *Model) recordStatus(id fleet.Incarnation, report EngineStatus) {
+func (m *Model) recordStatus(id fleet.Incarnation, report Report) {
 	u := m.upstreams[id]
 	if u == nil {
 		return
@@ -51,8 +51,8 @@
 		return nil
 	}
 	u.probing = false
-	m.recordStatus(msg.Upstream, msg.Status)
-	if msg.Answered && msg.Status.Unassigned {
+	m.recordStatus(msg.Upstream, msg.Report)
+	if msg.Answered && msg.Report.Empty {
 		// It has started again, and the list shows for some seconds what it held before. Each
 		// node that believed that would have a request turned away.
 		u.entry.Held = fleet.Range{}
@@ -74,8 +74,8 @@
 		return cmds
 	}
 	u.unresponsive = !msg.Answered
-	agreed := u.unresponsive && m.now <= u.peerReportedAt.Add(m.peerAgreementWindow())
-	return append(cmds, ResponsivenessCmd{Upstream: msg.Upstream, Unresponsive: u.unresponsive, PeerAgrees: agreed})
+	agreed := u.unresponsive && m.now <= u.peerReportedAt.Add(m.peerReportWindow())
+	return append(cmds, ResponsivenessCmd{Upstream: msg.Upstream, Unresponsive: u.unresponsive, Confirmed: agreed})
 }
 
 const (
@@ -90,7 +90,7 @@
 
 // peerReportWindow is for how long another node's word on an engine's silence agrees with this
 // node's own finding.
-func (m *Model) peerAgreementWindow() clock.Millis {
+func (m *Model) peerReportWindow() clock.Millis {
 	if m.usageAggregated {
 		return peerReportWindow + probeSpread
 	}
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -15,10 +15,10 @@
 type request struct {
 	arrival   ArriveMsg
 	arrivedAt clock.Millis
-	// callerDeadline is when the caller stops waiting, routeDeadline when the route's time
+	// callerDeadline is when the caller stops waiting, giveUp when the route's time
 	// is up.
 	callerDeadline clock.Millis
-	routeDeadline  clock.Millis
+	giveUp         clock.Millis
 	route          *catalog.Route
 	service        *catalog.Service
 	account        catalog.Account
@@ -97,7 +97,7 @@
 
 // timeLeft returns the time until the request must be answered.
 func (r *request) timeLeft(now clock.Millis) clock.Millis {
-	return min(r.callerDeadline, r.routeDeadline).Sub(now)
+	return min(r.callerDeadline, r.giveUp).Sub(now)
 }
 
 // vmResumed tells all requests that more time has passed than their timers count.
@@ -105,7 +105,7 @@
 	var cmds []Cmd
 	for _, id := range slices.Sorted(maps.Keys(m.requests)) {
 		r := m.requests[id]
-		cmds = append(cmds, RecheckDeadlineCmd{Request: id, Deadline: min(r.callerDeadline, r.routeDeadline)})
+		cmds = append(cmds, RecheckDeadlineCmd{Request: id, Deadline: min(r.callerDeadline, r.giveUp)})
 	}
 	return cmds
 }
--- a/dispatch/retry_budget.go
+++ b/dispatch/retry_budget.go
@@ -18,8 +18,8 @@
 	firstWindowSlack = 0.18
 )
 
-// retryBudget returns this node's part of a service's budget of repeats.
-func (m *Model) retryBudget(service string) *budget.Window {
+// budget returns this node's part of a service's budget of repeats.
+func (m *Model) budget(service string) *budget.Window {
 	b, ok := m.retryBudgets[service]
 	if !ok {
 		share, slack := m.retryAllowance()
--- a/dispatch/retry_budget_test.go
+++ b/dispatch/retry_budget_test.go
@@ -36,7 +36,7 @@
 		catalog.WithServices(&catalog.Service{Name: "s"}))})
 	id := fleet.Undated("u")
 	m.Update(0, FleetMsg{Changes: []fleet.Change{{ID: id, Upstream: fleet.Upstream{ID: id, Service: "s", Address: "u:1"}}}})
-	m.Update(0, PeersMsg{Nodes: retryNodes})
+	m.Update(0, PeersMsg{TotalNodes: retryNodes})
 	return &retryingNode{model: m, startedAt: at}
 }
 
--- a/dispatch/script_test.go
+++ b/dispatch/script_test.go
@@ -30,7 +30,7 @@
 			dispatch.WithPolicy(dispatch.Policy{MaxConfigAge: 5000, RetryWindow: 10_000, RetryShare: 0.2, RetrySlack: 200}),
 		)}
 		// The node is the only one unless a line says otherwise.
-		p.model.Update(0, dispatch.PeersMsg{Nodes: 1})
+		p.model.Update(0, dispatch.PeersMsg{TotalNodes: 1})
 		return p.step
 	})
 }
@@ -52,8 +52,8 @@
 }
 
 func (p *scriptRunner) message(s script.Step) dispatch.Msg {
-	if msg := limitMsg(s); msg != nil {
-		return msg
+	if message := limitMsg(s); message != nil {
+		return message
 	}
 	request, attempt := parseAttempt(s.Word(0))
 	switch s.Verb {
@@ -66,15 +66,15 @@
 	case "gone", "ended":
 		return dispatch.FleetMsg{Changes: []fleet.Change{{ID: script.Incarnation(s.Word(0)), Gone: true, Ended: s.Verb == "ended"}}}
 	case "peers":
-		return dispatch.PeersMsg{Nodes: s.Int("all", 1), UsagePeers: s.Int("near", 0), LocalNodes: s.Int("here", 0), Aggregated: s.Named["summed"] == "yes"}
+		return dispatch.PeersMsg{TotalNodes: s.Int("all", 1), UsagePeers: s.Int("near", 0), LocalNodes: s.Int("here", 0), Aggregated: s.Named["summed"] == "yes"}
 	case "usage":
-		return dispatch.UsageMsg{Node: s.Word(0), Usage: map[fleet.Incarnation]fleet.Use{
+		return dispatch.UsageMsg{Node: s.Word(0), Engines: map[fleet.Incarnation]fleet.Use{
 			script.Incarnation(s.Word(1)): {Memory: float64(s.Int("amount", 0)), Streams: s.Int("streams", 0)},
-		}, WholeDataCentre: s.Named["total"] == "yes", AllNodes: s.Named["whole"] == "yes", Nodes: s.Int("nodes", 0), DataCentre: s.Named["in"]}
+		}, DataCentreTotal: s.Named["total"] == "yes", AllNodes: s.Named["whole"] == "yes", Nodes: s.Int("nodes", 0), DataCentre: s.Named["in"]}
 	case "placed":
-		return dispatch.PlacementMsg{Upstream: script.Incarnation(s.Word(0)), Layers: testUpstream(s).Held, Loaded: s.Named["holds"] == "yes"}
+		return dispatch.PlacedMsg{Upstream: script.Incarnation(s.Word(0)), Layers: testUpstream(s).Held, Completed: s.Named["holds"] == "yes"}
 	case "report":
-		return dispatch.EngineStatusMsg{Upstream: script.Incarnation(s.Word(0)), Status: testReport(s)}
+		return dispatch.ReportMsg{Upstream: script.Incarnation(s.Word(0)), Report: testReport(s)}
 	case "arrive":
 		return arriveMsg(s, request)
 	case "failed":
@@ -85,15 +85,15 @@
 	case "done":
 		return dispatch.AttemptDoneMsg{Request: request, Attempt: attempt, Took: clock.Millis(s.Int("took", 50))}
 	case "stalled":
-		return dispatch.StalledMsg{Request: request, Attempt: attempt, Address: s.Named["by"], Slow: s.Named["slow"] == "yes"}
+		return dispatch.StalledMsg{Request: request, Attempt: attempt, FaultyAddress: s.Named["by"], Slow: s.Named["slow"] == "yes"}
 	case "moved":
-		return dispatch.MigratedMsg{Request: request, Attempt: attempt, Result: dispatch.MigrationResult(s.Int("result", 0)), RefusedBy: s.Named["by"]}
+		return dispatch.MigratedMsg{Request: request, Attempt: attempt, Result: dispatch.MigrationResult(s.Int("result", 0)), FaultyAddress: s.Named["by"]}
 	case "rests":
 		return dispatch.BackOffMsg{Upstream: script.Incarnation(s.Word(0)), For: clock.Millis(s.Int("for", 0))}
 	case "left":
 		return dispatch.RequestEndedMsg{Request: request}
 	case "probed":
-		return dispatch.ProbedMsg{Upstream: script.Incarnation(s.Word(0)), Answered: s.Named["well"] == "yes", Identified: s.Named["named"] == "yes", Status: testReport(s)}
+		return dispatch.ProbedMsg{Upstream: script.Incarnation(s.Word(0)), Answered: s.Named["well"] == "yes", Named: s.Named["named"] == "yes", Report: testReport(s)}
 	case "identified":
 		return dispatch.IdentifiedMsg{Upstream: script.Incarnation(s.Word(0)), Presence: map[string]fleet.Presence{"itself": fleet.Itself, "another": fleet.Another}[s.Named["as"]]}
 	case "told":
@@ -103,7 +103,7 @@
 	case "toldanswered":
 		return dispatch.PeerAnswerMsg{Work: clinicWork(s.Word(0))}
 	case "quarantined":
-		return dispatch.QuarantinedMsg{Works: []dispatch.QuarantinedWork{{Work: clinicWork(s.Word(0)), Age: clock.Millis(s.Int("age", 0)), SuspectedCrashes: parseIncarnations(s.Named["ended"])}}}
+		return dispatch.QuarantinedMsg{Works: []dispatch.Quarantined{{Work: clinicWork(s.Word(0)), Age: clock.Millis(s.Int("age", 0)), Ended: parseIncarnations(s.Named["ended"])}}}
 	case "woke":
 		return dispatch.VMResumedMsg{}
 	case "tick":
@@ -134,15 +134,15 @@
 
 // membersMsg is a message of nodes by their names, this one first.
 func membersMsg(s script.Step) dispatch.PeersMsg {
-	msg := dispatch.PeersMsg{Nodes: len(s.Words), UsagePeers: len(s.Words) - 1}
+	msg := dispatch.PeersMsg{TotalNodes: len(s.Words), UsagePeers: len(s.Words) - 1}
 	for _, name := range s.Words {
 		msg.Members = append(msg.Members, limit.Member{Name: name, DataCentre: "a"})
 	}
 	return msg
 }
 
-func testReport(s script.Step) dispatch.EngineStatus {
-	return dispatch.EngineStatus{Slowdown: float64(s.Int("pace", 0)), FreeMemory: float64(s.Int("free", 0)), TotalMemory: float64(s.Int("all", 0)), Queued: s.Int("queued", 0), Unassigned: s.Named["empty"] == "yes"}
+func testReport(s script.Step) dispatch.Report {
+	return dispatch.Report{Slowdown: float64(s.Int("pace", 0)), FreeMemory: float64(s.Int("free", 0)), TotalMemory: float64(s.Int("all", 0)), Queued: s.Int("queued", 0), Empty: s.Named["empty"] == "yes"}
 }
 
 func parseAttempt(word string) (dispatch.RequestID, int) {
@@ -282,14 +282,14 @@
 	case dispatch.AbortResponseCmd:
 		return fmt.Sprintf("cut %d %s", c.Request, c.Reason)
 	case dispatch.MigrateCmd:
-		return fmt.Sprintf("move %d.%d off %s over %s", c.Request, c.Attempt, c.From, showChain(c.Chain))
+		return fmt.Sprintf("move %d.%d off %s over %s", c.Request, c.Attempt, c.FromEngine, showChain(c.Chain))
 	case dispatch.RecheckAttemptCmd:
-		return fmt.Sprintf("reconsider %d.%d at %s", c.Request, c.Attempt, c.Address) + map[bool]string{true: " ended"}[c.Crashed]
+		return fmt.Sprintf("reconsider %d.%d at %s", c.Request, c.Attempt, c.SuspectedAddress) + map[bool]string{true: " ended"}[c.Crashed]
 	case dispatch.ShareUsageCmd:
-		return fmt.Sprintf("share %v total %v", c.OwnUsage, c.DataCentreUsage)
+		return fmt.Sprintf("share %v total %v", c.Engines, c.DataCentreTotal)
 	case dispatch.ResponsivenessCmd:
 		text := fmt.Sprintf("silent %s %v", c.Upstream, c.Unresponsive)
-		if c.PeerAgrees {
+		if c.Confirmed {
 			text += " agreed"
 		}
 		return text
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -48,7 +48,7 @@
 	cmd.Request, cmd.Attempt = r.arrival.Request, r.attempts
 	cmd.Upstream, cmd.Address = r.first.entry.ID, r.first.entry.Address
 	cmd.Route, cmd.Account, cmd.RequiresKey, cmd.Priority = r.route, r.account.Name, r.requiresKey, r.priority()
-	cmd.CallerDeadline, cmd.RouteDeadline = r.callerDeadline, r.routeDeadline
+	cmd.CallerDeadline, cmd.RouteDeadline = r.callerDeadline, r.giveUp
 	cmd.LastUpstream = m.isLastUpstream(r)
 	cmd.Work, cmd.WorkSuspected = r.work, m.quarantine.Suspects(r.work)
 	cmd.Config, cmd.ConfigAge = m.catalog.Edition(), clock.AgeOf(m.configConfirmedAt, m.now)
@@ -66,7 +66,7 @@
 	return n >= r.maxUpstreams()
 }
 
-// routeDeadline ends a request for which there is nothing left to try.
+// giveUp ends a request for which there is nothing left to try.
 func (m *Model) giveUp(r *request, reason Reason) []Cmd {
 	if r.answerBegun() {
 		return m.waitOrAbort(r, reason)
--- a/dispatch/slot_queue.go
+++ b/dispatch/slot_queue.go
@@ -122,7 +122,7 @@
 		if r == nil {
 			break
 		}
-		if r.attempts > 0 && !m.retryBudget(r.service.Name).Spend(m.now) {
+		if r.attempts > 0 && !m.budget(r.service.Name).Spend(m.now) {
 			return append(cmds, m.awaitSlot(r)...)
 		}
 		cmds = append(cmds, m.resend(r)...)
--- a/dispatch/slot_queue_test.go
+++ b/dispatch/slot_queue_test.go
@@ -96,7 +96,7 @@
 		catalog.WithRoutes(&catalog.Route{Name: "once", Host: "h", Prefix: "/once/", Kind: catalog.Once, Targets: to, MaxAttempts: 1, Timeout: 800, Aim: 100}))
 	for i := range slotSimNodes {
 		m := dispatch.New(dispatch.WithSeed(seed*slotSimNodes+uint64(i)), dispatch.WithPolicy(dispatch.Policy{RetryWindow: retryWindow, RetryShare: 0.2, RetrySlack: 200}))
-		m.Update(0, dispatch.PeersMsg{Nodes: slotSimNodes})
+		m.Update(0, dispatch.PeersMsg{TotalNodes: slotSimNodes})
 		m.Update(0, dispatch.CatalogMsg{Catalog: routes})
 		for d := range load.upstreams {
 			id := fleet.Undated(fleet.ID(fmt.Sprint("d", d)))
@@ -193,7 +193,7 @@
 func TestAnyPriorityMayWaitForSlot(t *testing.T) {
 	for _, rank := range []int{-3, 0, 9, 40} {
 		m := dispatch.New(dispatch.WithPolicy(dispatch.Policy{RetryWindow: retryWindow, RetryShare: 0.2, RetrySlack: 200}))
-		m.Update(0, dispatch.PeersMsg{Nodes: 1})
+		m.Update(0, dispatch.PeersMsg{TotalNodes: 1})
 		m.Update(0, dispatch.CatalogMsg{Catalog: catalog.New(1, catalog.WithServices(&catalog.Service{Name: "desk"}),
 			catalog.WithRoutes(&catalog.Route{Name: "once", Host: "h", Prefix: "/", Kind: catalog.Once, Priority: rank, MaxAttempts: 1,
 				Targets: []catalog.Target{{Service: "desk", Weight: 1}}, Timeout: 800}))})
--- a/dispatch/unsent_retry_test.go
+++ b/dispatch/unsent_retry_test.go
@@ -15,7 +15,7 @@
 func TestRetryWithoutUpstreamSpendsNoBudget(t *testing.T) {
 	// A young node alone has 0.18 of the slack: one repeat.
 	m := dispatch.New(dispatch.WithPolicy(dispatch.Policy{RetryWindow: 10_000, RetrySlack: 6}))
-	m.Update(0, dispatch.PeersMsg{Nodes: 1})
+	m.Update(0, dispatch.PeersMsg{TotalNodes: 1})
 	m.Update(0, dispatch.CatalogMsg{Catalog: catalog.New(1,
 		catalog.WithRoutes(&catalog.Route{Name: "read", Host: "h", Prefix: "/read/", Kind: catalog.Repeatable, Anonymous: true,
 			Targets: []catalog.Target{{Service: "desk", Weight: 1}}, MaxAttempts: 2, Timeout: 1500, Aim: 100}),
--- a/dispatch/upstream.go
+++ b/dispatch/upstream.go
@@ -180,7 +180,7 @@
 // explainRefusal takes in an engine's word on its room after it has refused a request. One that
 // has room and nobody waiting is not full, and sends some away at random: avoiding it would
 // refuse all that it would have taken.
-func (u *upstream) explainRefusal(now clock.Millis, report EngineStatus) {
+func (u *upstream) explainRefusal(now clock.Millis, report Report) {
 	if now > u.refusedAt.Add(sheddingWindow) || !u.refusedAsFirst || u.refusals >= maxSheddingRefusals {
 		return
 	}
--- a/dispatch/usage.go
+++ b/dispatch/usage.go
@@ -51,9 +51,9 @@
 		}
 	}
 	m.sharedUsage = used
-	cmd := ShareUsageCmd{OwnUsage: used, Limits: m.limits.Known(m.now)}
+	cmd := ShareUsageCmd{Engines: used, Limits: m.limits.Known(m.now)}
 	if !m.usageAggregated {
-		cmd.DataCentreUsage, cmd.AllNodesUsage, cmd.IncludedDataCentres = m.dataCentreUsage(used), m.allNodesUsage(), m.includedDataCentres()
+		cmd.DataCentreTotal, cmd.AllNodes, cmd.IncludedDataCentres = m.dataCentreUsage(used), m.allNodesUsage(), m.includedDataCentres()
 		cmd.Nodes = m.nodeCount.total
 	}
 	return []Cmd{cmd}
@@ -118,7 +118,7 @@
 func (m *Model) recordPeerUsage(msg UsageMsg) []Cmd {
 	m.recordAlive(msg)
 	m.nodeCount.peerReported(m.now, msg.DataCentre, msg.AllNodes, msg.Nodes)
-	node, used := msg.Node, msg.Usage
+	node, used := msg.Node, msg.Engines
 	switch {
 	case m.usageAggregated != msg.AllNodes:
 		// What a node has that is told sums is part of them, and a hub makes its own.
@@ -127,7 +127,7 @@
 		node, used = allNodesKey, m.withoutOwn(used)
 	}
 	m.subtractUsage(m.peerUsage[node].used)
-	m.peerUsage[node] = nodeUsage{receivedAt: m.now, used: used, wholeDataCentre: msg.WholeDataCentre, dataCentre: msg.DataCentre, allNodes: msg.AllNodes}
+	m.peerUsage[node] = nodeUsage{receivedAt: m.now, used: used, wholeDataCentre: msg.DataCentreTotal, dataCentre: msg.DataCentre, allNodes: msg.AllNodes}
 	for id, use := range used {
 		if u := m.upstreams[id]; u != nil {
 			u.peerUse = u.peerUse.Plus(use)
@@ -141,13 +141,13 @@
 
 // recordAlive notes signs of life in what another node tells.
 func (m *Model) recordAlive(msg UsageMsg) {
-	if msg.WholeDataCentre || msg.AllNodes {
+	if msg.DataCentreTotal || msg.AllNodes {
 		m.limits.HeardAll(m.now, msg.DataCentre)
 	}
 	for _, centre := range msg.IncludedDataCentres {
 		m.limits.HeardAll(m.now, centre)
 	}
-	if !msg.WholeDataCentre {
+	if !msg.DataCentreTotal {
 		m.limits.Heard(m.now, msg.Node)
 	}
 }
--- a/dispatch/wait.go
+++ b/dispatch/wait.go
@@ -52,7 +52,7 @@
 		}
 		reason := r.waitReason
 		r.waitReason = ""
-		if reason == ReasonNoRetryBudget && !m.retryBudget(r.service.Name).Spend(m.now) {
+		if reason == ReasonNoRetryBudget && !m.budget(r.service.Name).Spend(m.now) {
 			cmds = append(cmds, m.waitOrAbort(r, reason)...)
 			continue
 		}
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -39,16 +39,16 @@
 // Store is where requests are kept. Errors of writes that cannot succeed wrap ErrRefused.
 type Store interface {
 	// Quarantined returns those that can be read, and an error for each that cannot.
-	Quarantined(ctx context.Context) (list []dispatch.QuarantinedWork, unreadable []error, err error)
+	Quarantined(ctx context.Context) (list []dispatch.Quarantined, unreadable []error, err error)
 	// Quarantine keeps requests.
-	Quarantine(ctx context.Context, works []dispatch.QuarantinedWork) error
+	Quarantine(ctx context.Context, works []dispatch.Quarantined) error
 	// Release takes requests away.
 	Release(ctx context.Context, works []work.ID) error
 }
 
 // change is a request that is to be kept, or not any longer.
 type change struct {
-	dispatch.QuarantinedWork
+	dispatch.Quarantined
 	release bool
 	// at is as of when its age counts.
 	at clock.Millis
@@ -58,7 +58,7 @@
 type Keeper struct {
 	store Store
 	log   *zap.Logger
-	learn func([]dispatch.QuarantinedWork)
+	learn func([]dispatch.Quarantined)
 	// first tells that the whole system starts for the first time: nothing is kept yet.
 	first   bool
 	clock   *clock.Clock
@@ -72,7 +72,7 @@
 }
 
 // New returns a keeper. Learn takes what was kept.
-func New(store Store, c *clock.Clock, log *zap.Logger, firstStart bool, learn func([]dispatch.QuarantinedWork)) *Keeper {
+func New(store Store, c *clock.Clock, log *zap.Logger, firstStart bool, learn func([]dispatch.Quarantined)) *Keeper {
 	return &Keeper{
 		store: store, clock: c, log: log, learn: learn, first: firstStart, changes: ring.New[change](waiting),
 		written: make(map[work.ID]change), returned: make(chan struct{}, 1),
@@ -83,11 +83,11 @@
 func (k *Keeper) Refused() *expvar.Int { return &k.refused }
 
 // Keep has a request kept. It does not wait for that.
-func (k *Keeper) Keep(w dispatch.QuarantinedWork) { k.offer(change{QuarantinedWork: w}) }
+func (k *Keeper) Keep(w dispatch.Quarantined) { k.offer(change{Quarantined: w}) }
 
 // Release has a request kept no longer. It does not wait for that.
 func (k *Keeper) Release(id work.ID) {
-	k.offer(change{QuarantinedWork: dispatch.QuarantinedWork{Work: id}, release: true})
+	k.offer(change{Quarantined: dispatch.Quarantined{Work: id}, release: true})
 }
 
 func (k *Keeper) offer(c change) {
@@ -188,16 +188,16 @@
 }
 
 func (k *Keeper) write(ctx context.Context, changes map[work.ID]change) {
-	var keep []dispatch.QuarantinedWork
+	var keep []dispatch.Quarantined
 	var release []work.ID
 	for id, c := range changes {
 		if c.release {
 			release = append(release, id)
 		} else {
-			keep = append(keep, c.QuarantinedWork)
+			keep = append(keep, c.Quarantined)
 		}
 	}
-	writeAll(ctx, k, keep, k.store.Quarantine, func(w dispatch.QuarantinedWork) work.ID { return w.Work })
+	writeAll(ctx, k, keep, k.store.Quarantine, func(w dispatch.Quarantined) work.ID { return w.Work })
 	writeAll(ctx, k, release, k.store.Release, func(id work.ID) work.ID { return id })
 }
 
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -29,7 +29,7 @@
 	calls   []string
 	// lastAge is that of the request that was kept last.
 	lastAge clock.Millis
-	kept    []dispatch.QuarantinedWork
+	kept    []dispatch.Quarantined
 }
 
 func (f *fakeStore) call(name string) error {
@@ -43,14 +43,14 @@
 	return nil
 }
 
-func (f *fakeStore) Quarantined(context.Context) ([]dispatch.QuarantinedWork, []error, error) {
+func (f *fakeStore) Quarantined(context.Context) ([]dispatch.Quarantined, []error, error) {
 	return f.kept, nil, f.call("read")
 }
 
-func (f *fakeStore) Quarantine(_ context.Context, works []dispatch.QuarantinedWork) error {
+func (f *fakeStore) Quarantine(_ context.Context, works []dispatch.Quarantined) error {
 	err := f.call("keep" + names(len(works)))
 	f.lastAge = works[len(works)-1].Age
-	if err == nil && slices.ContainsFunc(works, func(w dispatch.QuarantinedWork) bool { return w.Work == f.refuses }) {
+	if err == nil && slices.ContainsFunc(works, func(w dispatch.Quarantined) bool { return w.Work == f.refuses }) {
 		return errors.Mark(errAway, ErrRefused)
 	}
 	return err
@@ -66,7 +66,7 @@
 func run(t *testing.T, store *fakeStore, first bool, feed func(*Keeper), d time.Duration) (calls []string, learnt []int) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		k := New(store, clocktest.NewClock(), zap.NewNop(), first, func(list []dispatch.QuarantinedWork) { learnt = append(learnt, len(list)) })
+		k := New(store, clocktest.NewClock(), zap.NewNop(), first, func(list []dispatch.Quarantined) { learnt = append(learnt, len(list)) })
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- k.Run(ctx) }()
@@ -91,25 +91,25 @@
 		calls  []string
 		learnt []int
 	}{
-		{"reads what is kept", &fakeStore{kept: []dispatch.QuarantinedWork{{Work: a}}}, false, nothing, []string{"read"}, []int{1}},
+		{"reads what is kept", &fakeStore{kept: []dispatch.Quarantined{{Work: a}}}, false, nothing, []string{"read"}, []int{1}},
 		{"asks nothing at the first start", &fakeStore{}, true, nothing, nil, []int{0}},
 		{"reads until the store is back", &fakeStore{fails: 2}, false, nothing, []string{"read", "read", "read"}, []int{0}},
 		{
 			"writes changes of a moment together, the last word on each", &fakeStore{}, true, func(k *Keeper) {
-				k.Keep(dispatch.QuarantinedWork{Work: a})
-				k.Keep(dispatch.QuarantinedWork{Work: b})
-				k.Keep(dispatch.QuarantinedWork{Work: a})
+				k.Keep(dispatch.Quarantined{Work: a})
+				k.Keep(dispatch.Quarantined{Work: b})
+				k.Keep(dispatch.Quarantined{Work: a})
 				k.Release(b)
 			}, []string{"keep1", "release1"}, []int{0},
 		},
 		{
 			"one that is refused for good does not hold up others", &fakeStore{refuses: b}, true, func(k *Keeper) {
-				k.Keep(dispatch.QuarantinedWork{Work: b})
-				k.Keep(dispatch.QuarantinedWork{Work: a})
+				k.Keep(dispatch.Quarantined{Work: b})
+				k.Keep(dispatch.Quarantined{Work: a})
 				k.Release(work.ID{}.By("c"))
 			}, []string{"keep2", "keep1", "keep1", "release1"}, []int{0},
 		},
-		{"writes until the store is back", &fakeStore{fails: 1}, true, func(k *Keeper) { k.Keep(dispatch.QuarantinedWork{Work: a}) }, []string{"keep1", "keep1"}, []int{0}},
+		{"writes until the store is back", &fakeStore{fails: 1}, true, func(k *Keeper) { k.Keep(dispatch.Quarantined{Work: a}) }, []string{"keep1", "keep1"}, []int{0}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -129,7 +129,7 @@
 	store := &fakeStore{fails: 1 << 20}
 	run(t, store, true, func(k *Keeper) {
 		for i := range 1000 {
-			k.Keep(dispatch.QuarantinedWork{Work: work.ID{byte(i), byte(i >> 8)}})
+			k.Keep(dispatch.Quarantined{Work: work.ID{byte(i), byte(i >> 8)}})
 		}
 		if got := k.changes.Len(); got > waiting {
 			t.Errorf("got %d waiting, want %d at most", got, waiting)
@@ -143,8 +143,8 @@
 	a, b := work.ID{}.By("a"), work.ID{}.By("b")
 	store := &fakeStore{}
 	calls, _ := run(t, store, true, func(k *Keeper) {
-		k.Keep(dispatch.QuarantinedWork{Work: a})
-		k.Keep(dispatch.QuarantinedWork{Work: b})
+		k.Keep(dispatch.Quarantined{Work: a})
+		k.Keep(dispatch.Quarantined{Work: b})
 		time.Sleep(time.Second)
 		k.Release(a)
 		time.Sleep(time.Second)
--- a/lab/attempt_stall.go
+++ b/lab/attempt_stall.go
@@ -14,7 +14,7 @@
 	}
 	slowest := slices.MaxFunc(a.parts, func(x, y hop) int { return int(100 * (x.engine.slow - y.engine.slow)) })
 	if slowest.engine.slow >= slowPace && slowest.engine != a.parts[0].engine {
-		a.session.node.tell(dispatch.StalledMsg{Request: a.session.id, Attempt: a.cmd.Attempt, Address: slowest.engine.address, Slow: true})
+		a.session.node.tell(dispatch.StalledMsg{Request: a.session.id, Attempt: a.cmd.Attempt, FaultyAddress: slowest.engine.address, Slow: true})
 	}
 }
 
@@ -61,7 +61,7 @@
 		a.fail(dispatch.CauseNoProgress, "")
 		return
 	}
-	a.session.node.tell(dispatch.StalledMsg{Request: a.session.id, Attempt: a.cmd.Attempt, Address: a.still.address})
+	a.session.node.tell(dispatch.StalledMsg{Request: a.session.id, Attempt: a.cmd.Attempt, FaultyAddress: a.still.address})
 	a.world.after(askAgain, func() { a.found(plan) })
 }
 
@@ -74,7 +74,7 @@
 		msg := dispatch.MigratedMsg{Request: a.session.id, Attempt: a.cmd.Attempt, Result: dispatch.MigrationDone}
 		before := a.parts
 		if _, at, ok := a.build(cmd.Chain); !ok {
-			msg.Result, msg.RefusedBy = dispatch.MigrationRefused, at
+			msg.Result, msg.FaultyAddress = dispatch.MigrationRefused, at
 		} else {
 			a.world.result.Moves++
 			a.still = nil
--- a/lab/engine.go
+++ b/lab/engine.go
@@ -131,8 +131,8 @@
 }
 
 // report is its word on itself.
-func (e *engine) report() dispatch.EngineStatus {
-	r := dispatch.EngineStatus{Slowdown: e.slow}
+func (e *engine) report() dispatch.Report {
+	r := dispatch.Report{Slowdown: e.slow}
 	if !e.world.variant.NoReports {
 		r.FreeMemory, r.TotalMemory = e.room()-e.used, e.room()
 	}
--- a/lab/node.go
+++ b/lab/node.go
@@ -167,8 +167,8 @@
 	case dispatch.ShareUsageCmd:
 		n.share(cmd)
 	case dispatch.ResponsivenessCmd:
-		n.plan(placement.SilentMsg{Upstream: cmd.Upstream, Silent: cmd.Unresponsive, Agreed: cmd.PeerAgrees})
-		if cmd.Unresponsive && !cmd.PeerAgrees && !n.world.variant.NoSilence {
+		n.plan(placement.SilentMsg{Upstream: cmd.Upstream, Silent: cmd.Unresponsive, Agreed: cmd.Confirmed})
+		if cmd.Unresponsive && !cmd.Confirmed && !n.world.variant.NoSilence {
 			n.others(func(o *node) {
 				if o.centre == n.centre || len(n.world.nodes) < nearAll {
 					o.tell(dispatch.PeerUnresponsiveMsg{Upstream: cmd.Upstream})
--- a/lab/node_tell.go
+++ b/lab/node_tell.go
@@ -60,7 +60,7 @@
 	w.after(asked, func() {
 		msg := dispatch.ProbedMsg{Upstream: cmd.Upstream}
 		if e := w.at[cmd.Address]; e != nil && e.up {
-			msg.Answered, msg.Status = true, e.report()
+			msg.Answered, msg.Report = true, e.report()
 		}
 		n.tell(msg)
 	})
@@ -99,14 +99,14 @@
 			n.others(func(o *node) { o.tell(dispatch.PeerAnswerMsg{Work: news.Work}) })
 		}
 	case quarantine.HeldNews:
-		w.keep(dispatch.QuarantinedWork{Work: news.Work, SuspectedCrashes: news.Ended})
+		w.keep(dispatch.Quarantined{Work: news.Work, Ended: news.Ended})
 		w.after(clock.Millis(w.random.IntN(comparedWithin)), func() {
 			n.others(func(o *node) {
-				o.tell(dispatch.QuarantinedMsg{Works: []dispatch.QuarantinedWork{{Work: news.Work, SuspectedCrashes: news.Ended}}})
+				o.tell(dispatch.QuarantinedMsg{Works: []dispatch.Quarantined{{Work: news.Work, Ended: news.Ended}}})
 			})
 		})
 	case quarantine.CertainNews:
-		w.keep(dispatch.QuarantinedWork{Work: news.Work})
+		w.keep(dispatch.Quarantined{Work: news.Work})
 	}
 }
 
@@ -138,7 +138,7 @@
 // placed tells all nodes of an order that was taken or carried out.
 func (n *node) placed(cmd placement.OrderCmd, holds bool) {
 	take := func(o *node) {
-		o.tell(dispatch.PlacementMsg{Upstream: cmd.Upstream, Layers: cmd.Layers, Loaded: holds})
+		o.tell(dispatch.PlacedMsg{Upstream: cmd.Upstream, Layers: cmd.Layers, Completed: holds})
 		o.plan(placement.PlacedMsg{Upstream: cmd.Upstream, Layers: cmd.Layers, Holds: holds})
 	}
 	take(n)
--- a/lab/world.go
+++ b/lab/world.go
@@ -40,7 +40,7 @@
 	// loads is how many engines load now.
 	loads int
 	// verdicts are what the store keeps of requests that end engines.
-	verdicts map[work.ID]dispatch.QuarantinedWork
+	verdicts map[work.ID]dispatch.Quarantined
 	callers  []*caller
 	numbers  int
 	// burst is how many times as many requests come.
@@ -86,7 +86,7 @@
 
 func newWorld(s *Scenario, v Variant, seed uint64) *world {
 	w := &world{
-		scenario: s, variant: v, byName: make(map[string]*node), pipeline: s.Fleet.Pipeline(), at: make(map[string]*engine), verdicts: make(map[work.ID]dispatch.QuarantinedWork), burst: 1,
+		scenario: s, variant: v, byName: make(map[string]*node), pipeline: s.Fleet.Pipeline(), at: make(map[string]*engine), verdicts: make(map[work.ID]dispatch.Quarantined), burst: 1,
 		random: rand.New(rand.NewPCG(seed, worldSeed)), arrivals: rand.New(rand.NewPCG(seed, arrivalSeed)), troubles: rand.New(rand.NewPCG(seed, troubleSeed)),
 		result: newResult(s, v, seed),
 	}
@@ -287,15 +287,15 @@
 }
 
 // keep keeps a verdict in the store. What is certain is not replaced by what is not.
-func (w *world) keep(q dispatch.QuarantinedWork) {
-	if known, ok := w.verdicts[q.Work]; !ok || len(known.SuspectedCrashes) > 0 {
+func (w *world) keep(q dispatch.Quarantined) {
+	if known, ok := w.verdicts[q.Work]; !ok || len(known.Ended) > 0 {
 		w.verdicts[q.Work] = q
 	}
 }
 
 // kept is what the store keeps.
-func (w *world) kept() []dispatch.QuarantinedWork {
-	var list []dispatch.QuarantinedWork
+func (w *world) kept() []dispatch.Quarantined {
+	var list []dispatch.Quarantined
 	for _, id := range slices.SortedFunc(keysOf(w.verdicts), work.ID.Compare) {
 		list = append(list, w.verdicts[id])
 	}
--- a/node/circle.go
+++ b/node/circle.go
@@ -98,7 +98,7 @@
 	case len(told) < len(inDataCentres(all)):
 		msg.LocalNodes = circle.Others + 1
 	default:
-		msg.Nodes = len(msg.Members)
+		msg.TotalNodes = len(msg.Members)
 	}
 	return msg
 }
--- a/node/learn.go
+++ b/node/learn.go
@@ -68,9 +68,9 @@
 // setSilent tells the planner that an engine does not answer, or does again, and other
 // nodes of one that they have not told of.
 func (n *Node) setSilent(cmd dispatch.ResponsivenessCmd) {
-	n.log.Info("silent", zap.Stringer("upstream", cmd.Upstream), zap.Bool("silent", cmd.Unresponsive), zap.Bool("agreed", cmd.PeerAgrees))
-	n.placer.Tell(placement.SilentMsg{Upstream: cmd.Upstream, Silent: cmd.Unresponsive, Agreed: cmd.PeerAgrees})
-	if cmd.Unresponsive && !cmd.PeerAgrees {
+	n.log.Info("silent", zap.Stringer("upstream", cmd.Upstream), zap.Bool("silent", cmd.Unresponsive), zap.Bool("agreed", cmd.Confirmed))
+	n.placer.Tell(placement.SilentMsg{Upstream: cmd.Upstream, Silent: cmd.Unresponsive, Agreed: cmd.Confirmed})
+	if cmd.Unresponsive && !cmd.Confirmed {
 		n.usage.Silent(cmd.Upstream)
 	}
 }
@@ -81,13 +81,13 @@
 func (n *Node) share(cmd dispatch.ShareUsageCmd) {
 	now := n.clock.Now()
 	circle := n.roster.Circle(now)
-	n.usage.Share(cmd.OwnUsage, cmd.Limits)
+	n.usage.Share(cmd.Engines, cmd.Limits)
 	if circle.Meshed && n.roster.Reads(now) || circle.Leads() {
-		n.usage.ShareTotal(cmd.DataCentreUsage, circle.Others+1, cmd.Limits)
+		n.usage.ShareTotal(cmd.DataCentreTotal, circle.Others+1, cmd.Limits)
 	}
 	switch {
 	case circle.Leads():
-		n.usage.ShareWhole(cmd.AllNodesUsage, cmd.IncludedDataCentres, cmd.Nodes, cmd.Limits)
+		n.usage.ShareWhole(cmd.AllNodes, cmd.IncludedDataCentres, cmd.Nodes, cmd.Limits)
 	case circle.Hub:
 		n.usage.ShareLife()
 	}
@@ -109,7 +109,7 @@
 		n.roster.Heard(n.clock.Now(), from.GetName(), msg.Followable)
 	}
 	n.relay.SetUsage(dispatch.UsageMsg{
-		Node: from.GetName(), Usage: msg.Used, WholeDataCentre: msg.Total, AllNodes: msg.Whole, IncludedDataCentres: msg.HeardOf, Nodes: msg.Nodes,
+		Node: from.GetName(), Engines: msg.Used, DataCentreTotal: msg.Total, AllNodes: msg.Whole, IncludedDataCentres: msg.HeardOf, Nodes: msg.Nodes,
 		DataCentre: from.GetDataCentre(), Limits: msg.Limits,
 	})
 }
--- a/node/quarantined.go
+++ b/node/quarantined.go
@@ -62,7 +62,7 @@
 
 // add notes a request, and that peers are worth asking again. It returns what is known of
 // it now.
-func (q *quarantined) add(w dispatch.QuarantinedWork) dispatch.QuarantinedWork {
+func (q *quarantined) add(w dispatch.Quarantined) dispatch.Quarantined {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.clock.Now()
@@ -70,17 +70,17 @@
 	if !ok {
 		known = quarantinedWork{since: now.Sub(w.Age)}
 	}
-	known.ended = w.SuspectedCrashes
+	known.ended = w.Ended
 	q.works.Add(w.Work, known)
 	q.pause, q.summed = firstCompare, clock.Never
-	return dispatch.QuarantinedWork{Work: w.Work, Age: now.Sub(known.since), SuspectedCrashes: known.ended}
+	return dispatch.Quarantined{Work: w.Work, Age: now.Sub(known.since), Ended: known.ended}
 }
 
 // learn notes requests of which others know for certain, where that is news. Of what is not
 // certain the relay decides.
-func (q *quarantined) learn(list []dispatch.QuarantinedWork) {
+func (q *quarantined) learn(list []dispatch.Quarantined) {
 	for _, w := range list {
-		if len(w.SuspectedCrashes) == 0 && !q.knows(w.Work) {
+		if len(w.Ended) == 0 && !q.knows(w.Work) {
 			q.add(w)
 		}
 	}
@@ -102,19 +102,19 @@
 }
 
 // list returns all, with how long they have been in quarantine.
-func (q *quarantined) list() []dispatch.QuarantinedWork {
+func (q *quarantined) list() []dispatch.Quarantined {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.listAt(q.clock.Now())
 }
 
 // listAt is list at a time. The caller holds the lock.
-func (q *quarantined) listAt(now clock.Millis) []dispatch.QuarantinedWork {
-	var list []dispatch.QuarantinedWork
+func (q *quarantined) listAt(now clock.Millis) []dispatch.Quarantined {
+	var list []dispatch.Quarantined
 	for _, id := range q.works.Keys() {
 		w, _ := q.works.Peek(id)
 		if age := now.Sub(w.since); age < q.lasts {
-			list = append(list, dispatch.QuarantinedWork{Work: id, Age: age, SuspectedCrashes: w.ended})
+			list = append(list, dispatch.Quarantined{Work: id, Age: age, Ended: w.ended})
 		}
 	}
 	return list
@@ -134,7 +134,7 @@
 	q.sum, q.summed = 0, now
 	for _, w := range q.listAt(now) {
 		one := binary.LittleEndian.Uint64(w.Work.Bytes())
-		if len(w.SuspectedCrashes) > 0 {
+		if len(w.Ended) > 0 {
 			// What is not certain yet counts as something else.
 			one = bits.RotateLeft64(one, 1)
 		}
@@ -166,10 +166,10 @@
 		n.usage.Lost(news.Work, news.Upstream)
 	case quarantine.HeldNews:
 		n.log.Warn("quarantined", zap.Stringer("work", news.Work), zap.Stringers("ended", news.Ended), zap.Bool("own", news.Own))
-		n.keep(dispatch.QuarantinedWork{Work: news.Work, SuspectedCrashes: news.Ended}, news.Own)
+		n.keep(dispatch.Quarantined{Work: news.Work, Ended: news.Ended}, news.Own)
 	case quarantine.CertainNews:
 		n.log.Info("quarantine_certain", zap.Stringer("work", news.Work), zap.Bool("own", news.Own))
-		n.keep(dispatch.QuarantinedWork{Work: news.Work}, news.Own)
+		n.keep(dispatch.Quarantined{Work: news.Work}, news.Own)
 	case quarantine.ClearedNews:
 		n.log.Info("cleared", zap.Stringer("work", news.Work), zap.Bool("own", news.Own), zap.Bool("quarantined", news.Held))
 		n.clear(news)
@@ -178,7 +178,7 @@
 
 // keep notes a request in quarantine for peers, and has it kept in the store by the nodes
 // that have lost it: others would write the same hundreds of times.
-func (n *Node) keep(w dispatch.QuarantinedWork, own bool) {
+func (n *Node) keep(w dispatch.Quarantined, own bool) {
 	w = n.quarantined.add(w)
 	if own {
 		n.keeper.Keep(w)
@@ -197,7 +197,7 @@
 }
 
 // learnQuarantined takes requests in quarantine from the store or a peer.
-func (n *Node) learnQuarantined(list []dispatch.QuarantinedWork) {
+func (n *Node) learnQuarantined(list []dispatch.Quarantined) {
 	n.quarantined.learn(list)
 	n.relay.SetQuarantined(list)
 }
@@ -221,7 +221,7 @@
 func (l listener) HearAnswered(id work.ID) { l.node.relay.SetAnswered(id) }
 
 // Quarantined implements peering.Knowledge.
-func (k *known) Quarantined() []dispatch.QuarantinedWork { return k.node.quarantined.list() }
+func (k *known) Quarantined() []dispatch.Quarantined { return k.node.quarantined.list() }
 
 // LearnQuarantined implements peering.Learner.
-func (k *known) LearnQuarantined(list []dispatch.QuarantinedWork) { k.node.learnQuarantined(list) }
+func (k *known) LearnQuarantined(list []dispatch.Quarantined) { k.node.learnQuarantined(list) }
--- a/node/quarantined_test.go
+++ b/node/quarantined_test.go
@@ -18,19 +18,19 @@
 func TestNodesCompareWhatIsQuarantined(t *testing.T) {
 	vm := clocktest.NewVM()
 	c := clock.New(clock.WithVM(vm))
-	knows := func(list ...dispatch.QuarantinedWork) *quarantined {
+	knows := func(list ...dispatch.Quarantined) *quarantined {
 		q := newQuarantined(c, 60_000)
 		q.learn(list)
 		return q
 	}
-	thinks := func(q *quarantined, list ...dispatch.QuarantinedWork) *quarantined {
+	thinks := func(q *quarantined, list ...dispatch.Quarantined) *quarantined {
 		for _, w := range list {
 			q.add(w)
 		}
 		return q
 	}
-	a, b := dispatch.QuarantinedWork{Work: work.ID{}.By("a")}, dispatch.QuarantinedWork{Work: work.ID{}.By("b")}
-	thought := dispatch.QuarantinedWork{Work: b.Work, SuspectedCrashes: []fleet.Incarnation{fleet.Undated("e1")}}
+	a, b := dispatch.Quarantined{Work: work.ID{}.By("a")}, dispatch.Quarantined{Work: work.ID{}.By("b")}
+	thought := dispatch.Quarantined{Work: b.Work, Ended: []fleet.Incarnation{fleet.Undated("e1")}}
 	tests := []struct {
 		name string
 		one  *quarantined
@@ -44,14 +44,14 @@
 		{"what others think", knows(a, thought), knows(a), true},
 		{"less certain", thinks(knows(a), thought), knows(a, b), false},
 		{"certain later", thinks(knows(a), thought, b), knows(a, b), true},
-		{"expired", knows(a, dispatch.QuarantinedWork{Work: b.Work, Age: 60_000}), knows(a), true},
+		{"expired", knows(a, dispatch.Quarantined{Work: b.Work, Age: 60_000}), knows(a), true},
 	}
 	for _, tt := range tests {
 		if got := tt.one.digest() == tt.two.digest(); got != tt.same {
 			t.Errorf("%s: got the same digest %v, want %v", tt.name, got, tt.same)
 		}
 	}
-	expiring := knows(dispatch.QuarantinedWork{Work: a.Work, Age: 59_000})
+	expiring := knows(dispatch.Quarantined{Work: a.Work, Age: 59_000})
 	before := expiring.digest()
 	vm.Suspend(2 * time.Second)
 	if got := expiring.digest(); got == before {
@@ -82,7 +82,7 @@
 func BenchmarkDigest(b *testing.B) {
 	q := newQuarantined(clocktest.NewClock(), 3_600_000)
 	for i := range quarantine.MostWorks {
-		q.add(dispatch.QuarantinedWork{Work: work.ID{byte(i), byte(i >> 8)}})
+		q.add(dispatch.Quarantined{Work: work.ID{byte(i), byte(i >> 8)}})
 	}
 	for b.Loop() {
 		q.differs(1)
--- a/node/simsite_test.go
+++ b/node/simsite_test.go
@@ -288,7 +288,7 @@
 		relay: relay.New(life, platform.Headers{}, dispatch.New(), c, log),
 	}
 	n.quarantined = newQuarantined(c, n.settings.quarantineLasts())
-	n.keeper = keeper.New(n.store, c, log, true, func([]dispatch.QuarantinedWork) {})
+	n.keeper = keeper.New(n.store, c, log, true, func([]dispatch.Quarantined) {})
 	peers := platform.NewPeerTransport(platform.WithDial(s.net.dial(name)))
 	n.idle = peers.CloseIdleConnections
 	n.follow(&wire.Member{Name: name, DataCentre: "z"}, peers, n.tellCatalog, n.tellFleet)
--- a/peering/doc.go
+++ b/peering/doc.go
@@ -48,7 +48,7 @@
 	// not.
 	Listed() bool
 	// Quarantined returns the requests that are known to be in quarantine.
-	Quarantined() []dispatch.QuarantinedWork
+	Quarantined() []dispatch.Quarantined
 }
 
 // Learner takes in what a peer has told.
@@ -58,7 +58,7 @@
 	LearnConfig(edition catalog.Edition, raw []byte, confirmed clock.Millis)
 	LearnFleet(list []fleet.Upstream)
 	// LearnQuarantined takes requests that are in quarantine.
-	LearnQuarantined(list []dispatch.QuarantinedWork)
+	LearnQuarantined(list []dispatch.Quarantined)
 	// LearnMembers takes the other nodes that are known, and this node's rank
 	// among all by name.
 	LearnMembers(others []*wire.Member, rank int)
--- a/peering/peering_test.go
+++ b/peering/peering_test.go
@@ -34,8 +34,8 @@
 	learntConfirmed clock.Millis
 	learntList      []fleet.Upstream
 	// quarantined are told to others, and learntQuarantined was learnt of them.
-	quarantined       []dispatch.QuarantinedWork
-	learntQuarantined []dispatch.QuarantinedWork
+	quarantined       []dispatch.Quarantined
+	learntQuarantined []dispatch.Quarantined
 	others            int
 	told              int
 	rank              int
@@ -59,8 +59,8 @@
 		f.learnt <- string(raw)
 	}
 }
-func (f *fakeNode) Quarantined() []dispatch.QuarantinedWork          { return f.quarantined }
-func (f *fakeNode) LearnQuarantined(list []dispatch.QuarantinedWork) { f.learntQuarantined = list }
+func (f *fakeNode) Quarantined() []dispatch.Quarantined          { return f.quarantined }
+func (f *fakeNode) LearnQuarantined(list []dispatch.Quarantined) { f.learntQuarantined = list }
 func (f *fakeNode) LearnFleet(list []fleet.Upstream)             { f.learntList = list }
 func (f *fakeNode) LearnMembers(others []*wire.Member, rank int) {
 	f.others, f.rank = len(others), rank
--- a/peering/quarantined.go
+++ b/peering/quarantined.go
@@ -31,16 +31,16 @@
 func (p *Peering) quarantined() []*wire.QuarantinedWork {
 	var out []*wire.QuarantinedWork
 	for _, w := range p.knowledge.Quarantined() {
-		out = append(out, &wire.QuarantinedWork{Work: w.Work.Bytes(), AgeMs: int64(w.Age), Ended: fleetwire.Names(w.SuspectedCrashes)})
+		out = append(out, &wire.QuarantinedWork{Work: w.Work.Bytes(), AgeMs: int64(w.Age), Ended: fleetwire.Names(w.Ended)})
 	}
 	return out
 }
 
-func quarantinedOf(told []*wire.QuarantinedWork) []dispatch.QuarantinedWork {
-	var list []dispatch.QuarantinedWork
+func quarantinedOf(told []*wire.QuarantinedWork) []dispatch.Quarantined {
+	var list []dispatch.Quarantined
 	for _, w := range told {
 		if id, ok := work.IDFrom(w.GetWork()); ok {
-			list = append(list, dispatch.QuarantinedWork{Work: id, Age: clock.Millis(w.GetAgeMs()), SuspectedCrashes: fleetwire.IncarnationsOf(w.GetEnded())})
+			list = append(list, dispatch.Quarantined{Work: id, Age: clock.Millis(w.GetAgeMs()), Ended: fleetwire.IncarnationsOf(w.GetEnded())})
 		}
 	}
 	return list
--- a/peering/quarantined_test.go
+++ b/peering/quarantined_test.go
@@ -12,7 +12,7 @@
 
 // A node that was cut off learns from a peer which requests end upstreams.
 func TestAsksForQuarantined(t *testing.T) {
-	want := []dispatch.QuarantinedWork{{Work: work.ID{}.By("a"), Age: 1200}, {Work: work.ID{}.By("b"), SuspectedCrashes: []fleet.Incarnation{fleet.NewIncarnation("e1", 17), fleet.Undated("e2")}}}
+	want := []dispatch.Quarantined{{Work: work.ID{}.By("a"), Age: 1200}, {Work: work.ID{}.By("b"), Ended: []fleet.Incarnation{fleet.NewIncarnation("e1", 17), fleet.Undated("e2")}}}
 	knowing, asking := &fakeNode{quarantined: want}, &fakeNode{}
 	_, peer := newFake(t, "knowing", knowing, clocktest.NewClock())
 	p, _ := newFake(t, "asking", asking, clocktest.NewClock())
--- a/peering/silent_connections_test.go
+++ b/peering/silent_connections_test.go
@@ -58,8 +58,8 @@
 func (*knowing) LearnFleet([]fleet.Upstream)      {}
 func (*knowing) LearnMembers([]*wire.Member, int) {}
 
-func (*knowing) Quarantined() []dispatch.QuarantinedWork     { return nil }
-func (*knowing) LearnQuarantined([]dispatch.QuarantinedWork) {}
+func (*knowing) Quarantined() []dispatch.Quarantined     { return nil }
+func (*knowing) LearnQuarantined([]dispatch.Quarantined) {}
 
 // slowPeers are nodes that have the store and may be slow to answer.
 type slowPeers struct {
--- a/relay/fixture_test.go
+++ b/relay/fixture_test.go
@@ -252,7 +252,7 @@
 		<-ended
 	})
 	r.SetCatalog(testCatalog(), r.clock.Now())
-	r.SetPeers(dispatch.PeersMsg{Nodes: 1, Members: []limit.Member{{}}})
+	r.SetPeers(dispatch.PeersMsg{TotalNodes: 1, Members: []limit.Member{{}}})
 	for i := range upstreamsOfTest {
 		server := httptest.NewServer(upstreams)
 		t.Cleanup(server.Close)
--- a/relay/protocol.go
+++ b/relay/protocol.go
@@ -81,7 +81,7 @@
 	Stalled []StalledStream
 	// Named tells that the report says that it is of the run that was asked.
 	Named bool
-	dispatch.EngineStatus
+	dispatch.Report
 }
 
 // Engines asks upstreams for their state and gives them orders. Identify tells who answers
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -166,7 +166,7 @@
 // SetUsage takes what another node has in use or, with total, all nodes of another data
 // centre or, with whole, all, and what it knows of limits.
 func (r *Relay) SetUsage(msg dispatch.UsageMsg) {
-	if msg.WholeDataCentre {
+	if msg.DataCentreTotal {
 		msg.Node = "all of " + msg.DataCentre
 	}
 	r.decider.tell(r.life, msg)
@@ -188,13 +188,13 @@
 }
 
 // SetQuarantined takes requests that are quarantined.
-func (r *Relay) SetQuarantined(works []dispatch.QuarantinedWork) {
+func (r *Relay) SetQuarantined(works []dispatch.Quarantined) {
 	r.decider.tell(r.life, dispatch.QuarantinedMsg{Works: works})
 }
 
 // SetPlaced takes an order that an engine has taken or, with holds, carried out.
 func (r *Relay) SetPlaced(upstream fleet.Incarnation, layers fleet.Range, holds bool) {
-	r.decider.tell(r.life, dispatch.PlacementMsg{Upstream: upstream, Layers: layers, Loaded: holds})
+	r.decider.tell(r.life, dispatch.PlacedMsg{Upstream: upstream, Layers: layers, Completed: holds})
 }
 
 // Stop makes the relay say that it is not ready and end connections with
--- a/relay/stall.go
+++ b/relay/stall.go
@@ -108,7 +108,7 @@
 			answer.silent = append(answer.silent, part)
 			continue
 		}
-		r.decider.tell(r.life, dispatch.EngineStatusMsg{Upstream: part.ID, Status: got[i].report.EngineStatus})
+		r.decider.tell(r.life, dispatch.ReportMsg{Upstream: part.ID, Report: got[i].report.Report})
 		if got[i].report.Slowdown > answer.pace {
 			answer.slow, answer.pace = part, got[i].report.Slowdown
 		}
@@ -134,7 +134,7 @@
 	case quiet >= slowAfter && answer.pace >= slowPace && s.events > 0 && answer.slow.Address != s.firstAddress():
 		s.logStall("slow", answer.slow.Address, quiet, answer)
 		s.relay.decider.tell(s.relay.life, dispatch.StalledMsg{
-			Request: s.id, Attempt: s.attempt.cmd.Attempt, Address: answer.slow.Address, Slow: true,
+			Request: s.id, Attempt: s.attempt.cmd.Attempt, FaultyAddress: answer.slow.Address, Slow: true,
 		})
 	case now.Sub(s.lastPiece) >= abandonAfter:
 		// Also after a move: the caller has waited since the last piece.
@@ -172,10 +172,10 @@
 		return
 	}
 	switch {
-	case cmd.Crashed && cmd.Address == s.attempt.cmd.Address:
+	case cmd.Crashed && cmd.SuspectedAddress == s.attempt.cmd.Address:
 		s.upstreamEnded()
 	case cmd.Crashed || s.relay.clock.Now().Sub(s.since) >= flowing:
-		s.stalledAt(cmd.Address)
+		s.stalledAt(cmd.SuspectedAddress)
 	}
 }
 
@@ -193,7 +193,7 @@
 		s.abandon(at, "engine_holds_it_up")
 		return
 	}
-	s.relay.decider.tell(s.relay.life, dispatch.StalledMsg{Request: s.id, Attempt: s.attempt.cmd.Attempt, Address: at})
+	s.relay.decider.tell(s.relay.life, dispatch.StalledMsg{Request: s.id, Attempt: s.attempt.cmd.Attempt, FaultyAddress: at})
 }
 
 // move orders the first engine to send the stream over other engines.
@@ -205,9 +205,9 @@
 	address := s.attempt.cmd.Address
 	go func() {
 		result, at := s.relay.engines.Move(s.relay.life, address, s.head.ID, cmd.Chain)
-		s.log.Info("move", zap.String("id", s.head.ID), zap.Stringer("away_from", cmd.From),
+		s.log.Info("move", zap.String("id", s.head.ID), zap.Stringer("away_from", cmd.FromEngine),
 			zap.String("chain", chainText(cmd.Chain)), zap.Int("result", int(result)), zap.String("at", at))
-		s.moves <- dispatch.MigratedMsg{Request: s.id, Attempt: cmd.Attempt, Result: result, RefusedBy: at}
+		s.moves <- dispatch.MigratedMsg{Request: s.id, Attempt: cmd.Attempt, Result: result, FaultyAddress: at}
 	}()
 }
 
@@ -242,13 +242,13 @@
 		if cmd.Engine {
 			var report EngineReport
 			report, err = r.reports.get(r.life, cmd.Address, cmd.Upstream)
-			msg.Status, msg.Identified = report.EngineStatus, report.Named
+			msg.Report, msg.Named = report.Report, report.Named
 		} else {
 			err = r.engines.Probe(r.life, cmd.Address, cmd.Upstream)
 		}
 		msg.Answered = err == nil
 		r.log.Info("probe", zap.Stringer("upstream", cmd.Upstream), zap.String("address", cmd.Address),
-			zap.Float64("pace", msg.Status.Slowdown), zap.Float64("free", msg.Status.FreeMemory), zap.Float64("all", msg.Status.TotalMemory), logging.Err(err))
+			zap.Float64("pace", msg.Report.Slowdown), zap.Float64("free", msg.Report.FreeMemory), zap.Float64("all", msg.Report.TotalMemory), logging.Err(err))
 		r.decider.tell(r.life, msg)
 	}()
 }
