--- a/dispatch/arrive.go
+++ b/dispatch/arrive.go
@@ -9,10 +9,10 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// defaultCallerTimeout stands in for the deadline of a caller that names none.
+// defaultCallerTimeout is the assumed timeout of a client that sends none.
 const defaultCallerTimeout clock.Millis = 60_000
 
-// arrive checks a request against the configuration and sends it off.
+// arrive checks a request against the configuration and sends it to an upstream.
 func (m *Model) arrive(msg ArriveMsg) []Cmd {
 	if m.defersArrivals() {
 		m.deferred = append(m.deferred, deferredArrival{arrival: msg, deferredAt: m.now})
@@ -52,7 +52,8 @@
 	return m.send(r)
 }
 
-// checkKey checks a request's key, and that the check is not out of date.
+// checkKey authenticates a request that requires a key. It returns the refusal if the key is
+// unknown or the configuration is too old to check it.
 func (m *Model) checkKey(r *request) []Cmd {
 	if !r.requiresKey {
 		return nil
@@ -68,28 +69,29 @@
 	return nil
 }
 
-// refuse ends a request with an answer of the node's own.
+// refuse ends a request with an answer that the node generates itself.
 func (m *Model) refuse(id RequestID, status int, reason Reason, back clock.Millis) []Cmd {
 	return m.respondOrAbort(id, m.response(id, status, reason, back), reason)
 }
 
-// refuseMissing ends a request that has not run for want of something.
+// refuseMissing ends a request that was not executed with 503, because a resource is missing.
 func (m *Model) refuseMissing(id RequestID, reason Reason, back clock.Millis, lack *MissingResource) []Cmd {
 	cmd := m.response(id, http.StatusServiceUnavailable, reason, back)
 	cmd.Missing = lack
 	return m.respondOrAbort(id, cmd, reason)
 }
 
-// refuseRateLimited ends a request that has not run since all that could serve it have limits.
+// refuseRateLimited ends a request that was not executed, because the rate limits of all suitable
+// upstreams are used up.
 func (m *Model) refuseRateLimited(r *request, back clock.Millis, why *LimitRefusal) []Cmd {
 	cmd := m.response(r.arrival.Request, http.StatusServiceUnavailable, ReasonRateLimit, back)
 	cmd.RateLimit = why
 	return m.respondOrAbort(r.arrival.Request, cmd, ReasonRateLimit)
 }
 
-// respondOrAbort ends a request with a whole answer, or cuts it where its answer has begun: two
-// answers in one would look like one that is complete. All requests end here or with
-// cut.
+// respondOrAbort ends a request with a complete answer or, if an answer has begun, aborts it: a
+// second answer in the same response would make it look complete. Every request ends either here
+// or in abort.
 func (m *Model) respondOrAbort(id RequestID, answer Cmd, reason Reason) []Cmd {
 	if r := m.requests[id]; r != nil && r.answerBegun() {
 		return m.abort(id, reason)
@@ -104,8 +106,8 @@
 	return []Cmd{AbortResponseCmd{Request: id, Reason: reason}}
 }
 
-// response makes an answer of the node's own. A 503 promises that the request has not
-// run, so it becomes a 502 where it may have.
+// response builds an answer that the node generates itself. A 503 promises that the request was
+// not executed, so it becomes a 502 if it may have been.
 func (m *Model) response(id RequestID, status int, reason Reason, back clock.Millis) RespondCmd {
 	if r := m.requests[id]; r != nil && r.executions > 0 && status == http.StatusServiceUnavailable {
 		status, reason, back = http.StatusBadGateway, ReasonAnswerLost, 0
@@ -120,13 +122,13 @@
 	return cmd
 }
 
-// hashPosition spreads callers' names evenly from 0 up to 1.
+// hashPosition maps client request ids uniformly to numbers from 0 up to 1.
 func hashPosition(name string) float64 {
 	return float64(xxhash.Sum64String(name)>>11) / (1 << 53)
 }
 
-// expectedMemoryTokens is how much memory a generation is likely to take on average
-// while it lasts, in tokens.
+// expectedMemoryTokens returns the average memory that a generation is expected to use while it
+// runs, in tokens.
 func expectedMemoryTokens(msg ArriveMsg) float64 {
 	out := float64(msg.AnswerTokens) * expectedAnswerShare
 	if msg.HintTokens > 0 {
--- a/dispatch/back_off.go
+++ b/dispatch/back_off.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// maxBackOff bounds the rest that is believed. One that asks for more may as well be
-	// leaving, and says so elsewhere if it is: after an hour a single request finds out,
-	// as it does for requests in quarantine.
+	// maxBackOff bounds the back-off that an upstream may request. After an hour a single request
+	// tests the upstream again, as for quarantined requests. An upstream that asks for more may
+	// be leaving, which its entry would show.
 	maxBackOff clock.Millis = 3_600_000
-	// backOffSpread is the part of a rest, as far as it lasts still, over which callers come
-	// back after its end. With a half, those refused in a rest of 3 s come back within the
-	// 1.5 s after it, at most of the time at less than three times the usual rate.
+	// backOffSpread is the share of the remaining back-off over which client retries are spread
+	// after its end. With a half, the clients refused during a back-off of 3 s retry within the
+	// 1.5 s after it, for most of that time at less than three times the usual rate.
 	backOffSpread = 0.5
-	// resumesPerTick bounds the begun streams that go on at a tick after a rest: they have
-	// waited for it together, and are all read again.
+	// resumesPerTick bounds the begun streams that resume at a tick after a back-off: they waited
+	// for the same upstreams, and the prompts of all of them must be read again.
 	resumesPerTick = 6
 )
 
-// backOffRequested takes in that an upstream wants nothing from this node for a time. It knows best
-// what it bears: it may be all but empty by its own report, so nothing but the time ends its
-// rest. A shorter one takes nothing off a longer one: each was asked for. It speaks against
-// the upstream in no other way. Other nodes are not told: each is asked by itself.
+// backOffRequested starts the back-off that an upstream requested. Only time ends it: an upstream
+// may request it although its report shows free memory. A shorter back-off does not shorten a
+// longer one. It does not count as a failure, and other nodes are not notified, since an upstream
+// sends each node its own request.
 func (m *Model) backOffRequested(msg BackOffMsg) []Cmd {
 	u := m.upstreams[msg.Upstream]
 	if u == nil {
@@ -39,10 +39,11 @@
 	return []Cmd{BackOffCmd{Upstream: msg.Upstream, Until: until, Requested: msg.For}}
 }
 
-// inBackOff tells whether it has asked this node for rest that is not over.
+// inBackOff reports whether this node may not send to the upstream, because the upstream
+// requested a back-off.
 func (u *upstream) inBackOff(now clock.Millis) bool { return now < u.backOffUntil }
 
-// backOffEnds returns when the rests of a request's upstreams end, in their order.
+// backOffEnds returns the sorted end times of the back-offs of a request's upstreams.
 func (m *Model) backOffEnds(r *request) []clock.Millis {
 	var ends []clock.Millis
 	for _, u := range m.byService[r.service.Name] {
@@ -54,8 +55,8 @@
 	return slices.Compact(ends)
 }
 
-// servableAfterBackOff returns when the first of the upstreams that rest may get a request, if the
-// request lacks nothing but them.
+// servableAfterBackOff returns the earliest end of a back-off after which the request can be
+// served; ok is false if back-offs are not what keeps it from being served.
 func (m *Model) servableAfterBackOff(r *request) (clock.Millis, bool) {
 	ends := m.backOffEnds(r)
 	if len(ends) == 0 || m.servableAt(r, m.now) {
@@ -64,7 +65,7 @@
 	if r.service.Pipeline == nil {
 		return ends[0], true
 	}
-	// The first end after which there is a chain; ends further on only add to it.
+	// The search is valid because each further end only adds upstreams.
 	first, _ := slices.BinarySearchFunc(ends, true, func(end clock.Millis, _ bool) int {
 		if m.servableAt(r, end) {
 			return 0
@@ -77,8 +78,7 @@
 	return ends[first], true
 }
 
-// servableAt tells whether there are upstreams for a request once the rests that end by a time
-// have ended.
+// servableAt reports whether a request can be served once all back-offs up to a time have ended.
 func (m *Model) servableAt(r *request, end clock.Millis) bool {
 	list := m.byService[r.service.Name]
 	if r.service.Pipeline == nil {
@@ -89,15 +89,15 @@
 	return err == nil
 }
 
-// backOffRetryAfter is when a caller comes back that is told of the end of a rest: not before it,
-// and not all at once. Those of higher rank are the first.
+// backOffRetryAfter returns the Retry-After time for the end of a back-off. The retries are
+// spread over the time after that end, with higher priorities first.
 func (m *Model) backOffRetryAfter(r *request, end clock.Millis) clock.Millis {
 	left := max(end.Sub(m.now), 1)
 	return left + clock.Millis(backOffSpread*r.retryPosition()*float64(max(left, shortRetryAfter)))
 }
 
-// retryPosition is the caller's place among those that come back, from 0 for the first up to 1.
-// Those of higher rank come before others.
+// retryPosition returns the position of a client in a spread of retries, from 0 for the first up
+// to 1. Higher priorities come first.
 func (r *request) retryPosition() float64 {
 	return 1 - (1-hashPosition(r.arrival.CallerID))/float64(1+r.priority())
 }
--- a/dispatch/begun_answer_test.go
+++ b/dispatch/begun_answer_test.go
@@ -15,18 +15,18 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m, map[string]string{"rapid.checks": "1000"}) }
 
-// callerView is one request as its caller sees it.
+// callerView is a request as its client sees it.
 type callerView struct {
 	t *rapid.T
-	// attempt is the one under way; 0 for none.
+	// attempt is the number of the current attempt; 0 for none.
 	attempt   int
 	events    int
 	delivered dispatch.Delivered
-	// ended tells that the request has ended, or its caller has left.
+	// ended reports whether the request has ended or the client has disconnected.
 	ended bool
 }
 
-// apply carries out a command, and checks that it may be given.
+// apply executes a command and checks that it is allowed in the current state.
 func (c *callerView) apply(cmd dispatch.Cmd) {
 	switch cmd := cmd.(type) {
 	case dispatch.SendCmd:
@@ -47,7 +47,7 @@
 	}
 }
 
-// deliver draws what the attempt under way has brought its caller before it failed.
+// deliver draws the part of the answer that the client receives before the current attempt fails.
 func (c *callerView) deliver() {
 	switch {
 	case rapid.Bool().Draw(c.t, "nothing"):
@@ -59,9 +59,9 @@
 	}
 }
 
-// An answer that has begun is never ended by another one, whatever becomes of its
-// attempts, the engines, the keys and the configuration: it is gone on with, waits or
-// is cut. One that has not begun is never cut.
+// An answer that has begun must never be completed by another answer, whatever happens to its
+// attempts, the engines, the keys and the configuration: it is resumed, waits or is aborted. An
+// answer that has not begun must never be aborted.
 func TestBegunAnswerIsResumedOrAborted(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := dispatch.New(dispatch.WithDataCentre("a"), dispatch.WithPolicy(dispatch.Policy{
@@ -106,7 +106,7 @@
 	})
 }
 
-// randomFleet draws what becomes of a few upstreams.
+// randomFleet draws changes of a few upstreams.
 func randomFleet(t *rapid.T) []fleet.Change {
 	var changes []fleet.Change
 	for _, named := range []map[string]string{
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// benchModel has engines of one kind, eight of 80 layers each, in data centres
-// of 33.
+// benchModel returns a model with engines of one kind that hold eight of 80 layers each, in data
+// centres of 33 engines.
 func benchModel(engines int) *dispatch.Model {
 	m := dispatch.New(dispatch.WithDataCentre("dc-0"), dispatch.WithPolicy(dispatch.Policy{RetryWindow: 10_000}))
 	m.Update(0, dispatch.CatalogMsg{Catalog: catalog.New(1,
@@ -57,10 +57,11 @@
 	}
 }
 
-// fleetSizes are how many upstreams the users' sites have, and the size of two years from now.
+// fleetSizes are the numbers of upstreams at the first users' sites, and the size expected two
+// years later.
 var fleetSizes = []int{38, 218, 998, 7100}
 
-// BenchmarkTick is what the decider costs ten times a second while nothing happens.
+// BenchmarkTick measures a tick without events, which runs ten times a second.
 func BenchmarkTick(b *testing.B) {
 	for _, engines := range fleetSizes {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -72,7 +73,7 @@
 	}
 }
 
-// BenchmarkFleetChange is an engine that comes to hold other layers.
+// BenchmarkFleetChange measures an engine that changes its layers.
 func BenchmarkFleetChange(b *testing.B) {
 	for _, engines := range fleetSizes {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -87,8 +88,8 @@
 	}
 }
 
-// BenchmarkPeerUsage is a node that tells of as many engines as its streams pass at most:
-// 24 streams over nine engines.
+// BenchmarkPeerUsage measures a usage report with the largest number of engines that one node's
+// streams use: 24 streams over nine engines.
 func BenchmarkPeerUsage(b *testing.B) {
 	const told = 24 * 9
 	for _, engines := range fleetSizes {
--- a/dispatch/cmd.go
+++ b/dispatch/cmd.go
@@ -10,100 +10,103 @@
 	"github.com/hoistjunction/hoistjunction/work"
 )
 
-// Cmd is something to be done.
+// Cmd is an action that the caller of Update must execute.
 type Cmd interface{ dispatchCmd() }
 
 // SendCmd sends a request to an upstream.
 type SendCmd struct {
 	Request RequestID
 	Attempt int
-	// Upstream and Address say where; the address may belong to another
-	// upstream by now, so the id is sent along.
+	// Upstream is the target, at Address. Another upstream may have the address by now, so the
+	// request carries the id.
 	Upstream fleet.Incarnation
 	Address  string
-	// Chain is the way through the engines; nil for plain services.
+	// Chain is the chain of engines; nil for plain services.
 	Chain []chain.Part
 	Route *catalog.Route
 	// Account is the client account's name; empty without a key.
 	Account string
-	// Priority is the request's rank at an engine, 0 being the first.
+	// Priority ranks the request in the queue of an engine; 0 is the most urgent.
 	Priority int
-	// CallerDeadline is when the caller stops waiting, and Deadline when the route's
-	// time is up.
+	// CallerDeadline is when the client stops waiting, and RouteDeadline when the route's timeout
+	// ends.
 	CallerDeadline clock.Millis
 	RouteDeadline  clock.Millis
-	// AttemptTimeout bounds this attempt alone; zero for no such bound.
+	// AttemptTimeout bounds this attempt; zero for no bound.
 	AttemptTimeout clock.Millis
-	// LastUpstream tells that no further upstream may run the request once this one has.
+	// LastUpstream reports whether no further upstream may execute the request after this one.
 	LastUpstream bool
-	// RequiresKey requests may be sent only while the configuration is fresh.
+	// RequiresKey reports whether the request may be sent only while the configuration is fresh.
 	RequiresKey bool
-	// Work names what is asked for by its client account.
+	// Work identifies the content of the request together with its client account.
 	Work work.ID
-	// WorkSuspected tells that an upstream has ended under it.
+	// WorkSuspected reports whether an upstream has crashed while it executed the same work.
 	WorkSuspected bool
-	// Inputs of the decision, for the log.
+	// Config, ConfigAge and InFlight are inputs of the decision, for the log.
 	Config    catalog.Edition
 	ConfigAge clock.Millis
 	InFlight  int
-	// Limit is what the upstream takes from all nodes together, in requests a second; zero
-	// for no limit.
+	// Limit is the rate limit of the upstream over all nodes, in requests per second; zero for no
+	// limit.
 	Limit float64
 }
 
-// RespondCmd ends a request with an answer of the node's own.
+// RespondCmd ends a request with an answer that the node generates itself.
 type RespondCmd struct {
 	Request RequestID
 	Status  int
 	Reason  Reason
-	// RetryAfter tells the caller when to come back; zero for nothing.
+	// RetryAfter is the time after which the client should retry; zero for no advice.
 	RetryAfter clock.Millis
 	Config     catalog.Edition
 	ConfigAge  clock.Millis
-	// Work names what is asked for by its client account; zero where that is not known.
+	// Work identifies the content of the request together with its client account; zero if
+	// unknown.
 	Work work.ID
-	// Missing says what ran short, and Limited whose limit it was; nil where that is not it.
+	// Missing is the resource that the request lacked, and RateLimit the limit that refused it;
+	// nil if that is not the reason.
 	Missing   *MissingResource
 	RateLimit *LimitRefusal
 }
 
-// MissingResource says what ran short when no chain could be built, for the log.
+// MissingResource describes why no chain could be built, for the log.
 type MissingResource struct {
 	chain.Lack
-	// Source says whose word on the memory left counted, and Age how old it was.
+	// Source is the origin of the value of free memory, and SourceAge its age.
 	Source    MemorySource
 	SourceAge clock.Millis
 }
 
-// MemorySource says whose word on an engine's memory counts.
+// MemorySource is the origin of a value of an engine's free memory.
 type MemorySource string
 
-// The words on an engine's memory.
+// Origins of a value of free memory.
 const (
-	// SourceOwnRequests: what this node alone has in use there.
+	// SourceOwnRequests means that only this node's own reservations were counted.
 	SourceOwnRequests MemorySource = "own"
-	// SourcePeerReports: what other nodes have told that they use there too.
+	// SourcePeerReports means that usage reports of other nodes were counted too.
 	SourcePeerReports MemorySource = "nodes"
-	// SourceEngineReport: the engine's own report.
+	// SourceEngineReport means that the engine's own report was used.
 	SourceEngineReport MemorySource = "engine"
-	// SourceRefusal: the engine has refused a request just now.
+	// SourceRefusal means that the engine has just refused a request.
 	SourceRefusal MemorySource = "refusal"
 )
 
-// RelayFailureCmd passes on the upstream's own failure, which the shell holds. Like RespondCmd
-// it is only for requests whose answer has not begun.
+// RelayFailureCmd relays the upstream's error response, which the session holds. Like RespondCmd
+// it is only used for requests whose answer has not begun.
 type RelayFailureCmd struct {
 	Request RequestID
 	Attempt int
 }
 
-// AbortResponseCmd ends an answer that has begun and cannot go on, so that it looks cut off.
+// AbortResponseCmd aborts a response that has begun and cannot be resumed, so that the client
+// recognizes it as incomplete.
 type AbortResponseCmd struct {
 	Request RequestID
 	Reason  Reason
 }
 
-// MigrateCmd moves a running stream to other engines. The first part stays.
+// MigrateCmd migrates a running stream to other engines. The first engine of the chain stays.
 type MigrateCmd struct {
 	Request RequestID
 	Attempt int
@@ -112,50 +115,51 @@
 	FromEngine fleet.Incarnation
 }
 
-// ShareUsageCmd tells other nodes what requests take at engines.
+// ShareUsageCmd sends the engine usage of requests to other nodes.
 type ShareUsageCmd struct {
-	// Engines is what this node's requests take.
+	// Engines is the usage of this node's requests by engine.
 	Engines map[fleet.Incarnation]fleet.Use
-	// DataCentreTotal is what those of all nodes that tell each other take, at engines that
-	// are worth telling others of.
+	// DataCentreTotal is the sum over this data centre's nodes, restricted to engines with enough
+	// usage to matter to other data centres.
 	DataCentreTotal map[fleet.Incarnation]fleet.Use
-	// AllNodes is what those of all nodes take that are known of, in other data centres those
-	// of IncludedDataCentres, at engines of which a node that is told sums is to know.
+	// AllNodes is the sum over all known nodes, including those of IncludedDataCentres,
+	// restricted to the engines that matter to nodes which receive sums.
 	AllNodes            map[fleet.Incarnation]fleet.Use
 	IncludedDataCentres []string
-	// Nodes is how many nodes there are; 0 while that is not known.
+	// Nodes is the number of nodes; 0 while unknown.
 	Nodes int
-	// Limits are what is known of the limits that upstreams name.
+	// Limits are the known rate limits of upstreams.
 	Limits map[fleet.Incarnation]limit.Named
 }
 
-// ResponsivenessCmd tells the planner of layers that an engine does not answer, or does
-// again.
+// ResponsivenessCmd notifies the placement planner that an engine became unresponsive or
+// responsive again.
 type ResponsivenessCmd struct {
 	Upstream     fleet.Incarnation
 	Unresponsive bool
-	// Confirmed tells that another node has found it silent before.
+	// Confirmed reports whether another node had found the engine unresponsive before.
 	Confirmed bool
 }
 
-// RecheckAttemptCmd tells a request that an upstream on its way is under suspicion.
+// RecheckAttemptCmd makes a request check the progress of its attempt, because an upstream on its
+// path is suspected.
 type RecheckAttemptCmd struct {
 	Request RequestID
 	Attempt int
-	// SuspectedAddress is the upstream's address.
+	// SuspectedAddress is the address of the suspected upstream.
 	SuspectedAddress string
-	// Crashed tells that its process has ended for certain.
+	// Crashed reports whether the upstream's process is known to have ended.
 	Crashed bool
 }
 
-// ProbeCmd asks an upstream whether it is well.
+// ProbeCmd probes the health of an upstream.
 type ProbeCmd struct {
 	Upstream fleet.Incarnation
 	Address  string
 	Engine   bool
 }
 
-// SuspectCmd is for the log: an upstream gets no work for a while.
+// SuspectCmd logs that an upstream is suspected and gets no work for a while.
 type SuspectCmd struct {
 	Upstream fleet.Incarnation
 	Until    clock.Millis
@@ -163,22 +167,23 @@
 	Cause    Cause
 }
 
-// BackOffCmd is for the log: an upstream gets nothing until a time, since it has asked for
-// that.
+// BackOffCmd logs that this node sends nothing to an upstream until a time, because the upstream
+// asked for it with Retry-After.
 type BackOffCmd struct {
 	Upstream fleet.Incarnation
 	Until    clock.Millis
-	// Requested is for how long it has asked.
+	// Requested is the duration that the upstream asked for.
 	Requested clock.Millis
 }
 
-// QuarantineCmd tells what has become known of requests that end upstreams.
+// QuarantineCmd reports a change in the quarantine of requests that crash upstreams.
 type QuarantineCmd struct{ News quarantine.News }
 
-// RecheckDeadlineCmd tells a request that more time has passed than its timers count.
+// RecheckDeadlineCmd resets the timers of a request after a suspension of the VM, during which
+// they did not run.
 type RecheckDeadlineCmd struct {
 	Request RequestID
-	// Deadline is when it must be answered.
+	// Deadline is when the request must be answered.
 	Deadline clock.Millis
 }
 
@@ -196,10 +201,10 @@
 func (QuarantineCmd) dispatchCmd()      {}
 func (RecheckDeadlineCmd) dispatchCmd() {}
 
-// Reason says why a request ended without an upstream's answer.
+// Reason is why a request ended without an upstream's answer.
 type Reason string
 
-// The reasons.
+// Reasons for ending a request.
 const (
 	ReasonNoConfig      Reason = "no_configuration_yet"
 	ReasonStaleConfig   Reason = "configuration_too_old"
--- a/dispatch/deferred.go
+++ b/dispatch/deferred.go
@@ -6,29 +6,29 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// maxStartDeferral is for how long after its start a node lets requests wait that come
-// before it knows the configuration and the list. With 295 nodes that start at the same
-// moment all knew both within 0.22 s. An aim of 0.5 s and more leaves that much.
+// maxStartDeferral bounds the time after the node's start for which requests wait for the
+// configuration and the list of upstreams. When 295 nodes started at the same moment, all had
+// both within 0.22 s. A latency objective of 0.5 s or more leaves that much time.
 const maxStartDeferral clock.Millis = 400
 
-// deferredArrival is a request that has come before the node could decide on it.
+// deferredArrival is a request that arrived before the node had its initial state.
 type deferredArrival struct {
 	arrival    ArriveMsg
 	deferredAt clock.Millis
 }
 
-// defersArrivals tells whether a request is to wait until the node knows what it needs.
-// The clock begins with the process.
+// defersArrivals reports whether new requests wait for the initial state. The node's clock starts
+// at 0 with the process.
 func (m *Model) defersArrivals() bool { return !m.hasInitialState() && m.now < maxStartDeferral }
 
-// hasInitialState tells whether the node knows a configuration, a list, and the requests that
-// were in quarantine.
+// hasInitialState reports whether the node has a configuration, a list of upstreams and the
+// stored quarantine.
 func (m *Model) hasInitialState() bool {
 	return m.catalog != nil && len(m.upstreams) > 0 && !m.awaitsStoredQuarantine
 }
 
-// processDeferred takes up the requests that have waited for the node's start, once it knows
-// what it needs or will not know it soon.
+// processDeferred handles the deferred requests once the initial state is complete or
+// maxStartDeferral has passed.
 func (m *Model) processDeferred() []Cmd {
 	if len(m.deferred) == 0 || m.defersArrivals() {
 		return nil
@@ -45,7 +45,7 @@
 	return cmds
 }
 
-// dropDeferred drops a waiting request whose caller has left.
+// dropDeferred drops a deferred request whose client disconnected.
 func (m *Model) dropDeferred(id RequestID) {
 	m.deferred = slices.DeleteFunc(m.deferred, func(e deferredArrival) bool { return e.arrival.Request == id })
 }
--- a/dispatch/depart.go
+++ b/dispatch/depart.go
@@ -10,26 +10,25 @@
 )
 
 const (
-	// departDelay is how long streams may go on over an engine that is leaving
-	// before they are moved. It serves for two seconds at least; most streams
-	// end in that time, and a move while it still serves costs a short pause
-	// instead of a stall.
+	// departDelay is how long streams may continue on an engine that is leaving before they
+	// migrate. The engine serves for at least two seconds. Most streams end in that time, and
+	// migrating the others while the engine still serves costs a short pause instead of a stall.
 	departDelay clock.Millis = 1200
-	// migrationsPerTick bounds the streams that are moved at each tick, since all of
-	// them are read again by the same few engines.
+	// migrationsPerTick bounds the streams that migrate at each tick, since the same few engines
+	// must read the prompts of all of them again.
 	migrationsPerTick = 6
 )
 
-// markDeparting notes that an engine is leaving, or has no entry any more.
+// markDeparting records that an engine is leaving or has lost its entry.
 func (m *Model) markDeparting(id fleet.Incarnation) {
 	if _, known := m.departingSince[id]; !known {
 		m.departingSince[id] = m.now
 	}
 }
 
-// placementChanged takes the layers that an engine gives up out of use, and moves the
-// streams that pass them at once: the engine loads the new ones only when they
-// have gone.
+// placementChanged stops using the layers that an engine drops and migrates the streams through
+// them at the next tick, because the engine loads its new layers only after those streams have
+// left.
 func (m *Model) placementChanged(msg PlacedMsg) {
 	u := m.upstreams[msg.Upstream]
 	if u == nil {
@@ -47,7 +46,7 @@
 	m.departingSince[msg.Upstream] = m.now.Sub(departDelay)
 }
 
-// layersLoaded takes in that an engine holds layers, before the list shows it.
+// layersLoaded records the layers that an engine holds before the list shows them.
 func (m *Model) layersLoaded(u *upstream, layers fleet.Range) {
 	u.entry.Held = layers
 	u.layersReportedAt = m.now
@@ -58,7 +57,7 @@
 	}
 }
 
-// migrateDeparting moves streams off engines that have been leaving for a while.
+// migrateDeparting migrates streams off the engines that have been leaving for departDelay.
 func (m *Model) migrateDeparting() []Cmd {
 	var cmds []Cmd
 	for _, id := range slices.SortedFunc(maps.Keys(m.departingSince), fleet.Incarnation.Compare) {
@@ -72,8 +71,8 @@
 	return cmds
 }
 
-// migrateFrom moves some streams off an engine, and reports whether any are left
-// that may still be moved.
+// migrateFrom migrates some streams off an engine and reports whether others remain that may
+// still migrate.
 func (m *Model) migrateFrom(id fleet.Incarnation, cmds *[]Cmd) bool {
 	left := false
 	for _, request := range slices.Sorted(maps.Keys(m.requests)) {
@@ -90,7 +89,7 @@
 	return left
 }
 
-// passesThrough tells whether the attempt under way passes an engine.
+// passesThrough reports whether the chain of the current attempt contains an engine.
 func (r *request) passesThrough(id fleet.Incarnation) bool {
 	return slices.ContainsFunc(r.chain, func(p chain.Part) bool { return p.ID == id })
 }
--- a/dispatch/execution.go
+++ b/dispatch/execution.go
@@ -8,17 +8,16 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// execution is what is known of an upstream's run of a request, or of what may be one.
+// execution is a possible or certain execution of a request by an upstream.
 type execution struct {
 	cause Cause
-	// crashed tells that the upstream has ended since. The operator's bound is not for
-	// those.
+	// crashed reports whether the upstream has crashed since. Crashed upstreams do not count
+	// towards the operator's bound.
 	crashed bool
 }
 
-// recordExecution takes in that the upstream of a failed attempt has run the request, or may
-// have. A stream that was taken back for want of an event may have run as well: an
-// engine that has hung says nothing of it.
+// recordExecution records a failed attempt that the upstream may have executed. A stream that was
+// canceled for lack of events counts too, since a hung engine does not report what it executes.
 func (m *Model) recordExecution(r *request, msg AttemptFailedMsg) {
 	if msg.Cause != CauseUnknown && msg.Cause != CauseNoProgress && msg.Cause != CauseUpstreamFailed {
 		return
@@ -32,9 +31,9 @@
 	r.executedOn[u.entry.ID] = execution{cause: msg.Cause, crashed: u.crashed || u.unresponsive || left && msg.Cause == CauseUnknown}
 }
 
-// entryRemoved takes in that an upstream's entry has gone. That alone is no end: some serve
-// on for seconds without one. It is the end of one that broke off what it ran, or that
-// answers nothing.
+// entryRemoved handles the removal of an upstream's entry. The removal alone proves no crash,
+// since some upstreams serve for seconds without an entry. It does if the upstream broke off an
+// execution or is unresponsive.
 func (m *Model) entryRemoved(u *upstream) {
 	for _, r := range m.requests {
 		if at, ok := r.executedOn[u.entry.ID]; ok && (at.cause == CauseUnknown || u.unresponsive) {
@@ -44,9 +43,9 @@
 	}
 }
 
-// crashConfirmed takes in that an upstream's process has ended for certain, and has what is
-// under way there given up at once: engines that wait for it stand still for seconds, and
-// whoever has its address now knows nothing of the request.
+// crashConfirmed handles the confirmed end of an upstream's process and makes the attempts that
+// use it stop at once. Otherwise the engines that wait for it would stall for seconds, and the
+// next process at its address does not know the request.
 func (m *Model) crashConfirmed(u *upstream) []Cmd {
 	u.crashed = true
 	delete(m.departingSince, u.entry.ID)
@@ -64,13 +63,14 @@
 	return cmds
 }
 
-// hasCrashed tells whether an upstream has ended since its run of a request.
+// hasCrashed reports whether an upstream has crashed since its execution of a request.
 func (m *Model) hasCrashed(id fleet.Incarnation, at execution) bool {
 	u := m.upstreams[id]
 	return at.crashed || u != nil && u.unresponsive
 }
 
-// countedExecutions is how many upstreams have run the request, without those that have ended.
+// countedExecutions returns the number of upstreams that executed the request and have not
+// crashed.
 func (m *Model) countedExecutions(r *request) int {
 	n := 0
 	for id, at := range r.executedOn {
@@ -81,30 +81,30 @@
 	return n
 }
 
-// upstreamBoundReached tells whether only upstreams that have run the request may run it.
+// upstreamBoundReached reports whether only upstreams that have executed the request may execute
+// it again.
 func (m *Model) upstreamBoundReached(r *request) bool {
 	return m.countedExecutions(r) >= r.maxUpstreams()
 }
 
-// mayExecuteOn tells whether an upstream may get the request without exceeding the
-// number of upstreams that may run it.
+// mayExecuteOn reports whether an upstream may execute the request without exceeding the bound on
+// upstreams.
 func (r *request) mayExecuteOn(u *upstream) bool {
 	return r.executedBy(u) || len(r.executedOn) < r.maxUpstreams()
 }
 
-// executedBy tells whether an upstream has run the request.
+// executedBy reports whether an upstream has executed the request.
 func (r *request) executedBy(u *upstream) bool {
 	_, ok := r.executedOn[u.entry.ID]
 	return ok
 }
 
-// maxUpstreams is how many upstreams may run the request.
+// maxUpstreams returns how many upstreams may execute the request.
 func (r *request) maxUpstreams() int { return max(r.route.MaxAttempts, 1) }
 
-// mayExecuteAgain tells whether the operator's bound leaves another attempt. A stream may
-// always be asked of an upstream that has run it, as often as maxAttempts and the budget
-// of repeats leave. A plain request that may be repeated can be asked once more of one
-// that has failed it.
+// mayExecuteAgain reports whether the operator's bound allows another attempt. A stream may
+// always be sent again to an upstream that executed it, within maxAttempts and the retry budget.
+// A repeatable plain request may be sent once more to an upstream that failed it.
 func (r *request) mayExecuteAgain() bool {
 	switch r.route.Kind {
 	case catalog.Streaming:
--- a/dispatch/fail.go
+++ b/dispatch/fail.go
@@ -7,8 +7,8 @@
 	"github.com/hoistjunction/hoistjunction/catalog"
 )
 
-// attemptFailed decides what follows a failed attempt: another one, the
-// upstream's own failure, or an answer of the node's.
+// attemptFailed decides what follows a failed attempt: another attempt, the upstream's error
+// response, or an answer of the node.
 func (m *Model) attemptFailed(msg AttemptFailedMsg) []Cmd {
 	r := m.requests[msg.Request]
 	if r == nil || msg.Attempt != r.attempts {
@@ -27,7 +27,7 @@
 func (m *Model) afterFailure(r *request, msg AttemptFailedMsg) []Cmd {
 	reason := m.retryDenial(r, msg.Cause)
 	if reason == ReasonNoRetryBudget && msg.Cause == CauseFull && r.service.Pipeline == nil {
-		// It goes on when the budget allows, as it does when there is a place.
+		// The request is sent again once a slot is free and the retry budget allows it.
 		return m.awaitSlot(r)
 	}
 	if reason != "" {
@@ -35,14 +35,14 @@
 	}
 	cmds := m.resend(r)
 	if r.awaitsSlot && msg.Cause.spendsRetryBudget() {
-		// The repeat is paid for when it is made.
+		// The retry is charged when the request is sent again.
 		m.budget(r.service.Name).Return(m.now)
 	}
 	if slices.ContainsFunc(cmds, isSend) || !r.permitUpstream.IsZero() || r.awaitsSlot {
 		return cmds
 	}
 	if m.requests[r.arrival.Request] == nil && msg.Cause.spendsRetryBudget() {
-		// There was nobody to send it to.
+		// The retry was not sent, because no upstream was available.
 		m.budget(r.service.Name).Return(m.now)
 	}
 	if msg.Cause == CauseUpstreamFailed && !r.answerBegun() {
@@ -51,8 +51,8 @@
 	return cmds
 }
 
-// spendsRetryBudget tells whether another attempt takes from the budget of repeats: where the request
-// has reached an upstream.
+// spendsRetryBudget reports whether a retry after this cause is charged to the retry budget: only
+// if the request reached an upstream.
 func (c Cause) spendsRetryBudget() bool { return c != CauseNotSent && c != CauseStaleConfig }
 
 func isSend(cmd Cmd) bool {
@@ -60,7 +60,7 @@
 	return ok
 }
 
-// retryDenial returns why a request may not be sent again, or nothing.
+// retryDenial returns the reason why a request may not be sent again; empty if it may.
 func (m *Model) retryDenial(r *request, cause Cause) Reason {
 	ran := cause == CauseUnknown || cause == CauseNoProgress || cause == CauseUpstreamFailed
 	switch {
@@ -80,7 +80,7 @@
 	return ""
 }
 
-// endAfterFailure ends a request after its last attempt.
+// endAfterFailure ends a request that may not be sent again after a failed attempt.
 func (m *Model) endAfterFailure(r *request, msg AttemptFailedMsg, reason Reason) []Cmd {
 	if r.answerBegun() {
 		return m.giveUp(r, reason)
@@ -95,7 +95,7 @@
 	return m.respondOrAbort(r.arrival.Request, RelayFailureCmd{Request: r.arrival.Request, Attempt: msg.Attempt}, ReasonAnswerLost)
 }
 
-// recordFault notes what an attempt's failure says about an upstream.
+// recordFault records a failed attempt against the upstream at fault.
 func (m *Model) recordFault(r *request, msg AttemptFailedMsg) []Cmd {
 	if msg.Cause == CauseStaleConfig {
 		return nil
@@ -111,7 +111,7 @@
 	switch msg.Cause {
 	case CauseFull:
 		if at.inBackOff(m.now) {
-			// It has said for how long.
+			// The refusal carried Retry-After, which sets the time to avoid the upstream.
 			return nil
 		}
 		at.refusedAsFirst = at == r.first
@@ -129,12 +129,13 @@
 	}
 }
 
-// faultyUpstream returns the upstream that a failure speaks against. An attempt that
-// was taken back for want of events speaks against nobody, unless somebody was
-// found silent.
+// faultyUpstream returns the upstream at fault for a failed attempt; nil for none. An attempt
+// that was canceled for lack of events counts against no upstream unless one was found
+// unresponsive.
 func (m *Model) faultyUpstream(r *request, msg AttemptFailedMsg) *upstream {
 	if at, ok := r.upstreamAt(msg.FaultyAddress); ok {
-		// Who has ended since cannot be blamed, nor can who has its address now.
+		// The result is nil if that incarnation has been removed since: another upstream may have
+		// its address now.
 		return m.upstreams[at]
 	}
 	if msg.Cause == CauseNoProgress {
@@ -143,8 +144,8 @@
 	return r.first
 }
 
-// suspect keeps an upstream from getting work until a probe has found it well,
-// and tells the other streams that pass it.
+// suspect stops sending work to an upstream until a probe succeeds, and makes the other streams
+// through it check their progress.
 func (m *Model) suspect(u *upstream, cause Cause, by *request) []Cmd {
 	u.cause = cause
 	if u.suspected && m.now < u.avoidUntil {
@@ -158,8 +159,8 @@
 	return append(cmds, m.recheckAttempts(u, by)...)
 }
 
-// recheckAttempts tells the streams that pass an engine under suspicion, but for one that
-// has found it out.
+// recheckAttempts makes all streams through a suspected engine check their progress, except the
+// request that reported it.
 func (m *Model) recheckAttempts(u *upstream, by *request) []Cmd {
 	var cmds []Cmd
 	for _, id := range slices.Sorted(maps.Keys(m.requests)) {
--- a/dispatch/identity.go
+++ b/dispatch/identity.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// minIdentifyPause is after how long an upstream is asked again who it is that has not
-	// said so, which doubles up to maxIdentifyPause: it asks for a slot, and one that is
-	// full refuses. A verdict can wait for that; each question costs a health check.
+	// minIdentifyPause is the pause before an upstream is asked again for its identity after an
+	// answer that did not contain it. The pause doubles up to maxIdentifyPause, because the
+	// question takes a slot and a full upstream refuses it. The quarantine can wait for the
+	// answer, and each question costs a health check.
 	minIdentifyPause clock.Millis = 400
 	maxIdentifyPause clock.Millis = 6400
 )
 
-// recordProbeFate takes in what a probe tells of an upstream's end. Silence speaks of the address,
-// and so does an answer that bears no name: the next process may have it by then, under
-// another id. Such an answer takes nothing back that speaks against a request; whoever has
-// given it is asked for its name where anything hangs on that.
+// recordProbeFate updates the quarantine with the result of a probe. An unanswered probe and an
+// answer without a name only describe the address, which the next process may have under another
+// id. Such an answer therefore removes no evidence against a request; the upstream is asked for
+// its identity if that matters.
 func (m *Model) recordProbeFate(u *upstream, msg ProbedMsg) []Cmd {
 	switch {
 	case !msg.Answered:
@@ -28,7 +29,8 @@
 	return m.identify(u)
 }
 
-// identify asks who is at an upstream's address, if that decides about a request.
+// identify asks for the identity of the process at an upstream's address if a quarantine decision
+// depends on it.
 func (m *Model) identify(u *upstream) []Cmd {
 	if m.catalog == nil || u.identifying || m.now < u.identifyAfter || !m.quarantine.Disputed(u.entry.ID) {
 		return nil
@@ -41,7 +43,7 @@
 	return []Cmd{IdentifyCmd{Upstream: u.entry.ID, Address: u.entry.Address, Path: service.HealthPath}}
 }
 
-// retryIdentify asks those again that have not said who they are.
+// retryIdentify asks again the upstreams whose last answer did not contain their identity.
 func (m *Model) retryIdentify() []Cmd {
 	var cmds []Cmd
 	for _, id := range m.quarantine.Disputes() {
@@ -52,8 +54,8 @@
 	return cmds
 }
 
-// identified takes in who is at an upstream's address. Only its own name speaks for it;
-// another's proves that it has ended.
+// identified handles the identity of the process at an upstream's address. The upstream's own
+// name proves that it is alive; another name proves that its process has ended.
 func (m *Model) identified(msg IdentifiedMsg) []Cmd {
 	u := m.upstreams[msg.Upstream]
 	if u != nil {
@@ -73,15 +75,15 @@
 	return nil
 }
 
-// IdentifyCmd asks who is at an upstream's address.
+// IdentifyCmd asks for the identity of the process at an upstream's address.
 type IdentifyCmd struct {
 	Upstream fleet.Incarnation
 	Address  string
-	// Path is where upstreams of its service are asked how they are.
+	// Path is the health check path of the service.
 	Path string
 }
 
-// IdentifiedMsg tells who is at an upstream's address.
+// IdentifiedMsg reports the identity of the process at an upstream's address.
 type IdentifiedMsg struct {
 	Upstream fleet.Incarnation
 	Presence fleet.Presence
--- a/dispatch/limit.go
+++ b/dispatch/limit.go
@@ -11,57 +11,58 @@
 	"github.com/hoistjunction/hoistjunction/limit"
 )
 
-// maxPermitWait is for how long a request waits for a permit. The question takes a
-// millisecond, and is repeated for as long where datagrams are lost; then the request goes
-// elsewhere, or is refused.
+// maxPermitWait bounds how long a request waits for a permit. A permit request takes a
+// millisecond and is repeated during that time, since datagrams can be lost. Afterwards the
+// request is sent elsewhere or refused.
 const maxPermitWait clock.Millis = 250
 
-// awaitsPermit stands in for a reason while a request waits for a permit.
+// awaitsPermit is an internal Reason for requests that wait for a permit.
 const awaitsPermit Reason = "awaits_permit"
 
-// AdvertisedLimitMsg tells that an upstream takes so many requests a second from all nodes together, by
-// its own word.
+// AdvertisedLimitMsg reports the rate limit that an upstream advertises for all nodes together.
 type AdvertisedLimitMsg struct {
 	Upstream fleet.Incarnation
-	// Rate is in requests a second.
+	// Rate is in requests per second.
 	Rate float64
 }
 
-// NoAdvertisedLimitMsg tells that an upstream has answered a request, sent at a time, without a limit.
+// NoAdvertisedLimitMsg reports that an upstream advertised no limit in its answer to a request
+// that was sent at SentAt.
 type NoAdvertisedLimitMsg struct {
 	Upstream fleet.Incarnation
 	SentAt   clock.Millis
 }
 
-// PermitRequestMsg brings another node's question for permits. Ages are times of this node's.
+// PermitRequestMsg delivers another node's request for permits. Its ages are already converted to
+// this node's clock.
 type PermitRequestMsg struct {
 	From    string
 	Request limit.Ask
 }
 
-// PermitGrantMsg brings the answer to a question for permits.
+// PermitGrantMsg delivers the answer to a permit request.
 type PermitGrantMsg struct {
 	From  string
 	Grant limit.Grant
 }
 
-// RequestPermitsCmd asks another node for permits.
+// RequestPermitsCmd requests permits from another node.
 type RequestPermitsCmd struct{ limit.AskCmd }
 
-// GrantPermitsCmd answers another node's question.
+// GrantPermitsCmd answers another node's permit request.
 type GrantPermitsCmd struct {
 	To    string
 	Grant limit.Grant
 }
 
-// LimitChangedCmd is for the log: what is known of an upstream's limit has changed.
+// LimitChangedCmd logs a change of an upstream's known rate limit.
 type LimitChangedCmd struct {
 	Upstream fleet.Incarnation
-	// Rate is in requests a second; zero for no limit any more.
+	// Rate is in requests per second; zero if there is no limit any more.
 	Rate float64
-	// From is the node that has told it; empty for the upstream itself.
+	// From is the node that reported the limit; empty if the upstream advertised it.
 	From string
-	// Age is how long ago it was heard from the upstream.
+	// Age is the time since the upstream advertised the limit.
 	Age clock.Millis
 }
 
@@ -73,7 +74,7 @@
 func (GrantPermitsCmd) dispatchCmd()      {}
 func (LimitChangedCmd) dispatchCmd()      {}
 
-// updateLimits takes in what is told of limits.
+// updateLimits handles messages about rate limits.
 func (m *Model) updateLimits(msg Msg) []Cmd {
 	switch msg := msg.(type) {
 	case AdvertisedLimitMsg:
@@ -93,8 +94,8 @@
 	return nil
 }
 
-// mergePeerLimits takes in what another node knows of limits, so that the first requests that this
-// node sends to such an upstream are not too many.
+// mergePeerLimits adopts the rate limits that another node reported, so that this node does not
+// exceed a limit with its first requests to an upstream.
 func (m *Model) mergePeerLimits(msg UsageMsg) []Cmd {
 	var cmds []Cmd
 	for _, id := range slices.SortedFunc(maps.Keys(msg.Limits), fleet.Incarnation.Compare) {
@@ -110,7 +111,7 @@
 	return cmds
 }
 
-// permitsGranted takes the answer to a question for permits.
+// permitsGranted handles the answer to a permit request.
 func (m *Model) permitsGranted(msg PermitGrantMsg) []Cmd {
 	upstream := msg.Grant.Upstream
 	before, _ := m.limits.Limit(upstream)
@@ -124,7 +125,7 @@
 	return append(cmds, m.resumePermitWaiters(upstream)...)
 }
 
-// Limits returns the limits that hold, for metrics.
+// Limits returns the active rate limits, for metrics.
 func (m *Model) Limits(now clock.Millis) []limit.Shown { return m.limits.Show(now) }
 
 func (m *Model) limitChanged(upstream fleet.Incarnation, from string) []Cmd {
@@ -144,8 +145,8 @@
 	return cmds
 }
 
-// limitAllows tells whether a request may be sent to an upstream, as far as its limit goes: at
-// once, or after a permit was asked for.
+// limitAllows reports whether an upstream's rate limit allows a request, either at once or after
+// a permit is granted.
 func (m *Model) limitAllows(r *request, u *upstream) bool {
 	switch m.limits.State(m.now, u.entry.ID) {
 	case limit.Spent:
@@ -157,13 +158,13 @@
 	return true
 }
 
-// needsPermit tells whether a permit must be awaited before a request is sent to an upstream.
+// needsPermit reports whether a request must wait for a permit before it is sent to an upstream.
 func (m *Model) needsPermit(u *upstream) bool {
 	state := m.limits.State(m.now, u.entry.ID)
 	return state == limit.Askable || state == limit.Waiting
 }
 
-// awaitPermit asks for a permit for a request. This node may be the one that gives it.
+// awaitPermit requests a permit for a request. This node itself may be the one that grants it.
 func (m *Model) awaitPermit(r *request, u *upstream) []Cmd {
 	id := u.entry.ID
 	if r.permitUpstream.IsZero() {
@@ -178,8 +179,8 @@
 	return append(cmds, m.resumePermitWaiters(id)...)
 }
 
-// resumePermitWaiters goes on with the requests that have awaited a permit for an upstream, the most
-// urgent first, and the earlier of these.
+// resumePermitWaiters sends the requests that waited for a permit of an upstream, by priority and
+// then by arrival.
 func (m *Model) resumePermitWaiters(upstream fleet.Incarnation) []Cmd {
 	var waiting []*request
 	for _, id := range m.permitWaiters[upstream] {
@@ -199,8 +200,8 @@
 	return cmds
 }
 
-// reviewPermitWaiters repeats the questions for permits that were not answered, and lets go of the
-// requests that have waited for long.
+// reviewPermitWaiters repeats unanswered permit requests and resumes the requests that have
+// waited for maxPermitWait.
 func (m *Model) reviewPermitWaiters() []Cmd {
 	asks, failed := m.limits.Tick(m.now)
 	cmds := requestPermitsCmds(asks)
@@ -215,8 +216,8 @@
 	return cmds
 }
 
-// expirePermitWaits marks the requests that have awaited a permit for an upstream for long, and tells
-// whether there are any.
+// expirePermitWaits marks the requests whose wait for a permit of an upstream has expired, and
+// reports whether there are any.
 func (m *Model) expirePermitWaits(upstream fleet.Incarnation) bool {
 	found := false
 	for _, id := range m.permitWaiters[upstream] {
@@ -227,8 +228,7 @@
 	return found
 }
 
-// limitedUpstreams returns the upstreams of a request's service that would serve it but for their
-// limits.
+// limitedUpstreams returns the upstreams that could serve a request if they had no rate limits.
 func (m *Model) limitedUpstreams(r *request) []*upstream {
 	var list []*upstream
 	for _, u := range m.byService[r.service.Name] {
@@ -246,20 +246,21 @@
 	return list
 }
 
-// LimitRefusal says which limit has had a request refused, for the log.
+// LimitRefusal describes the rate limit that refused a request, for the log.
 type LimitRefusal struct {
-	// Upstream is the one that may be asked first again, and Rate its limit.
+	// Upstream is the limited upstream that accepts a request first, and Rate its limit in
+	// requests per second.
 	Upstream fleet.Incarnation
 	Rate     float64
-	// LimitedUpstreams is how many were limited, and Queue how many requests of all nodes were
-	// turned away from the first in the last 4 s.
+	// LimitedUpstreams is the number of limited upstreams. RecentDenials is the largest number of
+	// permits that one of them denied over all nodes in the last 4 s.
 	LimitedUpstreams int
 	RecentDenials    int
 }
 
-// limitRetryAfter returns when a caller should come back that was refused for upstreams' limits: as
-// many as were turned away lately come before it or after it, at the pace of the limits. The
-// more urgent are told less.
+// limitRetryAfter returns the Retry-After time of a request that was refused because of rate
+// limits. It spreads the retries over the time that the limits need to admit as many requests as
+// were denied lately. Requests of higher priority get shorter times.
 func (m *Model) limitRetryAfter(r *request) (back clock.Millis, why *LimitRefusal) {
 	list := m.limitedUpstreams(r)
 	if len(list) == 0 {
--- a/dispatch/loss.go
+++ b/dispatch/loss.go
@@ -15,27 +15,30 @@
 )
 
 const (
-	// spreadCost keeps a request under which an upstream has ended off all but one of the
-	// upstreams that could begin it, in ms for each token. It outweighs a crossing, and
-	// not an engine under suspicion.
+	// spreadCost is added to all but one of the engines that could begin a request whose work is
+	// suspected, in ms per token. It outweighs a hop to another data centre, but not the penalty
+	// of a suspected engine.
 	spreadCost = 30.0
-	// ownLossWindow is in what time it is found out whether an upstream has ended at which a
-	// request was lost: it is probed 0.4 s after a failure, 0.8 s after a second one, and
-	// a question takes 0.16 s. told is the same for one that another node has found to have
-	// ended: the entries of those that this node does not use go 4.5 s after their end.
+	// ownLossWindow is the time within which a crash must be found after this node lost a request
+	// at an upstream. The upstream is probed 0.4 s after a first failure and 0.8 s after a second
+	// one, and a probe takes 0.16 s. peerLossWindow is the same for losses that other nodes
+	// report: the entries of upstreams that this node does not use disappear 4.5 s after the
+	// crash.
 	ownLossWindow  clock.Millis = 1500
 	peerLossWindow clock.Millis = 5000
-	// canceledLossWindow is the same for one whose caller has left, and which is not asked: callers
-	// leave all the time. Others that are served there find its end.
+	// canceledLossWindow is the same for requests whose client disconnected. Their upstream is
+	// not probed for that, since clients disconnect all the time; other requests at the upstream
+	// reveal a crash.
 	canceledLossWindow clock.Millis = 400
-	// lossReviewInterval is how often losses are dropped that were not found out, and upstreams
-	// asked that may have ended. A list is up to 1.25 s old, so one that is not in it twice
-	// in a row has gone from it.
+	// lossReviewInterval is the pause between reviews, which drop unconfirmed losses and probe
+	// upstreams that may have crashed. A list is up to 1.25 s old, so an upstream that is missing
+	// at two consecutive reviews has been removed.
 	lossReviewInterval clock.Millis = 1000
 )
 
-// recordLoss takes in that an attempt has brought nothing. If its upstream is found to have
-// ended, the request may have ended it: who has begun to answer has borne the beginning.
+// recordLoss records that an attempt returned nothing. If its upstream is then found to have
+// crashed, the request may be the cause. An upstream that delivered further events was not
+// crashed by reading the request, which clears it.
 func (m *Model) recordLoss(r *request, msg AttemptFailedMsg) []Cmd {
 	if msg.Cause != CauseUnknown && msg.Cause != CauseNoProgress {
 		return nil
@@ -49,9 +52,9 @@
 	return nil
 }
 
-// recordLossAt takes in that a request was lost at an upstream. One that is leaving ends by itself.
-// It is probed after its failure in any case; where the request was lost before, it is asked
-// at once whether it has ended.
+// recordLossAt records that a request was lost at an upstream. An upstream that is leaving ends
+// by itself and is ignored. Every upstream is probed after a failure anyway; if the same request
+// was lost before, the upstreams concerned are probed at the next tick.
 func (m *Model) recordLossAt(r *request, u *upstream) []Cmd {
 	if u.entry.Leaving {
 		return nil
@@ -65,7 +68,7 @@
 	return cmds
 }
 
-// probeNextTick has an upstream asked at the next tick.
+// probeNextTick schedules a probe of an upstream for the next tick.
 func (m *Model) probeNextTick(u *upstream) {
 	u.addProbeCandidate()
 	if u.suspected {
@@ -75,22 +78,22 @@
 	u.statusWanted = true
 }
 
-// maxCrashed bounds the upstreams that are known to have gone. Twice as many have not been
-// seen to go within a minute.
+// maxCrashed bounds the recently removed upstreams that are remembered. No minute with twice as
+// many removals has been observed.
 const maxCrashed = 512
 
 func newCrashed() *simplelru.LRU[fleet.Incarnation, bool] {
 	ended, err := simplelru.NewLRU[fleet.Incarnation, bool](maxCrashed, nil)
 	if err != nil {
-		// Only a size below one is refused.
+		// NewLRU fails only for a size below one.
 		panic(err)
 	}
 	return ended
 }
 
-// upstreamFate is what is believed of an upstream's end. One that was never listed may be newer
-// than the list, or have come and gone between two looks at it: it counts as silent, and is
-// asked once it is listed.
+// upstreamFate returns whether an upstream has crashed, as far as this node knows. An upstream
+// that was never listed may be newer than the list, or may have started and ended between two
+// versions of it. It counts as unresponsive, and is probed once it is listed.
 func (m *Model) upstreamFate(id fleet.Incarnation) quarantine.Fate {
 	u := m.upstreams[id]
 	switch {
@@ -104,9 +107,10 @@
 	return quarantine.Unknown
 }
 
-// upstreamListed takes in that an upstream is in the list. One whose entry had gone may live, and its
-// entry have lapsed; or the list is an older one. Of one that was not listed before others
-// may have told.
+// upstreamListed handles an upstream that has appeared in the list. If its entry had been
+// removed, the upstream may be alive after a false removal, or the list may be an old one. Other
+// nodes may have reported losses at an upstream before it was listed; it is probed if any are
+// undecided.
 func (m *Model) upstreamListed(u *upstream) {
 	id := u.entry.ID
 	if m.crashed.Remove(id) {
@@ -117,7 +121,8 @@
 	}
 }
 
-// requestEnded forgets a request. Its caller may have left while an upstream ended under it.
+// requestEnded drops a request. The client may have disconnected while the upstream crashed, so
+// this records a loss if no answer had begun.
 func (m *Model) requestEnded(msg RequestEndedMsg) []Cmd {
 	r := m.requests[msg.Request]
 	var cmds []Cmd
@@ -133,8 +138,8 @@
 	return append(cmds, m.slotFreed(r.service.Name, first)...)
 }
 
-// recordPeerLoss takes in another node's loss. What has become of the upstream this node finds
-// out by itself: the other one may be cut off from it.
+// recordPeerLoss records a loss that another node reported. This node checks the upstream itself,
+// because the other node may be partitioned from it.
 func (m *Model) recordPeerLoss(msg PeerLossMsg) []Cmd {
 	fate := m.upstreamFate(msg.Upstream)
 	if u := m.upstreams[msg.Upstream]; u != nil && fate == quarantine.Unknown {
@@ -143,9 +148,9 @@
 	return m.quarantineCmds(m.quarantine.Lost(m.now, msg.Work, msg.Upstream, fate, peerLossWindow, false))
 }
 
-// mergeQuarantined takes requests that others have quarantined. Where it is not certain that
-// upstreams have ended under one, each counts as far as this node believes that itself: who
-// has told of it may be cut off from them.
+// mergeQuarantined adopts requests that other nodes have quarantined. Suspected crashes only
+// count if this node finds them itself, because the reporting node may be partitioned from the
+// upstreams.
 func (m *Model) mergeQuarantined(msg QuarantinedMsg) []Cmd {
 	m.awaitsStoredQuarantine = false
 	var cmds []Cmd
@@ -169,8 +174,7 @@
 	return cmds
 }
 
-// reviewLosses drops losses that were not found out, and has upstreams asked that may have
-// ended.
+// reviewLosses drops unconfirmed losses and probes upstreams that may have crashed.
 func (m *Model) reviewLosses() []Cmd {
 	cmds := m.quarantineCmds(m.quarantine.Review(m.now))
 	if m.now < m.lossesReviewedAt.Add(lossReviewInterval) {
@@ -188,14 +192,14 @@
 		case m.crashed.Contains(id), before[id]:
 			cmds = append(cmds, m.quarantineCmds(m.quarantine.Found(m.now, id, quarantine.Ended))...)
 		case len(m.upstreams) > 0:
-			// The list may be older than it.
+			// The list may be older than the upstream.
 			m.unlisted[id] = true
 		}
 	}
 	return cmds
 }
 
-// refuseQuarantined ends a request that has ended upstreams before.
+// refuseQuarantined ends a request that is quarantined for crashing upstreams.
 func (m *Model) refuseQuarantined(r *request, left clock.Millis) []Cmd {
 	id := r.arrival.Request
 	if r.executions > 0 {
@@ -207,9 +211,10 @@
 	return m.refuse(id, http.StatusServiceUnavailable, ReasonQuarantined, left)
 }
 
-// spreadSuspectedWork keeps a request under suspicion off all but one of the engines that could
-// begin it. Requests that were lost together then go to different ones, by a hash that all
-// nodes agree on, so that the next loss tells them apart.
+// spreadSuspectedWork adds spreadCost to all but one of the engines that could begin a suspected
+// request. The engine without it is chosen by a hash that is equal on all nodes. Requests that
+// were lost together are thereby sent to different engines, and the next loss shows which of them
+// crashes engines.
 func spreadSuspectedWork(w work.ID, holders []chain.Holder) {
 	best, least := -1, math.Inf(1)
 	for i, h := range holders {
@@ -224,7 +229,8 @@
 	}
 }
 
-// spreadOrder orders upstreams for a request, each request in another way: from 0 up to 1.
+// spreadOrder returns a hash of a request and an upstream as a number from 0 up to 1. It orders
+// the upstreams differently for each request.
 func spreadOrder(w work.ID, id fleet.Incarnation) float64 {
 	var h xxhash.Digest
 	h.Reset()
--- a/dispatch/migrate.go
+++ b/dispatch/migrate.go
@@ -5,11 +5,11 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// maxMigrations bounds how often one request's stream is moved, over all attempts.
+// maxMigrations bounds the migrations of one request over all attempts.
 const maxMigrations = 3
 
-// stalled moves a stream away from an engine that holds it up. One that is not
-// only slow is suspected, and the other streams that pass it are told.
+// stalled migrates a stream away from the engine that stalls it. Unless the engine is merely
+// slow, it becomes suspected, and the other streams through it check their progress.
 func (m *Model) stalled(msg StalledMsg) []Cmd {
 	r := m.requests[msg.Request]
 	if r == nil || msg.Attempt != r.attempts {
@@ -27,8 +27,8 @@
 	return append(cmds, m.migrate(r, at)...)
 }
 
-// migrate sends a running stream around an engine. The first engine of a chain
-// stays, since the stream comes from there.
+// migrate moves a running stream to a chain without one engine. The first engine of the chain
+// stays, because the stream comes from there.
 func (m *Model) migrate(r *request, away fleet.Incarnation) []Cmd {
 	if r.migrating || r.migrations >= maxMigrations || len(r.chain) == 0 || r.chain[0].ID == away {
 		return nil
@@ -43,7 +43,7 @@
 	return []Cmd{MigrateCmd{Request: r.arrival.Request, Attempt: r.attempts, Chain: parts, FromEngine: away}}
 }
 
-// detourChain builds a chain whose first part is the one in use.
+// detourChain builds a chain that avoids an engine and keeps the first part of the current chain.
 func (m *Model) detourChain(r *request, away fleet.Incarnation) ([]chain.Part, error) {
 	first := r.chain[0]
 	holders := m.holders(r, m.byService[r.service.Name], (*upstream).healthy, first.ID, away)
@@ -62,12 +62,12 @@
 	return append([]chain.Part{first}, rest...), nil
 }
 
-// keepEngineBonus speaks for the engines that a stream passes already, since they
-// have its tokens in memory; in ms for each token.
+// keepEngineBonus is subtracted from the cost of the engines that a stream already uses, since
+// they have its tokens in memory; in ms per token.
 const keepEngineBonus = 3.0
 
-// migrated takes in what came of a move. A stream that could not be moved is sent
-// again elsewhere once the shell gives the attempt up.
+// migrated handles the result of a migration. A stream that could not migrate is sent again
+// elsewhere once its session cancels the attempt.
 func (m *Model) migrated(msg MigratedMsg) []Cmd {
 	r := m.requests[msg.Request]
 	if r == nil || msg.Attempt != r.attempts {
--- a/dispatch/model.go
+++ b/dispatch/model.go
@@ -14,83 +14,83 @@
 	"github.com/hoistjunction/hoistjunction/quarantine"
 )
 
-// Model holds everything that the decisions depend on. It is not safe for
-// concurrent use.
+// Model holds the state behind all decisions of a node. It is not safe for concurrent use.
 type Model struct {
 	policy     Policy
 	dataCentre string
 	random     *rand.Rand
-	// retryDraw is drawn once for the node's budgets of repeats.
+	// retryDraw is a random number from 0 up to 1, drawn once and used by all retry budgets of
+	// this node.
 	retryDraw float64
 	now       clock.Millis
 
 	catalog           *catalog.Catalog
 	configConfirmedAt clock.Millis
-	// nodeCount is how many nodes there are, 0 while that is not known.
+	// nodeCount estimates the number of nodes; its total is 0 while unknown.
 	nodeCount nodeCount
-	// manyNodes tells that there are so many nodes that each has few requests, and seed sets this
-	// one's choices apart from others'.
+	// manyNodes reports whether the data centre has so many nodes that each one serves few
+	// requests. seed makes this node's choices differ from those of other nodes.
 	manyNodes bool
 	seed      uint64
-	// usagePeers is how many other nodes' use is to be known here, and summed tells that it is told
-	// in one sum.
+	// usagePeers is the number of other nodes whose usage this node should know. usageAggregated
+	// reports whether it receives that usage as one sum.
 	usagePeers      int
 	usageAggregated bool
 
 	upstreams       map[fleet.Incarnation]*upstream
 	probeCandidates probeSet
 	byService       map[string][]*upstream
-	// localByService are those of the own data centre, by service.
+	// localByService holds the upstreams of this node's data centre by service.
 	localByService map[string][]*upstream
-	// fastestTokenTime is the time of a token through all layers of a service's pipeline on its
-	// fastest engine, in ms.
+	// fastestTokenTime holds, by service, the time of one token through all layers of the
+	// pipeline on the fastest engine, in ms.
 	fastestTokenTime map[string]float64
 	requests         map[RequestID]*request
-	// deferred are the requests that wait for the node's start.
+	// deferred holds the requests that arrived before the node had its initial state.
 	deferred     []deferredArrival
 	retryBudgets map[string]*budget.Window
-	// nodeUsage is what other nodes have in use, by their names, and told what this node has told
-	// last of its own.
+	// peerUsage is the usage that other nodes reported, by node name. sharedUsage is the usage
+	// that this node shared last.
 	peerUsage   map[string]nodeUsage
 	sharedUsage map[fleet.Incarnation]fleet.Use
-	// meanStreamTime is the mean time of streams, in ms.
+	// meanStreamTime is the moving average of stream durations, in ms.
 	meanStreamTime float64
-	// outages are by service, and gaps are those among them in which layers had no
-	// engine.
+	// outages holds, by service, the current span of refusals. coverageGaps holds the spans in
+	// which some layers had no engine.
 	outages      map[string]*outage
 	coverageGaps map[string]*outage
-	// sharedAt is when this node last told what it has in use.
+	// sharedAt is when this node last shared its usage.
 	sharedAt clock.Millis
-	// departingSince are engines that are leaving, and since when.
+	// departingSince holds, by engine that is leaving, when its departure became known.
 	departingSince map[fleet.Incarnation]clock.Millis
-	// quarantine knows the requests that end the upstreams that run them, and reviewed is
-	// when what is not certain in it was last looked at.
+	// quarantine tracks the requests that crash upstreams. lossesReviewedAt is when unconfirmed
+	// losses were last reviewed.
 	quarantine       *quarantine.Table
 	lossesReviewedAt clock.Millis
-	// crashed are the upstreams whose entries went lately, and unlisted those that are
-	// thought to have ended under a request and had no entry when that was last looked at.
+	// crashed holds the upstreams whose entries were removed recently. unlisted holds the
+	// suspected crashes of quarantined requests that had no entry at the last review.
 	crashed  *simplelru.LRU[fleet.Incarnation, bool]
 	unlisted map[fleet.Incarnation]bool
-	// limits are those that upstreams name, and awaiting are the requests that wait for a
-	// permit.
+	// limits keeps the rate limits that upstreams advertise. permitWaiters holds, by upstream,
+	// the requests that wait for a permit.
 	limits        *limit.Keeper
 	permitWaiters map[fleet.Incarnation][]RequestID
-	// slotQueues are the requests that await a place, by plain service.
+	// slotQueues holds, by plain service, the requests that wait for a free slot.
 	slotQueues map[string]*slotQueue
-	// awaitsStoredQuarantine tells that what was in it before is not known yet.
+	// awaitsStoredQuarantine reports whether the stored quarantine has not been loaded yet.
 	awaitsStoredQuarantine bool
 }
 
-// Option sets up a Model.
+// Option configures a Model.
 type Option func(*Model)
 
-// WithPolicy sets what operators may set.
+// WithPolicy sets the operator's settings.
 func WithPolicy(p Policy) Option { return func(m *Model) { m.policy = p } }
 
-// WithDataCentre sets where the node stands.
+// WithDataCentre sets the data centre of the node.
 func WithDataCentre(name string) Option { return func(m *Model) { m.dataCentre = name } }
 
-// WithSeed sets the seed of what is drawn at random.
+// WithSeed sets the seed of all random choices.
 func WithSeed(seed uint64) Option {
 	return func(m *Model) {
 		m.seed = seed
@@ -99,17 +99,17 @@
 	}
 }
 
-// retryDrawStream sets the draw for budgets of repeats apart from all others.
+// retryDrawStream selects a random stream of its own for retryDraw.
 const retryDrawStream = 1
 
-// WithStoredQuarantine has the model wait at its start for the requests that were in
-// quarantine before, as for the configuration and the list.
+// WithStoredQuarantine makes the model defer requests at its start until the stored quarantine is
+// loaded, as it does for the configuration and the list of upstreams.
 func WithStoredQuarantine() Option { return func(m *Model) { m.awaitsStoredQuarantine = true } }
 
-// WithLimits sets how limits are kept that hold over all nodes together.
+// WithLimits sets the keeper of the rate limits that apply to all nodes together.
 func WithLimits(k *limit.Keeper) Option { return func(m *Model) { m.limits = k } }
 
-// New returns a model that knows no configuration and no upstreams.
+// New returns a model without a configuration and without upstreams.
 func New(opts ...Option) *Model {
 	m := &Model{
 		upstreams:         make(map[fleet.Incarnation]*upstream),
@@ -138,7 +138,7 @@
 	return m
 }
 
-// Update takes in one message and returns what is to be done.
+// Update handles one message and returns the resulting commands.
 func (m *Model) Update(now clock.Millis, msg Msg) []Cmd {
 	m.now = now
 	switch msg := msg.(type) {
@@ -176,7 +176,8 @@
 	return m.updateUpstreamState(msg)
 }
 
-// updateUpstreamState takes in what upstreams and other nodes tell beside the requests.
+// updateUpstreamState handles messages about the state of upstreams that come from the upstreams,
+// other nodes or the store.
 func (m *Model) updateUpstreamState(msg Msg) []Cmd {
 	switch msg := msg.(type) {
 	case BackOffMsg:
@@ -208,14 +209,14 @@
 	m.updateRetryBudgets()
 }
 
-// Ready tells whether the node can serve: it knows a configuration that is
-// fresh enough, and upstreams.
+// Ready reports whether the node can serve requests: it has a fresh configuration and a list of
+// upstreams.
 func (m *Model) Ready(now clock.Millis) bool {
 	return m.catalog != nil && len(m.upstreams) > 0 && m.configFresh(now)
 }
 
-// setCatalog takes the configuration in force. One that is superseded is never taken back,
-// whatever a late answer says, and proves nothing of the one in force.
+// setCatalog activates a configuration. An edition that does not supersede the active one is
+// ignored, and a late answer that carries it does not confirm the active one.
 func (m *Model) setCatalog(msg CatalogMsg) {
 	if msg.Catalog == nil {
 		m.configConfirmedAt = max(m.configConfirmedAt, msg.ConfirmedAt)
@@ -231,8 +232,8 @@
 	m.rebuildIndex()
 }
 
-// configFresh tells whether the newest configuration is known well enough for a
-// request with a key.
+// configFresh reports whether the configuration was confirmed recently enough to admit requests
+// with a key.
 func (m *Model) configFresh(now clock.Millis) bool {
 	return m.policy.MaxConfigAge == 0 || now.Sub(m.configConfirmedAt) <= m.policy.MaxConfigAge-freshnessMargin
 }
@@ -298,7 +299,7 @@
 	}
 }
 
-// recordFastestTokenTime takes in an engine for the time of a token on the fastest one.
+// recordFastestTokenTime updates fastestTokenTime with one engine.
 func (m *Model) recordFastestTokenTime(u *upstream) {
 	if u.pipeline == nil || u.layerTime <= 0 {
 		return
@@ -309,9 +310,8 @@
 	}
 }
 
-// tick does what depends on time: it probes suspected upstreams, moves streams
-// off engines that are leaving, takes up those that wait, and tells others what
-// is in use.
+// tick does the periodic work: it probes suspected upstreams, migrates streams off engines that
+// are leaving, resumes waiting requests, and shares this node's usage.
 func (m *Model) tick() []Cmd {
 	m.updateRetryBudgets()
 	m.expirePeerUsage()
--- a/dispatch/msg.go
+++ b/dispatch/msg.go
@@ -8,247 +8,250 @@
 	"github.com/hoistjunction/hoistjunction/work"
 )
 
-// RequestID names a request inside one node.
+// RequestID identifies a request within one node.
 type RequestID uint64
 
-// Msg is something that has happened.
+// Msg is an event that the Model handles.
 type Msg interface{ dispatchMsg() }
 
-// CatalogMsg brings the configuration that is in force from now on, and when it was known to
-// be the newest. Catalog is nil where only the time is new.
+// CatalogMsg activates a configuration or confirms the active one, if Catalog is nil.
 type CatalogMsg struct {
 	Catalog *catalog.Catalog
-	// ConfirmedAt is when the call that showed it was sent.
+	// ConfirmedAt is when the call was sent that returned the configuration as the newest one.
 	ConfirmedAt clock.Millis
 }
 
-// FleetMsg brings changes of the list of upstreams.
+// FleetMsg reports changes of the list of upstreams.
 type FleetMsg struct {
 	Changes []fleet.Change
 }
 
-// PeersMsg tells how many nodes there are, this one included.
+// PeersMsg reports the number of nodes, including this one, and how their usage is shared.
 type PeersMsg struct {
-	// TotalNodes is how many there are; 0 where others tell that.
+	// TotalNodes is the number of nodes; 0 if other nodes report it.
 	TotalNodes int
-	// LocalNodes is how many there are in the data centre, at a node that adds up how many others
-	// tell of theirs; 0 at all others.
+	// LocalNodes is the number of nodes in this data centre, if this node adds up the counts of
+	// all data centres; 0 otherwise.
 	LocalNodes int
-	// UsagePeers is how many others' use is to be known here one by one or, with Summed, in one sum.
+	// UsagePeers is the number of other nodes whose usage is reported to this node, one by one
+	// or, with Aggregated, as one sum.
 	UsagePeers int
-	// Aggregated tells that one node tells this one what all have in use.
+	// Aggregated reports whether another node sends the usage of all nodes as one sum.
 	Aggregated bool
-	// Members are the nodes.
+	// Members lists the nodes.
 	Members []limit.Member
 }
 
-// UsageMsg brings what another node's requests take at engines.
+// UsageMsg reports the engine usage of another node's requests.
 type UsageMsg struct {
 	Node string
-	// Engines is by engine.
+	// Engines is the usage by engine.
 	Engines map[fleet.Incarnation]fleet.Use
-	// DataCentreTotal tells that it is that of all nodes of another data centre, whose name Node is
-	// made of.
+	// DataCentreTotal reports whether Engines is the sum over all nodes of another data centre.
+	// Node is then derived from the name of that data centre.
 	DataCentreTotal bool
 	DataCentre      string
-	// AllNodes tells that it is that of all nodes, this one included, in other data centres
-	// those of IncludedDataCentres.
+	// AllNodes reports whether Engines is the sum over all nodes, including this one and the
+	// nodes of IncludedDataCentres.
 	AllNodes            bool
 	IncludedDataCentres []string
-	// Nodes is how many nodes these are; 0 where that is not told.
+	// Nodes is the number of nodes in the sum; 0 if unknown.
 	Nodes int
-	// Limits are what the node knows of the limits that upstreams name.
+	// Limits are the rate limits of upstreams as that node knows them.
 	Limits map[fleet.Incarnation]limit.Named
 }
 
-// PlacedMsg tells that an engine has been ordered to hold other layers, or, with
-// Holds, that it does. It waits for what passes through those that it gives up.
+// PlacedMsg reports that an engine was ordered to hold the given layers or, with Completed, that
+// it holds them. An engine carries out an order only after the streams through the layers that it
+// drops have left.
 type PlacedMsg struct {
 	Upstream  fleet.Incarnation
 	Layers    fleet.Range
 	Completed bool
 }
 
-// ArriveMsg brings a request that has been read whole.
+// ArriveMsg reports a new request whose body has been read completely.
 type ArriveMsg struct {
 	Request RequestID
-	// CallerID is the name that the caller gave this try.
+	// CallerID is the request id that the client chose.
 	CallerID string
-	// Work names what is asked for, whoever asks.
+	// Work identifies the content of the request, independent of the client account.
 	Work work.ID
 	Host string
 	Path string
-	// Key is the caller's key; HasKey tells that one was sent.
+	// Key is the client's key; HasKey reports whether it was sent.
 	Key    string
 	HasKey bool
-	// Remaining is how long the caller will wait; zero for no bound.
+	// Remaining is how long the client waits; zero for no bound.
 	Remaining clock.Millis
-	// PromptTokens and AnswerTokens are the sizes of a generation: the prompt
-	// and the most that may come out. HintTokens is the caller's guess of what
-	// will come out. Zero where they were not sent.
+	// PromptTokens and AnswerTokens are the prompt length and the maximum answer length of a
+	// generation. HintTokens is the client's estimate of the answer length. Each is zero if not
+	// sent.
 	PromptTokens int
 	AnswerTokens int
 	HintTokens   int
 }
 
-// AttemptFailedMsg tells that an attempt has brought no answer that may be
-// passed on.
+// AttemptFailedMsg reports that an attempt failed without a complete answer that may be relayed.
 type AttemptFailedMsg struct {
 	Request RequestID
 	Attempt int
 	Cause   Cause
-	// FaultyAddress is the address of the upstream at fault, if the answer named one.
+	// FaultyAddress is the address of the upstream at fault; empty if the answer did not name
+	// one.
 	FaultyAddress string
-	// Delivered says what the caller has of the answer, and Events how many events
-	// of a stream that is.
+	// Delivered is the part of the answer that the client has received, and Events the number of
+	// stream events in it.
 	Delivered Delivered
 	Events    int
 }
 
-// Delivered says what a caller has of its answer. One that has begun can only be gone
-// on with or broken off: any other answer would be written into it.
+// Delivered classifies the part of an answer that the client has received. An answer that has
+// begun can only be resumed or aborted, since any other answer would be appended to it.
 type Delivered uint8
 
 const (
 	// DeliveredNothing means that the answer has not begun.
 	DeliveredNothing Delivered = iota
-	// DeliveredEvents means that the caller has the events of a stream up to one that
-	// can be named, so another attempt may go on after it.
+	// DeliveredEvents means that the client has all stream events up to a known one, so that
+	// another attempt can resume after it.
 	DeliveredEvents
-	// DeliveredPartial means that the caller has some of an answer that nothing can go on
-	// with.
+	// DeliveredPartial means that the client has a part of an answer that cannot be resumed.
 	DeliveredPartial
 )
 
-// AttemptDoneMsg tells that an attempt's answer was passed on whole.
+// AttemptDoneMsg reports that an attempt's answer was relayed completely.
 type AttemptDoneMsg struct {
 	Request RequestID
 	Attempt int
 	Took    clock.Millis
-	// UpstreamFailed tells that the answer was a failure of the upstream's own.
+	// UpstreamFailed reports whether the answer was an error of the upstream.
 	UpstreamFailed bool
 }
 
-// StalledMsg tells that engines hold a running stream up.
+// StalledMsg reports that an engine stalls a running stream.
 type StalledMsg struct {
 	Request RequestID
 	Attempt int
-	// FaultyAddress is the address of the engine that it waits for.
+	// FaultyAddress is the address of the engine for which the stream waits.
 	FaultyAddress string
-	// Slow tells that the engine is alive, and only slow.
+	// Slow reports whether the engine is alive and merely slow.
 	Slow bool
 }
 
-// ReportMsg brings what an engine says of itself.
+// ReportMsg delivers an engine's report of its state.
 type ReportMsg struct {
 	Upstream fleet.Incarnation
 	Report   Report
 }
 
-// Report is what an engine says of itself, some hundred ms late.
+// Report is an engine's report of its state. It is some hundred ms old on arrival.
 type Report struct {
-	// Slowdown is how many times slower than usual it is; zero if it does not say.
+	// Slowdown is the ratio of the engine's token time to its normal value; zero if not reported.
 	Slowdown float64
-	// FreeMemory is the memory that it has left, in tokens times layers, and All what
-	// it has in all; All is zero if it does not say.
+	// FreeMemory and TotalMemory are in tokens times layers. TotalMemory is zero if not reported.
 	FreeMemory  float64
 	TotalMemory float64
-	// Queued is how many requests wait there for a slot.
+	// Queued is the number of requests that wait for a slot on the engine.
 	Queued int
-	// Empty tells that it holds no layers and has taken no order since its start.
+	// Empty reports whether the engine holds no layers and has accepted no order since its start.
 	Empty bool
 }
 
-// BackOffMsg tells that an upstream has turned a request away and wants no other from this
-// node for a time.
+// BackOffMsg reports that an upstream refused a request and asked this node, with Retry-After, to
+// send no other request for a time.
 type BackOffMsg struct {
 	Upstream fleet.Incarnation
 	For      clock.Millis
 }
 
-// MigratedMsg tells what came of a MigrateCmd.
+// MigratedMsg reports the result of a MigrateCmd.
 type MigratedMsg struct {
 	Request RequestID
 	Attempt int
 	Result  MigrationResult
-	// FaultyAddress is the address of the engine that refused, if the answer named one.
+	// FaultyAddress is the address of the engine that refused; empty if the answer did not name
+	// one.
 	FaultyAddress string
 }
 
-// RequestEndedMsg tells that a request is over: its caller has left, its time is up,
-// or its answer is out.
+// RequestEndedMsg reports that a request is over: the client disconnected, the time ran out, or
+// the answer was sent.
 type RequestEndedMsg struct {
 	Request RequestID
 }
 
-// ProbedMsg tells what came of a ProbeCmd.
+// ProbedMsg reports the result of a ProbeCmd.
 type ProbedMsg struct {
 	Upstream fleet.Incarnation
 	Answered bool
-	// Named tells that the answer says that it is of the run that was asked. Without that
-	// it may be of the next process at the address.
+	// Named reports whether the answer names the probed incarnation. An answer without that name
+	// may come from the next process at the same address.
 	Named  bool
 	Report Report
 }
 
-// PeerUnresponsiveMsg tells that another node has found an engine that answers neither
-// streams nor a probe.
+// PeerUnresponsiveMsg reports that an engine answered neither streams nor a probe of another
+// node.
 type PeerUnresponsiveMsg struct {
 	Upstream fleet.Incarnation
 }
 
-// PeerLossMsg tells that another node has lost a request at an upstream that has ended.
+// PeerLossMsg reports that another node lost a request at an upstream that crashed.
 type PeerLossMsg struct {
 	Work     work.ID
 	Upstream fleet.Incarnation
 }
 
-// PeerAnswerMsg tells that another node has brought an upstream's answer to a request
-// that was under suspicion.
+// PeerAnswerMsg reports that another node received an upstream's answer to a request that was
+// suspected of crashing upstreams.
 type PeerAnswerMsg struct {
 	Work work.ID
 }
 
-// QuarantinedMsg brings requests that are quarantined, from the store or another node.
+// QuarantinedMsg lists quarantined requests as reported by the store or another node.
 type QuarantinedMsg struct {
 	Works []Quarantined
 }
 
-// Quarantined is a request that was quarantined some time ago.
+// Quarantined is a quarantined request. Age is the time since its quarantine began.
 type Quarantined struct {
 	Work work.ID
 	Age  clock.Millis
-	// Ended are the upstreams that are thought to have ended under it; none where that is
-	// certain.
+	// Ended lists the upstreams that the request is suspected to have crashed; empty if the
+	// crashes are confirmed.
 	Ended []fleet.Incarnation
 }
 
-// VMResumedMsg tells that the VM goes on after it was suspended.
+// VMResumedMsg reports that the VM resumed after a suspension.
 type VMResumedMsg struct{}
 
-// TickMsg drives what depends on time alone.
+// TickMsg triggers the periodic work.
 type TickMsg struct{}
 
-// Cause says why an attempt failed, as far as it matters for what comes next.
+// Cause is the cause of a failed attempt, as far as it affects the next step.
 type Cause uint8
 
-// The causes.
+// Causes of failed attempts.
 const (
-	// CauseNotSent: no byte of the request was written.
+	// CauseNotSent means that no byte of the request was written.
 	CauseNotSent Cause = iota
-	// CauseStaleConfig: the node itself did not write it, since the configuration that
-	// decided it was no longer in force or fresh.
+	// CauseStaleConfig means that the node did not write the request, because the configuration
+	// that admitted it was replaced or no longer fresh.
 	CauseStaleConfig
-	// CauseFull: the upstream says that it did not run it for want of room.
+	// CauseFull means that the upstream answered that it did not execute the request for lack of
+	// capacity.
 	CauseFull
-	// CauseMisdirected: the upstream says that it is not the one meant, or does
-	// not hold what was asked of it.
+	// CauseMisdirected means that the upstream answered that it is another incarnation than the
+	// addressed one, or does not hold the requested layers.
 	CauseMisdirected
-	// Unknown: the request was sent, and there is no answer to trust.
+	// CauseUnknown means that the request was sent and no valid answer arrived.
 	CauseUnknown
-	// Slow: the request was sent, and was taken back for want of an answer.
+	// CauseNoProgress means that the request was sent and the attempt was canceled because no
+	// answer arrived in time.
 	CauseNoProgress
-	// Failed: the upstream ran it and answered with a failure of its own.
+	// CauseUpstreamFailed means that the upstream executed the request and answered with an
+	// error.
 	CauseUpstreamFailed
 )
 
@@ -257,21 +260,21 @@
 	CauseUnknown: "unknown", CauseNoProgress: "slow", CauseUpstreamFailed: "upstream_failed",
 }
 
-// String names the cause for logs.
+// String returns the name of the cause in logs.
 func (c Cause) String() string { return causeNames[c] }
 
-// MigrationResult is what came of moving a stream.
+// MigrationResult is the result of a stream migration.
 type MigrationResult uint8
 
-// The results of a move.
+// Results of a stream migration.
 const (
-	// Moved: the stream goes on over the new engines.
+	// MigrationDone means that the stream continues over the new engines.
 	MigrationDone MigrationResult = iota
-	// MigrationUnknownStream: the first engine does not know the stream.
+	// MigrationUnknownStream means that the first engine does not know the stream.
 	MigrationUnknownStream
-	// MigrationRefused: an engine of the new chain lacks the layers or room.
+	// MigrationRefused means that an engine of the new chain lacks the layers or the memory.
 	MigrationRefused
-	// MigrationUnanswered: the first engine did not answer.
+	// MigrationUnanswered means that the first engine did not answer.
 	MigrationUnanswered
 )
 
--- a/dispatch/node_count.go
+++ b/dispatch/node_count.go
@@ -3,37 +3,37 @@
 import "github.com/hoistjunction/hoistjunction/clock"
 
 const (
-	// countDelay is from which time of its life on a node adds up how many nodes there are:
-	// those of its data centre tell it of themselves each 0.3 s.
+	// countDelay is the time after the start of a node before it adds up the number of nodes:
+	// each node of its data centre announces itself each 0.3 s.
 	countDelay clock.Millis = 1500
-	// countHold is for how long a number counts after which a smaller one was told: one that
-	// counts and has just started does not know all yet, and what each node may do of what
-	// all may must not grow for that.
+	// countHold is how long a count is kept after a smaller one was reported. A node that has
+	// just started may report a count that is too small, and each node's part of the shared
+	// budgets must not grow because of that.
 	countHold clock.Millis = 15_000
 )
 
-// nodeCount is how many nodes there are, which bounds what each may do of what all may.
+// nodeCount estimates the number of nodes, by which the shared budgets are divided.
 type nodeCount struct {
-	// local is how many there are in the data centre, 0 where this node does not count them,
-	// and elsewhere how many others have told of theirs.
+	// local is the number of nodes in this data centre, or 0 if this node does not add up the
+	// counts. remote holds the numbers that other data centres reported.
 	local  int
 	remote map[string]int
-	// total is the number that counts, and at is when it was known to be no smaller.
+	// total is the count in use, and countedAt is when it was last confirmed as a lower bound.
 	total     int
 	countedAt clock.Millis
 }
 
-// setPeers takes what is known of the nodes.
+// setPeers updates the count from the membership.
 func (c *nodeCount) setPeers(now clock.Millis, msg PeersMsg) {
 	c.local = msg.LocalNodes
 	if msg.LocalNodes == 0 && !msg.Aggregated {
-		// All are known by name, and who is lost is taken off after minutes.
+		// All nodes are known by name; a lost node is removed after minutes.
 		c.total, c.countedAt = msg.TotalNodes, now
 	}
 	c.recount(now)
 }
 
-// peerReported takes how many nodes of a data centre another one has told of, or of all.
+// peerReported handles a count that another node reported for its data centre or for all nodes.
 func (c *nodeCount) peerReported(now clock.Millis, dataCentre string, whole bool, nodes int) {
 	switch {
 	case nodes <= 0:
--- a/dispatch/preference_test.go
+++ b/dispatch/preference_test.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// preferenceNodes have one request each, over engines that hold a quarter of the layers
-	// each, so many for each quarter.
+	// preferenceNodes send one request each over engines that hold a quarter of the layers each.
+	// Each quarter is held by enginesPerQuarter engines.
 	preferenceNodes   = 200
 	enginesPerQuarter = 12
 	preferenceLayers  = 80
 )
 
-// engineChoices returns how often each engine is part of the first chains of nodes that know
-// the same.
+// engineChoices returns how often each engine is part of the first chain of nodes that have the
+// same view.
 func engineChoices(large bool) map[fleet.Incarnation]int {
 	pipeline := &catalog.Pipeline{
 		Layers: preferenceLayers, LayerMB: 1000, TokenBytes: 80_000, StepMS: 1, ReadRate: 100, StepsInPass: 1, ReadInPass: 100,
@@ -53,9 +53,9 @@
 	return counts
 }
 
-// In a data centre of two hundred nodes, with a request each four seconds a node, all built
-// the same cheapest chain of 570 engines. One engine of it that gave its layers up turned 27
-// requests of 27 nodes away within half a second.
+// Guards against nodes that all choose the same cheapest chain. In a data centre of two hundred
+// nodes and 570 engines, with a request each four seconds per node, one engine of that chain
+// dropped its layers and refused 27 requests of 27 nodes within half a second.
 func TestNodesWithEqualViewChooseDifferentEngines(t *testing.T) {
 	most := func(counts map[fleet.Incarnation]int) int {
 		most := 0
@@ -72,7 +72,8 @@
 	if got, want := len(counts), 4*enginesPerQuarter; got != want {
 		t.Errorf("got %d engines used, want all %d", got, want)
 	}
-	// Where each node has many requests they learn of each other's by what is in use.
+	// In a small data centre each node has many requests, and the nodes choose different engines
+	// because they know each other's usage.
 	if got, want := most(engineChoices(false)), preferenceNodes; got != want {
 		t.Errorf("got %d of %d requests over one engine in a small data centre, want all", got, want)
 	}
--- a/dispatch/probe.go
+++ b/dispatch/probe.go
@@ -7,7 +7,7 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// sendProbes asks the upstreams that it is time to ask.
+// sendProbes probes the upstreams whose probe is due.
 func (m *Model) sendProbes() []Cmd {
 	var cmds []Cmd
 	for id, u := range m.probeCandidates {
@@ -27,7 +27,7 @@
 	return cmds
 }
 
-// recordStatus notes how slow an engine is, and how much memory it has left.
+// recordStatus records an engine's slowdown and free memory from its report.
 func (m *Model) recordStatus(id fleet.Incarnation, report Report) {
 	u := m.upstreams[id]
 	if u == nil {
@@ -43,8 +43,8 @@
 	}
 }
 
-// probeDone ends a suspicion, or goes on with it. An engine that was suspected and
-// does not answer a probe either is taken as lost.
+// probeDone handles the result of a probe: an answer ends the suspicion, otherwise it continues.
+// A suspected engine that does not answer becomes unresponsive.
 func (m *Model) probeDone(msg ProbedMsg) []Cmd {
 	u := m.upstreams[msg.Upstream]
 	if u == nil {
@@ -53,14 +53,15 @@
 	u.probing = false
 	m.recordStatus(msg.Upstream, msg.Report)
 	if msg.Answered && msg.Report.Empty {
-		// It has started again, and the list shows for some seconds what it held before. Each
-		// node that believed that would have a request turned away.
+		// The engine has restarted, and the list shows its former layers for some seconds. Each
+		// node that relied on the list would have a request refused.
 		u.entry.Held = fleet.Range{}
 	}
 	cmds := m.recordProbeFate(u, msg)
 	if u.crashCheckOnly {
-		// Its suspicion has a time of its own: one that breaks requests off may answer this,
-		// and one that is held up for a moment is not lost for that.
+		// This probe only checks for a crash. The suspicion keeps its own duration: an engine
+		// that breaks requests off may still answer probes, and one that pauses for a moment is
+		// not lost.
 		return cmds
 	}
 	u.suspected = !msg.Answered
@@ -79,16 +80,17 @@
 }
 
 const (
-	// peerReportWindow is for how long another node's word on an engine's silence agrees with this
-	// node's own finding: a probe follows within 0.1 s, and takes 0.16 s at the most.
+	// peerReportWindow is how long another node's report of an unresponsive engine confirms this
+	// node's own finding: a probe follows within 0.1 s and takes at most 0.16 s.
 	peerReportWindow clock.Millis = 1000
-	// probeSpread is within what time a node that is told sums probes an engine that others
-	// have found silent. The hubs do so at once; two hundred nodes that did so too would
-	// ask each of a hundred lost engines at the same moment.
+	// probeSpread is the time over which nodes that receive aggregated usage spread their probes
+	// of an engine that another node found unresponsive. Hubs probe at once. If two hundred nodes
+	// did so, each of a hundred crashed engines would be probed by all of them at the same
+	// moment.
 	probeSpread clock.Millis = 2000
 )
 
-// peerReportWindow is for how long another node's word on an engine's silence agrees with this
+// peerReportWindow returns how long another node's report of an unresponsive engine confirms this
 // node's own finding.
 func (m *Model) peerReportWindow() clock.Millis {
 	if m.usageAggregated {
@@ -97,10 +99,10 @@
 	return peerReportWindow
 }
 
-// peerFoundUnresponsive suspects an engine that another node has found silent. Without that each
-// of sixty nodes sent requests over each of nine lost engines until it had found out by
-// itself, and spent its budget of repeats on them. A probe ends the suspicion where the word
-// was wrong: at the next tick, or later where many nodes are told.
+// peerFoundUnresponsive suspects an engine that another node found unresponsive. Without that
+// report each of sixty nodes sent requests over each of nine crashed engines until it detected
+// the crash itself, and used up its retry budget. A probe ends the suspicion if the report was
+// wrong, at the next tick or, with aggregated usage, within probeSpread.
 func (m *Model) peerFoundUnresponsive(msg PeerUnresponsiveMsg) []Cmd {
 	u := m.upstreams[msg.Upstream]
 	if u == nil || u.pipeline == nil {
--- a/dispatch/probe_candidates.go
+++ b/dispatch/probe_candidates.go
@@ -2,18 +2,18 @@
 
 import "github.com/hoistjunction/hoistjunction/fleet"
 
-// probeSet holds the upstreams of which something is to be asked, or may soon be. Of thousands
-// these are a few, and the others are not looked at ten times a second.
+// probeSet holds the upstreams that need a probe or may need one soon. They are few among
+// thousands, so a tick does not visit the others.
 type probeSet map[fleet.Incarnation]*upstream
 
-// addProbeCandidate has the upstream looked at until nothing is to be asked of it.
+// addProbeCandidate adds the upstream to the set. It stays there until it needs no probe.
 func (u *upstream) addProbeCandidate() {
 	if u.probeCandidates != nil {
 		u.probeCandidates[u.entry.ID] = u
 	}
 }
 
-// mayNeedProbe tells whether something is to be asked of the upstream, now or later.
+// mayNeedProbe reports whether the upstream needs a probe now or may need one later.
 func (u *upstream) mayNeedProbe() bool {
 	return u.probing || u.suspected || u.statusWanted || u.slowdown > normalSlowdown
 }
--- a/dispatch/probe_candidates_test.go
+++ b/dispatch/probe_candidates_test.go
@@ -8,9 +8,9 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// Ten times a second each node looked at each upstream for one that is to be asked: two fifths
-// of what 300 nodes and 855 engines took in the emulator. Only those are looked at of which
-// something is to be asked.
+// Guards against ticks that visit every upstream ten times a second, which took two fifths of the
+// time of 300 nodes and 855 engines in the emulator. A tick must only visit the upstreams that
+// may need a probe.
 func TestTickVisitsOnlyProbeCandidates(t *testing.T) {
 	for _, upstreams := range []int{30, 3000} {
 		m := New()
--- a/dispatch/prompt_load.go
+++ b/dispatch/prompt_load.go
@@ -3,23 +3,22 @@
 import "github.com/hoistjunction/hoistjunction/clock"
 
 const (
-	// initialStreamTime stands in for how long a stream lasts until that is known, in ms.
+	// initialStreamTime is the assumed mean duration of streams before the first one ends, in ms.
 	initialStreamTime = 3000.0
-	// streamTimeWeight is the weight of a new reading in the mean time of streams.
+	// streamTimeWeight is the weight of a new sample in the moving average of stream durations.
 	streamTimeWeight = 0.05
-	// batchShare is the part of an engine's streams that is in its batch at a time; the
-	// others are at other stages of their chains.
+	// batchShare is the share of an engine's streams that are in its batch at a time; the others
+	// are at other stages of their chains.
 	batchShare = 0.5
 )
 
-// recordStreamTime takes in how long a stream has lasted.
+// recordStreamTime adds a sample to the moving average of stream durations.
 func (m *Model) recordStreamTime(took clock.Millis) {
 	m.meanStreamTime += streamTimeWeight * (float64(took) - m.meanStreamTime)
 }
 
-// promptLoad is the part of the prompts that an engine can read in time which it gets, as
-// far as its memory in use tells: streams that last for so long have come at such a
-// rate.
+// promptLoad estimates the ratio of the prompts that an engine receives to those that it can read
+// in time. The rate of prompts follows from the memory in use and the mean duration of streams.
 func (m *Model) promptLoad(u *upstream, free float64) float64 {
 	layers := u.entry.Held.Len()
 	used := u.memory - free
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -11,61 +11,62 @@
 	"github.com/hoistjunction/hoistjunction/work"
 )
 
-// request is a request under way.
+// request is a request in progress.
 type request struct {
 	arrival   ArriveMsg
 	arrivedAt clock.Millis
-	// callerDeadline is when the caller stops waiting, giveUp when the route's time
-	// is up.
+	// callerDeadline is when the client stops waiting. giveUp is when the route's timeout ends.
 	callerDeadline clock.Millis
 	giveUp         clock.Millis
 	route          *catalog.Route
 	service        *catalog.Service
 	account        catalog.Account
 	requiresKey    bool
-	// work names what the client account asks for.
+	// work identifies the content of the request together with its client account.
 	work work.ID
-	// memoryTokens is the size that memory is reserved for.
+	// memoryTokens is the size for which memory is reserved, in tokens.
 	memoryTokens float64
-	// attempts counts attempts, and runs those that may have run.
+	// attempts counts the attempts, and executions those that may have been executed.
 	attempts   int
 	executions int
 	tried      map[fleet.Incarnation]bool
-	// executedOn are its runs by upstream. The operator bounds the number of upstreams, not
-	// how often one of them is asked.
+	// executedOn holds the executions by upstream. The operator bounds the number of upstreams,
+	// not the number of executions on each.
 	executedOn map[fleet.Incarnation]execution
-	// delivered says what the caller has of the answer, and events how many events
-	// that is.
+	// delivered is the part of the answer that the client has received, and deliveredEvents the
+	// number of stream events in it.
 	delivered       Delivered
 	deliveredEvents int
-	// waitReason tells that a stream that has begun waits for something to go on
-	// with, until waitUntil.
+	// waitReason is why a stream that has begun waits to be resumed, until waitUntil; empty if it
+	// does not wait.
 	waitReason Reason
 	waitUntil  clock.Millis
-	// permitUpstream is the upstream for which it waits for a permit, until permitWaitUntil, and
-	// impatient tells that it waits for none any more.
+	// permitUpstream is the upstream for which the request waits for a permit, until
+	// permitWaitUntil. permitWaitExpired reports whether it no longer waits for any permit.
 	permitUpstream    fleet.Incarnation
 	permitWaitUntil   clock.Millis
 	permitWaitExpired bool
-	// awaitsSlot tells that it awaits a place at a plain service, and expirePermitWaits that it has.
+	// awaitsSlot reports whether the request waits for a slot at a plain service, and
+	// waitedForSlot whether it has waited before.
 	awaitsSlot, waitedForSlot bool
-	// slotRefusals counts the attempts that found no place. They end with its time, and with the
-	// budget of repeats, and not with a number.
+	// slotRefusals counts the attempts that found no slot. They are bounded by the request's time
+	// and by the retry budget, not by maxAttempts.
 	slotRefusals int
-	// afterBackOff tells that some of what it could go on at rests.
+	// afterBackOff reports whether some of the upstreams on which a waiting stream can resume are
+	// in back-off.
 	afterBackOff bool
 
-	// The attempt under way.
+	// The current attempt.
 	first        *upstream
 	chain        []chain.Part
 	reservations []reservation
-	// migrating tells that a move is under way, and moves counts them.
+	// migrating reports whether a migration is in progress, and migrations counts them.
 	migrating  bool
 	migrations int
 }
 
-// upstreamAt returns the upstream at an address that the attempt under way passes. The address may
-// be another one's by now.
+// upstreamAt returns the incarnation that the current attempt uses at an address. Another
+// incarnation may have the address by now.
 func (r *request) upstreamAt(address string) (fleet.Incarnation, bool) {
 	if r.first != nil && r.first.entry.Address == address {
 		return r.first.entry.ID, true
@@ -78,7 +79,7 @@
 	return fleet.Incarnation{}, false
 }
 
-// priority is the account's where it has one, and the route's otherwise.
+// priority returns the priority of the client account if it has one, or else that of the route.
 func (r *request) priority() int {
 	if r.account.HasPriority {
 		return r.account.Priority
@@ -86,10 +87,10 @@
 	return r.route.Priority
 }
 
-// answerBegun tells whether the caller has some of the answer.
+// answerBegun reports whether the client has received a part of the answer.
 func (r *request) answerBegun() bool { return r.delivered != DeliveredNothing }
 
-// reservation is memory that a request takes at an engine.
+// reservation is memory that a request reserves at an engine.
 type reservation struct {
 	upstream *upstream
 	amount   float64
@@ -100,7 +101,7 @@
 	return min(r.callerDeadline, r.giveUp).Sub(now)
 }
 
-// vmResumed tells all requests that more time has passed than their timers count.
+// vmResumed makes all requests reset their timers after a suspension of the VM.
 func (m *Model) vmResumed() []Cmd {
 	var cmds []Cmd
 	for _, id := range slices.Sorted(maps.Keys(m.requests)) {
@@ -110,7 +111,7 @@
 	return cmds
 }
 
-// reserve notes the memory that a chain takes.
+// reserve reserves memory at all engines of a chain, in place of the former reservations.
 func (m *Model) reserve(r *request, parts []chain.Part) {
 	m.release(r)
 	r.chain = parts
@@ -133,7 +134,7 @@
 	r.chain = nil
 }
 
-// endAttempt gives back what the attempt under way has taken.
+// endAttempt releases the resources of the current attempt.
 func (m *Model) endAttempt(r *request) {
 	m.release(r)
 	if r.first != nil {
--- a/dispatch/retry_after.go
+++ b/dispatch/retry_after.go
@@ -3,27 +3,26 @@
 import "github.com/hoistjunction/hoistjunction/clock"
 
 const (
-	// outageQuietTime is after how long without a refusal a shortage is over.
+	// outageQuietTime is the time without a refusal after which an outage is over.
 	outageQuietTime clock.Millis = 1000
-	// maxCoverageGap bounds for how long a gap in the layers is expected to last.
+	// maxCoverageGap bounds the expected duration of a coverage gap.
 	maxCoverageGap clock.Millis = 10_000
-	// maxRetryAfter bounds the time after which a refused caller is told to come
-	// back: gaps in the layers are closed within some three seconds.
+	// maxRetryAfter bounds the Retry-After time: coverage gaps are closed within some three
+	// seconds.
 	maxRetryAfter clock.Millis = 4000
-	// minOutageFactor and spread set the callers that come back apart: each waits for
-	// its own part of the time, so that they do not all return at once.
+	// minOutageFactor and outageSpread spread client retries: each client waits for its own
+	// multiple of the outage's duration, so that they do not all retry at once.
 	minOutageFactor = 0.75
 	outageSpread    = 0.5
 )
 
-// outage is a span in which requests of a service were refused for want of
-// something that may come back.
+// outage is a time span in which requests of a service were refused for a reason that may pass.
 type outage struct {
 	startedAt     clock.Millis
 	lastRefusalAt clock.Millis
 }
 
-// recordRefusal takes in a refusal, and returns for how long the shortage has lasted.
+// recordRefusal adds a refusal and returns the duration of the outage so far.
 func (s *outage) recordRefusal(now clock.Millis) clock.Millis {
 	if now > s.lastRefusalAt.Add(outageQuietTime) {
 		s.startedAt = now
@@ -33,15 +32,16 @@
 }
 
 const (
-	// usableTimeShare is the part of the time that a caller has left within which it should come
-	// back: the rest is for the answer.
+	// usableTimeShare is the share of the client's remaining time within which it should retry;
+	// the rest is for the answer.
 	usableTimeShare = 0.75
-	// cappedTimeShare is the part that it is told where what it lacks is expected later: nobody
-	// knows for certain, and one that comes back after its time is never served.
+	// cappedTimeShare is the share of that time after which the client should retry if the
+	// resource is expected later. The estimate is uncertain, and a client that retries after its
+	// deadline is never served.
 	cappedTimeShare = 1.0 / 3
 )
 
-// capRetryAfter is when a caller should come back by an estimate, in the time that it has left.
+// capRetryAfter limits an estimated Retry-After time to the client's remaining time.
 func (r *request) capRetryAfter(now, back clock.Millis) clock.Millis {
 	left := float64(r.callerDeadline.Sub(now))
 	if r.arrival.Remaining <= 0 || float64(back) <= usableTimeShare*left {
@@ -50,8 +50,8 @@
 	return max(clock.Millis(cappedTimeShare*left), 0)
 }
 
-// retryAfter is when a refused caller should come back: a shortage that has lasted
-// for some time is likely to last as long again.
+// retryAfter returns the Retry-After time of a refused request. An outage is expected to last as
+// long again as it has lasted.
 func (m *Model) retryAfter(r *request, reason Reason, lack *MissingResource) clock.Millis {
 	if reason == ReasonNoHolder {
 		if healed := m.coverageRetryAfter(r, lack); healed > 0 {
@@ -69,7 +69,7 @@
 	return min(max(least, clock.Millis(lasted)), maxRetryAfter)
 }
 
-// outageDuration notes a refusal, and returns for how long there have been such of the service.
+// outageDuration records a refusal and returns the duration of the service's outage so far.
 func (m *Model) outageDuration(shortages map[string]*outage, r *request) clock.Millis {
 	s := shortages[r.service.Name]
 	if s == nil {
@@ -79,10 +79,11 @@
 	return s.recordRefusal(m.now)
 }
 
-// coverageRetryAfter is when a caller should come back that was refused since layers have no engine:
-// once they have been loaded by another one, which takes the planners some 1.2 s beside the
-// load itself, and a little spread out. Zero where they should have been by now. A caller
-// that is told less is refused again, as two in three were that came back after 1.5 s.
+// coverageRetryAfter returns the Retry-After time of a request that was refused because layers
+// have no engine: the time until another engine has loaded them, with a small spread. The
+// placement planners need some 1.2 s in addition to the load. It returns zero if the layers
+// should have been loaded by now. Shorter times only lead to further refusals, as for two in
+// three of the clients that retried after 1.5 s.
 func (m *Model) coverageRetryAfter(r *request, lack *MissingResource) clock.Millis {
 	p := r.service.Pipeline
 	if p == nil || lack == nil {
--- a/dispatch/retry_budget.go
+++ b/dispatch/retry_budget.go
@@ -2,23 +2,23 @@
 
 import "github.com/hoistjunction/hoistjunction/budget"
 
-// The whole system may make so many repeats in a window, and a node does not know what
-// nodes of before have made: one of its own name may have spent all that it had until just
-// now, and all nodes may have been started anew at once. So what may be spent is split: a
-// part for nodes that have run for a window, and a part for those that have not. Of the
-// share all nodes that start in one window have together no more than their part, since
-// each earns it by requests of its own; of the slack each start takes a part.
+// All nodes together may make a bounded number of retries in a window, but a node does not know
+// the retries of earlier processes: a process of the same name may just have spent its whole
+// budget, and all nodes may have restarted at once. The budget is therefore split into a part for
+// nodes that have run for at least a window and a part for nodes in their first window. All nodes
+// that start within one window cannot exceed their part of the share, since each earns it with
+// its own requests. Of the slack each start takes a part.
 const (
-	// laterShare and firstWindowShare are the parts of the share, and sum up to all of it.
+	// laterShare and firstWindowShare are the parts of the share and add up to 1.
 	laterShare       = 0.6
 	firstWindowShare = 1 - laterShare
-	// laterSlack and firstWindowSlack are the parts of the slack. With all nodes started anew
-	// three times in one window they sum up to 0.99.
+	// laterSlack and firstWindowSlack are the parts of the slack. If all nodes restart three
+	// times in one window, the parts add up to 0.99.
 	laterSlack       = 0.45
 	firstWindowSlack = 0.18
 )
 
-// budget returns this node's part of a service's budget of repeats.
+// budget returns this node's part of a service's retry budget.
 func (m *Model) budget(service string) *budget.Window {
 	b, ok := m.retryBudgets[service]
 	if !ok {
@@ -29,8 +29,8 @@
 	return b
 }
 
-// retryAllowance is this node's part of the share of repeats, and of the slack: none of the
-// slack before it knows how many nodes there are, some 10 ms after a start.
+// retryAllowance returns this node's part of the retry share and of the slack. The slack is 0
+// until the number of nodes is known, some 10 ms after a start.
 func (m *Model) retryAllowance() (share, slack float64) {
 	ofShare, ofSlack := laterShare, laterSlack
 	if m.now < m.policy.RetryWindow {
@@ -42,7 +42,7 @@
 	return m.policy.RetryShare * ofShare, slack
 }
 
-// updateRetryBudgets sets this node's part of all budgets.
+// updateRetryBudgets applies the current allowance to all retry budgets.
 func (m *Model) updateRetryBudgets() {
 	share, slack := m.retryAllowance()
 	for _, b := range m.retryBudgets {
--- a/dispatch/retry_budget_test.go
+++ b/dispatch/retry_budget_test.go
@@ -16,12 +16,12 @@
 	retrySlack    = 120
 	// requestInterval is the pause between two requests at one node, in ms.
 	requestInterval = 20
-	// retrySimDuration is how long a play lasts, in ms.
+	// retrySimDuration is the duration of a simulation, in ms.
 	retrySimDuration = 45_000
 )
 
-// retryingNode is a node whose upstream fails, from some time on, all that it gets, so that it
-// spends all that it may.
+// retryingNode is a node whose only upstream fails every request from some time on, so that the
+// node spends its whole retry budget.
 type retryingNode struct {
 	model       *Model
 	startedAt   clock.Millis
@@ -40,8 +40,8 @@
 	return &retryingNode{model: m, startedAt: at}
 }
 
-// serve has a request arrive, whose attempts all fail or go well, and returns how often it
-// is repeated.
+// serve handles a request whose attempts all fail or, without fails, a request that is not
+// retried. It returns the number of retries.
 func (s *retryingNode) serve(now clock.Millis, fails bool) int {
 	s.lastRequest++
 	own := now.Sub(s.startedAt)
@@ -60,10 +60,11 @@
 	return max(sends-1, 0)
 }
 
-// Engines failed half of what they got, and nine nodes of ten were killed: the whole system
-// made 1,048 repeats where 926 were allowed, since nodes that started knew nothing of what
-// those before them had spent, by the requests of the window before too. Here upstreams begin
-// to fail all, and all nodes are started anew three times in a window, at any moments.
+// Guards against restarted nodes that spend the retry budget again. While engines failed half of
+// their requests, nine nodes of ten were killed, and all nodes together made 1,048 retries where
+// 926 were allowed. The new processes did not know the retries of the old ones, some of which
+// were earned by requests of the window before. The test makes the upstreams fail all requests
+// and restarts all nodes three times in a window at random times.
 func TestRestartedNodesStayWithinRetryBudget(t *testing.T) {
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -90,7 +91,7 @@
 	}
 }
 
-// drawRestarts draws when all nodes are started anew: three times in one window.
+// drawRestarts draws the times at which all nodes restart: three times in one window.
 func drawRestarts(random *rand.Rand) []clock.Millis {
 	begin := clock.Millis(15_000 + random.IntN(5000))
 	second := begin.Add(clock.Millis(random.IntN(5000)))
@@ -98,7 +99,8 @@
 	return []clock.Millis{begin, second, third}
 }
 
-// checkRetryWindows fails where repeats in some window exceed what its first tries allow.
+// checkRetryWindows fails the test if the retries of a window exceed the number that its first
+// attempts allow.
 func checkRetryWindows(t *testing.T, seed uint64, first, repeats []int) {
 	t.Helper()
 	firsts, sum := 0, 0
--- a/dispatch/script_test.go
+++ b/dispatch/script_test.go
@@ -19,7 +19,7 @@
 
 func TestScripts(t *testing.T) { runScripts(t, "testdata") }
 
-// The scripts tell how requests were refused beside places that were about to become free.
+// TestSlotScripts runs the scripts about waiting for slots at plain services.
 func TestSlotScripts(t *testing.T) { runScripts(t, "testdata/places") }
 
 func runScripts(t *testing.T, folder string) {
@@ -29,13 +29,13 @@
 			dispatch.WithLimits(limit.New(limit.WithSelf("n1"))),
 			dispatch.WithPolicy(dispatch.Policy{MaxConfigAge: 5000, RetryWindow: 10_000, RetryShare: 0.2, RetrySlack: 200}),
 		)}
-		// The node is the only one unless a line says otherwise.
+		// The node is the only one unless a script line reports others.
 		p.model.Update(0, dispatch.PeersMsg{TotalNodes: 1})
 		return p.step
 	})
 }
 
-// scriptRunner carries out the lines of a script.
+// scriptRunner executes the lines of a script.
 type scriptRunner struct {
 	t     *testing.T
 	model *dispatch.Model
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// limitMsg is a message on limits; nil for another.
+// limitMsg returns the message of a script line about rate limits; nil for any other line.
 func limitMsg(s script.Step) dispatch.Msg {
 	switch s.Verb {
 	case "limits":
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// membersMsg is a message of nodes by their names, this one first.
+// membersMsg returns a message with the named nodes as members, this node first.
 func membersMsg(s script.Step) dispatch.PeersMsg {
 	msg := dispatch.PeersMsg{TotalNodes: len(s.Words), UsagePeers: len(s.Words) - 1}
 	for _, name := range s.Words {
@@ -163,7 +163,7 @@
 	}
 }
 
-// requestedWork names what a request asks for: what no other does, unless a line says asked=.
+// requestedWork returns the work of a request: unique unless the line contains asked=.
 func requestedWork(s script.Step) work.ID {
 	name := s.Word(0)
 	if same, ok := s.Named["asked"]; ok {
@@ -172,7 +172,7 @@
 	return work.ID{}.By(name)
 }
 
-// parseIncarnations reads upstreams' names with commas between.
+// parseIncarnations parses a comma-separated list of upstreams.
 func parseIncarnations(names string) []fleet.Incarnation {
 	var list []fleet.Incarnation
 	for name := range strings.SplitSeq(names, ",") {
@@ -183,11 +183,11 @@
 	return list
 }
 
-// clinicWork names what the client account clinic asks for.
+// clinicWork returns the work of a request of the client account clinic.
 func clinicWork(asked string) work.ID { return work.ID{}.By(asked).By("clinic") }
 
-// parseDelivered is what the caller has: part of an answer that is no stream (part=yes), or
-// the events that a line names.
+// parseDelivered returns the part of the answer that the client has: a part that cannot be
+// resumed (part=yes), or the events given in the line.
 func parseDelivered(s script.Step) dispatch.Delivered {
 	switch {
 	case s.Named["part"] == "yes":
@@ -208,8 +208,8 @@
 	return 0
 }
 
-// testCatalog has one route of each kind, and the key k until a line says
-// keys=none.
+// testCatalog returns a configuration with one route of each kind. The key k is valid unless the
+// line contains keys=none.
 func testCatalog(s script.Step) *catalog.Catalog {
 	writer := &catalog.Service{Name: "writer", HealthPath: "/health", Pipeline: &catalog.Pipeline{
 		Layers: 8, LayerMB: 1000, TokenBytes: 8_000_000, StepMS: 1, LoadMS: float64(s.Int("load", 0)),
@@ -253,7 +253,8 @@
 	}
 }
 
-// addressOf is an upstream's. All of its runs have the same one unless a line names it.
+// addressOf returns the address of an upstream. Its incarnations share one unless the line
+// contains address=.
 func addressOf(s script.Step) string {
 	if address, ok := s.Named["address"]; ok {
 		return address
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -14,7 +14,8 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// send chooses where a request goes next.
+// send chooses the upstream or chain for the next attempt of a request. Without one, the request
+// waits or ends.
 func (m *Model) send(r *request) []Cmd {
 	if left, held := m.quarantine.Holds(m.now, r.work); held {
 		return m.refuseQuarantined(r, left)
@@ -56,8 +57,8 @@
 	return []Cmd{cmd}
 }
 
-// isLastUpstream tells whether no upstream but those that have run the request, and the one
-// that it is being sent to, may run it.
+// isLastUpstream reports whether no upstream may execute the request besides those that have
+// executed it and the one it is being sent to.
 func (m *Model) isLastUpstream(r *request) bool {
 	n := m.countedExecutions(r)
 	if !r.executedBy(r.first) {
@@ -66,7 +67,8 @@
 	return n >= r.maxUpstreams()
 }
 
-// giveUp ends a request for which there is nothing left to try.
+// giveUp handles a request that cannot be sent: a stream that has begun waits or is aborted, any
+// other request is refused.
 func (m *Model) giveUp(r *request, reason Reason) []Cmd {
 	if r.answerBegun() {
 		return m.waitOrAbort(r, reason)
@@ -89,11 +91,11 @@
 	return m.refuseMissing(r.arrival.Request, reason, r.capRetryAfter(m.now, m.retryAfter(r, reason, lack)), lack)
 }
 
-// sendPlain takes the upstream that should answer first: by the mean time of
-// its answers and how many of this node's requests it has.
+// sendPlain chooses the upstream that is expected to answer first, by its mean latency and the
+// number of this node's requests on it.
 func (m *Model) sendPlain(r *request) (SendCmd, Reason) {
 	if q := m.slotQueues[r.service.Name]; q != nil && q.Len() > 0 && !r.waitedForSlot && m.lacksOnlySlot(r) {
-		// Nobody goes before those that wait.
+		// New requests queue behind those that already wait for a slot.
 		return SendCmd{}, ReasonNoSlot
 	}
 	best := m.cheapest(r, func(u *upstream) bool {
@@ -134,11 +136,11 @@
 	return best
 }
 
-// tieSpread mixes upstreams that are about equally good.
+// tieSpread is the random variation of the cost that mixes upstreams of about equal cost.
 const tieSpread = 0.3
 
-// attemptTimeout bounds the first attempt of a request that may be repeated, so that a
-// silent upstream does not use up the caller's time.
+// attemptTimeout returns the timeout of the first attempt of a repeatable request, so that an
+// unresponsive upstream does not use up the client's time; zero for no timeout.
 func (m *Model) attemptTimeout(r *request, u *upstream) clock.Millis {
 	if r.route.Kind != catalog.Repeatable || r.executions >= r.maxUpstreams() {
 		return 0
@@ -146,12 +148,13 @@
 	return max(clock.Millis(u.meanLatency*attemptTimeoutFactor), clock.Millis(float64(r.route.Aim)*attemptTimeoutAimShare))
 }
 
-// sendPipeline builds a chain of engines. Engines under suspicion take no part.
+// sendPipeline builds a chain of engines. Suspected engines are excluded unless a layer has no
+// other engine.
 func (m *Model) sendPipeline(r *request) (SendCmd, Reason) {
 	parts, err := m.chainFor(r)
 	if err != nil && m.upstreamBoundReached(r) {
-		// Its caller may take a cut stream up at once, and anywhere; here it would
-		// have to wait for the engines that have run it.
+		// A client can resume an aborted stream elsewhere at once, while this node would have to
+		// wait for the engines that have executed it.
 		return SendCmd{}, ReasonRefused
 	}
 	if err != nil {
@@ -166,8 +169,8 @@
 	return SendCmd{Chain: parts}, ""
 }
 
-// chainFor builds the chain of a request. The engines of other data centres are looked
-// at only where those at home do not give the cheapest: there may be ten times as many.
+// chainFor builds the chain of a request. Engines of other data centres are only considered if
+// the local ones do not give the cheapest chain, since there may be ten times as many.
 func (m *Model) chainFor(r *request) ([]chain.Part, error) {
 	m.expirePeerUsage()
 	layers := r.service.Pipeline.Layers
@@ -177,16 +180,16 @@
 	all := m.byService[r.service.Name]
 	parts, err := chain.Build(layers, r.memoryTokens, m.dataCentre, m.holders(r, all, (*upstream).healthy))
 	if errors.Is(err, chain.ErrNoHolder) {
-		// Where suspicion has left a layer without an engine it does more harm than
-		// the suspects that still answer.
+		// If suspicion leaves a layer without an engine, excluding the suspects is worse than
+		// using those that still answer probes.
 		m.probeSuspects(r.service.Name)
 		parts, err = chain.Build(layers, r.memoryTokens, m.dataCentre, m.holders(r, all, m.answersProbes))
 	}
 	return parts, err
 }
 
-// probeSuspects has the suspects of a service probed at the next tick, but for those
-// that have left a probe unanswered.
+// probeSuspects schedules probes of a service's suspected upstreams for the next tick, except of
+// unresponsive ones.
 func (m *Model) probeSuspects(service string) {
 	for _, u := range m.byService[service] {
 		if u.suspected && !u.unresponsive && !u.probing {
@@ -195,8 +198,8 @@
 	}
 }
 
-// answersProbes tells whether an engine may get work where nobody else can: it is well,
-// or its connections break off, but it has answered a probe just now.
+// answersProbes reports whether an engine may get work if no other engine holds its layers: it is
+// healthy, or it breaks off connections but has just answered a probe.
 func (m *Model) answersProbes(u *upstream) bool {
 	if u.healthy() {
 		return true
@@ -211,21 +214,20 @@
 	return ReasonNoHolder
 }
 
-// holders returns those of some engines of the request's service that may take part in
-// a chain now, without those named.
+// holders returns the given engines that may be part of a chain now, without the excluded ones.
 func (m *Model) holders(r *request, list []*upstream, may func(*upstream) bool, without ...fleet.Incarnation) []chain.Holder {
 	return m.holdersUnder(r, list, chainConditions{backOffsUntil: m.now}, may, without...)
 }
 
-// chainConditions is when a chain is to be built.
+// chainConditions are the conditions for which a chain is built.
 type chainConditions struct {
-	// backOffsUntil is by when rests that end count as over.
+	// backOffsUntil is the time up to which back-offs count as over.
 	backOffsUntil clock.Millis
-	// ignoreLimits leaves upstreams' limits out of account.
+	// ignoreLimits reports whether rate limits are ignored.
 	ignoreLimits bool
 }
 
-// holdersUnder are the holders at a moment.
+// holdersUnder returns the engines that may be part of a chain under the given conditions.
 func (m *Model) holdersUnder(r *request, list []*upstream, at chainConditions, may func(*upstream) bool, without ...fleet.Incarnation) []chain.Holder {
 	holders := make([]chain.Holder, 0, len(list))
 	bounded := m.upstreamBoundReached(r)
@@ -234,7 +236,7 @@
 			continue
 		}
 		if u.sharesAddress && slices.ContainsFunc(holders, func(h chain.Holder) bool { return h.Address == u.entry.Address }) {
-			// A chain may name an address once.
+			// A chain may contain an address once.
 			continue
 		}
 		h := m.holder(r, u)
@@ -243,9 +245,9 @@
 			h.Penalty += limitedPenalty
 		}
 		if bounded && !r.executedBy(u) || spent {
-			// A chain begins at the engine with the first layer, and the bound on upstreams
-			// that run a request is on these, as is a limit: nodes send it requests, and
-			// what passes on the way to later layers comes from other engines.
+			// A chain begins at the engine with layer 0. Only that engine counts for the bound on
+			// upstreams and for rate limits, since nodes send requests to it, while later engines
+			// receive them from other engines.
 			h.Held.From = max(h.Held.From, 1)
 		}
 		holders = append(holders, h)
@@ -256,25 +258,27 @@
 	return holders
 }
 
-// triedPenalty keeps a repeated request off the engines of its last attempt
-// where it can, in ms for each token.
+// triedPenalty keeps a retried request off the engines of its last attempt if other engines are
+// available, in ms per token.
 const triedPenalty = 5.0
 
-// limitedPenalty has what begins elsewhere pass by an upstream in need where others hold its
-// layers, in ms for each token. It is no request of a node's there, so nothing forbids it.
+// limitedPenalty keeps the later parts of chains off a rate-limited engine if others hold its
+// layers, in ms per token. The limit itself does not forbid them, since they are not sent by a
+// node.
 const limitedPenalty = 5.0
 
-// suspectPenalty keeps requests off suspects where another engine holds the layers,
-// in ms for each token. It outweighs a crossing.
+// suspectPenalty keeps requests off suspected engines if another engine holds the layers, in ms
+// per token. It outweighs a hop to another data centre.
 const suspectPenalty = 50.0
 
-// preferenceCost has the nodes of a large data centre choose different engines among those that
-// are equally good, in ms for each token. It is less than another hop. All that know the same
-// would choose the same chain until it is a quarter full; an engine of it that refuses, or is
-// lost, is then found out by a request of each.
+// preferenceCost makes the nodes of a large data centre choose different engines among equally
+// good ones, in ms per token. It is less than the cost of another hop. Without it, all nodes with
+// the same view choose the same chain until it is a quarter full, and when an engine of that
+// chain refuses requests or crashes, each node loses a request to find out.
 const preferenceCost = 0.3
 
-// nodePreference draws, for a node, how far an engine is from it, from 0 up to 1: always the same.
+// nodePreference returns a number from 0 up to 1 that is fixed for a node and an engine. A
+// smaller number means that the node prefers the engine.
 func nodePreference(seed uint64, id fleet.Incarnation) float64 {
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(id.String()))).Float64()
 }
--- a/dispatch/slot_queue.go
+++ b/dispatch/slot_queue.go
@@ -10,39 +10,41 @@
 )
 
 const (
-	// minFullPlain is the least time for which a plain upstream counts as full that has
-	// refused a request. It doubles with each refusal in a row, up to maxFull: a request
-	// that is refused once more is a repeat that operators bound.
+	// minFullPlain is the shortest time for which a plain upstream counts as full after a
+	// refusal. It doubles with each consecutive refusal, up to maxFull, because sending a refused
+	// request again is a retry, which operators bound.
 	minFullPlain clock.Millis = 20
-	// fullLatencyShare is the part of an answer's mean time after which one of several places
-	// is likely to be free.
+	// fullLatencyShare is the share of the mean latency after which one of several slots is
+	// likely to be free.
 	fullLatencyShare = 0.5
-	// sendsPerAnswer is how many requests are sent on for each answer where an upstream
-	// has not refused one for recentRefusal: others' requests end there too.
+	// sendsPerAnswer is the number of waiting requests that are sent for each answer, if the
+	// upstream has refused no request for recentRefusal: requests of other nodes end there too.
 	sendsPerAnswer              = 2
 	recentRefusal  clock.Millis = 150
-	// slotReviewInterval is how often it is looked at who waits. Who cannot wait until the next
-	// time is refused now: later its time would be up, which does not tell that it has not run.
+	// slotReviewInterval is the pause between reviews of the waiting requests. A request that
+	// cannot wait until the next review is refused now: once its time is up, the answer could not
+	// state that it was not executed.
 	slotReviewInterval clock.Millis = 100
 )
 
-// SlotWaitCmd is for the log: a request awaits a place at a plain service.
+// SlotWaitCmd logs that a request waits for a slot at a plain service.
 type SlotWaitCmd struct {
 	Request RequestID
 	Service string
-	// Waiting is how many await one, this one included, and Until for how long it may.
+	// Waiting is the number of waiting requests, including this one, and Until the end of its
+	// wait.
 	Waiting int
 	Until   clock.Millis
 }
 
 func (SlotWaitCmd) dispatchCmd() {}
 
-// slotQueue holds the requests that await a place at the upstreams of a plain service. Each
-// gets its turn by its rank, and in turn by its client account.
+// slotQueue holds the requests that wait for a slot at the upstreams of a plain service, ordered
+// by priority and then in turn by client account.
 type slotQueue = fairqueue.Queue[RequestID]
 
-// recordSlotRefusal notes that a plain upstream has no place. It is not suspected for that: a
-// probe would take a place too.
+// recordSlotRefusal records that a plain upstream has no free slot. The upstream does not become
+// suspected, since a probe would take a slot too.
 func (u *upstream) recordSlotRefusal(now clock.Millis) {
 	pause := max(minFullPlain, clock.Millis(u.meanLatency*fullLatencyShare))
 	u.fullUntil = now.Add(min(pause<<min(u.refusals, 8), maxFull))
@@ -50,7 +52,7 @@
 	u.refusedAt = now
 }
 
-// slotQueue returns the requests that await a place of a service.
+// slotQueue returns the queue of a service.
 func (m *Model) slotQueue(service string) *slotQueue {
 	q := m.slotQueues[service]
 	if q == nil {
@@ -60,16 +62,16 @@
 	return q
 }
 
-// lacksOnlySlot tells whether a request that has not run lacks nothing but a place: an upstream that
-// may run it has none just now.
+// lacksOnlySlot reports whether a request that was not executed lacks nothing but a slot: some
+// upstream may execute it and is full at the moment.
 func (m *Model) lacksOnlySlot(r *request) bool {
 	return r.executions == 0 && slices.ContainsFunc(m.byService[r.service.Name], func(u *upstream) bool {
 		return u.healthy() && u.full(m.now) && !u.inBackOff(m.now) && r.mayExecuteOn(u) && m.limitAllows(r, u)
 	})
 }
 
-// awaitSlot has a request wait for a place, if it can have one in its caller's time: a caller
-// that was told to come back would find the place taken by another, or be too late for it.
+// awaitSlot queues a request for a slot if one is expected to be free before the client's
+// deadline. A client that was told to retry instead would find the slot taken or arrive too late.
 func (m *Model) awaitSlot(r *request) []Cmd {
 	q := m.slotQueue(r.service.Name)
 	rank := min(max(r.priority(), 0), fairqueue.Priorities-1)
@@ -77,7 +79,7 @@
 	if r.timeLeft(m.now) < m.expectedSlotWait(r, ahead) {
 		return m.giveUp(r, ReasonNoSlot)
 	}
-	// Those that had no place may have one now.
+	// Upstreams that refused the request without executing it may have a free slot later.
 	maps.DeleteFunc(r.tried, func(id fleet.Incarnation, _ bool) bool {
 		_, ran := r.executedOn[id]
 		return !ran
@@ -87,8 +89,8 @@
 	return []Cmd{SlotWaitCmd{Request: r.arrival.Request, Service: r.service.Name, Waiting: q.Len(), Until: m.now.Add(r.timeLeft(m.now))}}
 }
 
-// expectedSlotWait is within what time a request is answered that waits behind others: this node's
-// own requests leave places, one after the other.
+// expectedSlotWait estimates the time until a request behind others is answered, if only this
+// node's own requests free slots, one after the other.
 func (m *Model) expectedSlotWait(r *request, ahead int) clock.Millis {
 	took, underWay := 0.0, 0
 	for _, u := range m.byService[r.service.Name] {
@@ -99,8 +101,8 @@
 	return clock.Millis(took * turns)
 }
 
-// slotFreed sends the next requests that await a place of a service, after an answer of an
-// upstream has left one.
+// slotFreed sends the next waiting requests of a service after an upstream's answer has freed a
+// slot.
 func (m *Model) slotFreed(service string, u *upstream) []Cmd {
 	q := m.slotQueues[service]
 	if q == nil || q.Len() == 0 || u == nil || u.pipeline != nil {
@@ -114,7 +116,8 @@
 	return m.sendSlotWaiters(q, most)
 }
 
-// sendSlotWaiters sends the first requests of those that await a place. A repeat is paid for now.
+// sendSlotWaiters sends the first waiting requests. Retries are charged to the budget at this
+// point.
 func (m *Model) sendSlotWaiters(q *slotQueue, most int) []Cmd {
 	var cmds []Cmd
 	for range min(most, q.Len()) {
@@ -130,7 +133,7 @@
 	return cmds
 }
 
-// nextSlotWaiter takes the first request off those that await a place; nil for none.
+// nextSlotWaiter removes the first waiting request from the queue; nil for none.
 func (m *Model) nextSlotWaiter(q *slotQueue) *request {
 	for {
 		id, ok := q.Pop()
@@ -144,8 +147,8 @@
 	}
 }
 
-// reviewSlotWaiters refuses the requests that can have no place in their callers' time any more,
-// and tries upstreams again that have refused one a while ago.
+// reviewSlotWaiters refuses the requests that cannot get a slot before their deadlines, and sends
+// waiting requests to upstreams that no longer count as full.
 func (m *Model) reviewSlotWaiters() []Cmd {
 	var cmds []Cmd
 	for _, service := range slices.Sorted(maps.Keys(m.slotQueues)) {
@@ -171,7 +174,7 @@
 	return cmds
 }
 
-// slotRefusalReason says why a request is refused that has awaited a place.
+// slotRefusalReason returns the reason for refusing a request that waited for a slot.
 func (m *Model) slotRefusalReason(r *request) Reason {
 	if m.lacksOnlySlot(r) || m.openUpstreams(r.service.Name) > 0 {
 		return ReasonNoSlot
@@ -179,8 +182,8 @@
 	return ReasonNoUpstream
 }
 
-// openUpstreams is how many upstreams of a service may be tried: those that have not refused a
-// request just now.
+// openUpstreams returns the number of a service's upstreams that may be tried: healthy, not full
+// and not in back-off.
 func (m *Model) openUpstreams(service string) int {
 	n := 0
 	for _, u := range m.byService[service] {
--- a/dispatch/slot_queue_test.go
+++ b/dispatch/slot_queue_test.go
@@ -11,13 +11,11 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// Seen: too little was served and some callers never were, also in calm. Of plain requests
-// to real processes a tenth was refused beside upstreams that had a place again within 10 ms, and
-// told to come back when their time was over. How: a full upstream turned a request away,
-// and the node had no way to wait for it. Cause: a node gave up what it could have had
-// served, and its advice took no account of the caller's time. Proved by the nodes' logs
-// (refused 1 ms after "full", with 1.5 s of advice for a caller with 1.5 s) and by this
-// pattern, in which the upstreams are never asked for more than half of what they bear.
+// Guards against refusing plain requests that could be served a moment later. With real
+// processes, upstreams that had a free slot again within 10 ms refused a tenth of the requests,
+// because a node could not wait for a slot. Requests with 1.5 s left were refused 1 ms after the
+// upstream answered that it was full, and the clients were told to retry after 1.5 s, so some
+// were never served. The load of the test is at most half of the upstreams' capacity.
 func TestRequestsWaitForFreeSlots(t *testing.T) {
 	const (
 		servedAtLeast = 0.99
@@ -43,10 +41,10 @@
 	}
 }
 
-// plainLoad is a load of plain requests on upstreams that take few at a time.
+// plainLoad is a load of plain requests on upstreams with few slots.
 type plainLoad struct {
 	upstreams, slots int
-	// meanMS is for how long a request takes, in ms.
+	// meanMS is the mean execution time of a request, in ms.
 	meanMS    int
 	perSecond int
 }
@@ -54,33 +52,33 @@
 const (
 	slotSimNodes    = 7
 	slotSimDuration = clock.Millis(20_000)
-	// callerTimeout is how long a caller waits in all; it comes back once, if told a time that
+	// callerTimeout is how long a client waits in total. It retries once, if the advised time
 	// leaves it some.
 	callerTimeout = clock.Millis(1500)
 	retryWindow   = clock.Millis(10_000)
 )
 
-// allowedRetries is the operators' bound, for the whole of a play that is shorter than two
-// windows.
+// allowedRetries returns the operator's bound on retries for a simulation that is shorter than
+// two windows.
 func allowedRetries(asked int) int { return asked/5 + 200 }
 
-// slotSim plays nodes before full upstreams, in simulated time.
+// slotSim simulates nodes in front of full upstreams in virtual time.
 type slotSim struct {
 	plainLoad
 	random *rand.Rand
 	now    clock.Millis
 	nodes  []*dispatch.Model
-	// takenSlots counts the places taken, by upstream.
+	// takenSlots counts the taken slots by upstream.
 	takenSlots map[fleet.Incarnation]int
 	events     map[clock.Millis][]func()
-	// callers are the callers that have no answer yet.
+	// callers holds the clients by request.
 	callers map[dispatch.RequestID]simCaller
 
 	arrived, served, repeats int
 	refused                  map[dispatch.Reason]int
 }
 
-// simCaller waits for an answer until a time, and may come back some times.
+// simCaller is a client that waits until a time and may retry a number of times.
 type simCaller struct {
 	until   clock.Millis
 	retries int
@@ -131,7 +129,7 @@
 	}
 }
 
-// arrive sends a caller's request to any node.
+// arrive sends a client's request to a random node.
 func (c *slotSim) arrive(caller simCaller) {
 	id := dispatch.RequestID(len(c.callers) + 1)
 	c.callers[id] = caller
@@ -154,7 +152,7 @@
 	}
 }
 
-// execute has an upstream run a request, or turn it away if all of its places are taken.
+// execute runs a request on an upstream, or refuses it if all slots are taken.
 func (c *slotSim) execute(node int, cmd dispatch.SendCmd) {
 	if cmd.Attempt > 1 {
 		c.repeats++
@@ -176,7 +174,7 @@
 	})
 }
 
-// retryCaller has a caller come back when it was told to, if that leaves it some time.
+// retryCaller retries a refused request after the advised time if the client still waits then.
 func (c *slotSim) retryCaller(cmd dispatch.RespondCmd) {
 	caller := c.callers[cmd.Request]
 	back := c.now.Add(cmd.RetryAfter)
@@ -188,8 +186,8 @@
 	c.after(max(cmd.RetryAfter, 1), func() { c.arrive(caller) })
 }
 
-// Operators may rank routes by any number. A request of a rank beyond those that are told apart
-// ended the node when it was to await a place.
+// Guards against a crash of the node. Operators may give a route any priority, and a request with
+// a priority outside the range of the queue crashed the node when it had to wait for a slot.
 func TestAnyPriorityMayWaitForSlot(t *testing.T) {
 	for _, rank := range []int{-3, 0, 9, 40} {
 		m := dispatch.New(dispatch.WithPolicy(dispatch.Policy{RetryWindow: retryWindow, RetryShare: 0.2, RetrySlack: 200}))
--- a/dispatch/slots.go
+++ b/dispatch/slots.go
@@ -1,19 +1,19 @@
 package dispatch
 
 const (
-	// chargedSlotShare is the part of an engine's slots from which it costs something to begin a
-	// stream there. What other nodes have begun is known 0.3 s late: at 70 streams a second
-	// that is a tenth of 192 slots.
+	// chargedSlotShare is the share of an engine's slots above which beginning a stream there has
+	// a cost. The usage of other nodes is known 0.3 s late; at 70 streams per second that is a
+	// tenth of 192 slots.
 	chargedSlotShare = 0.8
-	// fullSlotsCost is that cost where all slots are taken, in ms for each token; it goes on
-	// rising beyond. It outweighs a crossing: a stream that waits for a slot of an engine
-	// that ends 60 streams a second is late after some 20 in front of it.
+	// fullSlotsCost is the cost if all slots are taken, in ms per token; it rises further beyond.
+	// It outweighs a hop to another data centre: on an engine that ends 60 streams per second, a
+	// stream that waits for a slot exceeds its latency objective after some 20 in front of it.
 	fullSlotsCost = 25.0
 )
 
-// slotCost speaks against beginning a stream at an engine whose slots are taken. It works
-// on a bounded number of the streams that begin there, however much memory it has left;
-// further ones wait in its queue, and are then refused.
+// slotCost returns the cost of beginning a stream on an engine whose slots are nearly taken. An
+// engine executes a bounded number of the streams that begin on it, however much memory is free;
+// further ones wait in its queue and are then refused.
 func (m *Model) slotCost(u *upstream) float64 {
 	if u.entry.Slots == 0 {
 		return 0
--- a/dispatch/unsent_retry_test.go
+++ b/dispatch/unsent_retry_test.go
@@ -9,11 +9,11 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// Requests that an upstream had turned away spent the budget of repeats although there was
-// nobody to repeat them to, and those that could have been repeated a moment later were
-// refused for want of it.
+// Guards against retries that are charged but not sent. Requests that an upstream refused used up
+// the retry budget although no other upstream was available, and requests that could have been
+// retried a moment later were then refused.
 func TestRetryWithoutUpstreamSpendsNoBudget(t *testing.T) {
-	// A young node alone has 0.18 of the slack: one repeat.
+	// A node in its first window has 0.18 of the slack: one retry.
 	m := dispatch.New(dispatch.WithPolicy(dispatch.Policy{RetryWindow: 10_000, RetrySlack: 6}))
 	m.Update(0, dispatch.PeersMsg{TotalNodes: 1})
 	m.Update(0, dispatch.CatalogMsg{Catalog: catalog.New(1,
--- a/dispatch/upstream.go
+++ b/dispatch/upstream.go
@@ -6,86 +6,85 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// upstream is what the node believes of one upstream beside its entry.
+// upstream is the state that the node keeps for one upstream besides its entry.
 type upstream struct {
 	entry    fleet.Upstream
 	pipeline *catalog.Pipeline
-	// layerTime is the time of a token through one layer, in ms, and room the
-	// memory for requests, in tokens times layers.
+	// layerTime is the time of one token through one layer, in ms. memory is the memory for
+	// requests, in tokens times layers.
 	layerTime float64
 	memory    float64
 
-	// inFlight counts this node's attempts that have it as the first, and
-	// reserved the memory that this node's requests take there.
+	// inFlight counts this node's attempts that begin on the upstream. reserved is the memory
+	// that this node's requests reserve on it, in tokens times layers.
 	inFlight int
 	reserved float64
-	// peerUse is what other nodes have told that their requests take.
+	// peerUse is the usage that other nodes reported.
 	peerUse fleet.Use
-	// meanLatency is the mean time of its answers in ms, and failing the mean rate of
-	// its failures.
+	// meanLatency is the moving average of its latency in ms, and failureRate that of its
+	// failures.
 	meanLatency float64
 	failureRate float64
 
-	// preference sets this node's choice among engines that are equally good apart from other
-	// nodes': from 0 up to 1.
+	// preference differs between nodes, so that they choose different engines among equally good
+	// ones: from 0 up to 1, smaller is preferred.
 	preference float64
-	// probeCandidates is where it stands while something is to be asked of it.
+	// probeCandidates is the model's set of upstreams that may need a probe.
 	probeCandidates probeSet
-	// sharesAddress tells that another upstream is listed at its address: one of the two is not
-	// there.
+	// sharesAddress reports whether another upstream is listed with the same address; one of the
+	// two is gone.
 	sharesAddress bool
-	// crashed tells that its process has ended for certain.
+	// crashed reports whether its process is known to have ended.
 	crashed bool
-	// layersReportedAt is when another node told what it holds.
+	// layersReportedAt is when another node reported the layers that it holds.
 	layersReportedAt clock.Millis
-	// slowdown is how many times slower than usual an engine was at slowdownAt.
+	// slowdown is the ratio of its token time to the normal value, as of slowdownAt.
 	slowdown   float64
 	slowdownAt clock.Millis
 
-	// reportedFree is the memory that an engine had left by its own word at
-	// reportedAt, when reservedAtReport was reserved.
+	// reportedFree is the free memory that the engine reported at reportedAt. reservedAtReport is
+	// the value of reserved at that time.
 	reportedFree     float64
 	reportedAt       clock.Millis
 	reservedAtReport float64
-	// statusWanted tells that an engine is to be asked how much memory it has.
+	// statusWanted reports whether the engine's report is requested at the next tick.
 	statusWanted bool
-	// suspected upstreams get no work until a probe has found them well.
+	// suspected upstreams get no work until a probe succeeds.
 	suspected bool
 	probing   bool
-	// earlyProbeWanted tells that a suspect is to be probed before its time.
+	// earlyProbeWanted reports whether a suspected upstream is probed before avoidUntil.
 	earlyProbeWanted bool
-	// crashCheckWanted tells that it is to be asked whether it has ended, and crashCheckOnly that the
-	// probe under way is for nothing else.
+	// crashCheckWanted reports whether a probe should check for a crash, and crashCheckOnly
+	// whether the current probe has no other purpose.
 	crashCheckWanted bool
 	crashCheckOnly   bool
-	// identifying tells that it is being asked who it is, failedIdentifications how often it has not said,
-	// and identifyAfter is when it may be asked again.
+	// identifying reports whether its identity has been requested. failedIdentifications counts
+	// the answers without an identity, and identifyAfter is when the next request may be sent.
 	identifying           bool
 	failedIdentifications int
 	identifyAfter         clock.Millis
-	// cause is that of the last failure that speaks against it, and probeAnsweredAt is
-	// when it answered a probe last.
+	// cause is that of the last suspicion. probeAnsweredAt is when it last answered a probe.
 	cause           Cause
 	probeAnsweredAt clock.Millis
-	// unresponsive tells that the planner was told of its silence, and peerReportedAt is when another
-	// node told this one of it.
+	// unresponsive reports whether it left a suspicion's probe unanswered, and the placement
+	// planner was notified. peerReportedAt is when another node last reported it as unresponsive.
 	unresponsive   bool
 	peerReportedAt clock.Millis
-	// unansweredProbes counts the probes in a row that it has not answered.
+	// unansweredProbes counts consecutive unanswered probes, and failures consecutive failures.
 	unansweredProbes int
 	failures         int
 	avoidUntil       clock.Millis
-	// refusals counts refusals in a row, and fullUntil is until when it is taken as full.
+	// refusals counts consecutive refusals. The upstream counts as full until fullUntil.
 	refusals  int
 	fullUntil clock.Millis
 	refusedAt clock.Millis
-	// backOffUntil is until when it wants nothing from this node.
+	// backOffUntil is the end of the back-off that the upstream requested.
 	backOffUntil clock.Millis
-	// refusedAsFirst tells that it was the first of its chain that refused last: the others
-	// also refuse what they are about to give up.
+	// refusedAsFirst reports whether the last refusal came from it as the first engine of a
+	// chain. Later engines also refuse layers that they are about to drop.
 	refusedAsFirst bool
-	// shedsLoad tells that it refuses although, by its own word, it has room: the next request
-	// may be taken.
+	// shedsLoad reports whether it refuses requests although its report shows free capacity, so
+	// that the next request may be accepted.
 	shedsLoad bool
 }
 
@@ -93,12 +92,12 @@
 	return &upstream{entry: entry, meanLatency: initialLatency, slowdown: 1, reportedAt: clock.Never, probeAnsweredAt: clock.Never, peerReportedAt: clock.Never}
 }
 
-// layersReportWindow is for how long word of what an engine holds counts more than an
-// entry without layers: the list's lag and a heartbeat.
+// layersReportWindow is how long reported layers override an entry without layers: the lag of the
+// list plus a heartbeat.
 const layersReportWindow clock.Millis = 3000
 
-// update takes a new entry. An engine that holds other layers than before is
-// no longer doubted for what it did not hold.
+// update applies a new entry. A change of the layers ends the time for which the engine counts as
+// full.
 func (u *upstream) update(now clock.Millis, entry fleet.Upstream) {
 	if entry.Held.Empty() && u.layersReportedAt > 0 && now < u.layersReportedAt.Add(layersReportWindow) {
 		entry.Held = u.entry.Held
@@ -109,7 +108,7 @@
 	u.entry = entry
 }
 
-// applyService works out an engine's pace and memory.
+// applyService derives an engine's layer time and memory from the configuration of its service.
 func (u *upstream) applyService(s *catalog.Service) {
 	u.pipeline, u.memory, u.layerTime = nil, 0, 0
 	if s == nil || s.Pipeline == nil {
@@ -124,19 +123,20 @@
 	u.memory = s.Pipeline.Room(kind, u.entry.Held.Len())
 }
 
-// available tells whether it may get new work.
+// available reports whether the upstream may get new work.
 func (u *upstream) available(now clock.Millis) bool { return u.healthy() && !u.full(now) }
 
-// healthy tells whether nothing speaks against the upstream but a lack of room.
+// healthy reports whether the upstream accepts work and is not suspected. It may still be full.
 func (u *upstream) healthy() bool { return u.acceptsWork() && !u.suspected }
 
-// acceptsWork tells whether the list speaks for giving the upstream new work.
+// acceptsWork reports whether the upstream's entry allows new work.
 func (u *upstream) acceptsWork() bool { return !u.entry.Leaving && !u.entry.Withheld }
 
-// full tells whether it has refused work for want of room just now.
+// full reports whether the upstream has refused work recently for lack of capacity.
 func (u *upstream) full(now clock.Millis) bool { return now < u.fullUntil }
 
-// recordSuspicion notes a failure that speaks against the upstream.
+// recordSuspicion records a failure that makes the upstream suspected, and returns the time until
+// which it is avoided.
 func (u *upstream) recordSuspicion(now clock.Millis) clock.Millis {
 	wait := min(minSuspicion<<min(u.failures, 8), maxSuspicion)
 	u.failures++
@@ -146,9 +146,9 @@
 	return u.avoidUntil
 }
 
-// recordRefusal notes a refusal for want of room. The next tick asks an engine for its
-// report, since others may use it of whom this node does not know. One that goes
-// on refusing is leaving or dead: it is used less and less, and probed.
+// recordRefusal records a refusal for lack of capacity. The next tick requests an engine's
+// report, since its memory may be used by nodes that this node does not know. An engine that
+// continues to refuse is leaving or has crashed: it is avoided for longer and longer, and probed.
 func (u *upstream) recordRefusal(now clock.Millis) {
 	u.addProbeCandidate()
 	if u.pipeline == nil {
@@ -172,14 +172,15 @@
 	}
 }
 
-// shedding tells whether it has refused lately although it had room.
+// shedding reports whether the engine has recently refused requests although it had free
+// capacity.
 func (u *upstream) shedding(now clock.Millis) bool {
 	return u.shedsLoad && now <= u.refusedAt.Add(sheddingWindow)
 }
 
-// explainRefusal takes in an engine's word on its room after it has refused a request. One that
-// has room and nobody waiting is not full, and sends some away at random: avoiding it would
-// refuse all that it would have taken.
+// explainRefusal compares an engine's report with its last refusal. An engine with free memory
+// and an empty queue is not full but refuses requests at random. Avoiding it would also lose the
+// requests that it would accept.
 func (u *upstream) explainRefusal(now clock.Millis, report Report) {
 	if now > u.refusedAt.Add(sheddingWindow) || !u.refusedAsFirst || u.refusals >= maxSheddingRefusals {
 		return
@@ -191,9 +192,9 @@
 	}
 }
 
-// recordMisdirected notes that an engine says that it is not the one meant, or does not hold
-// what the list says. It is probed as the incarnation that the list names, so that one
-// that has ended is found silent and others are told.
+// recordMisdirected records that an engine answered that it is another incarnation or does not
+// hold the layers that the list shows. The listed incarnation is probed, so that a crashed one
+// becomes unresponsive and other nodes are notified.
 func (u *upstream) recordMisdirected(now clock.Millis) {
 	u.fullUntil = now.Add(misdirectedPause)
 	if !u.suspected {
@@ -202,7 +203,7 @@
 	}
 }
 
-// probeDue tells whether it is time to ask the upstream how it is.
+// probeDue reports whether the upstream must be probed now.
 func (u *upstream) probeDue(now clock.Millis) bool {
 	switch {
 	case u.probing:
@@ -216,7 +217,8 @@
 	}
 }
 
-// recordAnswer takes in how an answer went. A good one ends a suspicion.
+// recordAnswer updates the latency and failure rate with an attempt. A successful answer ends a
+// suspicion.
 func (u *upstream) recordAnswer(took clock.Millis, failed bool) {
 	u.meanLatency += latencyWeight * (float64(took) - u.meanLatency)
 	rate := 0.0
--- a/dispatch/usage.go
+++ b/dispatch/usage.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// shareInterval is how often a node tells others what it has in use. A stream
-	// lasts one to three seconds.
+	// shareInterval is the pause between two usage reports of a node. A stream lasts one to three
+	// seconds.
 	shareInterval clock.Millis = 300
-	// usageWindow is for how long that counts: some datagrams are lost.
+	// usageWindow is how long a usage report counts, since some datagrams are lost.
 	usageWindow clock.Millis = 1500
-	// minSharedUse is the part of an engine's memory, or slots, from which other data
-	// centres are told of its use: below it nobody runs out of it.
+	// minSharedUse is the share of an engine's memory or slots in use from which its usage is
+	// reported to other data centres. Below it the engine is far from full.
 	minSharedUse = 0.25
-	// minAggregatedUse is the same for the nodes of a data centre that are told sums, and
-	// maxAggregated how many engines they are told of at the most: one takes some 25 bytes. What
-	// is used less makes no engine dearer than another.
+	// minAggregatedUse is the same for nodes of this data centre that receive aggregated usage,
+	// and maxAggregated the number of engines reported to them; one takes some 25 bytes. Lower
+	// usage does not affect the cost of an engine.
 	minAggregatedUse = 0.03
 	maxAggregated    = 300
 )
 
-// nodeUsage is what another node has in use.
+// nodeUsage is the last usage report of another node.
 type nodeUsage struct {
 	receivedAt clock.Millis
 	used       map[fleet.Incarnation]fleet.Use
-	// wholeDataCentre tells that it is another data centre's, whose name is centre, and whole that it
-	// is that of all nodes.
+	// wholeDataCentre reports whether it is the sum over the data centre named dataCentre, and
+	// allNodes whether it is the sum over all nodes.
 	wholeDataCentre bool
 	dataCentre      string
 	allNodes        bool
 }
 
-// shareUsage tells the others what this node has in use, when it is time for that.
+// shareUsage sends this node's usage to other nodes once per shareInterval.
 func (m *Model) shareUsage() []Cmd {
 	if m.usagePeers == 0 && m.nodeCount.total < 2 || m.now < m.sharedAt.Add(shareInterval) {
 		return nil
@@ -59,8 +59,7 @@
 	return []Cmd{cmd}
 }
 
-// allNodesUsage is what the requests of all nodes take at the engines that are used most, as far as
-// this node knows.
+// allNodesUsage returns the known usage of all nodes at the most used engines.
 func (m *Model) allNodesUsage() map[fleet.Incarnation]fleet.Use {
 	type used struct {
 		id   fleet.Incarnation
@@ -83,7 +82,7 @@
 	return whole
 }
 
-// includedDataCentres are the other data centres of whose use this node has heard.
+// includedDataCentres returns the other data centres whose usage is known.
 func (m *Model) includedDataCentres() []string {
 	var centres []string
 	for _, peer := range m.peerUsage {
@@ -95,7 +94,8 @@
 	return centres
 }
 
-// dataCentreUsage adds up what this node and those that tell it alone have in use.
+// dataCentreUsage returns the sum of this node's usage and that of the nodes which report to it
+// one by one.
 func (m *Model) dataCentreUsage(own map[fleet.Incarnation]fleet.Use) map[fleet.Incarnation]fleet.Use {
 	total := maps.Clone(own)
 	for _, peer := range m.peerUsage {
@@ -113,15 +113,16 @@
 	return total
 }
 
-// recordPeerUsage takes what another node has in use, in place of what it has told before.
-// The sum for each engine is kept, since every request asks for it.
+// recordPeerUsage replaces the usage of another node with its new report. It maintains the sum
+// for each engine, since every request reads it.
 func (m *Model) recordPeerUsage(msg UsageMsg) []Cmd {
 	m.recordAlive(msg)
 	m.nodeCount.peerReported(m.now, msg.DataCentre, msg.AllNodes, msg.Nodes)
 	node, used := msg.Node, msg.Engines
 	switch {
 	case m.usageAggregated != msg.AllNodes:
-		// What a node has that is told sums is part of them, and a hub makes its own.
+		// A node that receives aggregated usage ignores single reports, which are part of the
+		// sum. A hub computes the sum itself and ignores that of others.
 		return m.mergePeerLimits(msg)
 	case msg.AllNodes:
 		node, used = allNodesKey, m.withoutOwn(used)
@@ -136,10 +137,10 @@
 	return m.mergePeerLimits(msg)
 }
 
-// allNodesKey stands in for the name of a node in what all have in use: hubs take turns.
+// allNodesKey stands for the node name in aggregated reports, which hubs send in turn.
 const allNodesKey = "all"
 
-// recordAlive notes signs of life in what another node tells.
+// recordAlive records the nodes and data centres that a usage report shows to be alive.
 func (m *Model) recordAlive(msg UsageMsg) {
 	if msg.DataCentreTotal || msg.AllNodes {
 		m.limits.HeardAll(m.now, msg.DataCentre)
@@ -152,7 +153,7 @@
 	}
 }
 
-// withoutOwn takes what this node has told last off what all nodes have in use.
+// withoutOwn subtracts the usage that this node shared last from the usage of all nodes.
 func (m *Model) withoutOwn(whole map[fleet.Incarnation]fleet.Use) map[fleet.Incarnation]fleet.Use {
 	others := make(map[fleet.Incarnation]fleet.Use, len(whole))
 	for id, use := range whole {
@@ -162,7 +163,7 @@
 	return others
 }
 
-// dropPeerUsage drops all that was told.
+// dropPeerUsage drops all usage reports of other nodes.
 func (m *Model) dropPeerUsage() {
 	for node, peer := range m.peerUsage {
 		m.subtractUsage(peer.used)
@@ -170,7 +171,7 @@
 	}
 }
 
-// subtractUsage takes what a node has told off the sums.
+// subtractUsage removes a node's usage from the sums of the engines.
 func (m *Model) subtractUsage(used map[fleet.Incarnation]fleet.Use) {
 	for id, use := range used {
 		if u := m.upstreams[id]; u != nil {
@@ -179,7 +180,7 @@
 	}
 }
 
-// peerUseOf adds up what other nodes have told of an engine that is new here.
+// peerUseOf returns the sum of the reported usage of an engine that is new in the list.
 func (m *Model) peerUseOf(id fleet.Incarnation) fleet.Use {
 	var sum fleet.Use
 	for _, peer := range m.peerUsage {
@@ -188,7 +189,7 @@
 	return sum
 }
 
-// expirePeerUsage drops what was told too long ago.
+// expirePeerUsage drops usage reports that are older than usageWindow.
 func (m *Model) expirePeerUsage() {
 	for node, peer := range m.peerUsage {
 		if m.now > peer.receivedAt.Add(usageWindow) {
@@ -198,10 +199,9 @@
 	}
 }
 
-// freeMemory returns the memory that is left at an engine, as far as is known. A node
-// that has not been heard of lately is taken to use nothing: it is dead or cut
-// off far more often than its datagrams are all lost. Where that is wrong the
-// engine refuses, and is taken as full for a moment.
+// freeMemory estimates the free memory of an engine. A node without a recent report counts as
+// using nothing: it has far more often crashed or been partitioned than lost all of its
+// datagrams. If that is wrong, the engine refuses requests and counts as full for a moment.
 func (m *Model) freeMemory(u *upstream) float64 {
 	free := u.memory - u.reserved - m.estimatedPeerUse(u).Memory
 	if reported, ok := m.reportedFreeMemory(u); ok {
@@ -210,14 +210,14 @@
 	return free
 }
 
-// startAssumption is for how long after its start a node takes others that it has not heard of
-// to use as much as itself: each tells every 0.3 s.
+// startAssumption is how long after its start a node assumes that nodes without a report use as
+// much as itself; each reports every 0.3 s.
 const startAssumption clock.Millis = 1000
 
-// estimatedPeerUse is what other nodes' requests take at an engine. A node that has just started
-// has heard of none, and so have the others if all have started together: each takes the
-// others to choose as it does. Without that all begin at the same engines until they have
-// heard of each other.
+// estimatedPeerUse returns the usage of an engine by other nodes. A node that has just started
+// has no reports, and neither have the others if all started together, so it assumes that they
+// choose as it does. Otherwise all of them would begin their streams on the same engines until
+// the first reports arrive.
 func (m *Model) estimatedPeerUse(u *upstream) fleet.Use {
 	use := u.peerUse
 	if m.now >= startAssumption {
@@ -230,7 +230,7 @@
 	return use
 }
 
-// reportingPeers is of how many other nodes it is known what they have in use.
+// reportingPeers returns the number of other nodes whose usage is known.
 func (m *Model) reportingPeers() int {
 	n := 0
 	for _, peer := range m.peerUsage {
@@ -244,8 +244,8 @@
 	return n
 }
 
-// reportedFreeMemory returns the memory that is left at an engine by its own word, if that
-// is recent.
+// reportedFreeMemory returns the free memory of an engine according to its own report, if that is
+// recent.
 func (m *Model) reportedFreeMemory(u *upstream) (free float64, ok bool) {
 	if m.now > u.reportedAt.Add(statusWindow) {
 		return 0, false
@@ -253,7 +253,7 @@
 	return u.reportedFree - max(0, u.reserved-u.reservedAtReport), true
 }
 
-// memorySource tells whose word on an engine's memory counts now, and how old it is.
+// memorySource returns the origin and age of the current value of an engine's free memory.
 func (m *Model) memorySource(u *upstream) (MemorySource, clock.Millis) {
 	if u.full(m.now) {
 		return SourceRefusal, m.now.Sub(u.refusedAt)
@@ -274,7 +274,7 @@
 	return SourcePeerReports, oldest
 }
 
-// missingResource says why no chain could be built for a request.
+// missingResource returns why no chain could be built for a request.
 func (m *Model) missingResource(r *request) *MissingResource {
 	lack := &MissingResource{Lack: chain.WhatLacks(0, r.service.Pipeline.Layers, r.memoryTokens, m.holders(r, m.byService[r.service.Name], m.answersProbes)), Source: SourceOwnRequests}
 	if u := m.upstreams[lack.ID]; u != nil {
--- a/dispatch/wait.go
+++ b/dispatch/wait.go
@@ -9,10 +9,9 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// A caller gives a stream up after a pause of this many times its aims, and of
-// minPatience at least. A stream that waits for something to go on with is kept
-// until then and patienceMargin longer: cutting it before would take away what
-// the caller still waits for.
+// A client cancels a stream after a pause of several times its latency objectives, and of
+// minPatience at least. A stream that waits to be resumed is kept for that time plus
+// patienceMargin, since aborting it earlier would end it while the client still waits.
 const (
 	patienceAims                 = 4
 	patienceGapAims              = 8
@@ -20,15 +19,14 @@
 	patienceMargin  clock.Millis = 600
 )
 
-// callerPatience is for how long a caller waits for the next event.
+// callerPatience returns how long a client waits for the next event of a stream.
 func callerPatience(route *catalog.Route) clock.Millis {
 	return max(minPatience, patienceAims*route.Aim, patienceGapAims*route.GapAim) + patienceMargin
 }
 
-// waitOrAbort keeps a stream that has begun for a while when nothing can take it
-// up just now: engines are being loaded, others end and leave room, and the
-// budget of repeats is filled again. It is cut only after its caller should have
-// left.
+// waitOrAbort lets a stream that has begun wait if it cannot be resumed at the moment: engines
+// finish loading layers, other streams end and free memory, and the retry budget refills. The
+// stream is aborted only after its client should have disconnected.
 func (m *Model) waitOrAbort(r *request, reason Reason) []Cmd {
 	if r.waitUntil == 0 {
 		r.waitUntil = m.now.Add(callerPatience(r.route))
@@ -42,7 +40,7 @@
 	return m.abort(r.arrival.Request, reason)
 }
 
-// resumeStreams tries again to send the streams that wait.
+// resumeStreams tries again to send the waiting streams.
 func (m *Model) resumeStreams() []Cmd {
 	var cmds []Cmd
 	left := resumesPerTick
@@ -65,7 +63,7 @@
 	return cmds
 }
 
-// waitingStreams returns the streams that wait, the most urgent first.
+// waitingStreams returns the waiting streams by priority.
 func (m *Model) waitingStreams() []*request {
 	var list []*request
 	for _, id := range slices.Sorted(maps.Keys(m.requests)) {
@@ -77,7 +75,7 @@
 	return list
 }
 
-// resend sends a request again, if its key is still good.
+// resend sends a request again if its key is still valid.
 func (m *Model) resend(r *request) []Cmd {
 	if cmds := m.checkKey(r); cmds != nil {
 		return cmds
