--- a/dispatch/arrive.go
+++ b/dispatch/arrive.go
@@ -28,7 +28,7 @@
 		}
 		return m.refuse(msg.Request, http.StatusNotFound, ReasonNoRoute, 0)
 	}
-	r := &request{arrival: msg, arrivedAt: m.now, route: route, tried: make(map[fleet.Incarnation]bool), executedOn: make(map[fleet.Incarnation]execution)}
+	r := &request{arrival: msg, arrivedAt: m.now, route: route, triedUpstreams: make(map[fleet.Incarnation]bool), executedOn: make(map[fleet.Incarnation]execution)}
 	r.requiresKey = m.catalog.HasAccounts() && !route.Anonymous
 	if cmds := m.checkKey(r); cmds != nil {
 		return cmds
@@ -70,22 +70,22 @@
 }
 
 // refuse ends a request with an answer that the node generates itself.
-func (m *Model) refuse(id RequestID, status int, reason Reason, back clock.Millis) []Cmd {
-	return m.respondOrAbort(id, m.response(id, status, reason, back), reason)
+func (m *Model) refuse(id RequestID, status int, reason Reason, retryAfter clock.Millis) []Cmd {
+	return m.respondOrAbort(id, m.response(id, status, reason, retryAfter), reason)
 }
 
 // refuseMissing ends a request that was not executed with 503, because a resource is missing.
-func (m *Model) refuseMissing(id RequestID, reason Reason, back clock.Millis, lack *MissingResource) []Cmd {
-	cmd := m.response(id, http.StatusServiceUnavailable, reason, back)
-	cmd.Missing = lack
+func (m *Model) refuseMissing(id RequestID, reason Reason, retryAfter clock.Millis, missing *MissingResource) []Cmd {
+	cmd := m.response(id, http.StatusServiceUnavailable, reason, retryAfter)
+	cmd.Missing = missing
 	return m.respondOrAbort(id, cmd, reason)
 }
 
 // refuseRateLimited ends a request that was not executed, because the rate limits of all suitable
 // upstreams are used up.
-func (m *Model) refuseRateLimited(r *request, back clock.Millis, why *LimitRefusal) []Cmd {
-	cmd := m.response(r.arrival.Request, http.StatusServiceUnavailable, ReasonRateLimit, back)
-	cmd.RateLimit = why
+func (m *Model) refuseRateLimited(r *request, retryAfter clock.Millis, refusal *LimitRefusal) []Cmd {
+	cmd := m.response(r.arrival.Request, http.StatusServiceUnavailable, ReasonRateLimit, retryAfter)
+	cmd.RateLimit = refusal
 	return m.respondOrAbort(r.arrival.Request, cmd, ReasonRateLimit)
 }
 
@@ -108,11 +108,11 @@
 
 // response builds an answer that the node generates itself. A 503 promises that the request was
 // not executed, so it becomes a 502 if it may have been.
-func (m *Model) response(id RequestID, status int, reason Reason, back clock.Millis) RespondCmd {
+func (m *Model) response(id RequestID, status int, reason Reason, retryAfter clock.Millis) RespondCmd {
 	if r := m.requests[id]; r != nil && r.executions > 0 && status == http.StatusServiceUnavailable {
-		status, reason, back = http.StatusBadGateway, ReasonAnswerLost, 0
+		status, reason, retryAfter = http.StatusBadGateway, ReasonAnswerLost, 0
 	}
-	cmd := RespondCmd{Request: id, Status: status, Reason: reason, RetryAfter: back, ConfigAge: clock.AgeOf(m.configConfirmedAt, m.now)}
+	cmd := RespondCmd{Request: id, Status: status, Reason: reason, RetryAfter: retryAfter, ConfigAge: clock.AgeOf(m.configConfirmedAt, m.now)}
 	if r := m.requests[id]; r != nil {
 		cmd.Work = r.work
 	}
@@ -123,19 +123,19 @@
 }
 
 // hashPosition maps client request ids uniformly to numbers from 0 up to 1.
-func hashPosition(name string) float64 {
-	return float64(xxhash.Sum64String(name)>>11) / (1 << 53)
+func hashPosition(callerID string) float64 {
+	return float64(xxhash.Sum64String(callerID)>>11) / (1 << 53)
 }
 
 // expectedMemoryTokens returns the average memory that a generation is expected to use while it
 // runs, in tokens.
 func expectedMemoryTokens(msg ArriveMsg) float64 {
-	out := float64(msg.AnswerTokens) * expectedAnswerShare
+	answer := float64(msg.AnswerTokens) * expectedAnswerShare
 	if msg.HintTokens > 0 {
-		out = float64(msg.HintTokens)
+		answer = float64(msg.HintTokens)
 	}
 	if msg.AnswerTokens > 0 {
-		out = min(out, float64(msg.AnswerTokens))
+		answer = min(answer, float64(msg.AnswerTokens))
 	}
-	return float64(msg.PromptTokens) + answerMemoryShare*out
+	return float64(msg.PromptTokens) + answerMemoryShare*answer
 }
--- a/dispatch/back_off.go
+++ b/dispatch/back_off.go
@@ -80,11 +80,11 @@
 
 // servableAt reports whether a request can be served once all back-offs up to a time have ended.
 func (m *Model) servableAt(r *request, end clock.Millis) bool {
-	list := m.byService[r.service.Name]
+	upstreams := m.byService[r.service.Name]
 	if r.service.Pipeline == nil {
-		return slices.ContainsFunc(list, func(u *upstream) bool { return !u.inBackOff(end) && r.mayExecuteOn(u) && u.available(m.now) })
+		return slices.ContainsFunc(upstreams, func(u *upstream) bool { return !u.inBackOff(end) && r.mayExecuteOn(u) && u.available(m.now) })
 	}
-	holders := m.holdersUnder(r, list, chainConditions{backOffsUntil: end}, (*upstream).healthy)
+	holders := m.holdersUnder(r, upstreams, chainConditions{backOffsUntil: end}, (*upstream).healthy)
 	_, err := chain.Build(r.service.Pipeline.Layers, r.memoryTokens, m.dataCentre, holders)
 	return err == nil
 }
@@ -92,8 +92,8 @@
 // backOffRetryAfter returns the Retry-After time for the end of a back-off. The retries are
 // spread over the time after that end, with higher priorities first.
 func (m *Model) backOffRetryAfter(r *request, end clock.Millis) clock.Millis {
-	left := max(end.Sub(m.now), 1)
-	return left + clock.Millis(backOffSpread*r.retryPosition()*float64(max(left, shortRetryAfter)))
+	remaining := max(end.Sub(m.now), 1)
+	return remaining + clock.Millis(backOffSpread*r.retryPosition()*float64(max(remaining, shortRetryAfter)))
 }
 
 // retryPosition returns the position of a client in a spread of retries, from 0 for the first up
--- a/dispatch/begun_answer_test.go
+++ b/dispatch/begun_answer_test.go
@@ -32,16 +32,16 @@
 	case dispatch.SendCmd:
 		c.attempt = cmd.Attempt
 		if c.ended || c.delivered == dispatch.DeliveredPartial {
-			c.t.Errorf("got attempt %d, want none: over=%v delivered=%d", cmd.Attempt, c.ended, c.delivered)
+			c.t.Errorf("got attempt %d, want none: ended=%v delivered=%d", cmd.Attempt, c.ended, c.delivered)
 		}
 	case dispatch.RespondCmd, dispatch.RelayFailureCmd:
 		if c.ended || c.delivered != dispatch.DeliveredNothing {
-			c.t.Errorf("got %s, want an answer that has begun gone on with or cut: over=%v delivered=%d", show(cmd), c.ended, c.delivered)
+			c.t.Errorf("got %s, want a begun answer resumed or aborted: ended=%v delivered=%d", show(cmd), c.ended, c.delivered)
 		}
 		c.ended = true
 	case dispatch.AbortResponseCmd:
 		if c.ended || c.delivered == dispatch.DeliveredNothing {
-			c.t.Errorf("got %s of an answer that has not begun: over=%v", show(cmd), c.ended)
+			c.t.Errorf("got %s, want no abort of an answer that has not begun: ended=%v", show(cmd), c.ended)
 		}
 		c.ended = true
 	}
@@ -109,15 +109,15 @@
 // randomFleet draws changes of a few upstreams.
 func randomFleet(t *rapid.T) []fleet.Change {
 	var changes []fleet.Change
-	for _, named := range []map[string]string{
+	for _, attributes := range []map[string]string{
 		{"service": "writer", "kind": "fast", "held": "0-8"}, {"service": "writer", "kind": "fast", "held": "0-4"},
 		{"service": "writer", "kind": "slow", "held": "4-8"}, {"service": "desk"}, {"service": "desk"},
 	} {
-		named["state"] = rapid.SampledFrom([]string{"ready", "ready", "leaving"}).Draw(t, "state")
+		attributes["state"] = rapid.SampledFrom([]string{"ready", "ready", "leaving"}).Draw(t, "state")
 		id := "u" + strconv.Itoa(len(changes))
 		changes = append(changes, fleet.Change{
 			ID: fleet.Undated(fleet.ID(id)), Gone: rapid.IntRange(0, 4).Draw(t, "gone") == 0,
-			Upstream: testUpstream(script.Step{Words: []string{id}, Named: named}),
+			Upstream: testUpstream(script.Step{Words: []string{id}, Named: attributes}),
 		})
 	}
 	return changes
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -49,7 +49,7 @@
 					Request: id, CallerID: "c", Host: "h", Path: "/write/a", PromptTokens: 700, AnswerTokens: 200,
 				})
 				if _, ok := cmds[0].(dispatch.SendCmd); !ok {
-					b.Fatalf("got %+v, want a request sent", cmds[0])
+					b.Fatalf("got %+v, want a SendCmd", cmds[0])
 				}
 				m.Update(clock.Millis(id/100), dispatch.RequestEndedMsg{Request: id})
 			}
@@ -91,12 +91,12 @@
 // BenchmarkPeerUsage measures a usage report with the largest number of engines that one node's
 // streams use: 24 streams over nine engines.
 func BenchmarkPeerUsage(b *testing.B) {
-	const told = 24 * 9
+	const reported = 24 * 9
 	for _, engines := range fleetSizes {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			m := benchModel(engines)
 			used := make(map[fleet.Incarnation]fleet.Use)
-			for i := range min(told, engines) {
+			for i := range min(reported, engines) {
 				used[fleet.Undated(fleet.ID(fmt.Sprintf("e%d", i)))] = fleet.Use{Memory: float64(i)}
 			}
 			for b.Loop() {
--- a/dispatch/depart.go
+++ b/dispatch/depart.go
@@ -74,19 +74,19 @@
 // migrateFrom migrates some streams off an engine and reports whether others remain that may
 // still migrate.
 func (m *Model) migrateFrom(id fleet.Incarnation, cmds *[]Cmd) bool {
-	left := false
+	remaining := false
 	for _, request := range slices.Sorted(maps.Keys(m.requests)) {
 		r := m.requests[request]
 		if !r.passesThrough(id) || r.chain[0].ID == id || r.migrations >= maxMigrations {
 			continue
 		}
-		left = true
+		remaining = true
 		if len(*cmds) >= migrationsPerTick {
 			break
 		}
 		*cmds = append(*cmds, m.migrate(r, id)...)
 	}
-	return left
+	return remaining
 }
 
 // passesThrough reports whether the chain of the current attempt contains an engine.
--- a/dispatch/execution.go
+++ b/dispatch/execution.go
@@ -27,8 +27,8 @@
 		return
 	}
 	u := r.first
-	left := u.entry.Leaving || m.upstreams[u.entry.ID] == nil
-	r.executedOn[u.entry.ID] = execution{cause: msg.Cause, crashed: u.crashed || u.unresponsive || left && msg.Cause == CauseUnknown}
+	departed := u.entry.Leaving || m.upstreams[u.entry.ID] == nil
+	r.executedOn[u.entry.ID] = execution{cause: msg.Cause, crashed: u.crashed || u.unresponsive || departed && msg.Cause == CauseUnknown}
 }
 
 // entryRemoved handles the removal of an upstream's entry. The removal alone proves no crash,
@@ -36,9 +36,9 @@
 // execution or is unresponsive.
 func (m *Model) entryRemoved(u *upstream) {
 	for _, r := range m.requests {
-		if at, ok := r.executedOn[u.entry.ID]; ok && (at.cause == CauseUnknown || u.unresponsive) {
-			at.crashed = true
-			r.executedOn[u.entry.ID] = at
+		if e, ok := r.executedOn[u.entry.ID]; ok && (e.cause == CauseUnknown || u.unresponsive) {
+			e.crashed = true
+			r.executedOn[u.entry.ID] = e
 		}
 	}
 }
@@ -52,9 +52,9 @@
 	var cmds []Cmd
 	for _, id := range slices.Sorted(maps.Keys(m.requests)) {
 		r := m.requests[id]
-		if at, ok := r.executedOn[u.entry.ID]; ok {
-			at.crashed = true
-			r.executedOn[u.entry.ID] = at
+		if e, ok := r.executedOn[u.entry.ID]; ok {
+			e.crashed = true
+			r.executedOn[u.entry.ID] = e
 		}
 		if r.first == u || r.passesThrough(u.entry.ID) {
 			cmds = append(cmds, RecheckAttemptCmd{Request: id, Attempt: r.attempts, SuspectedAddress: u.entry.Address, Crashed: true})
@@ -64,17 +64,17 @@
 }
 
 // hasCrashed reports whether an upstream has crashed since its execution of a request.
-func (m *Model) hasCrashed(id fleet.Incarnation, at execution) bool {
+func (m *Model) hasCrashed(id fleet.Incarnation, e execution) bool {
 	u := m.upstreams[id]
-	return at.crashed || u != nil && u.unresponsive
+	return e.crashed || u != nil && u.unresponsive
 }
 
 // countedExecutions returns the number of upstreams that executed the request and have not
 // crashed.
 func (m *Model) countedExecutions(r *request) int {
 	n := 0
-	for id, at := range r.executedOn {
-		if !m.hasCrashed(id, at) {
+	for id, e := range r.executedOn {
+		if !m.hasCrashed(id, e) {
 			n++
 		}
 	}
--- a/dispatch/fail.go
+++ b/dispatch/fail.go
@@ -62,11 +62,11 @@
 
 // retryDenial returns the reason why a request may not be sent again; empty if it may.
 func (m *Model) retryDenial(r *request, cause Cause) Reason {
-	ran := cause == CauseUnknown || cause == CauseNoProgress || cause == CauseUpstreamFailed
+	executed := cause == CauseUnknown || cause == CauseNoProgress || cause == CauseUpstreamFailed
 	switch {
 	case r.delivered == DeliveredPartial:
 		return ReasonAnswerLost
-	case ran && !r.route.MayRepeat():
+	case executed && !r.route.MayRepeat():
 		return ReasonAnswerLost
 	case cause == CauseUpstreamFailed && r.route.Kind == 0:
 		return ReasonAnswerLost
@@ -101,31 +101,31 @@
 		return nil
 	}
 	if r.first != nil {
-		r.tried[r.first.entry.ID] = true
+		r.triedUpstreams[r.first.entry.ID] = true
 	}
-	at := m.faultyUpstream(r, msg)
-	if at == nil {
+	faulty := m.faultyUpstream(r, msg)
+	if faulty == nil {
 		return nil
 	}
-	r.tried[at.entry.ID] = true
+	r.triedUpstreams[faulty.entry.ID] = true
 	switch msg.Cause {
 	case CauseFull:
-		if at.inBackOff(m.now) {
+		if faulty.inBackOff(m.now) {
 			// The refusal carried Retry-After, which sets the time to avoid the upstream.
 			return nil
 		}
-		at.refusedAsFirst = at == r.first
-		at.recordRefusal(m.now)
+		faulty.refusedAsFirst = faulty == r.first
+		faulty.recordRefusal(m.now)
 		return nil
 	case CauseMisdirected:
-		at.recordMisdirected(m.now)
+		faulty.recordMisdirected(m.now)
 		return nil
 	case CauseUpstreamFailed:
-		at.recordAnswer(m.now.Sub(r.arrivedAt), true)
+		faulty.recordAnswer(m.now.Sub(r.arrivedAt), true)
 		return nil
 	default:
-		at.recordAnswer(m.now.Sub(r.arrivedAt), true)
-		return m.suspect(at, msg.Cause, r)
+		faulty.recordAnswer(m.now.Sub(r.arrivedAt), true)
+		return m.suspect(faulty, msg.Cause, r)
 	}
 }
 
@@ -133,10 +133,10 @@
 // that was canceled for lack of events counts against no upstream unless one was found
 // unresponsive.
 func (m *Model) faultyUpstream(r *request, msg AttemptFailedMsg) *upstream {
-	if at, ok := r.upstreamAt(msg.FaultyAddress); ok {
+	if id, ok := r.upstreamAt(msg.FaultyAddress); ok {
 		// The result is nil if that incarnation has been removed since: another upstream may have
 		// its address now.
-		return m.upstreams[at]
+		return m.upstreams[id]
 	}
 	if msg.Cause == CauseNoProgress {
 		return nil
@@ -146,7 +146,7 @@
 
 // suspect stops sending work to an upstream until a probe succeeds, and makes the other streams
 // through it check their progress.
-func (m *Model) suspect(u *upstream, cause Cause, by *request) []Cmd {
+func (m *Model) suspect(u *upstream, cause Cause, reporter *request) []Cmd {
 	u.cause = cause
 	if u.suspected && m.now < u.avoidUntil {
 		return nil
@@ -156,15 +156,15 @@
 	if u.pipeline == nil {
 		return cmds
 	}
-	return append(cmds, m.recheckAttempts(u, by)...)
+	return append(cmds, m.recheckAttempts(u, reporter)...)
 }
 
 // recheckAttempts makes all streams through a suspected engine check their progress, except the
 // request that reported it.
-func (m *Model) recheckAttempts(u *upstream, by *request) []Cmd {
+func (m *Model) recheckAttempts(u *upstream, reporter *request) []Cmd {
 	var cmds []Cmd
 	for _, id := range slices.Sorted(maps.Keys(m.requests)) {
-		if r := m.requests[id]; r != by && r.passesThrough(u.entry.ID) {
+		if r := m.requests[id]; r != reporter && r.passesThrough(u.entry.ID) {
 			cmds = append(cmds, RecheckAttemptCmd{Request: id, Attempt: r.attempts, SuspectedAddress: u.entry.Address})
 		}
 	}
--- a/dispatch/limit.go
+++ b/dispatch/limit.go
@@ -86,8 +86,8 @@
 			return append(m.limitChanged(msg.Upstream, ""), m.resumePermitWaiters(msg.Upstream)...)
 		}
 	case PermitRequestMsg:
-		grant, asks := m.limits.Asked(m.now, msg.From, msg.Request)
-		return append(requestPermitsCmds(asks), GrantPermitsCmd{To: msg.From, Grant: grant})
+		grant, requests := m.limits.Asked(m.now, msg.From, msg.Request)
+		return append(requestPermitsCmds(requests), GrantPermitsCmd{To: msg.From, Grant: grant})
 	case PermitGrantMsg:
 		return m.permitsGranted(msg)
 	}
@@ -129,18 +129,18 @@
 func (m *Model) Limits(now clock.Millis) []limit.Shown { return m.limits.Show(now) }
 
 func (m *Model) limitChanged(upstream fleet.Incarnation, from string) []Cmd {
-	named, _ := m.limits.Limit(upstream)
-	cmd := LimitChangedCmd{Upstream: upstream, Rate: named.Rate, From: from}
-	if named.Rate > 0 {
-		cmd.Age = m.now.Sub(named.At)
+	advertised, _ := m.limits.Limit(upstream)
+	cmd := LimitChangedCmd{Upstream: upstream, Rate: advertised.Rate, From: from}
+	if advertised.Rate > 0 {
+		cmd.Age = m.now.Sub(advertised.At)
 	}
 	return []Cmd{cmd}
 }
 
-func requestPermitsCmds(asks []limit.AskCmd) []Cmd {
+func requestPermitsCmds(requests []limit.AskCmd) []Cmd {
 	var cmds []Cmd
-	for _, a := range asks {
-		cmds = append(cmds, RequestPermitsCmd{a})
+	for _, req := range requests {
+		cmds = append(cmds, RequestPermitsCmd{req})
 	}
 	return cmds
 }
@@ -203,8 +203,8 @@
 // reviewPermitWaiters repeats unanswered permit requests and resumes the requests that have
 // waited for maxPermitWait.
 func (m *Model) reviewPermitWaiters() []Cmd {
-	asks, failed := m.limits.Tick(m.now)
-	cmds := requestPermitsCmds(asks)
+	requests, failed := m.limits.Tick(m.now)
+	cmds := requestPermitsCmds(requests)
 	for _, upstream := range failed {
 		cmds = append(cmds, m.resumePermitWaiters(upstream)...)
 	}
@@ -230,20 +230,20 @@
 
 // limitedUpstreams returns the upstreams that could serve a request if they had no rate limits.
 func (m *Model) limitedUpstreams(r *request) []*upstream {
-	var list []*upstream
+	var limited []*upstream
 	for _, u := range m.byService[r.service.Name] {
 		if u.acceptsWork() && !u.inBackOff(m.now) && (u.pipeline != nil || r.mayExecuteOn(u)) && !m.limitAllows(r, u) {
-			list = append(list, u)
+			limited = append(limited, u)
 		}
 	}
-	if len(list) == 0 || r.service.Pipeline == nil {
-		return list
+	if len(limited) == 0 || r.service.Pipeline == nil {
+		return limited
 	}
 	holders := m.holdersUnder(r, m.byService[r.service.Name], chainConditions{backOffsUntil: m.now, ignoreLimits: true}, (*upstream).healthy)
 	if _, err := chain.Build(r.service.Pipeline.Layers, r.memoryTokens, m.dataCentre, holders); err != nil {
 		return nil
 	}
-	return list
+	return limited
 }
 
 // LimitRefusal describes the rate limit that refused a request, for the log.
@@ -261,25 +261,25 @@
 // limitRetryAfter returns the Retry-After time of a request that was refused because of rate
 // limits. It spreads the retries over the time that the limits need to admit as many requests as
 // were denied lately. Requests of higher priority get shorter times.
-func (m *Model) limitRetryAfter(r *request) (back clock.Millis, why *LimitRefusal) {
-	list := m.limitedUpstreams(r)
-	if len(list) == 0 {
+func (m *Model) limitRetryAfter(r *request) (retryAfter clock.Millis, refusal *LimitRefusal) {
+	limited := m.limitedUpstreams(r)
+	if len(limited) == 0 {
 		return 0, nil
 	}
-	why = &LimitRefusal{LimitedUpstreams: len(list)}
+	refusal = &LimitRefusal{LimitedUpstreams: len(limited)}
 	rates, soonest := 0.0, maxRetryAfter
-	for _, u := range list {
-		named, _ := m.limits.Limit(u.entry.ID)
-		next, queue := m.limits.Next(m.now, u.entry.ID)
-		rates += named.Rate
-		why.RecentDenials = max(why.RecentDenials, queue)
-		if why.Upstream.IsZero() || next < soonest {
-			soonest, why.Upstream, why.Rate = min(next, maxRetryAfter), u.entry.ID, named.Rate
+	for _, u := range limited {
+		advertised, _ := m.limits.Limit(u.entry.ID)
+		nextPermit, denied := m.limits.Next(m.now, u.entry.ID)
+		rates += advertised.Rate
+		refusal.RecentDenials = max(refusal.RecentDenials, denied)
+		if refusal.Upstream.IsZero() || nextPermit < soonest {
+			soonest, refusal.Upstream, refusal.Rate = min(nextPermit, maxRetryAfter), u.entry.ID, advertised.Rate
 		}
 	}
-	turn := clock.Millis(msPerSecond * float64(why.RecentDenials) / max(rates, 1/float64(maxRetryAfter)))
-	back = soonest + clock.Millis(r.retryPosition()*float64(min(turn, maxRetryAfter)))
-	return min(max(back, shortRetryAfter), maxRetryAfter), why
+	backlog := clock.Millis(msPerSecond * float64(refusal.RecentDenials) / max(rates, 1/float64(maxRetryAfter)))
+	retryAfter = soonest + clock.Millis(r.retryPosition()*float64(min(backlog, maxRetryAfter)))
+	return min(max(retryAfter, shortRetryAfter), maxRetryAfter), refusal
 }
 
 const msPerSecond = 1000
--- a/dispatch/loss.go
+++ b/dispatch/loss.go
@@ -46,8 +46,8 @@
 	if msg.Events > r.deliveredEvents {
 		return m.quarantineCmds(m.quarantine.Answered(m.now, r.work, true))
 	}
-	if at := m.faultyUpstream(r, msg); at != nil {
-		return m.recordLossAt(r, at)
+	if u := m.faultyUpstream(r, msg); u != nil {
+		return m.recordLossAt(r, u)
 	}
 	return nil
 }
@@ -61,8 +61,8 @@
 	}
 	cmds := m.quarantineCmds(m.quarantine.Lost(m.now, r.work, u.entry.ID, m.upstreamFate(u.entry.ID), ownLossWindow, true))
 	for _, id := range m.quarantine.Pending(r.work) {
-		if at := m.upstreams[id]; at != nil {
-			m.probeNextTick(at)
+		if lost := m.upstreams[id]; lost != nil {
+			m.probeNextTick(lost)
 		}
 	}
 	return cmds
@@ -200,15 +200,15 @@
 }
 
 // refuseQuarantined ends a request that is quarantined for crashing upstreams.
-func (m *Model) refuseQuarantined(r *request, left clock.Millis) []Cmd {
+func (m *Model) refuseQuarantined(r *request, remaining clock.Millis) []Cmd {
 	id := r.arrival.Request
 	if r.executions > 0 {
 		return m.refuse(id, http.StatusBadGateway, ReasonQuarantined, 0)
 	}
 	if !m.quarantine.Certain(r.work) {
-		left = min(left, coverageGapRetryAfter)
+		remaining = min(remaining, coverageGapRetryAfter)
 	}
-	return m.refuse(id, http.StatusServiceUnavailable, ReasonQuarantined, left)
+	return m.refuse(id, http.StatusServiceUnavailable, ReasonQuarantined, remaining)
 }
 
 // spreadSuspectedWork adds spreadCost to all but one of the engines that could begin a suspected
@@ -216,14 +216,14 @@
 // were lost together are thereby sent to different engines, and the next loss shows which of them
 // crashes engines.
 func spreadSuspectedWork(w work.ID, holders []chain.Holder) {
-	best, least := -1, math.Inf(1)
+	chosen, least := -1, math.Inf(1)
 	for i, h := range holders {
-		if at := spreadOrder(w, h.ID); h.Held.From == 0 && at < least {
-			best, least = i, at
+		if order := spreadOrder(w, h.ID); h.Held.From == 0 && order < least {
+			chosen, least = i, order
 		}
 	}
 	for i := range holders {
-		if i != best {
+		if i != chosen {
 			holders[i].Begin += spreadCost
 		}
 	}
--- a/dispatch/migrate.go
+++ b/dispatch/migrate.go
@@ -15,38 +15,38 @@
 	if r == nil || msg.Attempt != r.attempts {
 		return nil
 	}
-	at, ok := r.upstreamAt(msg.FaultyAddress)
+	engine, ok := r.upstreamAt(msg.FaultyAddress)
 	if !ok {
 		return nil
 	}
-	u := m.upstreams[at]
+	u := m.upstreams[engine]
 	if msg.Slow || u == nil {
-		return m.migrate(r, at)
+		return m.migrate(r, engine)
 	}
 	cmds := m.suspect(u, CauseNoProgress, r)
-	return append(cmds, m.migrate(r, at)...)
+	return append(cmds, m.migrate(r, engine)...)
 }
 
 // migrate moves a running stream to a chain without one engine. The first engine of the chain
 // stays, because the stream comes from there.
-func (m *Model) migrate(r *request, away fleet.Incarnation) []Cmd {
-	if r.migrating || r.migrations >= maxMigrations || len(r.chain) == 0 || r.chain[0].ID == away {
+func (m *Model) migrate(r *request, avoided fleet.Incarnation) []Cmd {
+	if r.migrating || r.migrations >= maxMigrations || len(r.chain) == 0 || r.chain[0].ID == avoided {
 		return nil
 	}
-	parts, err := m.detourChain(r, away)
+	parts, err := m.detourChain(r, avoided)
 	if err != nil {
 		return nil
 	}
 	r.migrating = true
 	r.migrations++
 	m.reserve(r, parts)
-	return []Cmd{MigrateCmd{Request: r.arrival.Request, Attempt: r.attempts, Chain: parts, FromEngine: away}}
+	return []Cmd{MigrateCmd{Request: r.arrival.Request, Attempt: r.attempts, Chain: parts, FromEngine: avoided}}
 }
 
 // detourChain builds a chain that avoids an engine and keeps the first part of the current chain.
-func (m *Model) detourChain(r *request, away fleet.Incarnation) ([]chain.Part, error) {
+func (m *Model) detourChain(r *request, avoided fleet.Incarnation) ([]chain.Part, error) {
 	first := r.chain[0]
-	holders := m.holders(r, m.byService[r.service.Name], (*upstream).healthy, first.ID, away)
+	holders := m.holders(r, m.byService[r.service.Name], (*upstream).healthy, first.ID, avoided)
 	for _, p := range r.chain[1:] {
 		for i := range holders {
 			if holders[i].ID == p.ID {
@@ -55,11 +55,11 @@
 			}
 		}
 	}
-	rest, err := chain.BuildFrom(first.Layers.To, r.service.Pipeline.Layers, r.memoryTokens, m.dataCentre, holders)
+	tail, err := chain.BuildFrom(first.Layers.To, r.service.Pipeline.Layers, r.memoryTokens, m.dataCentre, holders)
 	if err != nil {
 		return nil, err
 	}
-	return append([]chain.Part{first}, rest...), nil
+	return append([]chain.Part{first}, tail...), nil
 }
 
 // keepEngineBonus is subtracted from the cost of the engines that a stream already uses, since
@@ -77,12 +77,12 @@
 	if msg.Result != MigrationRefused {
 		return nil
 	}
-	at, ok := r.upstreamAt(msg.FaultyAddress)
+	engine, ok := r.upstreamAt(msg.FaultyAddress)
 	if !ok {
 		return nil
 	}
-	if u := m.upstreams[at]; u != nil {
+	if u := m.upstreams[engine]; u != nil {
 		u.recordRefusal(m.now)
 	}
-	return m.migrate(r, at)
+	return m.migrate(r, engine)
 }
--- a/dispatch/preference_test.go
+++ b/dispatch/preference_test.go
@@ -67,14 +67,14 @@
 	mean := preferenceNodes / enginesPerQuarter
 	counts := engineChoices(true)
 	if got, want := most(counts), 3*mean; got > want {
-		t.Errorf("got %d of %d requests over one engine, want %d at most", got, preferenceNodes, want)
+		t.Errorf("got %d of %d requests on one engine, want at most %d", got, preferenceNodes, want)
 	}
 	if got, want := len(counts), 4*enginesPerQuarter; got != want {
-		t.Errorf("got %d engines used, want all %d", got, want)
+		t.Errorf("got %d engines in use, want all %d", got, want)
 	}
 	// In a small data centre each node has many requests, and the nodes choose different engines
 	// because they know each other's usage.
 	if got, want := most(engineChoices(false)), preferenceNodes; got != want {
-		t.Errorf("got %d of %d requests over one engine in a small data centre, want all", got, want)
+		t.Errorf("got %d of %d requests on one engine in a small data centre, want all", got, want)
 	}
 }
--- a/dispatch/probe.go
+++ b/dispatch/probe.go
@@ -75,8 +75,8 @@
 		return cmds
 	}
 	u.unresponsive = !msg.Answered
-	agreed := u.unresponsive && m.now <= u.peerReportedAt.Add(m.peerReportWindow())
-	return append(cmds, ResponsivenessCmd{Upstream: msg.Upstream, Unresponsive: u.unresponsive, Confirmed: agreed})
+	confirmed := u.unresponsive && m.now <= u.peerReportedAt.Add(m.peerReportWindow())
+	return append(cmds, ResponsivenessCmd{Upstream: msg.Upstream, Unresponsive: u.unresponsive, Confirmed: confirmed})
 }
 
 const (
--- a/dispatch/prompt_load.go
+++ b/dispatch/prompt_load.go
@@ -13,20 +13,20 @@
 )
 
 // recordStreamTime adds a sample to the moving average of stream durations.
-func (m *Model) recordStreamTime(took clock.Millis) {
-	m.meanStreamTime += streamTimeWeight * (float64(took) - m.meanStreamTime)
+func (m *Model) recordStreamTime(duration clock.Millis) {
+	m.meanStreamTime += streamTimeWeight * (float64(duration) - m.meanStreamTime)
 }
 
 // promptLoad estimates the ratio of the prompts that an engine receives to those that it can read
 // in time. The rate of prompts follows from the memory in use and the mean duration of streams.
 func (m *Model) promptLoad(u *upstream, free float64) float64 {
 	layers := u.entry.Held.Len()
-	used := u.memory - free
-	kind, known := u.pipeline.Accelerators[u.entry.Accelerator]
-	if !known || layers == 0 || used <= 0 {
+	usedMemory := u.memory - free
+	accelerator, known := u.pipeline.Accelerators[u.entry.Accelerator]
+	if !known || layers == 0 || usedMemory <= 0 {
 		return 0
 	}
 	prompt, answer := u.pipeline.Usual()
-	streams := used / (prompt + answerMemoryShare*answer) / float64(layers)
-	return streams / m.meanStreamTime * max(u.slowdown, 1) / u.pipeline.ReadsInTime(kind, layers, batchShare*streams)
+	streams := usedMemory / (prompt + answerMemoryShare*answer) / float64(layers)
+	return streams / m.meanStreamTime * max(u.slowdown, 1) / u.pipeline.ReadsInTime(accelerator, layers, batchShare*streams)
 }
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -27,9 +27,9 @@
 	// memoryTokens is the size for which memory is reserved, in tokens.
 	memoryTokens float64
 	// attempts counts the attempts, and executions those that may have been executed.
-	attempts   int
-	executions int
-	tried      map[fleet.Incarnation]bool
+	attempts       int
+	executions     int
+	triedUpstreams map[fleet.Incarnation]bool
 	// executedOn holds the executions by upstream. The operator bounds the number of upstreams,
 	// not the number of executions on each.
 	executedOn map[fleet.Incarnation]execution
--- a/dispatch/retry_after.go
+++ b/dispatch/retry_after.go
@@ -23,12 +23,12 @@
 }
 
 // recordRefusal adds a refusal and returns the duration of the outage so far.
-func (s *outage) recordRefusal(now clock.Millis) clock.Millis {
-	if now > s.lastRefusalAt.Add(outageQuietTime) {
-		s.startedAt = now
+func (o *outage) recordRefusal(now clock.Millis) clock.Millis {
+	if now > o.lastRefusalAt.Add(outageQuietTime) {
+		o.startedAt = now
 	}
-	s.lastRefusalAt = now
-	return now.Sub(s.startedAt)
+	o.lastRefusalAt = now
+	return now.Sub(o.startedAt)
 }
 
 const (
@@ -42,20 +42,20 @@
 )
 
 // capRetryAfter limits an estimated Retry-After time to the client's remaining time.
-func (r *request) capRetryAfter(now, back clock.Millis) clock.Millis {
-	left := float64(r.callerDeadline.Sub(now))
-	if r.arrival.Remaining <= 0 || float64(back) <= usableTimeShare*left {
-		return back
+func (r *request) capRetryAfter(now, estimate clock.Millis) clock.Millis {
+	remaining := float64(r.callerDeadline.Sub(now))
+	if r.arrival.Remaining <= 0 || float64(estimate) <= usableTimeShare*remaining {
+		return estimate
 	}
-	return max(clock.Millis(cappedTimeShare*left), 0)
+	return max(clock.Millis(cappedTimeShare*remaining), 0)
 }
 
 // retryAfter returns the Retry-After time of a refused request. An outage is expected to last as
 // long again as it has lasted.
-func (m *Model) retryAfter(r *request, reason Reason, lack *MissingResource) clock.Millis {
+func (m *Model) retryAfter(r *request, reason Reason, missing *MissingResource) clock.Millis {
 	if reason == ReasonNoHolder {
-		if healed := m.coverageRetryAfter(r, lack); healed > 0 {
-			return healed
+		if gapLeft := m.coverageRetryAfter(r, missing); gapLeft > 0 {
+			return gapLeft
 		}
 	}
 	if reason == ReasonNoSlot {
@@ -65,18 +65,18 @@
 	if reason == ReasonNoHolder || reason == ReasonNoUpstream {
 		least = coverageGapRetryAfter
 	}
-	lasted := float64(m.outageDuration(m.outages, r)) * (minOutageFactor + outageSpread*hashPosition(r.arrival.CallerID))
-	return min(max(least, clock.Millis(lasted)), maxRetryAfter)
+	expected := float64(m.outageDuration(m.outages, r)) * (minOutageFactor + outageSpread*hashPosition(r.arrival.CallerID))
+	return min(max(least, clock.Millis(expected)), maxRetryAfter)
 }
 
 // outageDuration records a refusal and returns the duration of the service's outage so far.
-func (m *Model) outageDuration(shortages map[string]*outage, r *request) clock.Millis {
-	s := shortages[r.service.Name]
-	if s == nil {
-		s = &outage{startedAt: m.now, lastRefusalAt: m.now}
-		shortages[r.service.Name] = s
+func (m *Model) outageDuration(outages map[string]*outage, r *request) clock.Millis {
+	o := outages[r.service.Name]
+	if o == nil {
+		o = &outage{startedAt: m.now, lastRefusalAt: m.now}
+		outages[r.service.Name] = o
 	}
-	return s.recordRefusal(m.now)
+	return o.recordRefusal(m.now)
 }
 
 // coverageRetryAfter returns the Retry-After time of a request that was refused because layers
@@ -84,15 +84,15 @@
 // placement planners need some 1.2 s in addition to the load. It returns zero if the layers
 // should have been loaded by now. Shorter times only lead to further refusals, as for two in
 // three of the clients that retried after 1.5 s.
-func (m *Model) coverageRetryAfter(r *request, lack *MissingResource) clock.Millis {
+func (m *Model) coverageRetryAfter(r *request, missing *MissingResource) clock.Millis {
 	p := r.service.Pipeline
-	if p == nil || lack == nil {
+	if p == nil || missing == nil {
 		return 0
 	}
-	load := p.LoadMS * float64(lack.Layers.Len()) / float64(max(p.Layers, 1))
-	left := min(coverageGapRetryAfter+clock.Millis(load), maxCoverageGap) - m.outageDuration(m.coverageGaps, r)
-	if left < shortRetryAfter {
+	load := p.LoadMS * float64(missing.Layers.Len()) / float64(max(p.Layers, 1))
+	remaining := min(coverageGapRetryAfter+clock.Millis(load), maxCoverageGap) - m.outageDuration(m.coverageGaps, r)
+	if remaining < shortRetryAfter {
 		return 0
 	}
-	return left + clock.Millis(outageSpread*hashPosition(r.arrival.CallerID)*load)
+	return remaining + clock.Millis(outageSpread*hashPosition(r.arrival.CallerID)*load)
 }
--- a/dispatch/retry_budget_test.go
+++ b/dispatch/retry_budget_test.go
@@ -44,9 +44,9 @@
 // retried. It returns the number of retries.
 func (s *retryingNode) serve(now clock.Millis, fails bool) int {
 	s.lastRequest++
-	own := now.Sub(s.startedAt)
-	s.model.Update(own, TickMsg{})
-	cmds := s.model.Update(own, ArriveMsg{Request: s.lastRequest, CallerID: "c", Host: "h", Path: "/a", Remaining: 20_000})
+	sinceStart := now.Sub(s.startedAt)
+	s.model.Update(sinceStart, TickMsg{})
+	cmds := s.model.Update(sinceStart, ArriveMsg{Request: s.lastRequest, CallerID: "c", Host: "h", Path: "/a", Remaining: 20_000})
 	sends := 0
 	for fails && len(cmds) > 0 {
 		send, ok := cmds[len(cmds)-1].(SendCmd)
@@ -54,9 +54,9 @@
 			break
 		}
 		sends++
-		cmds = s.model.Update(own, AttemptFailedMsg{Request: s.lastRequest, Attempt: send.Attempt, Cause: CauseUpstreamFailed})
+		cmds = s.model.Update(sinceStart, AttemptFailedMsg{Request: s.lastRequest, Attempt: send.Attempt, Cause: CauseUpstreamFailed})
 	}
-	s.model.Update(own, RequestEndedMsg{Request: s.lastRequest})
+	s.model.Update(sinceStart, RequestEndedMsg{Request: s.lastRequest})
 	return max(sends-1, 0)
 }
 
@@ -68,7 +68,7 @@
 func TestRestartedNodesStayWithinRetryBudget(t *testing.T) {
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		var first, repeats [retrySimDuration]int
+		var firstAttempts, retries [retrySimDuration]int
 		starts := drawRestarts(random)
 		failsFrom := starts[0].Sub(clock.Millis(random.IntN(retryWindowMS)))
 		nodes := make([]*retryingNode, retryNodes)
@@ -80,14 +80,14 @@
 				if len(starts) > 0 && now >= starts[0] {
 					nodes[i] = newRetryingNode(now)
 				}
-				first[now]++
-				repeats[now] += nodes[i].serve(now, now >= failsFrom)
+				firstAttempts[now]++
+				retries[now] += nodes[i].serve(now, now >= failsFrom)
 			}
 			if len(starts) > 0 && now >= starts[0] {
 				starts = starts[1:]
 			}
 		}
-		checkRetryWindows(t, seed, first[:], repeats[:])
+		checkRetryWindows(t, seed, firstAttempts[:], retries[:])
 	}
 }
 
@@ -101,16 +101,16 @@
 
 // checkRetryWindows fails the test if the retries of a window exceed the number that its first
 // attempts allow.
-func checkRetryWindows(t *testing.T, seed uint64, first, repeats []int) {
+func checkRetryWindows(t *testing.T, seed uint64, firstAttempts, retries []int) {
 	t.Helper()
-	firsts, sum := 0, 0
-	for at := range first {
-		firsts, sum = firsts+first[at], sum+repeats[at]
+	attemptSum, retrySum := 0, 0
+	for at := range firstAttempts {
+		attemptSum, retrySum = attemptSum+firstAttempts[at], retrySum+retries[at]
 		if at >= retryWindowMS {
-			firsts, sum = firsts-first[at-retryWindowMS], sum-repeats[at-retryWindowMS]
+			attemptSum, retrySum = attemptSum-firstAttempts[at-retryWindowMS], retrySum-retries[at-retryWindowMS]
 		}
-		if allowed := retryShare*float64(firsts) + retrySlack; at >= retryWindowMS && float64(sum) > allowed {
-			t.Fatalf("seed %d: got %d repeats in the window to %d ms, want %.0f at most", seed, sum, at, allowed)
+		if allowed := retryShare*float64(attemptSum) + retrySlack; at >= retryWindowMS && float64(retrySum) > allowed {
+			t.Fatalf("seed %d: got %d retries in the window that ends at %d ms, want at most %.0f", seed, retrySum, at, allowed)
 		}
 	}
 }
--- a/dispatch/script_test.go
+++ b/dispatch/script_test.go
@@ -20,7 +20,7 @@
 func TestScripts(t *testing.T) { runScripts(t, "testdata") }
 
 // TestSlotScripts runs the scripts about waiting for slots at plain services.
-func TestSlotScripts(t *testing.T) { runScripts(t, "testdata/places") }
+func TestSlotScripts(t *testing.T) { runScripts(t, "testdata/slot_queue") }
 
 func runScripts(t *testing.T, folder string) {
 	script.Run(t, folder, func(t *testing.T) func(script.Step) []string {
@@ -109,7 +109,7 @@
 	case "tick":
 		return dispatch.TickMsg{}
 	}
-	p.t.Fatalf("line %d: no such verb %q", s.Line, s.Verb)
+	p.t.Fatalf("line %d: unknown verb %q", s.Line, s.Verb)
 	return nil
 }
 
@@ -184,7 +184,7 @@
 }
 
 // clinicWork returns the work of a request of the client account clinic.
-func clinicWork(asked string) work.ID { return work.ID{}.By(asked).By("clinic") }
+func clinicWork(name string) work.ID { return work.ID{}.By(name).By("clinic") }
 
 // parseDelivered returns the part of the answer that the client has: a part that cannot be
 // resumed (part=yes), or the events given in the line.
@@ -204,7 +204,7 @@
 			return c
 		}
 	}
-	t.Fatalf("no such cause %q", name)
+	t.Fatalf("unknown cause %q", name)
 	return 0
 }
 
@@ -242,12 +242,12 @@
 	held := fleet.Range{}
 	held.From, _ = strconv.Atoi(from)
 	held.To, _ = strconv.Atoi(to)
-	centre := s.Named["in"]
-	if centre == "" {
-		centre = "a"
+	dataCentre := s.Named["in"]
+	if dataCentre == "" {
+		dataCentre = "a"
 	}
 	return fleet.Upstream{
-		ID: script.Incarnation(s.Word(0)), Address: addressOf(s), Service: s.Named["service"], DataCentre: centre,
+		ID: script.Incarnation(s.Word(0)), Address: addressOf(s), Service: s.Named["service"], DataCentre: dataCentre,
 		Accelerator: s.Named["kind"], Held: held, Slots: s.Int("slots", 0), Leaving: s.Named["state"] == "leaving",
 		Withheld: s.Named["state"] == "withheld",
 	}
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -17,8 +17,8 @@
 // send chooses the upstream or chain for the next attempt of a request. Without one, the request
 // waits or ends.
 func (m *Model) send(r *request) []Cmd {
-	if left, held := m.quarantine.Holds(m.now, r.work); held {
-		return m.refuseQuarantined(r, left)
+	if remaining, quarantined := m.quarantine.Holds(m.now, r.work); quarantined {
+		return m.refuseQuarantined(r, remaining)
 	}
 	var cmd SendCmd
 	var reason Reason
@@ -44,8 +44,8 @@
 	r.attempts++
 	r.first.inFlight++
 	m.limits.Sent(m.now, r.first.entry.ID)
-	named, _ := m.limits.Limit(r.first.entry.ID)
-	cmd.Limit = named.Rate
+	advertised, _ := m.limits.Limit(r.first.entry.ID)
+	cmd.Limit = advertised.Rate
 	cmd.Request, cmd.Attempt = r.arrival.Request, r.attempts
 	cmd.Upstream, cmd.Address = r.first.entry.ID, r.first.entry.Address
 	cmd.Route, cmd.Account, cmd.RequiresKey, cmd.Priority = r.route, r.account.Name, r.requiresKey, r.priority()
@@ -77,18 +77,18 @@
 		return m.refuse(r.arrival.Request, http.StatusBadGateway, ReasonAnswerLost, 0)
 	}
 	if reason == ReasonNoUpstream || reason == ReasonNoHolder || reason == ReasonNoMemory || reason == ReasonNoSlot {
-		if back, why := m.limitRetryAfter(r); why != nil {
-			return m.refuseRateLimited(r, r.capRetryAfter(m.now, back), why)
+		if retryAfter, refusal := m.limitRetryAfter(r); refusal != nil {
+			return m.refuseRateLimited(r, r.capRetryAfter(m.now, retryAfter), refusal)
 		}
 	}
-	if end, rest := m.servableAfterBackOff(r); rest {
-		return m.refuseMissing(r.arrival.Request, ReasonBackOff, m.backOffRetryAfter(r, end), nil)
+	if backOffEnd, waits := m.servableAfterBackOff(r); waits {
+		return m.refuseMissing(r.arrival.Request, ReasonBackOff, m.backOffRetryAfter(r, backOffEnd), nil)
 	}
-	var lack *MissingResource
+	var missing *MissingResource
 	if r.service.Pipeline != nil && (reason == ReasonNoMemory || reason == ReasonNoHolder) {
-		lack = m.missingResource(r)
+		missing = m.missingResource(r)
 	}
-	return m.refuseMissing(r.arrival.Request, reason, r.capRetryAfter(m.now, m.retryAfter(r, reason, lack)), lack)
+	return m.refuseMissing(r.arrival.Request, reason, r.capRetryAfter(m.now, m.retryAfter(r, reason, missing)), missing)
 }
 
 // sendPlain chooses the upstream that is expected to answer first, by its mean latency and the
@@ -99,10 +99,10 @@
 		return SendCmd{}, ReasonNoSlot
 	}
 	best := m.cheapest(r, func(u *upstream) bool {
-		return r.mayExecuteOn(u) && !r.tried[u.entry.ID] && u.available(m.now) && u.failureRate <= maxFailureRate
+		return r.mayExecuteOn(u) && !r.triedUpstreams[u.entry.ID] && u.available(m.now) && u.failureRate <= maxFailureRate
 	})
 	if best == nil {
-		best = m.cheapest(r, func(u *upstream) bool { return r.mayExecuteOn(u) && !r.tried[u.entry.ID] && !u.full(m.now) })
+		best = m.cheapest(r, func(u *upstream) bool { return r.mayExecuteOn(u) && !r.triedUpstreams[u.entry.ID] && !u.full(m.now) })
 	}
 	if best == nil {
 		best = m.cheapest(r, func(u *upstream) bool { return r.mayExecuteOn(u) && u.available(m.now) })
@@ -117,12 +117,12 @@
 	return SendCmd{AttemptTimeout: m.attemptTimeout(r, best)}, ""
 }
 
-func (m *Model) cheapest(r *request, may func(*upstream) bool) *upstream {
+func (m *Model) cheapest(r *request, allowed func(*upstream) bool) *upstream {
 	var best *upstream
 	bestCost := 0.0
 	suspected := m.quarantine.Suspects(r.work)
 	for _, u := range m.byService[r.service.Name] {
-		if !u.acceptsWork() || u.inBackOff(m.now) || !may(u) || !m.limitAllows(r, u) {
+		if !u.acceptsWork() || u.inBackOff(m.now) || !allowed(u) || !m.limitAllows(r, u) {
 			continue
 		}
 		cost := u.meanLatency * float64(u.inFlight+1) * (1 + m.random.Float64()*tieSpread)
@@ -215,8 +215,8 @@
 }
 
 // holders returns the given engines that may be part of a chain now, without the excluded ones.
-func (m *Model) holders(r *request, list []*upstream, may func(*upstream) bool, without ...fleet.Incarnation) []chain.Holder {
-	return m.holdersUnder(r, list, chainConditions{backOffsUntil: m.now}, may, without...)
+func (m *Model) holders(r *request, candidates []*upstream, allowed func(*upstream) bool, excluded ...fleet.Incarnation) []chain.Holder {
+	return m.holdersUnder(r, candidates, chainConditions{backOffsUntil: m.now}, allowed, excluded...)
 }
 
 // chainConditions are the conditions for which a chain is built.
@@ -228,11 +228,11 @@
 }
 
 // holdersUnder returns the engines that may be part of a chain under the given conditions.
-func (m *Model) holdersUnder(r *request, list []*upstream, at chainConditions, may func(*upstream) bool, without ...fleet.Incarnation) []chain.Holder {
-	holders := make([]chain.Holder, 0, len(list))
+func (m *Model) holdersUnder(r *request, candidates []*upstream, conditions chainConditions, allowed func(*upstream) bool, excluded ...fleet.Incarnation) []chain.Holder {
+	holders := make([]chain.Holder, 0, len(candidates))
 	bounded := m.upstreamBoundReached(r)
-	for _, u := range list {
-		if u.inBackOff(at.backOffsUntil) || !may(u) || slices.Contains(without, u.entry.ID) || u.entry.Held.Empty() || u.pipeline == nil {
+	for _, u := range candidates {
+		if u.inBackOff(conditions.backOffsUntil) || !allowed(u) || slices.Contains(excluded, u.entry.ID) || u.entry.Held.Empty() || u.pipeline == nil {
 			continue
 		}
 		if u.sharesAddress && slices.ContainsFunc(holders, func(h chain.Holder) bool { return h.Address == u.entry.Address }) {
@@ -240,11 +240,11 @@
 			continue
 		}
 		h := m.holder(r, u)
-		spent := !at.ignoreLimits && !m.limitAllows(r, u)
-		if spent {
+		limited := !conditions.ignoreLimits && !m.limitAllows(r, u)
+		if limited {
 			h.Penalty += limitedPenalty
 		}
-		if bounded && !r.executedBy(u) || spent {
+		if bounded && !r.executedBy(u) || limited {
 			// A chain begins at the engine with layer 0. Only that engine counts for the bound on
 			// upstreams and for rate limits, since nodes send requests to it, while later engines
 			// receive them from other engines.
@@ -290,7 +290,7 @@
 	}
 	h.Busy = m.promptLoad(u, h.Room)
 	h.Begin = m.slotCost(u)
-	if r.tried[u.entry.ID] {
+	if r.triedUpstreams[u.entry.ID] {
 		h.Penalty = triedPenalty
 	}
 	if m.manyNodes {
--- a/dispatch/slot_queue.go
+++ b/dispatch/slot_queue.go
@@ -74,31 +74,31 @@
 // deadline. A client that was told to retry instead would find the slot taken or arrive too late.
 func (m *Model) awaitSlot(r *request) []Cmd {
 	q := m.slotQueue(r.service.Name)
-	rank := min(max(r.priority(), 0), fairqueue.Priorities-1)
-	ahead := q.Ahead(rank) + q.LenOf(rank, r.account.Name)
+	level := min(max(r.priority(), 0), fairqueue.Priorities-1)
+	ahead := q.Ahead(level) + q.LenOf(level, r.account.Name)
 	if r.timeLeft(m.now) < m.expectedSlotWait(r, ahead) {
 		return m.giveUp(r, ReasonNoSlot)
 	}
 	// Upstreams that refused the request without executing it may have a free slot later.
-	maps.DeleteFunc(r.tried, func(id fleet.Incarnation, _ bool) bool {
-		_, ran := r.executedOn[id]
-		return !ran
+	maps.DeleteFunc(r.triedUpstreams, func(id fleet.Incarnation, _ bool) bool {
+		_, executed := r.executedOn[id]
+		return !executed
 	})
 	r.awaitsSlot = true
-	q.Push(r.arrival.Request, fairqueue.WithPriority(rank), fairqueue.WithAccount(r.account.Name, 1))
+	q.Push(r.arrival.Request, fairqueue.WithPriority(level), fairqueue.WithAccount(r.account.Name, 1))
 	return []Cmd{SlotWaitCmd{Request: r.arrival.Request, Service: r.service.Name, Waiting: q.Len(), Until: m.now.Add(r.timeLeft(m.now))}}
 }
 
 // expectedSlotWait estimates the time until a request behind others is answered, if only this
 // node's own requests free slots, one after the other.
 func (m *Model) expectedSlotWait(r *request, ahead int) clock.Millis {
-	took, underWay := 0.0, 0
+	latency, sent := 0.0, 0
 	for _, u := range m.byService[r.service.Name] {
-		took = max(took, u.meanLatency)
-		underWay += u.inFlight
+		latency = max(latency, u.meanLatency)
+		sent += u.inFlight
 	}
-	turns := float64(ahead)/float64(max(underWay, 1)) + 1
-	return clock.Millis(took * turns)
+	turns := float64(ahead)/float64(max(sent, 1)) + 1
+	return clock.Millis(latency * turns)
 }
 
 // slotFreed sends the next waiting requests of a service after an upstream's answer has freed a
@@ -109,18 +109,18 @@
 		return nil
 	}
 	u.fullUntil = 0
-	most := sendsPerAnswer
+	maxSends := sendsPerAnswer
 	if m.now < u.refusedAt.Add(recentRefusal) {
-		most = 1
+		maxSends = 1
 	}
-	return m.sendSlotWaiters(q, most)
+	return m.sendSlotWaiters(q, maxSends)
 }
 
 // sendSlotWaiters sends the first waiting requests. Retries are charged to the budget at this
 // point.
-func (m *Model) sendSlotWaiters(q *slotQueue, most int) []Cmd {
+func (m *Model) sendSlotWaiters(q *slotQueue, maxSends int) []Cmd {
 	var cmds []Cmd
-	for range min(most, q.Len()) {
+	for range min(maxSends, q.Len()) {
 		r := m.nextSlotWaiter(q)
 		if r == nil {
 			break
@@ -153,19 +153,19 @@
 	var cmds []Cmd
 	for _, service := range slices.Sorted(maps.Keys(m.slotQueues)) {
 		q := m.slotQueues[service]
-		var late []*request
+		var refused []*request
 		q.RemoveIf(func(id RequestID) bool {
 			r := m.requests[id]
 			if r == nil || !r.awaitsSlot {
 				return true
 			}
-			given := r.timeLeft(m.now) < m.expectedSlotWait(r, 0)+slotReviewInterval || !m.lacksOnlySlot(r) && m.openUpstreams(service) == 0
-			if given {
-				late = append(late, r)
+			expired := r.timeLeft(m.now) < m.expectedSlotWait(r, 0)+slotReviewInterval || !m.lacksOnlySlot(r) && m.openUpstreams(service) == 0
+			if expired {
+				refused = append(refused, r)
 			}
-			return given
+			return expired
 		})
-		for _, r := range late {
+		for _, r := range refused {
 			r.awaitsSlot = false
 			cmds = append(cmds, m.giveUp(r, m.slotRefusalReason(r))...)
 		}
--- a/dispatch/slot_queue_test.go
+++ b/dispatch/slot_queue_test.go
@@ -26,15 +26,15 @@
 		{upstreams: 3, slots: 6, meanMS: 60, perSecond: 130},
 		{upstreams: 3, slots: 6, meanMS: 15, perSecond: 8},
 	} {
-		t.Run(fmt.Sprintf("%d desks, %d a second", load.upstreams, load.perSecond), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d upstreams, %d requests per second", load.upstreams, load.perSecond), func(t *testing.T) {
 			for seed := range uint64(seeds) {
 				c := newSlotSim(load, seed)
 				c.run()
 				if got := float64(c.served) / float64(c.arrived); got < servedAtLeast {
-					t.Errorf("seed %d: got %.3f of %d served, want %v: refused %v", seed, got, c.arrived, servedAtLeast, c.refused)
+					t.Errorf("seed %d: got a share of %.3f of %d requests served, want at least %v: refused %v", seed, got, c.arrived, servedAtLeast, c.refused)
 				}
-				if got, want := c.repeats, allowedRetries(c.arrived); got > want {
-					t.Errorf("seed %d: got %d repeats, want %d at most", seed, got, want)
+				if got, want := c.sentRetries, allowedRetries(c.arrived); got > want {
+					t.Errorf("seed %d: got %d retries, want at most %d", seed, got, want)
 				}
 			}
 		})
@@ -60,7 +60,7 @@
 
 // allowedRetries returns the operator's bound on retries for a simulation that is shorter than
 // two windows.
-func allowedRetries(asked int) int { return asked/5 + 200 }
+func allowedRetries(requests int) int { return requests/5 + 200 }
 
 // slotSim simulates nodes in front of full upstreams in virtual time.
 type slotSim struct {
@@ -74,8 +74,8 @@
 	// callers holds the clients by request.
 	callers map[dispatch.RequestID]simCaller
 
-	arrived, served, repeats int
-	refused                  map[dispatch.Reason]int
+	arrived, served, sentRetries int
+	refused                      map[dispatch.Reason]int
 }
 
 // simCaller is a client that waits until a time and may retry a number of times.
@@ -144,8 +144,8 @@
 		case dispatch.SendCmd:
 			c.execute(node, cmd)
 		case dispatch.ProbeCmd:
-			well := c.takenSlots[cmd.Upstream] < c.slots
-			c.after(1, func() { c.update(node, dispatch.ProbedMsg{Upstream: cmd.Upstream, Answered: well}) })
+			free := c.takenSlots[cmd.Upstream] < c.slots
+			c.after(1, func() { c.update(node, dispatch.ProbedMsg{Upstream: cmd.Upstream, Answered: free}) })
 		case dispatch.RespondCmd:
 			c.retryCaller(cmd)
 		}
@@ -155,7 +155,7 @@
 // execute runs a request on an upstream, or refuses it if all slots are taken.
 func (c *slotSim) execute(node int, cmd dispatch.SendCmd) {
 	if cmd.Attempt > 1 {
-		c.repeats++
+		c.sentRetries++
 	}
 	if c.takenSlots[cmd.Upstream] == c.slots {
 		c.after(1, func() {
@@ -177,8 +177,8 @@
 // retryCaller retries a refused request after the advised time if the client still waits then.
 func (c *slotSim) retryCaller(cmd dispatch.RespondCmd) {
 	caller := c.callers[cmd.Request]
-	back := c.now.Add(cmd.RetryAfter)
-	if caller.retries == 0 || back >= caller.until {
+	retryAt := c.now.Add(cmd.RetryAfter)
+	if caller.retries == 0 || retryAt >= caller.until {
 		c.refused[cmd.Reason]++
 		return
 	}
@@ -189,18 +189,18 @@
 // Guards against a crash of the node. Operators may give a route any priority, and a request with
 // a priority outside the range of the queue crashed the node when it had to wait for a slot.
 func TestAnyPriorityMayWaitForSlot(t *testing.T) {
-	for _, rank := range []int{-3, 0, 9, 40} {
+	for _, priority := range []int{-3, 0, 9, 40} {
 		m := dispatch.New(dispatch.WithPolicy(dispatch.Policy{RetryWindow: retryWindow, RetryShare: 0.2, RetrySlack: 200}))
 		m.Update(0, dispatch.PeersMsg{TotalNodes: 1})
 		m.Update(0, dispatch.CatalogMsg{Catalog: catalog.New(1, catalog.WithServices(&catalog.Service{Name: "desk"}),
-			catalog.WithRoutes(&catalog.Route{Name: "once", Host: "h", Prefix: "/", Kind: catalog.Once, Priority: rank, MaxAttempts: 1,
+			catalog.WithRoutes(&catalog.Route{Name: "once", Host: "h", Prefix: "/", Kind: catalog.Once, Priority: priority, MaxAttempts: 1,
 				Targets: []catalog.Target{{Service: "desk", Weight: 1}}, Timeout: 800}))})
 		id := fleet.Undated("d")
 		m.Update(0, dispatch.FleetMsg{Changes: []fleet.Change{{ID: id, Upstream: fleet.Upstream{ID: id, Address: "d", Service: "desk"}}}})
 		m.Update(1, dispatch.ArriveMsg{Request: 1, Host: "h", Path: "/a"})
 		cmds := m.Update(2, dispatch.AttemptFailedMsg{Request: 1, Attempt: 1, Cause: dispatch.CauseFull})
 		if _, waits := cmds[0].(dispatch.SlotWaitCmd); len(cmds) != 1 || !waits {
-			t.Errorf("rank %d: got %v, want a wait for a place", rank, cmds)
+			t.Errorf("priority %d: got %v, want a SlotWaitCmd", priority, cmds)
 		}
 	}
 }
--- a/dispatch/unsent_retry_test.go
+++ b/dispatch/unsent_retry_test.go
@@ -21,7 +21,7 @@
 			Targets: []catalog.Target{{Service: "desk", Weight: 1}}, MaxAttempts: 2, Timeout: 1500, Aim: 100}),
 		catalog.WithServices(&catalog.Service{Name: "desk"}))})
 	now := clock.Millis(0)
-	list := func(id fleet.Incarnation, leaving bool) {
+	setUpstream := func(id fleet.Incarnation, leaving bool) {
 		u := fleet.Upstream{ID: id, Service: "desk", Address: id.String(), Leaving: leaving}
 		m.Update(now, dispatch.FleetMsg{Changes: []fleet.Change{{ID: id, Upstream: u}}})
 	}
@@ -31,19 +31,19 @@
 	}
 	for request := range dispatch.RequestID(5) {
 		now = now.Add(1000)
-		list(fleet.Undated("d1"), false)
+		setUpstream(fleet.Undated("d1"), false)
 		if _, waits := refuse(request)[0].(dispatch.SlotWaitCmd); !waits {
-			t.Fatalf("request %d: got no wait, want one for a place", request)
+			t.Fatalf("request %d: got no SlotWaitCmd, want one", request)
 		}
-		list(fleet.Undated("d1"), true)
+		setUpstream(fleet.Undated("d1"), true)
 		if _, finished := m.Update(now, dispatch.TickMsg{})[0].(dispatch.RespondCmd); !finished {
-			t.Fatalf("request %d: got no answer, want a refusal: nobody else is there", request)
+			t.Fatalf("request %d: got no RespondCmd, want a refusal: no other upstream is available", request)
 		}
 	}
 	now = now.Add(1000)
-	list(fleet.Undated("d1"), false)
-	list(fleet.Undated("d2"), false)
+	setUpstream(fleet.Undated("d1"), false)
+	setUpstream(fleet.Undated("d2"), false)
 	if _, sent := refuse(9)[0].(dispatch.SendCmd); !sent {
-		t.Error("got no repeat, want the one that the budget has")
+		t.Error("got no retry, want the one in the budget")
 	}
 }
--- a/dispatch/upstream.go
+++ b/dispatch/upstream.go
@@ -115,12 +115,12 @@
 		return
 	}
 	u.pipeline = s.Pipeline
-	kind, ok := s.Pipeline.Accelerators[u.entry.Accelerator]
+	accelerator, ok := s.Pipeline.Accelerators[u.entry.Accelerator]
 	if !ok {
 		return
 	}
-	u.layerTime = s.Pipeline.StepTime(kind, 1)
-	u.memory = s.Pipeline.Room(kind, u.entry.Held.Len())
+	u.layerTime = s.Pipeline.StepTime(accelerator, 1)
+	u.memory = s.Pipeline.Room(accelerator, u.entry.Held.Len())
 }
 
 // available reports whether the upstream may get new work.
@@ -219,8 +219,8 @@
 
 // recordAnswer updates the latency and failure rate with an attempt. A successful answer ends a
 // suspicion.
-func (u *upstream) recordAnswer(took clock.Millis, failed bool) {
-	u.meanLatency += latencyWeight * (float64(took) - u.meanLatency)
+func (u *upstream) recordAnswer(latency clock.Millis, failed bool) {
+	u.meanLatency += latencyWeight * (float64(latency) - u.meanLatency)
 	rate := 0.0
 	if failed {
 		rate = 1
--- a/dispatch/usage.go
+++ b/dispatch/usage.go
@@ -62,24 +62,24 @@
 // allNodesUsage returns the known usage of all nodes at the most used engines.
 func (m *Model) allNodesUsage() map[fleet.Incarnation]fleet.Use {
 	type used struct {
-		id   fleet.Incarnation
-		use  fleet.Use
-		part float64
+		id    fleet.Incarnation
+		use   fleet.Use
+		share float64
 	}
 	var list []used
 	for id, u := range m.upstreams {
 		use := u.peerUse.Plus(fleet.Use{Memory: u.reserved, Streams: u.inFlight})
-		part := max(use.Memory/max(u.memory, 1), float64(use.Streams)/float64(max(u.entry.Slots, 1)))
-		if u.pipeline != nil && part >= minAggregatedUse {
-			list = append(list, used{id: id, use: use, part: part})
+		share := max(use.Memory/max(u.memory, 1), float64(use.Streams)/float64(max(u.entry.Slots, 1)))
+		if u.pipeline != nil && share >= minAggregatedUse {
+			list = append(list, used{id: id, use: use, share: share})
 		}
 	}
-	slices.SortFunc(list, func(a, b used) int { return cmp.Or(cmp.Compare(b.part, a.part), a.id.Compare(b.id)) })
-	whole := make(map[fleet.Incarnation]fleet.Use)
+	slices.SortFunc(list, func(a, b used) int { return cmp.Or(cmp.Compare(b.share, a.share), a.id.Compare(b.id)) })
+	sum := make(map[fleet.Incarnation]fleet.Use)
 	for _, u := range list[:min(len(list), maxAggregated)] {
-		whole[u.id] = u.use
+		sum[u.id] = u.use
 	}
-	return whole
+	return sum
 }
 
 // includedDataCentres returns the other data centres whose usage is known.
@@ -118,18 +118,18 @@
 func (m *Model) recordPeerUsage(msg UsageMsg) []Cmd {
 	m.recordAlive(msg)
 	m.nodeCount.peerReported(m.now, msg.DataCentre, msg.AllNodes, msg.Nodes)
-	node, used := msg.Node, msg.Engines
+	node, usage := msg.Node, msg.Engines
 	switch {
 	case m.usageAggregated != msg.AllNodes:
 		// A node that receives aggregated usage ignores single reports, which are part of the
 		// sum. A hub computes the sum itself and ignores that of others.
 		return m.mergePeerLimits(msg)
 	case msg.AllNodes:
-		node, used = allNodesKey, m.withoutOwn(used)
+		node, usage = allNodesKey, m.withoutOwn(usage)
 	}
 	m.subtractUsage(m.peerUsage[node].used)
-	m.peerUsage[node] = nodeUsage{receivedAt: m.now, used: used, wholeDataCentre: msg.DataCentreTotal, dataCentre: msg.DataCentre, allNodes: msg.AllNodes}
-	for id, use := range used {
+	m.peerUsage[node] = nodeUsage{receivedAt: m.now, used: usage, wholeDataCentre: msg.DataCentreTotal, dataCentre: msg.DataCentre, allNodes: msg.AllNodes}
+	for id, use := range usage {
 		if u := m.upstreams[id]; u != nil {
 			u.peerUse = u.peerUse.Plus(use)
 		}
@@ -154,11 +154,11 @@
 }
 
 // withoutOwn subtracts the usage that this node shared last from the usage of all nodes.
-func (m *Model) withoutOwn(whole map[fleet.Incarnation]fleet.Use) map[fleet.Incarnation]fleet.Use {
-	others := make(map[fleet.Incarnation]fleet.Use, len(whole))
-	for id, use := range whole {
-		rest := use.Minus(m.sharedUsage[id])
-		others[id] = fleet.Use{Memory: max(rest.Memory, 0), Streams: max(rest.Streams, 0)}
+func (m *Model) withoutOwn(sum map[fleet.Incarnation]fleet.Use) map[fleet.Incarnation]fleet.Use {
+	others := make(map[fleet.Incarnation]fleet.Use, len(sum))
+	for id, use := range sum {
+		remainder := use.Minus(m.sharedUsage[id])
+		others[id] = fleet.Use{Memory: max(remainder.Memory, 0), Streams: max(remainder.Streams, 0)}
 	}
 	return others
 }
@@ -172,8 +172,8 @@
 }
 
 // subtractUsage removes a node's usage from the sums of the engines.
-func (m *Model) subtractUsage(used map[fleet.Incarnation]fleet.Use) {
-	for id, use := range used {
+func (m *Model) subtractUsage(usage map[fleet.Incarnation]fleet.Use) {
+	for id, use := range usage {
 		if u := m.upstreams[id]; u != nil {
 			u.peerUse = u.peerUse.Minus(use)
 		}
@@ -223,9 +223,9 @@
 	if m.now >= startAssumption {
 		return use
 	}
-	if unheard := m.usagePeers - m.reportingPeers(); unheard > 0 {
-		use.Memory += u.reserved * float64(unheard)
-		use.Streams += u.inFlight * unheard
+	if unreported := m.usagePeers - m.reportingPeers(); unreported > 0 {
+		use.Memory += u.reserved * float64(unreported)
+		use.Streams += u.inFlight * unreported
 	}
 	return use
 }
@@ -276,9 +276,9 @@
 
 // missingResource returns why no chain could be built for a request.
 func (m *Model) missingResource(r *request) *MissingResource {
-	lack := &MissingResource{Lack: chain.WhatLacks(0, r.service.Pipeline.Layers, r.memoryTokens, m.holders(r, m.byService[r.service.Name], m.answersProbes)), Source: SourceOwnRequests}
-	if u := m.upstreams[lack.ID]; u != nil {
-		lack.Source, lack.SourceAge = m.memorySource(u)
+	missing := &MissingResource{Lack: chain.WhatLacks(0, r.service.Pipeline.Layers, r.memoryTokens, m.holders(r, m.byService[r.service.Name], m.answersProbes)), Source: SourceOwnRequests}
+	if u := m.upstreams[missing.ID]; u != nil {
+		missing.Source, missing.SourceAge = m.memorySource(u)
 	}
-	return lack
+	return missing
 }
--- a/dispatch/wait.go
+++ b/dispatch/wait.go
@@ -31,8 +31,8 @@
 	if r.waitUntil == 0 {
 		r.waitUntil = m.now.Add(callerPatience(r.route))
 	}
-	passing := reason == ReasonNoMemory || reason == ReasonNoHolder || reason == ReasonNoRetryBudget
-	if passing && m.now < r.waitUntil {
+	temporary := reason == ReasonNoMemory || reason == ReasonNoHolder || reason == ReasonNoRetryBudget
+	if temporary && m.now < r.waitUntil {
 		r.waitReason = reason
 		r.afterBackOff = len(m.backOffEnds(r)) > 0
 		return nil
@@ -43,9 +43,9 @@
 // resumeStreams tries again to send the waiting streams.
 func (m *Model) resumeStreams() []Cmd {
 	var cmds []Cmd
-	left := resumesPerTick
+	remaining := resumesPerTick
 	for _, r := range m.waitingStreams() {
-		if r.afterBackOff && left == 0 {
+		if r.afterBackOff && remaining == 0 {
 			continue
 		}
 		reason := r.waitReason
@@ -56,7 +56,7 @@
 		}
 		next := m.resend(r)
 		if r.afterBackOff && slices.ContainsFunc(next, isSend) {
-			left--
+			remaining--
 		}
 		cmds = append(cmds, next...)
 	}
