--- a/dispatch/arrive.go
+++ b/dispatch/arrive.go
@@ -96,13 +96,13 @@
 	if r := m.requests[id]; r != nil && r.answerBegun() {
 		return m.abort(id, reason)
 	}
-	m.forget(id)
+	m.dropRequest(id)
 	return []Cmd{answer}
 }
 
 // abort ends a request whose answer has begun.
 func (m *Model) abort(id RequestID, reason Reason) []Cmd {
-	m.forget(id)
+	m.dropRequest(id)
 	return []Cmd{AbortResponseCmd{Request: id, Reason: reason}}
 }
 
--- a/dispatch/back_off.go
+++ b/dispatch/back_off.go
@@ -35,7 +35,7 @@
 		return nil
 	}
 	u.backOffUntil = until
-	u.statusWanted = false
+	u.reportWanted = false
 	return []Cmd{BackOffCmd{Upstream: msg.Upstream, Until: until, Requested: msg.For}}
 }
 
--- a/dispatch/execution.go
+++ b/dispatch/execution.go
@@ -23,10 +23,10 @@
 		return
 	}
 	r.executions++
-	if r.first == nil {
+	if r.firstUpstream == nil {
 		return
 	}
-	u := r.first
+	u := r.firstUpstream
 	departed := u.entry.Leaving || m.upstreams[u.entry.ID] == nil
 	r.executedOn[u.entry.ID] = execution{cause: msg.Cause, crashed: u.crashed || u.unresponsive || departed && msg.Cause == CauseUnknown}
 }
@@ -56,7 +56,7 @@
 			e.crashed = true
 			r.executedOn[u.entry.ID] = e
 		}
-		if r.first == u || r.passesThrough(u.entry.ID) {
+		if r.firstUpstream == u || r.passesThrough(u.entry.ID) {
 			cmds = append(cmds, RecheckAttemptCmd{Request: id, Attempt: r.attempts, SuspectedAddress: u.entry.Address, Crashed: true})
 		}
 	}
--- a/dispatch/fail.go
+++ b/dispatch/fail.go
@@ -38,7 +38,7 @@
 		// The retry is charged when the request is sent again.
 		m.budget(r.service.Name).Return(m.now)
 	}
-	if slices.ContainsFunc(cmds, isSend) || !r.permitUpstream.IsZero() || r.awaitsSlot {
+	if slices.ContainsFunc(cmds, isSendCmd) || !r.permitUpstream.IsZero() || r.awaitsSlot {
 		return cmds
 	}
 	if m.requests[r.arrival.Request] == nil && msg.Cause.spendsRetryBudget() {
@@ -55,7 +55,7 @@
 // if the request reached an upstream.
 func (c Cause) spendsRetryBudget() bool { return c != CauseNotSent && c != CauseStaleConfig }
 
-func isSend(cmd Cmd) bool {
+func isSendCmd(cmd Cmd) bool {
 	_, ok := cmd.(SendCmd)
 	return ok
 }
@@ -100,8 +100,8 @@
 	if msg.Cause == CauseStaleConfig {
 		return nil
 	}
-	if r.first != nil {
-		r.triedUpstreams[r.first.entry.ID] = true
+	if r.firstUpstream != nil {
+		r.triedUpstreams[r.firstUpstream.entry.ID] = true
 	}
 	faulty := m.faultyUpstream(r, msg)
 	if faulty == nil {
@@ -114,7 +114,7 @@
 			// The refusal carried Retry-After, which sets the time to avoid the upstream.
 			return nil
 		}
-		faulty.refusedAsFirst = faulty == r.first
+		faulty.refusedAsFirst = faulty == r.firstUpstream
 		faulty.recordRefusal(m.now)
 		return nil
 	case CauseMisdirected:
@@ -141,13 +141,13 @@
 	if msg.Cause == CauseNoProgress {
 		return nil
 	}
-	return r.first
+	return r.firstUpstream
 }
 
 // suspect stops sending work to an upstream until a probe succeeds, and makes the other streams
 // through it check their progress.
 func (m *Model) suspect(u *upstream, cause Cause, reporter *request) []Cmd {
-	u.cause = cause
+	u.suspicionCause = cause
 	if u.suspected && m.now < u.avoidUntil {
 		return nil
 	}
@@ -176,7 +176,7 @@
 	if r == nil || msg.Attempt != r.attempts {
 		return nil
 	}
-	first := r.first
+	first := r.firstUpstream
 	if first != nil {
 		first.recordAnswer(msg.Took, msg.UpstreamFailed)
 		first.refusals = 0
@@ -189,6 +189,6 @@
 			u.refusals = 0
 		}
 	}
-	m.forget(msg.Request)
+	m.dropRequest(msg.Request)
 	return append(m.quarantineCmds(m.quarantine.Answered(m.now, r.work, true)), m.slotFreed(r.service.Name, first)...)
 }
--- a/dispatch/loss.go
+++ b/dispatch/loss.go
@@ -21,14 +21,14 @@
 	spreadCost = 30.0
 	// ownLossWindow is the time within which a crash must be found after this node lost a request
 	// at an upstream. The upstream is probed 0.4 s after a first failure and 0.8 s after a second
-	// one, and a probe takes 0.16 s. peerLossWindow is the same for losses that other nodes
-	// report: the entries of upstreams that this node does not use disappear 4.5 s after the
-	// crash.
+	// one, and a probe takes 0.16 s. peerLossWindow is the time within which a crash must be
+	// found after another node reported a loss: the entries of upstreams that this node does not
+	// use disappear 4.5 s after the crash.
 	ownLossWindow  clock.Millis = 1500
 	peerLossWindow clock.Millis = 5000
-	// canceledLossWindow is the same for requests whose client disconnected. Their upstream is
-	// not probed for that, since clients disconnect all the time; other requests at the upstream
-	// reveal a crash.
+	// canceledLossWindow is the time within which a crash must be found after the client of a
+	// request disconnected. The upstream is not probed for that, since clients disconnect all the
+	// time; other requests at the upstream reveal a crash.
 	canceledLossWindow clock.Millis = 400
 	// lossReviewInterval is the pause between reviews, which drop unconfirmed losses and probe
 	// upstreams that may have crashed. A list is up to 1.25 s old, so an upstream that is missing
@@ -36,9 +36,9 @@
 	lossReviewInterval clock.Millis = 1000
 )
 
-// recordLoss records that an attempt returned nothing. If its upstream is then found to have
-// crashed, the request may be the cause. An upstream that delivered further events was not
-// crashed by reading the request, which clears it.
+// recordLoss records that an attempt failed without an answer. If its upstream is then found to
+// have crashed, the request may be the cause. A request whose attempt delivered further events is
+// cleared instead, since the upstream read it without crashing.
 func (m *Model) recordLoss(r *request, msg AttemptFailedMsg) []Cmd {
 	if msg.Cause != CauseUnknown && msg.Cause != CauseNoProgress {
 		return nil
@@ -52,9 +52,9 @@
 	return nil
 }
 
-// recordLossAt records that a request was lost at an upstream. An upstream that is leaving ends
-// by itself and is ignored. Every upstream is probed after a failure anyway; if the same request
-// was lost before, the upstreams concerned are probed at the next tick.
+// recordLossAt records that a request was lost at an upstream. An upstream that is leaving is
+// ignored, since its end is expected. Every upstream is probed after a failure anyway; if the
+// same request was lost before, the upstreams that may have crashed are probed at the next tick.
 func (m *Model) recordLossAt(r *request, u *upstream) []Cmd {
 	if u.entry.Leaving {
 		return nil
@@ -75,7 +75,7 @@
 		u.crashCheckWanted = !u.unresponsive
 		return
 	}
-	u.statusWanted = true
+	u.reportWanted = true
 }
 
 // maxCrashed bounds the recently removed upstreams that are remembered. No minute with twice as
@@ -107,10 +107,10 @@
 	return quarantine.Unknown
 }
 
-// upstreamListed handles an upstream that has appeared in the list. If its entry had been
-// removed, the upstream may be alive after a false removal, or the list may be an old one. Other
-// nodes may have reported losses at an upstream before it was listed; it is probed if any are
-// undecided.
+// upstreamListed handles an upstream that has appeared in the list. If its entry had been removed
+// before, the upstream may be alive after a false removal, or the list may be an old one, so a
+// confirmed crash is taken back. The upstream is probed if a loss at it is undecided, which other
+// nodes may have reported before it was listed.
 func (m *Model) upstreamListed(u *upstream) {
 	id := u.entry.ID
 	if m.crashed.Remove(id) {
@@ -126,15 +126,15 @@
 func (m *Model) requestEnded(msg RequestEndedMsg) []Cmd {
 	r := m.requests[msg.Request]
 	var cmds []Cmd
-	if r != nil && r.first != nil && !r.answerBegun() && !r.first.entry.Leaving {
-		id := r.first.entry.ID
+	if r != nil && r.firstUpstream != nil && !r.answerBegun() && !r.firstUpstream.entry.Leaving {
+		id := r.firstUpstream.entry.ID
 		cmds = m.quarantineCmds(m.quarantine.Lost(m.now, r.work, id, m.upstreamFate(id), canceledLossWindow, true))
 	}
 	if r == nil {
 		return cmds
 	}
-	first := r.first
-	m.forget(msg.Request)
+	first := r.firstUpstream
+	m.dropRequest(msg.Request)
 	return append(cmds, m.slotFreed(r.service.Name, first)...)
 }
 
--- a/dispatch/model.go
+++ b/dispatch/model.go
@@ -68,7 +68,7 @@
 	quarantine       *quarantine.Table
 	lossesReviewedAt clock.Millis
 	// crashed holds the upstreams whose entries were removed recently. unlisted holds the
-	// suspected crashes of quarantined requests that had no entry at the last review.
+	// suspected crashes whose upstreams had no entry at the last review.
 	crashed  *simplelru.LRU[fleet.Incarnation, bool]
 	unlisted map[fleet.Incarnation]bool
 	// limits keeps the rate limits that upstreams advertise. permitWaiters holds, by upstream,
@@ -162,7 +162,7 @@
 	case StalledMsg:
 		return m.stalled(msg)
 	case ReportMsg:
-		m.recordStatus(msg.Upstream, msg.Report)
+		m.recordReport(msg.Upstream, msg.Report)
 	case MigratedMsg:
 		return m.migrated(msg)
 	case RequestEndedMsg:
--- a/dispatch/msg.go
+++ b/dispatch/msg.go
@@ -229,7 +229,7 @@
 // TickMsg triggers the periodic work.
 type TickMsg struct{}
 
-// Cause is the cause of a failed attempt, as far as it affects the next step.
+// Cause classifies the failure of an attempt.
 type Cause uint8
 
 // Causes of failed attempts.
--- a/dispatch/policy.go
+++ b/dispatch/policy.go
@@ -51,11 +51,12 @@
 	// probeAnswerWindow is how long a suspected engine may get work after it answered a probe, if
 	// no other engine holds its layers.
 	probeAnswerWindow clock.Millis = 2000
-	// minFull is how long an engine is avoided after it refused a request for lack of memory: in
+	// minFull is how long an engine is avoided after its first refusal for lack of memory. In
 	// that time about one request ends on an engine.
 	minFull clock.Millis = 150
-	// maxFull bounds that time, which doubles with each consecutive refusal. refusalsToProbe is
-	// the number of consecutive refusals after which the engine is probed.
+	// maxFull bounds the time for which an upstream counts as full, which doubles with each
+	// consecutive refusal. refusalsToProbe is the number of consecutive refusals after which an
+	// engine is probed.
 	maxFull         clock.Millis = 3000
 	refusalsToProbe int          = 2
 	// sheddingWindow is how long after a refusal an engine that refuses requests at random counts
@@ -66,11 +67,11 @@
 	// maxSheddingRefusals bounds the consecutive refusals of an engine that sheds load. An engine
 	// that accepts half of its requests refuses that many in a row once in 250.
 	maxSheddingRefusals int = 8
-	// statusWindow is how long an engine's memory report is used. A report is a few hundred ms
+	// reportWindow is how long an engine's memory report is used. A report is a few hundred ms
 	// old when it arrives, and a request ends on an engine each 20 ms.
-	statusWindow clock.Millis = 600
+	reportWindow clock.Millis = 600
 	// misdirectedPause is how long an engine is avoided that did not hold the layers that the
-	// list shows: the lag of the list.
+	// list shows. It covers the lag of the list.
 	misdirectedPause clock.Millis = 1500
 	// normalSlowdown is the slowdown up to which an engine counts as normal. slowdownRecheck is
 	// the pause before a slow engine is probed again.
--- a/dispatch/probe.go
+++ b/dispatch/probe.go
@@ -17,7 +17,7 @@
 		}
 		if u.probeDue(m.now) {
 			u.crashCheckOnly = u.crashCheckWanted && !u.earlyProbeWanted && m.now < u.avoidUntil
-			u.probing, u.statusWanted, u.earlyProbeWanted, u.crashCheckWanted = true, false, false, false
+			u.probeInFlight, u.reportWanted, u.earlyProbeWanted, u.crashCheckWanted = true, false, false, false
 			cmds = append(cmds, ProbeCmd{Upstream: u.entry.ID, Address: u.entry.Address, Engine: u.pipeline != nil})
 		}
 	}
@@ -27,8 +27,8 @@
 	return cmds
 }
 
-// recordStatus records an engine's slowdown and free memory from its report.
-func (m *Model) recordStatus(id fleet.Incarnation, report Report) {
+// recordReport records an engine's slowdown and free memory from its report.
+func (m *Model) recordReport(id fleet.Incarnation, report Report) {
 	u := m.upstreams[id]
 	if u == nil {
 		return
@@ -50,8 +50,8 @@
 	if u == nil {
 		return nil
 	}
-	u.probing = false
-	m.recordStatus(msg.Upstream, msg.Report)
+	u.probeInFlight = false
+	m.recordReport(msg.Upstream, msg.Report)
 	if msg.Answered && msg.Report.Empty {
 		// The engine has restarted, and the list shows its former layers for some seconds. Each
 		// node that relied on the list would have a request refused.
@@ -112,7 +112,7 @@
 	if u.suspected {
 		return nil
 	}
-	u.suspected, u.cause = true, CauseNoProgress
+	u.suspected, u.suspicionCause = true, CauseNoProgress
 	u.addProbeCandidate()
 	u.avoidUntil = m.now
 	if m.usageAggregated {
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -57,9 +57,9 @@
 	afterBackOff bool
 
 	// The current attempt.
-	first        *upstream
-	chain        []chain.Part
-	reservations []reservation
+	firstUpstream *upstream
+	chain         []chain.Part
+	reservations  []reservation
 	// migrating reports whether a migration is in progress, and migrations counts them.
 	migrating  bool
 	migrations int
@@ -68,8 +68,8 @@
 // upstreamAt returns the incarnation that the current attempt uses at an address. Another
 // incarnation may have the address by now.
 func (r *request) upstreamAt(address string) (fleet.Incarnation, bool) {
-	if r.first != nil && r.first.entry.Address == address {
-		return r.first.entry.ID, true
+	if r.firstUpstream != nil && r.firstUpstream.entry.Address == address {
+		return r.firstUpstream.entry.ID, true
 	}
 	for _, p := range r.chain {
 		if p.Address == address {
@@ -137,14 +137,14 @@
 // endAttempt releases the resources of the current attempt.
 func (m *Model) endAttempt(r *request) {
 	m.release(r)
-	if r.first != nil {
-		r.first.inFlight--
-		r.first = nil
+	if r.firstUpstream != nil {
+		r.firstUpstream.inFlight--
+		r.firstUpstream = nil
 	}
 	r.migrating = false
 }
 
-func (m *Model) forget(id RequestID) {
+func (m *Model) dropRequest(id RequestID) {
 	r := m.requests[id]
 	if r == nil {
 		return
--- a/dispatch/retry_after.go
+++ b/dispatch/retry_after.go
@@ -35,9 +35,9 @@
 	// usableTimeShare is the share of the client's remaining time within which it should retry;
 	// the rest is for the answer.
 	usableTimeShare = 0.75
-	// cappedTimeShare is the share of that time after which the client should retry if the
-	// resource is expected later. The estimate is uncertain, and a client that retries after its
-	// deadline is never served.
+	// cappedTimeShare is the share of the client's remaining time after which it should retry if
+	// the missing resource is expected later than that. The expectation is uncertain, and a
+	// client that retries after its deadline is never served.
 	cappedTimeShare = 1.0 / 3
 )
 
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -34,26 +34,26 @@
 		return m.awaitSlot(r)
 	}
 	if reason == awaitsPermit {
-		first := r.first
-		r.first = nil
+		first := r.firstUpstream
+		r.firstUpstream = nil
 		return m.awaitPermit(r, first)
 	}
 	if reason != "" {
 		return m.giveUp(r, reason)
 	}
 	r.attempts++
-	r.first.inFlight++
-	m.limits.Sent(m.now, r.first.entry.ID)
-	advertised, _ := m.limits.Limit(r.first.entry.ID)
+	r.firstUpstream.inFlight++
+	m.limits.Sent(m.now, r.firstUpstream.entry.ID)
+	advertised, _ := m.limits.Limit(r.firstUpstream.entry.ID)
 	cmd.Limit = advertised.Rate
 	cmd.Request, cmd.Attempt = r.arrival.Request, r.attempts
-	cmd.Upstream, cmd.Address = r.first.entry.ID, r.first.entry.Address
+	cmd.Upstream, cmd.Address = r.firstUpstream.entry.ID, r.firstUpstream.entry.Address
 	cmd.Route, cmd.Account, cmd.RequiresKey, cmd.Priority = r.route, r.account.Name, r.requiresKey, r.priority()
 	cmd.CallerDeadline, cmd.RouteDeadline = r.callerDeadline, r.giveUp
 	cmd.LastUpstream = m.isLastUpstream(r)
 	cmd.Work, cmd.WorkSuspected = r.work, m.quarantine.Suspects(r.work)
 	cmd.Config, cmd.ConfigAge = m.catalog.Edition(), clock.AgeOf(m.configConfirmedAt, m.now)
-	cmd.InFlight = r.first.inFlight
+	cmd.InFlight = r.firstUpstream.inFlight
 	return []Cmd{cmd}
 }
 
@@ -61,7 +61,7 @@
 // executed it and the one it is being sent to.
 func (m *Model) isLastUpstream(r *request) bool {
 	n := m.countedExecutions(r)
-	if !r.executedBy(r.first) {
+	if !r.executedBy(r.firstUpstream) {
 		n++
 	}
 	return n >= r.maxUpstreams()
@@ -110,7 +110,7 @@
 	if best == nil {
 		return SendCmd{}, ReasonNoUpstream
 	}
-	r.first = best
+	r.firstUpstream = best
 	if m.needsPermit(best) {
 		return SendCmd{}, awaitsPermit
 	}
@@ -158,10 +158,10 @@
 		return SendCmd{}, ReasonRefused
 	}
 	if err != nil {
-		return SendCmd{}, chainReason(err)
+		return SendCmd{}, chainErrorReason(err)
 	}
 	first := m.upstreams[parts[0].ID]
-	r.first = first
+	r.firstUpstream = first
 	if m.needsPermit(first) {
 		return SendCmd{}, awaitsPermit
 	}
@@ -192,7 +192,7 @@
 // unresponsive ones.
 func (m *Model) probeSuspects(service string) {
 	for _, u := range m.byService[service] {
-		if u.suspected && !u.unresponsive && !u.probing {
+		if u.suspected && !u.unresponsive && !u.probeInFlight {
 			u.earlyProbeWanted = true
 		}
 	}
@@ -204,10 +204,10 @@
 	if u.healthy() {
 		return true
 	}
-	return u.acceptsWork() && u.cause == CauseUnknown && !u.unresponsive && m.now <= u.probeAnsweredAt.Add(probeAnswerWindow)
+	return u.acceptsWork() && u.suspicionCause == CauseUnknown && !u.unresponsive && m.now <= u.probeAnsweredAt.Add(probeAnswerWindow)
 }
 
-func chainReason(err error) Reason {
+func chainErrorReason(err error) Reason {
 	if errors.Is(err, chain.ErrNoRoom) {
 		return ReasonNoMemory
 	}
@@ -239,7 +239,7 @@
 			// A chain may contain an address once.
 			continue
 		}
-		h := m.holder(r, u)
+		h := m.newHolder(r, u)
 		limited := !conditions.ignoreLimits && !m.limitAllows(r, u)
 		if limited {
 			h.Penalty += limitedPenalty
@@ -283,7 +283,7 @@
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(id.String()))).Float64()
 }
 
-func (m *Model) holder(r *request, u *upstream) chain.Holder {
+func (m *Model) newHolder(r *request, u *upstream) chain.Holder {
 	h := chain.Holder{
 		ID: u.entry.ID, Address: u.entry.Address, DataCentre: u.entry.DataCentre, Held: u.entry.Held,
 		LayerTime: u.layerTime * max(u.slowdown, 1), Total: u.memory, Room: m.freeMemory(u),
--- a/dispatch/slot_queue.go
+++ b/dispatch/slot_queue.go
@@ -159,7 +159,7 @@
 			if r == nil || !r.awaitsSlot {
 				return true
 			}
-			expired := r.timeLeft(m.now) < m.expectedSlotWait(r, 0)+slotReviewInterval || !m.lacksOnlySlot(r) && m.openUpstreams(service) == 0
+			expired := r.timeLeft(m.now) < m.expectedSlotWait(r, 0)+slotReviewInterval || !m.lacksOnlySlot(r) && m.availableUpstreams(service) == 0
 			if expired {
 				refused = append(refused, r)
 			}
@@ -169,22 +169,22 @@
 			r.awaitsSlot = false
 			cmds = append(cmds, m.giveUp(r, m.slotRefusalReason(r))...)
 		}
-		cmds = append(cmds, m.sendSlotWaiters(q, m.openUpstreams(service))...)
+		cmds = append(cmds, m.sendSlotWaiters(q, m.availableUpstreams(service))...)
 	}
 	return cmds
 }
 
 // slotRefusalReason returns the reason for refusing a request that waited for a slot.
 func (m *Model) slotRefusalReason(r *request) Reason {
-	if m.lacksOnlySlot(r) || m.openUpstreams(r.service.Name) > 0 {
+	if m.lacksOnlySlot(r) || m.availableUpstreams(r.service.Name) > 0 {
 		return ReasonNoSlot
 	}
 	return ReasonNoUpstream
 }
 
-// openUpstreams returns the number of a service's upstreams that may be tried: healthy, not full
+// availableUpstreams returns the number of a service's upstreams that may be tried: healthy, not full
 // and not in back-off.
-func (m *Model) openUpstreams(service string) int {
+func (m *Model) availableUpstreams(service string) int {
 	n := 0
 	for _, u := range m.byService[service] {
 		if u.available(m.now) && !u.inBackOff(m.now) {
--- a/dispatch/slots.go
+++ b/dispatch/slots.go
@@ -5,9 +5,10 @@
 	// a cost. The usage of other nodes is known 0.3 s late; at 70 streams per second that is a
 	// tenth of 192 slots.
 	chargedSlotShare = 0.8
-	// fullSlotsCost is the cost if all slots are taken, in ms per token; it rises further beyond.
-	// It outweighs a hop to another data centre: on an engine that ends 60 streams per second, a
-	// stream that waits for a slot exceeds its latency objective after some 20 in front of it.
+	// fullSlotsCost is the cost of beginning a stream on an engine whose slots are all taken, in
+	// ms per token; the cost rises further with each waiting stream. It outweighs a hop to
+	// another data centre: on an engine that ends 60 streams per second, a stream that waits for
+	// a slot exceeds its latency objective after some 20 in front of it.
 	fullSlotsCost = 25.0
 )
 
--- a/dispatch/upstream.go
+++ b/dispatch/upstream.go
@@ -47,11 +47,11 @@
 	reportedFree     float64
 	reportedAt       clock.Millis
 	reservedAtReport float64
-	// statusWanted reports whether the engine's report is requested at the next tick.
-	statusWanted bool
+	// reportWanted reports whether the engine's report is requested at the next tick.
+	reportWanted bool
 	// suspected upstreams get no work until a probe succeeds.
-	suspected bool
-	probing   bool
+	suspected     bool
+	probeInFlight bool
 	// earlyProbeWanted reports whether a suspected upstream is probed before avoidUntil.
 	earlyProbeWanted bool
 	// crashCheckWanted reports whether a probe should check for a crash, and crashCheckOnly
@@ -63,8 +63,8 @@
 	identifying           bool
 	failedIdentifications int
 	identifyAfter         clock.Millis
-	// cause is that of the last suspicion. probeAnsweredAt is when it last answered a probe.
-	cause           Cause
+	// suspicionCause is that of the last suspicion. probeAnsweredAt is when it last answered a probe.
+	suspicionCause  Cause
 	probeAnsweredAt clock.Millis
 	// unresponsive reports whether it left a suspicion's probe unanswered, and the placement
 	// planner was notified. peerReportedAt is when another node last reported it as unresponsive.
@@ -155,26 +155,26 @@
 		u.recordSlotRefusal(now)
 		return
 	}
-	if u.shedding(now) && u.refusals < maxSheddingRefusals {
+	if u.sheddingLoad(now) && u.refusals < maxSheddingRefusals {
 		u.refusals++
 		u.refusedAt = now
-		u.statusWanted = now > u.reportedAt.Add(statusWindow)
+		u.reportWanted = now > u.reportedAt.Add(reportWindow)
 		return
 	}
 	u.shedsLoad = false
 	u.fullUntil = now.Add(min(minFull<<min(u.refusals, 8), maxFull))
 	u.refusals++
 	u.refusedAt = now
-	u.statusWanted = u.pipeline != nil
+	u.reportWanted = u.pipeline != nil
 	if u.refusals == refusalsToProbe && !u.suspected {
 		u.suspected = true
 		u.avoidUntil = now
 	}
 }
 
-// shedding reports whether the engine has recently refused requests although it had free
+// sheddingLoad reports whether the engine has recently refused requests although it had free
 // capacity.
-func (u *upstream) shedding(now clock.Millis) bool {
+func (u *upstream) sheddingLoad(now clock.Millis) bool {
 	return u.shedsLoad && now <= u.refusedAt.Add(sheddingWindow)
 }
 
@@ -198,7 +198,7 @@
 func (u *upstream) recordMisdirected(now clock.Millis) {
 	u.fullUntil = now.Add(misdirectedPause)
 	if !u.suspected {
-		u.suspected, u.cause, u.avoidUntil = true, CauseMisdirected, now
+		u.suspected, u.suspicionCause, u.avoidUntil = true, CauseMisdirected, now
 		u.addProbeCandidate()
 	}
 }
@@ -206,14 +206,14 @@
 // probeDue reports whether the upstream must be probed now.
 func (u *upstream) probeDue(now clock.Millis) bool {
 	switch {
-	case u.probing:
+	case u.probeInFlight:
 		return false
 	case u.suspected:
 		return u.earlyProbeWanted || u.crashCheckWanted || now >= u.avoidUntil
 	case u.inBackOff(now):
 		return false
 	default:
-		return u.statusWanted || u.slowdown > normalSlowdown && now >= u.slowdownAt.Add(slowdownRecheck)
+		return u.reportWanted || u.slowdown > normalSlowdown && now >= u.slowdownAt.Add(slowdownRecheck)
 	}
 }
 
--- a/dispatch/usage.go
+++ b/dispatch/usage.go
@@ -19,9 +19,10 @@
 	// minSharedUse is the share of an engine's memory or slots in use from which its usage is
 	// reported to other data centres. Below it the engine is far from full.
 	minSharedUse = 0.25
-	// minAggregatedUse is the same for nodes of this data centre that receive aggregated usage,
-	// and maxAggregated the number of engines reported to them; one takes some 25 bytes. Lower
-	// usage does not affect the cost of an engine.
+	// minAggregatedUse is the share of an engine's memory or slots in use from which its usage is
+	// reported to nodes that receive aggregated usage. maxAggregated is the largest number of
+	// engines reported to them; one takes some 25 bytes. Lower usage does not affect the cost of
+	// an engine.
 	minAggregatedUse = 0.03
 	maxAggregated    = 300
 )
@@ -247,7 +248,7 @@
 // reportedFreeMemory returns the free memory of an engine according to its own report, if that is
 // recent.
 func (m *Model) reportedFreeMemory(u *upstream) (free float64, ok bool) {
-	if m.now > u.reportedAt.Add(statusWindow) {
+	if m.now > u.reportedAt.Add(reportWindow) {
 		return 0, false
 	}
 	return u.reportedFree - max(0, u.reserved-u.reservedAtReport), true
--- a/dispatch/wait.go
+++ b/dispatch/wait.go
@@ -10,8 +10,9 @@
 )
 
 // A client cancels a stream after a pause of several times its latency objectives, and of
-// minPatience at least. A stream that waits to be resumed is kept for that time plus
-// patienceMargin, since aborting it earlier would end it while the client still waits.
+// minPatience at least. A stream that waits to be resumed is kept until its client has canceled
+// it and patienceMargin longer, since aborting it earlier would end it while the client still
+// waits.
 const (
 	patienceAims                 = 4
 	patienceGapAims              = 8
@@ -55,7 +56,7 @@
 			continue
 		}
 		next := m.resend(r)
-		if r.afterBackOff && slices.ContainsFunc(next, isSend) {
+		if r.afterBackOff && slices.ContainsFunc(next, isSendCmd) {
 			remaining--
 		}
 		cmds = append(cmds, next...)
