--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -100,7 +100,7 @@
 				used[fleet.Undated(fleet.ID(fmt.Sprintf("e%d", i)))] = fleet.Use{Memory: float64(i)}
 			}
 			for b.Loop() {
-				m.Update(1000, dispatch.UsageMsg{Node: "n", Engines: used})
+				m.Update(1000, dispatch.UsageMsg{Node: "n", Used: used})
 			}
 		})
 	}
--- a/dispatch/cmd.go
+++ b/dispatch/cmd.go
@@ -117,11 +117,11 @@
 
 // ShareUsageCmd sends the engine usage of requests to other nodes.
 type ShareUsageCmd struct {
-	// Engines is the usage of this node's requests by engine.
-	Engines map[fleet.Incarnation]fleet.Use
-	// DataCentreTotal is the sum over this data centre's nodes, restricted to engines with enough
+	// Used is the usage of this node's requests by engine.
+	Used map[fleet.Incarnation]fleet.Use
+	// WholeDataCentre is the sum over this data centre's nodes, restricted to engines with enough
 	// usage to matter to other data centres.
-	DataCentreTotal map[fleet.Incarnation]fleet.Use
+	WholeDataCentre map[fleet.Incarnation]fleet.Use
 	// AllNodes is the sum over all known nodes, including those of IncludedDataCentres,
 	// restricted to the engines that matter to nodes which receive sums.
 	AllNodes            map[fleet.Incarnation]fleet.Use
--- a/dispatch/limit.go
+++ b/dispatch/limit.go
@@ -36,8 +36,8 @@
 // PermitRequestMsg delivers another node's request for permits. Its ages are already converted to
 // this node's clock.
 type PermitRequestMsg struct {
-	From    string
-	Request limit.Ask
+	From string
+	Ask  limit.Ask
 }
 
 // PermitGrantMsg delivers the answer to a permit request.
@@ -86,7 +86,7 @@
 			return append(m.limitChanged(msg.Upstream, ""), m.resumePermitWaiters(msg.Upstream)...)
 		}
 	case PermitRequestMsg:
-		grant, requests := m.limits.Asked(m.now, msg.From, msg.Request)
+		grant, requests := m.limits.Asked(m.now, msg.From, msg.Ask)
 		return append(requestPermitsCmds(requests), GrantPermitsCmd{To: msg.From, Grant: grant})
 	case PermitGrantMsg:
 		return m.permitsGranted(msg)
--- a/dispatch/msg.go
+++ b/dispatch/msg.go
@@ -45,14 +45,14 @@
 // UsageMsg reports the engine usage of another node's requests.
 type UsageMsg struct {
 	Node string
-	// Engines is the usage by engine.
-	Engines map[fleet.Incarnation]fleet.Use
-	// DataCentreTotal reports whether Engines is the sum over all nodes of another data centre.
-	// Node is then derived from the name of that data centre.
-	DataCentreTotal bool
+	// Used is the usage by engine.
+	Used map[fleet.Incarnation]fleet.Use
+	// WholeDataCentre reports whether Used is the sum over all nodes of another data centre. Node
+	// is then derived from the name of that data centre.
+	WholeDataCentre bool
 	DataCentre      string
-	// AllNodes reports whether Engines is the sum over all nodes, including this one and the
-	// nodes of IncludedDataCentres.
+	// AllNodes reports whether Used is the sum over all nodes, including this one and the nodes
+	// of IncludedDataCentres.
 	AllNodes            bool
 	IncludedDataCentres []string
 	// Nodes is the number of nodes in the sum; 0 if unknown.
--- a/dispatch/script_test.go
+++ b/dispatch/script_test.go
@@ -68,9 +68,9 @@
 	case "peers":
 		return dispatch.PeersMsg{TotalNodes: s.Int("all", 1), UsagePeers: s.Int("near", 0), LocalNodes: s.Int("here", 0), Aggregated: s.Named["summed"] == "yes"}
 	case "usage":
-		return dispatch.UsageMsg{Node: s.Word(0), Engines: map[fleet.Incarnation]fleet.Use{
+		return dispatch.UsageMsg{Node: s.Word(0), Used: map[fleet.Incarnation]fleet.Use{
 			script.Incarnation(s.Word(1)): {Memory: float64(s.Int("amount", 0)), Streams: s.Int("streams", 0)},
-		}, DataCentreTotal: s.Named["total"] == "yes", AllNodes: s.Named["whole"] == "yes", Nodes: s.Int("nodes", 0), DataCentre: s.Named["in"]}
+		}, WholeDataCentre: s.Named["total"] == "yes", AllNodes: s.Named["whole"] == "yes", Nodes: s.Int("nodes", 0), DataCentre: s.Named["in"]}
 	case "placed":
 		return dispatch.PlacedMsg{Upstream: script.Incarnation(s.Word(0)), Layers: testUpstream(s).Held, Completed: s.Named["holds"] == "yes"}
 	case "report":
@@ -287,7 +287,7 @@
 	case dispatch.RecheckAttemptCmd:
 		return fmt.Sprintf("reconsider %d.%d at %s", c.Request, c.Attempt, c.SuspectedAddress) + map[bool]string{true: " ended"}[c.Crashed]
 	case dispatch.ShareUsageCmd:
-		return fmt.Sprintf("share %v total %v", c.Engines, c.DataCentreTotal)
+		return fmt.Sprintf("share %v total %v", c.Used, c.WholeDataCentre)
 	case dispatch.ResponsivenessCmd:
 		text := fmt.Sprintf("silent %s %v", c.Upstream, c.Unresponsive)
 		if c.Confirmed {
--- a/dispatch/upstream.go
+++ b/dispatch/upstream.go
@@ -21,8 +21,8 @@
 	reserved float64
 	// peerUse is the usage that other nodes reported.
 	peerUse fleet.Use
-	// meanLatency is the moving average of its latency in ms, and failureRate that of its
-	// failures.
+	// meanLatency is the moving average of the upstream's latency in ms, and failureRate that of
+	// its failures.
 	meanLatency float64
 	failureRate float64
 
@@ -31,14 +31,14 @@
 	preference float64
 	// probeCandidates is the model's set of upstreams that may need a probe.
 	probeCandidates probeSet
-	// sharesAddress reports whether another upstream is listed with the same address; one of the
-	// two is gone.
+	// sharesAddress reports whether another upstream is listed with the same address, so that one
+	// of the two has ended.
 	sharesAddress bool
-	// crashed reports whether its process is known to have ended.
+	// crashed reports whether the upstream's process is known to have ended.
 	crashed bool
-	// layersReportedAt is when another node reported the layers that it holds.
+	// layersReportedAt is when another node last reported the layers that the engine holds.
 	layersReportedAt clock.Millis
-	// slowdown is the ratio of its token time to the normal value, as of slowdownAt.
+	// slowdown is the ratio of the engine's token time to the normal value, as of slowdownAt.
 	slowdown   float64
 	slowdownAt clock.Millis
 
@@ -54,37 +54,42 @@
 	probeInFlight bool
 	// earlyProbeWanted reports whether a suspected upstream is probed before avoidUntil.
 	earlyProbeWanted bool
-	// crashCheckWanted reports whether a probe should check for a crash, and crashCheckOnly
-	// whether the current probe has no other purpose.
+	// crashCheckWanted reports whether the next probe checks for a crash, and crashCheckOnly
+	// whether the probe in flight has no other purpose.
 	crashCheckWanted bool
 	crashCheckOnly   bool
-	// identifying reports whether its identity has been requested. failedIdentifications counts
-	// the answers without an identity, and identifyAfter is when the next request may be sent.
+	// identifying reports whether the upstream's identity has been requested.
+	// failedIdentifications counts the answers without an identity, and identifyAfter is when the
+	// next such request may be sent.
 	identifying           bool
 	failedIdentifications int
 	identifyAfter         clock.Millis
-	// suspicionCause is that of the last suspicion. probeAnsweredAt is when it last answered a probe.
+	// suspicionCause is the cause of the last suspicion. probeAnsweredAt is when the upstream
+	// last answered a probe.
 	suspicionCause  Cause
 	probeAnsweredAt clock.Millis
-	// unresponsive reports whether it left a suspicion's probe unanswered, and the placement
-	// planner was notified. peerReportedAt is when another node last reported it as unresponsive.
+	// unresponsive reports whether the upstream left a probe unanswered while it was suspected;
+	// the placement planner is notified. peerReportedAt is when another node last reported it as
+	// unresponsive.
 	unresponsive   bool
 	peerReportedAt clock.Millis
-	// unansweredProbes counts consecutive unanswered probes, and failures consecutive failures.
+	// unansweredProbes counts consecutive unanswered probes, and failures consecutive failed
+	// attempts. A suspected upstream is not probed before avoidUntil.
 	unansweredProbes int
 	failures         int
 	avoidUntil       clock.Millis
-	// refusals counts consecutive refusals. The upstream counts as full until fullUntil.
+	// refusals counts consecutive refusals, the last one at refusedAt. The upstream counts as
+	// full until fullUntil.
 	refusals  int
 	fullUntil clock.Millis
 	refusedAt clock.Millis
 	// backOffUntil is the end of the back-off that the upstream requested.
 	backOffUntil clock.Millis
-	// refusedAsFirst reports whether the last refusal came from it as the first engine of a
-	// chain. Later engines also refuse layers that they are about to drop.
+	// refusedAsFirst reports whether the last refusal came from this engine as the first one of a
+	// chain. Later engines of a chain also refuse layers that they are about to drop.
 	refusedAsFirst bool
-	// shedsLoad reports whether it refuses requests although its report shows free capacity, so
-	// that the next request may be accepted.
+	// shedsLoad reports whether the engine refuses requests although its report shows free
+	// capacity, so that it may accept the next request.
 	shedsLoad bool
 }
 
--- a/dispatch/usage.go
+++ b/dispatch/usage.go
@@ -52,9 +52,9 @@
 		}
 	}
 	m.sharedUsage = used
-	cmd := ShareUsageCmd{Engines: used, Limits: m.limits.Known(m.now)}
+	cmd := ShareUsageCmd{Used: used, Limits: m.limits.Known(m.now)}
 	if !m.usageAggregated {
-		cmd.DataCentreTotal, cmd.AllNodes, cmd.IncludedDataCentres = m.dataCentreUsage(used), m.allNodesUsage(), m.includedDataCentres()
+		cmd.WholeDataCentre, cmd.AllNodes, cmd.IncludedDataCentres = m.dataCentreUsage(used), m.allNodesUsage(), m.includedDataCentres()
 		cmd.Nodes = m.nodeCount.total
 	}
 	return []Cmd{cmd}
@@ -119,7 +119,7 @@
 func (m *Model) recordPeerUsage(msg UsageMsg) []Cmd {
 	m.recordAlive(msg)
 	m.nodeCount.peerReported(m.now, msg.DataCentre, msg.AllNodes, msg.Nodes)
-	node, usage := msg.Node, msg.Engines
+	node, usage := msg.Node, msg.Used
 	switch {
 	case m.usageAggregated != msg.AllNodes:
 		// A node that receives aggregated usage ignores single reports, which are part of the
@@ -129,7 +129,7 @@
 		node, usage = allNodesKey, m.withoutOwn(usage)
 	}
 	m.subtractUsage(m.peerUsage[node].used)
-	m.peerUsage[node] = nodeUsage{receivedAt: m.now, used: usage, wholeDataCentre: msg.DataCentreTotal, dataCentre: msg.DataCentre, allNodes: msg.AllNodes}
+	m.peerUsage[node] = nodeUsage{receivedAt: m.now, used: usage, wholeDataCentre: msg.WholeDataCentre, dataCentre: msg.DataCentre, allNodes: msg.AllNodes}
 	for id, use := range usage {
 		if u := m.upstreams[id]; u != nil {
 			u.peerUse = u.peerUse.Plus(use)
@@ -143,13 +143,13 @@
 
 // recordAlive records the nodes and data centres that a usage report shows to be alive.
 func (m *Model) recordAlive(msg UsageMsg) {
-	if msg.DataCentreTotal || msg.AllNodes {
+	if msg.WholeDataCentre || msg.AllNodes {
 		m.limits.HeardAll(m.now, msg.DataCentre)
 	}
 	for _, centre := range msg.IncludedDataCentres {
 		m.limits.HeardAll(m.now, centre)
 	}
-	if !msg.DataCentreTotal {
+	if !msg.WholeDataCentre {
 		m.limits.Heard(m.now, msg.Node)
 	}
 }
--- a/lab/limit.go
+++ b/lab/limit.go
@@ -125,7 +125,7 @@
 	n.one(cmd.To, func(o *node) {
 		ask := cmd.Ask
 		ask.Named = n.namedFor(o, ask.Named)
-		o.tell(dispatch.PermitRequestMsg{From: n.name, Request: ask})
+		o.tell(dispatch.PermitRequestMsg{From: n.name, Ask: ask})
 	})
 }
 
--- a/lab/node_share.go
+++ b/lab/node_share.go
@@ -63,7 +63,7 @@
 	}
 	used := func(o *node) {
 		o.roster.Heard(w.now, n.name, true)
-		o.tell(dispatch.UsageMsg{Node: n.name, DataCentre: n.centre, Engines: cmd.Engines, Limits: n.limitsFor(o, cmd.Limits)})
+		o.tell(dispatch.UsageMsg{Node: n.name, DataCentre: n.centre, Used: cmd.Used, Limits: n.limitsFor(o, cmd.Limits)})
 	}
 	if n.circle.Meshed {
 		for _, o := range w.nodes {
@@ -93,7 +93,7 @@
 		told[o.centre]++
 		n.to(o, func(o *node) {
 			o.tell(dispatch.UsageMsg{
-				Node: "all of " + n.centre, Engines: cmd.DataCentreTotal, DataCentreTotal: true, DataCentre: n.centre,
+				Node: "all of " + n.centre, Used: cmd.WholeDataCentre, WholeDataCentre: true, DataCentre: n.centre,
 				Nodes: n.circle.Others + 1, Limits: n.limitsFor(o, cmd.Limits),
 			})
 		})
@@ -105,7 +105,7 @@
 	o.roster.Heard(n.world.now, n.name, true)
 	if n.circle.Leads() {
 		o.tell(dispatch.UsageMsg{
-			Node: n.name, DataCentre: n.centre, Engines: cmd.AllNodes, AllNodes: true, IncludedDataCentres: cmd.IncludedDataCentres,
+			Node: n.name, DataCentre: n.centre, Used: cmd.AllNodes, AllNodes: true, IncludedDataCentres: cmd.IncludedDataCentres,
 			Nodes: cmd.Nodes, Limits: n.limitsFor(o, cmd.Limits),
 		})
 	}
--- a/node/learn.go
+++ b/node/learn.go
@@ -81,9 +81,9 @@
 func (n *Node) share(cmd dispatch.ShareUsageCmd) {
 	now := n.clock.Now()
 	circle := n.roster.Circle(now)
-	n.usage.Share(cmd.Engines, cmd.Limits)
+	n.usage.Share(cmd.Used, cmd.Limits)
 	if circle.Meshed && n.roster.Reads(now) || circle.Leads() {
-		n.usage.ShareTotal(cmd.DataCentreTotal, circle.Others+1, cmd.Limits)
+		n.usage.ShareTotal(cmd.WholeDataCentre, circle.Others+1, cmd.Limits)
 	}
 	switch {
 	case circle.Leads():
@@ -109,7 +109,7 @@
 		n.roster.Heard(n.clock.Now(), from.GetName(), msg.Followable)
 	}
 	n.relay.SetUsage(dispatch.UsageMsg{
-		Node: from.GetName(), Engines: msg.Used, DataCentreTotal: msg.Total, AllNodes: msg.Whole, IncludedDataCentres: msg.HeardOf, Nodes: msg.Nodes,
+		Node: from.GetName(), Used: msg.Used, WholeDataCentre: msg.Total, AllNodes: msg.Whole, IncludedDataCentres: msg.HeardOf, Nodes: msg.Nodes,
 		DataCentre: from.GetDataCentre(), Limits: msg.Limits,
 	})
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -155,7 +155,7 @@
 
 // SetAsked takes another node's question for permits.
 func (r *Relay) SetAsked(from string, ask limit.Ask) {
-	r.decider.tell(r.life, dispatch.PermitRequestMsg{From: from, Request: ask})
+	r.decider.tell(r.life, dispatch.PermitRequestMsg{From: from, Ask: ask})
 }
 
 // SetPermits takes the answer to a question for permits.
@@ -166,7 +166,7 @@
 // SetUsage takes what another node has in use or, with total, all nodes of another data
 // centre or, with whole, all, and what it knows of limits.
 func (r *Relay) SetUsage(msg dispatch.UsageMsg) {
-	if msg.DataCentreTotal {
+	if msg.WholeDataCentre {
 		msg.Node = "all of " + msg.DataCentre
 	}
 	r.decider.tell(r.life, msg)
