--- a/dispatch/arrive.go
+++ b/dispatch/arrive.go
@@ -9,8 +9,8 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// defaultCallerTimeout is the assumed timeout of a client that sends none.
-const defaultCallerTimeout clock.Millis = 60_000
+// defaultClientTimeout is the assumed timeout of a client that sends none.
+const defaultClientTimeout clock.Millis = 60_000
 
 // arrive checks a request against the configuration and sends it to an upstream.
 func (m *Model) arrive(msg ArriveMsg) []Cmd {
@@ -34,11 +34,11 @@
 		return cmds
 	}
 	r.work = msg.Work.By(r.account.Name)
-	r.callerDeadline = m.now.Add(defaultCallerTimeout)
+	r.clientDeadline = m.now.Add(defaultClientTimeout)
 	if msg.Remaining > 0 {
-		r.callerDeadline = m.now.Add(msg.Remaining)
+		r.clientDeadline = m.now.Add(msg.Remaining)
 	}
-	r.giveUp = r.callerDeadline
+	r.giveUp = r.clientDeadline
 	if route.Timeout > 0 {
 		r.giveUp = m.now.Add(route.Timeout)
 	}
--- a/dispatch/begun_answer_test.go
+++ b/dispatch/begun_answer_test.go
@@ -15,8 +15,8 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m, map[string]string{"rapid.checks": "1000"}) }
 
-// callerView is a request as its client sees it.
-type callerView struct {
+// clientView is a request as its client sees it.
+type clientView struct {
 	t *rapid.T
 	// attempt is the number of the current attempt; 0 for none.
 	attempt   int
@@ -27,7 +27,7 @@
 }
 
 // apply executes a command and checks that it is allowed in the current state.
-func (c *callerView) apply(cmd dispatch.Cmd) {
+func (c *clientView) apply(cmd dispatch.Cmd) {
 	switch cmd := cmd.(type) {
 	case dispatch.SendCmd:
 		c.attempt = cmd.Attempt
@@ -48,7 +48,7 @@
 }
 
 // deliver draws the part of the answer that the client receives before the current attempt fails.
-func (c *callerView) deliver() {
+func (c *clientView) deliver() {
 	switch {
 	case rapid.Bool().Draw(c.t, "nothing"):
 	case c.delivered == dispatch.DeliveredNothing && rapid.Bool().Draw(c.t, "part"):
@@ -69,7 +69,7 @@
 		}))
 		now := clock.Millis(1000)
 		version := 1
-		c := &callerView{t: rt}
+		c := &clientView{t: rt}
 		step := func(msg dispatch.Msg) {
 			for _, cmd := range m.Update(now, msg) {
 				c.apply(cmd)
--- a/dispatch/cmd.go
+++ b/dispatch/cmd.go
@@ -28,9 +28,9 @@
 	Account string
 	// Priority ranks the request in the queue of an engine; 0 is the most urgent.
 	Priority int
-	// CallerDeadline is when the client stops waiting, and RouteDeadline when the route's timeout
+	// ClientDeadline is when the client stops waiting, and RouteDeadline when the route's timeout
 	// ends.
-	CallerDeadline clock.Millis
+	ClientDeadline clock.Millis
 	RouteDeadline  clock.Millis
 	// AttemptTimeout bounds this attempt; zero for no bound.
 	AttemptTimeout clock.Millis
--- a/dispatch/msg.go
+++ b/dispatch/msg.go
@@ -17,7 +17,7 @@
 // CatalogMsg activates a configuration or confirms the active one, if Catalog is nil.
 type CatalogMsg struct {
 	Catalog *catalog.Catalog
-	// ConfirmedAt is when the call was sent that returned the configuration as the newest one.
+	// ConfirmedAt is the send time of the call that returned the configuration as the newest one.
 	ConfirmedAt clock.Millis
 }
 
@@ -42,7 +42,8 @@
 	Members []limit.Member
 }
 
-// UsageMsg reports the engine usage of another node's requests.
+// UsageMsg reports how much memory and how many slots of engines the requests of another node
+// use.
 type UsageMsg struct {
 	Node string
 	// Used is the usage by engine.
--- a/dispatch/policy.go
+++ b/dispatch/policy.go
@@ -70,7 +70,7 @@
 	// reportWindow is how long an engine's memory report is used. A report is a few hundred ms
 	// old when it arrives, and a request ends on an engine each 20 ms.
 	reportWindow clock.Millis = 600
-	// misdirectedPause is how long an engine is avoided that did not hold the layers that the
+	// misdirectedPause is how long an engine is avoided after it did not hold the layers that the
 	// list shows. It covers the lag of the list.
 	misdirectedPause clock.Millis = 1500
 	// normalSlowdown is the slowdown up to which an engine counts as normal. slowdownRecheck is
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -15,8 +15,8 @@
 type request struct {
 	arrival   ArriveMsg
 	arrivedAt clock.Millis
-	// callerDeadline is when the client stops waiting. giveUp is when the route's timeout ends.
-	callerDeadline clock.Millis
+	// clientDeadline is when the client stops waiting. giveUp is when the route's timeout ends.
+	clientDeadline clock.Millis
 	giveUp         clock.Millis
 	route          *catalog.Route
 	service        *catalog.Service
@@ -98,7 +98,7 @@
 
 // timeLeft returns the time until the request must be answered.
 func (r *request) timeLeft(now clock.Millis) clock.Millis {
-	return min(r.callerDeadline, r.giveUp).Sub(now)
+	return min(r.clientDeadline, r.giveUp).Sub(now)
 }
 
 // vmResumed makes all requests reset their timers after a suspension of the VM.
@@ -106,7 +106,7 @@
 	var cmds []Cmd
 	for _, id := range slices.Sorted(maps.Keys(m.requests)) {
 		r := m.requests[id]
-		cmds = append(cmds, RecheckDeadlineCmd{Request: id, Deadline: min(r.callerDeadline, r.giveUp)})
+		cmds = append(cmds, RecheckDeadlineCmd{Request: id, Deadline: min(r.clientDeadline, r.giveUp)})
 	}
 	return cmds
 }
--- a/dispatch/retry_after.go
+++ b/dispatch/retry_after.go
@@ -43,7 +43,7 @@
 
 // capRetryAfter limits an estimated Retry-After time to the client's remaining time.
 func (r *request) capRetryAfter(now, estimate clock.Millis) clock.Millis {
-	remaining := float64(r.callerDeadline.Sub(now))
+	remaining := float64(r.clientDeadline.Sub(now))
 	if r.arrival.Remaining <= 0 || float64(estimate) <= usableTimeShare*remaining {
 		return estimate
 	}
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -49,7 +49,7 @@
 	cmd.Request, cmd.Attempt = r.arrival.Request, r.attempts
 	cmd.Upstream, cmd.Address = r.firstUpstream.entry.ID, r.firstUpstream.entry.Address
 	cmd.Route, cmd.Account, cmd.RequiresKey, cmd.Priority = r.route, r.account.Name, r.requiresKey, r.priority()
-	cmd.CallerDeadline, cmd.RouteDeadline = r.callerDeadline, r.giveUp
+	cmd.ClientDeadline, cmd.RouteDeadline = r.clientDeadline, r.giveUp
 	cmd.LastUpstream = m.isLastUpstream(r)
 	cmd.Work, cmd.WorkSuspected = r.work, m.quarantine.Suspects(r.work)
 	cmd.Config, cmd.ConfigAge = m.catalog.Edition(), clock.AgeOf(m.configConfirmedAt, m.now)
--- a/dispatch/slot_queue_test.go
+++ b/dispatch/slot_queue_test.go
@@ -52,9 +52,9 @@
 const (
 	slotSimNodes    = 7
 	slotSimDuration = clock.Millis(20_000)
-	// callerTimeout is how long a client waits in total. It retries once, if the advised time
+	// clientTimeout is how long a client waits in total. It retries once, if the advised time
 	// leaves it some.
-	callerTimeout = clock.Millis(1500)
+	clientTimeout = clock.Millis(1500)
 	retryWindow   = clock.Millis(10_000)
 )
 
@@ -71,15 +71,15 @@
 	// takenSlots counts the taken slots by upstream.
 	takenSlots map[fleet.Incarnation]int
 	events     map[clock.Millis][]func()
-	// callers holds the clients by request.
-	callers map[dispatch.RequestID]simCaller
+	// clients holds the clients by request.
+	clients map[dispatch.RequestID]simClient
 
 	arrived, served, sentRetries int
 	refused                      map[dispatch.Reason]int
 }
 
-// simCaller is a client that waits until a time and may retry a number of times.
-type simCaller struct {
+// simClient is a client that waits until a time and may retry a number of times.
+type simClient struct {
 	until   clock.Millis
 	retries int
 }
@@ -87,7 +87,7 @@
 func newSlotSim(load plainLoad, seed uint64) *slotSim {
 	c := &slotSim{
 		plainLoad: load, random: rand.New(rand.NewPCG(seed, 3)), takenSlots: make(map[fleet.Incarnation]int),
-		events: make(map[clock.Millis][]func()), callers: make(map[dispatch.RequestID]simCaller), refused: make(map[dispatch.Reason]int),
+		events: make(map[clock.Millis][]func()), clients: make(map[dispatch.RequestID]simClient), refused: make(map[dispatch.Reason]int),
 	}
 	to := []catalog.Target{{Service: "desk", Weight: 1}}
 	routes := catalog.New(1, catalog.WithServices(&catalog.Service{Name: "desk", HealthPath: "/health"}),
@@ -112,7 +112,7 @@
 
 func (c *slotSim) run() {
 	const tick, perMS = 100, 1000.0
-	for ; c.now < slotSimDuration+callerTimeout; c.now++ {
+	for ; c.now < slotSimDuration+clientTimeout; c.now++ {
 		for i := 0; i < len(c.events[c.now]); i++ {
 			c.events[c.now][i]()
 		}
@@ -124,17 +124,17 @@
 		}
 		if c.now < slotSimDuration && c.random.Float64() < float64(c.perSecond)/perMS {
 			c.arrived++
-			c.arrive(simCaller{until: c.now.Add(callerTimeout), retries: 1})
+			c.arrive(simClient{until: c.now.Add(clientTimeout), retries: 1})
 		}
 	}
 }
 
 // arrive sends a client's request to a random node.
-func (c *slotSim) arrive(caller simCaller) {
-	id := dispatch.RequestID(len(c.callers) + 1)
-	c.callers[id] = caller
+func (c *slotSim) arrive(client simClient) {
+	id := dispatch.RequestID(len(c.clients) + 1)
+	c.clients[id] = client
 	c.update(c.random.IntN(slotSimNodes), dispatch.ArriveMsg{
-		Request: id, CallerID: fmt.Sprint("c", id), Host: "h", Path: "/once/a", Remaining: caller.until.Sub(c.now),
+		Request: id, CallerID: fmt.Sprint("c", id), Host: "h", Path: "/once/a", Remaining: client.until.Sub(c.now),
 	})
 }
 
@@ -147,7 +147,7 @@
 			free := c.takenSlots[cmd.Upstream] < c.slots
 			c.after(1, func() { c.update(node, dispatch.ProbedMsg{Upstream: cmd.Upstream, Answered: free}) })
 		case dispatch.RespondCmd:
-			c.retryCaller(cmd)
+			c.retryClient(cmd)
 		}
 	}
 }
@@ -167,23 +167,23 @@
 	took := clock.Millis(1 + c.random.IntN(2*c.meanMS))
 	c.after(took, func() {
 		c.takenSlots[cmd.Upstream]--
-		if c.now <= c.callers[cmd.Request].until {
+		if c.now <= c.clients[cmd.Request].until {
 			c.served++
 		}
 		c.update(node, dispatch.AttemptDoneMsg{Request: cmd.Request, Attempt: cmd.Attempt, Took: took})
 	})
 }
 
-// retryCaller retries a refused request after the advised time if the client still waits then.
-func (c *slotSim) retryCaller(cmd dispatch.RespondCmd) {
-	caller := c.callers[cmd.Request]
+// retryClient retries a refused request after the advised time if the client still waits then.
+func (c *slotSim) retryClient(cmd dispatch.RespondCmd) {
+	client := c.clients[cmd.Request]
 	retryAt := c.now.Add(cmd.RetryAfter)
-	if caller.retries == 0 || retryAt >= caller.until {
+	if client.retries == 0 || retryAt >= client.until {
 		c.refused[cmd.Reason]++
 		return
 	}
-	caller.retries--
-	c.after(max(cmd.RetryAfter, 1), func() { c.arrive(caller) })
+	client.retries--
+	c.after(max(cmd.RetryAfter, 1), func() { c.arrive(client) })
 }
 
 // Guards against a crash of the node. Operators may give a route any priority, and a request with
--- a/dispatch/usage.go
+++ b/dispatch/usage.go
@@ -211,8 +211,8 @@
 	return free
 }
 
-// startAssumption is how long after its start a node assumes that nodes without a report use as
-// much as itself; each reports every 0.3 s.
+// startAssumption is how long after its start a node assumes that each node without a usage
+// report uses as much as itself. Each node sends a report every 0.3 s.
 const startAssumption clock.Millis = 1000
 
 // estimatedPeerUse returns the usage of an engine by other nodes. A node that has just started
--- a/dispatch/wait.go
+++ b/dispatch/wait.go
@@ -20,8 +20,8 @@
 	patienceMargin  clock.Millis = 600
 )
 
-// callerPatience returns how long a client waits for the next event of a stream.
-func callerPatience(route *catalog.Route) clock.Millis {
+// clientPatience returns how long a client waits for the next event of a stream.
+func clientPatience(route *catalog.Route) clock.Millis {
 	return max(minPatience, patienceAims*route.Aim, patienceGapAims*route.GapAim) + patienceMargin
 }
 
@@ -30,7 +30,7 @@
 // stream is aborted only after its client should have disconnected.
 func (m *Model) waitOrAbort(r *request, reason Reason) []Cmd {
 	if r.waitUntil == 0 {
-		r.waitUntil = m.now.Add(callerPatience(r.route))
+		r.waitUntil = m.now.Add(clientPatience(r.route))
 	}
 	temporary := reason == ReasonNoMemory || reason == ReasonNoHolder || reason == ReasonNoRetryBudget
 	if temporary && m.now < r.waitUntil {
--- a/relay/session_attempt.go
+++ b/relay/session_attempt.go
@@ -18,7 +18,7 @@
 // send begins an attempt.
 func (s *session) send(cmd dispatch.SendCmd) {
 	now := s.relay.clock.Now()
-	remaining := min(cmd.CallerDeadline, cmd.RouteDeadline).Sub(now)
+	remaining := min(cmd.ClientDeadline, cmd.RouteDeadline).Sub(now)
 	s.attempts++
 	s.route = cmd.Route
 	s.logSend(cmd, remaining)
