--- a/dispatch/loss.go
+++ b/dispatch/loss.go
@@ -212,8 +212,8 @@
 }
 
 // spreadSuspectedWork adds spreadCost to all but one of the engines that could begin a suspected
-// request. The engine without it is chosen by a hash that is equal on all nodes. Requests that
-// were lost together are thereby sent to different engines, and the next loss shows which of them
+// request. A hash that is equal on all nodes chooses the remaining engine. Requests that were
+// lost together are thereby sent to different engines, and the next loss shows which of them
 // crashes engines.
 func spreadSuspectedWork(w work.ID, holders []chain.Holder) {
 	chosen, least := -1, math.Inf(1)
--- a/dispatch/retry_budget.go
+++ b/dispatch/retry_budget.go
@@ -5,9 +5,9 @@
 // All nodes together may make a bounded number of retries in a window, but a node does not know
 // the retries of earlier processes: a process of the same name may just have spent its whole
 // budget, and all nodes may have restarted at once. The budget is therefore split into a part for
-// nodes that have run for at least a window and a part for nodes in their first window. All nodes
-// that start within one window cannot exceed their part of the share, since each earns it with
-// its own requests. Of the slack each start takes a part.
+// nodes in their first window and a part for nodes that have run for longer. A node earns its
+// part of the share with its own requests, so all nodes that start within one window cannot
+// exceed the first part. Of the slack, each started node takes a part.
 const (
 	// laterShare and firstWindowShare are the parts of the share and add up to 1.
 	laterShare       = 0.6
