--- a/dispatch/model.go
+++ b/dispatch/model.go
@@ -304,9 +304,9 @@
 	if u.pipeline == nil || u.layerTime <= 0 {
 		return
 	}
-	whole := u.layerTime * float64(u.pipeline.Layers)
-	if least, known := m.fastestTokenTime[u.entry.Service]; !known || whole < least {
-		m.fastestTokenTime[u.entry.Service] = whole
+	tokenTime := u.layerTime * float64(u.pipeline.Layers)
+	if fastest, known := m.fastestTokenTime[u.entry.Service]; !known || tokenTime < fastest {
+		m.fastestTokenTime[u.entry.Service] = tokenTime
 	}
 }
 
--- a/dispatch/node_count.go
+++ b/dispatch/node_count.go
@@ -34,10 +34,10 @@
 }
 
 // peerReported handles a count that another node reported for its data centre or for all nodes.
-func (c *nodeCount) peerReported(now clock.Millis, dataCentre string, whole bool, nodes int) {
+func (c *nodeCount) peerReported(now clock.Millis, dataCentre string, allNodes bool, nodes int) {
 	switch {
 	case nodes <= 0:
-	case whole:
+	case allNodes:
 		c.accept(now, nodes)
 	default:
 		if c.remote == nil {
