--- a/dispatch/arrive.go
+++ b/dispatch/arrive.go
@@ -33,7 +33,7 @@
 	if cmds := m.checkKey(r); cmds != nil {
 		return cmds
 	}
-	r.work = msg.Work.By(r.account.Name)
+	r.work = msg.Work.ForAccount(r.account.Name)
 	r.clientDeadline = m.now.Add(defaultClientTimeout)
 	if msg.Remaining > 0 {
 		r.clientDeadline = m.now.Add(msg.Remaining)
@@ -42,13 +42,13 @@
 	if route.Timeout > 0 {
 		r.giveUp = m.now.Add(route.Timeout)
 	}
-	r.service = m.catalog.Service(route.Pick(hashPosition(msg.CallerID)))
+	r.service = m.catalog.Service(route.ServiceAt(hashPosition(msg.CallerID)))
 	if r.service == nil {
 		return m.refuse(msg.Request, http.StatusServiceUnavailable, ReasonNoUpstream, coverageGapRetryAfter)
 	}
 	r.memoryTokens = expectedMemoryTokens(msg)
 	m.requests[msg.Request] = r
-	m.budget(r.service.Name).Earn(m.now)
+	m.budget(r.service.Name).Deposit(m.now)
 	return m.send(r)
 }
 
--- a/dispatch/begun_answer_test.go
+++ b/dispatch/begun_answer_test.go
@@ -116,7 +116,7 @@
 		attributes["state"] = rapid.SampledFrom([]string{"ready", "ready", "leaving"}).Draw(t, "state")
 		id := "u" + strconv.Itoa(len(changes))
 		changes = append(changes, fleet.Change{
-			ID: fleet.Undated(fleet.ID(id)), Gone: rapid.IntRange(0, 4).Draw(t, "gone") == 0,
+			ID: fleet.IncarnationByID(fleet.ID(id)), Gone: rapid.IntRange(0, 4).Draw(t, "gone") == 0,
 			Upstream: testUpstream(script.Step{Words: []string{id}, Named: attributes}),
 		})
 	}
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -21,15 +21,15 @@
 		}),
 		catalog.WithServices(&catalog.Service{Name: "writer", Pipeline: &catalog.Pipeline{
 			Layers: 80, LayerMB: 1000, TokenBytes: 400_000, StepMS: 1,
-			Accelerators: map[string]catalog.Accelerator{"k": {Name: "k", MB: 1e6, StepFactor: 1}},
+			Accelerators: map[string]catalog.Accelerator{"k": {Name: "k", MemoryMB: 1e6, StepFactor: 1}},
 		}}),
 	)})
 	var changes []fleet.Change
 	for i := range engines {
 		from := (i * 8) % 80
 		u := fleet.Upstream{
-			ID: fleet.Undated(fleet.ID(fmt.Sprintf("e%d", i))), Address: fmt.Sprintf("a%d", i), Service: "writer", Accelerator: "k",
-			DataCentre: fmt.Sprintf("dc-%d", i/33), Held: fleet.Range{From: from, To: from + 8},
+			ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%d", i))), Address: fmt.Sprintf("a%d", i), Service: "writer", Accelerator: "k",
+			DataCentre: fmt.Sprintf("dc-%d", i/33), Held: fleet.LayerRange{From: from, To: from + 8},
 		}
 		changes = append(changes, fleet.Change{ID: u.ID, Upstream: u})
 	}
@@ -81,7 +81,7 @@
 			n := 0
 			for b.Loop() {
 				n++
-				u := fleet.Upstream{ID: fleet.Undated("e1"), Address: "a1", Service: "writer", Accelerator: "k", DataCentre: "dc-0", Held: fleet.Range{From: n % 9, To: n%9 + 8}}
+				u := fleet.Upstream{ID: fleet.IncarnationByID("e1"), Address: "a1", Service: "writer", Accelerator: "k", DataCentre: "dc-0", Held: fleet.LayerRange{From: n % 9, To: n%9 + 8}}
 				m.Update(1000, dispatch.FleetMsg{Changes: []fleet.Change{{ID: u.ID, Upstream: u}}})
 			}
 		})
@@ -95,9 +95,9 @@
 	for _, engines := range fleetSizes {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			m := benchModel(engines)
-			used := make(map[fleet.Incarnation]fleet.Use)
+			used := make(map[fleet.Incarnation]fleet.EngineUsage)
 			for i := range min(reported, engines) {
-				used[fleet.Undated(fleet.ID(fmt.Sprintf("e%d", i)))] = fleet.Use{Memory: float64(i)}
+				used[fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%d", i)))] = fleet.EngineUsage{Memory: float64(i)}
 			}
 			for b.Loop() {
 				m.Update(1000, dispatch.UsageMsg{Node: "n", Used: used})
--- a/dispatch/cmd.go
+++ b/dispatch/cmd.go
@@ -22,7 +22,7 @@
 	Upstream fleet.Incarnation
 	Address  string
 	// Chain is the chain of engines; nil for plain services.
-	Chain []chain.Part
+	Chain []chain.Stage
 	Route *catalog.Route
 	// Account is the client account's name; empty without a key.
 	Account string
@@ -71,7 +71,7 @@
 
 // MissingResource describes why no chain could be built, for the log.
 type MissingResource struct {
-	chain.Lack
+	chain.MissingResource
 	// Source is the origin of the value of free memory, and SourceAge its age.
 	Source    MemorySource
 	SourceAge clock.Millis
@@ -110,7 +110,7 @@
 type MigrateCmd struct {
 	Request RequestID
 	Attempt int
-	Chain   []chain.Part
+	Chain   []chain.Stage
 	// FromEngine is the engine that the stream leaves.
 	FromEngine fleet.Incarnation
 }
@@ -118,13 +118,13 @@
 // ShareUsageCmd sends the engine usage of requests to other nodes.
 type ShareUsageCmd struct {
 	// Used is the usage of this node's requests by engine.
-	Used map[fleet.Incarnation]fleet.Use
+	Used map[fleet.Incarnation]fleet.EngineUsage
 	// WholeDataCentre is the sum over this data centre's nodes, restricted to engines with enough
 	// usage to matter to other data centres.
-	WholeDataCentre map[fleet.Incarnation]fleet.Use
+	WholeDataCentre map[fleet.Incarnation]fleet.EngineUsage
 	// AllNodes is the sum over all known nodes, including those of IncludedDataCentres,
 	// restricted to the engines that matter to nodes which receive sums.
-	AllNodes            map[fleet.Incarnation]fleet.Use
+	AllNodes            map[fleet.Incarnation]fleet.EngineUsage
 	IncludedDataCentres []string
 	// Nodes is the number of nodes; 0 while unknown.
 	Nodes int
--- a/dispatch/depart.go
+++ b/dispatch/depart.go
@@ -47,7 +47,7 @@
 }
 
 // layersLoaded records the layers that an engine holds before the list shows them.
-func (m *Model) layersLoaded(u *upstream, layers fleet.Range) {
+func (m *Model) layersLoaded(u *upstream, layers fleet.LayerRange) {
 	u.entry.Held = layers
 	u.layersReportedAt = m.now
 	u.fullUntil = 0
@@ -91,5 +91,5 @@
 
 // passesThrough reports whether the chain of the current attempt contains an engine.
 func (r *request) passesThrough(id fleet.Incarnation) bool {
-	return slices.ContainsFunc(r.chain, func(p chain.Part) bool { return p.ID == id })
+	return slices.ContainsFunc(r.chain, func(p chain.Stage) bool { return p.ID == id })
 }
--- a/dispatch/fail.go
+++ b/dispatch/fail.go
@@ -36,14 +36,14 @@
 	cmds := m.resend(r)
 	if r.awaitsSlot && msg.Cause.spendsRetryBudget() {
 		// The retry is charged when the request is sent again.
-		m.budget(r.service.Name).Return(m.now)
+		m.budget(r.service.Name).Refund(m.now)
 	}
 	if slices.ContainsFunc(cmds, isSendCmd) || !r.permitUpstream.IsZero() || r.awaitsSlot {
 		return cmds
 	}
 	if m.requests[r.arrival.Request] == nil && msg.Cause.spendsRetryBudget() {
 		// The retry was not sent, because no upstream was available.
-		m.budget(r.service.Name).Return(m.now)
+		m.budget(r.service.Name).Refund(m.now)
 	}
 	if msg.Cause == CauseUpstreamFailed && !r.answerBegun() {
 		return m.relayFailure(r, msg)
@@ -74,7 +74,7 @@
 		return ReasonRefused
 	case r.timeLeft(m.now) < minTimeLeft:
 		return ReasonTimeout
-	case cause.spendsRetryBudget() && !m.budget(r.service.Name).Spend(m.now):
+	case cause.spendsRetryBudget() && !m.budget(r.service.Name).TryWithdraw(m.now):
 		return ReasonNoRetryBudget
 	}
 	return ""
@@ -190,5 +190,5 @@
 		}
 	}
 	m.dropRequest(msg.Request)
-	return append(m.quarantineCmds(m.quarantine.Answered(m.now, r.work, true)), m.slotFreed(r.service.Name, first)...)
+	return append(m.quarantineCmds(m.quarantine.RequestAnswered(m.now, r.work, true)), m.slotFreed(r.service.Name, first)...)
 }
--- a/dispatch/identity.go
+++ b/dispatch/identity.go
@@ -22,9 +22,9 @@
 func (m *Model) recordProbeFate(u *upstream, msg ProbedMsg) []Cmd {
 	switch {
 	case !msg.Answered:
-		return m.quarantineCmds(m.quarantine.Found(m.now, msg.Upstream, quarantine.Silent))
+		return m.quarantineCmds(m.quarantine.SetUpstreamState(m.now, msg.Upstream, quarantine.Unresponsive))
 	case msg.Named:
-		return m.quarantineCmds(m.quarantine.Answers(msg.Upstream))
+		return m.quarantineCmds(m.quarantine.UpstreamAnswered(msg.Upstream))
 	}
 	return m.identify(u)
 }
@@ -32,7 +32,7 @@
 // identify asks for the identity of the process at an upstream's address if a quarantine decision
 // depends on it.
 func (m *Model) identify(u *upstream) []Cmd {
-	if m.catalog == nil || u.identifying || m.now < u.identifyAfter || !m.quarantine.Disputed(u.entry.ID) {
+	if m.catalog == nil || u.identifying || m.now < u.identifyAfter || !m.quarantine.NeedsCheck(u.entry.ID) {
 		return nil
 	}
 	service := m.catalog.Service(u.entry.Service)
@@ -46,7 +46,7 @@
 // retryIdentify asks again the upstreams whose last answer did not contain their identity.
 func (m *Model) retryIdentify() []Cmd {
 	var cmds []Cmd
-	for _, id := range m.quarantine.Disputes() {
+	for _, id := range m.quarantine.UpstreamsToCheck() {
 		if u := m.upstreams[id]; u != nil && u.failedIdentifications > 0 {
 			cmds = append(cmds, m.identify(u)...)
 		}
@@ -62,11 +62,11 @@
 		u.identifying = false
 	}
 	switch msg.Presence {
-	case fleet.Itself:
-		return m.quarantineCmds(m.quarantine.Answers(msg.Upstream))
-	case fleet.Another:
-		return m.quarantineCmds(m.quarantine.Found(m.now, msg.Upstream, quarantine.Ended))
-	case fleet.Unnamed:
+	case fleet.Present:
+		return m.quarantineCmds(m.quarantine.UpstreamAnswered(msg.Upstream))
+	case fleet.Replaced:
+		return m.quarantineCmds(m.quarantine.SetUpstreamState(m.now, msg.Upstream, quarantine.Ended))
+	case fleet.PresenceUnknown:
 		if u != nil {
 			u.identifyAfter = m.now.Add(min(minIdentifyPause<<min(u.failedIdentifications, 8), maxIdentifyPause))
 			u.failedIdentifications++
--- a/dispatch/limit.go
+++ b/dispatch/limit.go
@@ -79,14 +79,14 @@
 	switch msg := msg.(type) {
 	case AdvertisedLimitMsg:
 		if m.upstreams[msg.Upstream] != nil && m.limits.Named(m.now, msg.Upstream, msg.Rate) {
-			return append(m.limitChanged(msg.Upstream, ""), requestPermitsCmds(m.limits.Report(m.now, msg.Upstream))...)
+			return append(m.limitChanged(msg.Upstream, ""), requestPermitsCmds(m.limits.ReportSent(m.now, msg.Upstream))...)
 		}
 	case NoAdvertisedLimitMsg:
-		if m.limits.Unnamed(m.now, msg.Upstream, msg.SentAt) {
+		if m.limits.SetUnlimited(m.now, msg.Upstream, msg.SentAt) {
 			return append(m.limitChanged(msg.Upstream, ""), m.resumePermitWaiters(msg.Upstream)...)
 		}
 	case PermitRequestMsg:
-		grant, requests := m.limits.Asked(m.now, msg.From, msg.Ask)
+		grant, requests := m.limits.HandleAsk(m.now, msg.From, msg.Ask)
 		return append(requestPermitsCmds(requests), GrantPermitsCmd{To: msg.From, Grant: grant})
 	case PermitGrantMsg:
 		return m.permitsGranted(msg)
@@ -99,11 +99,11 @@
 func (m *Model) mergePeerLimits(msg UsageMsg) []Cmd {
 	var cmds []Cmd
 	for _, id := range slices.SortedFunc(maps.Keys(msg.Limits), fleet.Incarnation.Compare) {
-		if m.upstreams[id] == nil || !m.limits.Told(m.now, id, msg.Limits[id]) {
+		if m.upstreams[id] == nil || !m.limits.Merge(m.now, id, msg.Limits[id]) {
 			continue
 		}
 		cmds = append(cmds, m.limitChanged(id, msg.Node)...)
-		cmds = append(cmds, requestPermitsCmds(m.limits.Report(m.now, id))...)
+		cmds = append(cmds, requestPermitsCmds(m.limits.ReportSent(m.now, id))...)
 		if msg.Limits[id].Rate == 0 {
 			cmds = append(cmds, m.resumePermitWaiters(id)...)
 		}
@@ -115,7 +115,7 @@
 func (m *Model) permitsGranted(msg PermitGrantMsg) []Cmd {
 	upstream := msg.Grant.Upstream
 	before, _ := m.limits.Limit(upstream)
-	if !m.limits.Granted(m.now, msg.From, msg.Grant) {
+	if !m.limits.HandleGrant(m.now, msg.From, msg.Grant) {
 		return nil
 	}
 	var cmds []Cmd
@@ -126,13 +126,13 @@
 }
 
 // Limits returns the active rate limits, for metrics.
-func (m *Model) Limits(now clock.Millis) []limit.Shown { return m.limits.Show(now) }
+func (m *Model) Limits(now clock.Millis) []limit.Summary { return m.limits.Summaries(now) }
 
 func (m *Model) limitChanged(upstream fleet.Incarnation, from string) []Cmd {
 	advertised, _ := m.limits.Limit(upstream)
 	cmd := LimitChangedCmd{Upstream: upstream, Rate: advertised.Rate, From: from}
 	if advertised.Rate > 0 {
-		cmd.Age = m.now.Sub(advertised.At)
+		cmd.Age = m.now.Sub(advertised.ReceivedAt)
 	}
 	return []Cmd{cmd}
 }
@@ -149,11 +149,11 @@
 // a permit is granted.
 func (m *Model) limitAllows(r *request, u *upstream) bool {
 	switch m.limits.State(m.now, u.entry.ID) {
-	case limit.Spent:
+	case limit.Exhausted:
 		return false
-	case limit.Askable, limit.Waiting:
+	case limit.NeedsPermit, limit.RequestPending:
 		return !r.permitWaitExpired
-	case limit.Free, limit.Permitted:
+	case limit.Unlimited, limit.HasPermit:
 	}
 	return true
 }
@@ -161,7 +161,7 @@
 // needsPermit reports whether a request must wait for a permit before it is sent to an upstream.
 func (m *Model) needsPermit(u *upstream) bool {
 	state := m.limits.State(m.now, u.entry.ID)
-	return state == limit.Askable || state == limit.Waiting
+	return state == limit.NeedsPermit || state == limit.RequestPending
 }
 
 // awaitPermit requests a permit for a request. This node itself may be the one that grants it.
@@ -173,7 +173,7 @@
 	r.permitUpstream = id
 	m.permitWaiters[id] = append(m.permitWaiters[id], r.arrival.Request)
 	cmds := requestPermitsCmds(m.limits.Ask(m.now, id, len(m.permitWaiters[id])))
-	if m.limits.State(m.now, id) == limit.Waiting {
+	if m.limits.State(m.now, id) == limit.RequestPending {
 		return cmds
 	}
 	return append(cmds, m.resumePermitWaiters(id)...)
@@ -209,7 +209,7 @@
 		cmds = append(cmds, m.resumePermitWaiters(upstream)...)
 	}
 	for _, upstream := range slices.SortedFunc(maps.Keys(m.permitWaiters), fleet.Incarnation.Compare) {
-		if m.limits.State(m.now, upstream) != limit.Waiting || m.expirePermitWaits(upstream) {
+		if m.limits.State(m.now, upstream) != limit.RequestPending || m.expirePermitWaits(upstream) {
 			cmds = append(cmds, m.resumePermitWaiters(upstream)...)
 		}
 	}
@@ -270,7 +270,7 @@
 	rates, soonest := 0.0, maxRetryAfter
 	for _, u := range limited {
 		advertised, _ := m.limits.Limit(u.entry.ID)
-		nextPermit, denied := m.limits.Next(m.now, u.entry.ID)
+		nextPermit, denied := m.limits.NextPermit(m.now, u.entry.ID)
 		rates += advertised.Rate
 		refusal.RecentDenials = max(refusal.RecentDenials, denied)
 		if refusal.Upstream.IsZero() || nextPermit < soonest {
--- a/dispatch/loss.go
+++ b/dispatch/loss.go
@@ -44,7 +44,7 @@
 		return nil
 	}
 	if msg.Events > r.deliveredEvents {
-		return m.quarantineCmds(m.quarantine.Answered(m.now, r.work, true))
+		return m.quarantineCmds(m.quarantine.RequestAnswered(m.now, r.work, true))
 	}
 	if u := m.faultyUpstream(r, msg); u != nil {
 		return m.recordLossAt(r, u)
@@ -59,8 +59,8 @@
 	if u.entry.Leaving {
 		return nil
 	}
-	cmds := m.quarantineCmds(m.quarantine.Lost(m.now, r.work, u.entry.ID, m.upstreamFate(u.entry.ID), ownLossWindow, true))
-	for _, id := range m.quarantine.Pending(r.work) {
+	cmds := m.quarantineCmds(m.quarantine.RecordLoss(m.now, r.work, u.entry.ID, m.upstreamFate(u.entry.ID), ownLossWindow, true))
+	for _, id := range m.quarantine.Unresolved(r.work) {
 		if lost := m.upstreams[id]; lost != nil {
 			m.probeNextTick(lost)
 		}
@@ -94,15 +94,15 @@
 // upstreamFate returns whether an upstream has crashed, as far as this node knows. An upstream
 // that was never listed may be newer than the list, or may have started and ended between two
 // versions of it. It counts as unresponsive, and is probed once it is listed.
-func (m *Model) upstreamFate(id fleet.Incarnation) quarantine.Fate {
+func (m *Model) upstreamFate(id fleet.Incarnation) quarantine.UpstreamState {
 	u := m.upstreams[id]
 	switch {
 	case u == nil && m.crashed.Contains(id), u != nil && u.crashed:
 		return quarantine.Ended
 	case u == nil:
-		return quarantine.Silent
+		return quarantine.Unresponsive
 	case u.suspected && u.unansweredProbes > 0:
-		return quarantine.Silent
+		return quarantine.Unresponsive
 	}
 	return quarantine.Unknown
 }
@@ -114,9 +114,9 @@
 func (m *Model) upstreamListed(u *upstream) {
 	id := u.entry.ID
 	if m.crashed.Remove(id) {
-		m.quarantine.Doubt(id)
+		m.quarantine.RevokeCrash(id)
 	}
-	if m.quarantine.Doubts(id) {
+	if m.quarantine.HasUncertainLosses(id) {
 		m.probeNextTick(u)
 	}
 }
@@ -128,7 +128,7 @@
 	var cmds []Cmd
 	if r != nil && r.firstUpstream != nil && !r.answerBegun() && !r.firstUpstream.entry.Leaving {
 		id := r.firstUpstream.entry.ID
-		cmds = m.quarantineCmds(m.quarantine.Lost(m.now, r.work, id, m.upstreamFate(id), canceledLossWindow, true))
+		cmds = m.quarantineCmds(m.quarantine.RecordLoss(m.now, r.work, id, m.upstreamFate(id), canceledLossWindow, true))
 	}
 	if r == nil {
 		return cmds
@@ -145,7 +145,7 @@
 	if u := m.upstreams[msg.Upstream]; u != nil && fate == quarantine.Unknown {
 		m.probeNextTick(u)
 	}
-	return m.quarantineCmds(m.quarantine.Lost(m.now, msg.Work, msg.Upstream, fate, peerLossWindow, false))
+	return m.quarantineCmds(m.quarantine.RecordLoss(m.now, msg.Work, msg.Upstream, fate, peerLossWindow, false))
 }
 
 // mergeQuarantined adopts requests that other nodes have quarantined. Suspected crashes only
@@ -156,12 +156,12 @@
 	var cmds []Cmd
 	for _, w := range msg.Works {
 		if len(w.Ended) == 0 {
-			cmds = append(cmds, m.quarantineCmds(m.quarantine.Learn(m.now, w.Work, w.Age))...)
+			cmds = append(cmds, m.quarantineCmds(m.quarantine.AdoptConfirmed(m.now, w.Work, w.Age))...)
 		}
 		for _, id := range w.Ended {
 			cmds = append(cmds, m.recordPeerLoss(PeerLossMsg{Work: w.Work, Upstream: id})...)
 		}
-		cmds = append(cmds, m.quarantineCmds(m.quarantine.Agree(m.now, w.Work, w.Ended))...)
+		cmds = append(cmds, m.quarantineCmds(m.quarantine.AdoptUnconfirmed(m.now, w.Work, w.Ended))...)
 	}
 	return cmds
 }
@@ -184,13 +184,13 @@
 	m.quarantine.Expire(m.now)
 	before := m.unlisted
 	m.unlisted = make(map[fleet.Incarnation]bool)
-	for _, id := range m.quarantine.Doubtful() {
+	for _, id := range m.quarantine.Unconfirmed() {
 		u := m.upstreams[id]
 		switch {
 		case u != nil:
 			m.probeNextTick(u)
 		case m.crashed.Contains(id), before[id]:
-			cmds = append(cmds, m.quarantineCmds(m.quarantine.Found(m.now, id, quarantine.Ended))...)
+			cmds = append(cmds, m.quarantineCmds(m.quarantine.SetUpstreamState(m.now, id, quarantine.Ended))...)
 		case len(m.upstreams) > 0:
 			// The list may be older than the upstream.
 			m.unlisted[id] = true
@@ -205,7 +205,7 @@
 	if r.executions > 0 {
 		return m.refuse(id, http.StatusBadGateway, ReasonQuarantined, 0)
 	}
-	if !m.quarantine.Certain(r.work) {
+	if !m.quarantine.Confirmed(r.work) {
 		remaining = min(remaining, coverageGapRetryAfter)
 	}
 	return m.refuse(id, http.StatusServiceUnavailable, ReasonQuarantined, remaining)
@@ -224,7 +224,7 @@
 	}
 	for i := range holders {
 		if i != chosen {
-			holders[i].Begin += spreadCost
+			holders[i].EntryCost += spreadCost
 		}
 	}
 }
--- a/dispatch/migrate.go
+++ b/dispatch/migrate.go
@@ -44,13 +44,13 @@
 }
 
 // detourChain builds a chain that avoids an engine and keeps the first part of the current chain.
-func (m *Model) detourChain(r *request, avoided fleet.Incarnation) ([]chain.Part, error) {
+func (m *Model) detourChain(r *request, avoided fleet.Incarnation) ([]chain.Stage, error) {
 	first := r.chain[0]
 	holders := m.holders(r, m.byService[r.service.Name], (*upstream).healthy, first.ID, avoided)
 	for _, p := range r.chain[1:] {
 		for i := range holders {
 			if holders[i].ID == p.ID {
-				holders[i].Room += r.memoryTokens * float64(p.Layers.Len())
+				holders[i].FreeMemory += r.memoryTokens * float64(p.Layers.Len())
 				holders[i].Penalty -= keepEngineBonus
 			}
 		}
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return append([]chain.Part{first}, tail...), nil
+	return append([]chain.Stage{first}, tail...), nil
 }
 
 // keepEngineBonus is subtracted from the cost of the engines that a stream already uses, since
--- a/dispatch/model.go
+++ b/dispatch/model.go
@@ -52,7 +52,7 @@
 	// peerUsage is the usage that other nodes reported, by node name. sharedUsage is the usage
 	// that this node shared last.
 	peerUsage   map[string]nodeUsage
-	sharedUsage map[fleet.Incarnation]fleet.Use
+	sharedUsage map[fleet.Incarnation]fleet.EngineUsage
 	// meanStreamTime is the moving average of stream durations, in ms.
 	meanStreamTime float64
 	// outages holds, by service, the current span of refusals. coverageGaps holds the spans in
@@ -73,7 +73,7 @@
 	unlisted map[fleet.Incarnation]bool
 	// limits keeps the rate limits that upstreams advertise. permitWaiters holds, by upstream,
 	// the requests that wait for a permit.
-	limits        *limit.Keeper
+	limits        *limit.Limiter
 	permitWaiters map[fleet.Incarnation][]RequestID
 	// slotQueues holds, by plain service, the requests that wait for a free slot.
 	slotQueues map[string]*slotQueue
@@ -107,7 +107,7 @@
 func WithStoredQuarantine() Option { return func(m *Model) { m.awaitsStoredQuarantine = true } }
 
 // WithLimits sets the keeper of the rate limits that apply to all nodes together.
-func WithLimits(k *limit.Keeper) Option { return func(m *Model) { m.limits = k } }
+func WithLimits(k *limit.Limiter) Option { return func(m *Model) { m.limits = k } }
 
 // New returns a model without a configuration and without upstreams.
 func New(opts ...Option) *Model {
@@ -189,7 +189,7 @@
 	case PeerLossMsg:
 		return m.recordPeerLoss(msg)
 	case PeerAnswerMsg:
-		return m.quarantineCmds(m.quarantine.Answered(m.now, msg.Work, false))
+		return m.quarantineCmds(m.quarantine.RequestAnswered(m.now, msg.Work, false))
 	case QuarantinedMsg:
 		return append(m.mergeQuarantined(msg), m.processDeferred()...)
 	case PeerUnresponsiveMsg:
@@ -251,9 +251,9 @@
 				m.entryRemoved(u)
 			}
 			m.crashed.Add(c.ID, true)
-			cmds = append(cmds, m.quarantineCmds(m.quarantine.Found(m.now, c.ID, quarantine.Ended))...)
+			cmds = append(cmds, m.quarantineCmds(m.quarantine.SetUpstreamState(m.now, c.ID, quarantine.Ended))...)
 			delete(m.upstreams, c.ID)
-			m.limits.Forget(c.ID)
+			m.limits.Remove(c.ID)
 			if known && c.Ended {
 				cmds = append(cmds, m.crashConfirmed(u)...)
 			}
--- a/dispatch/msg.go
+++ b/dispatch/msg.go
@@ -47,7 +47,7 @@
 type UsageMsg struct {
 	Node string
 	// Used is the usage by engine.
-	Used map[fleet.Incarnation]fleet.Use
+	Used map[fleet.Incarnation]fleet.EngineUsage
 	// WholeDataCentre reports whether Used is the sum over all nodes of another data centre. Node
 	// is then derived from the name of that data centre.
 	WholeDataCentre bool
@@ -67,7 +67,7 @@
 // drops have left.
 type PlacedMsg struct {
 	Upstream  fleet.Incarnation
-	Layers    fleet.Range
+	Layers    fleet.LayerRange
 	Completed bool
 }
 
--- a/dispatch/preference_test.go
+++ b/dispatch/preference_test.go
@@ -20,16 +20,16 @@
 // same view.
 func engineChoices(large bool) map[fleet.Incarnation]int {
 	pipeline := &catalog.Pipeline{
-		Layers: preferenceLayers, LayerMB: 1000, TokenBytes: 80_000, StepMS: 1, ReadRate: 100, StepsInPass: 1, ReadInPass: 100,
-		Accelerators: map[string]catalog.Accelerator{"fast": {Name: "fast", MB: 40_000, StepFactor: 1, ReadFactor: 1}},
+		Layers: preferenceLayers, LayerMB: 1000, TokenBytes: 80_000, StepMS: 1, ReadRate: 100, StepsPerPass: 1, PromptTokensPerPass: 100,
+		Accelerators: map[string]catalog.Accelerator{"fast": {Name: "fast", MemoryMB: 40_000, StepFactor: 1, ReadFactor: 1}},
 	}
 	var changes []fleet.Change
 	for i := range 4 * enginesPerQuarter {
-		id := fleet.Undated(fleet.ID(fmt.Sprintf("e%03d", i)))
+		id := fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%03d", i)))
 		from := i % 4 * preferenceLayers / 4
 		changes = append(changes, fleet.Change{ID: id, Upstream: fleet.Upstream{
 			ID: id, Service: "s", Address: fmt.Sprint("e", i, ":1"), DataCentre: "a", Accelerator: "fast", Slots: 192,
-			Held: fleet.Range{From: from, To: from + preferenceLayers/4},
+			Held: fleet.LayerRange{From: from, To: from + preferenceLayers/4},
 		}})
 	}
 	counts := make(map[fleet.Incarnation]int)
@@ -37,7 +37,7 @@
 		m := New(WithDataCentre("a"), WithSeed(uint64(node)+1))
 		m.Update(0, CatalogMsg{Catalog: catalog.New(1,
 			catalog.WithRoutes(&catalog.Route{Name: "r", Host: "h", Prefix: "/", Kind: catalog.Streaming, Anonymous: true,
-				Targets: []catalog.Target{{Service: "s", Weight: 1}}, MaxAttempts: 2, Timeout: 20_000, Aim: 500}),
+				Targets: []catalog.Target{{Service: "s", Weight: 1}}, MaxAttempts: 2, Timeout: 20_000, LatencyTarget: 500}),
 			catalog.WithServices(&catalog.Service{Name: "s", Pipeline: pipeline}))})
 		m.Update(0, FleetMsg{Changes: changes})
 		m.Update(0, PeersMsg{TotalNodes: preferenceNodes, UsagePeers: preferenceNodes - 1, Aggregated: large})
--- a/dispatch/probe.go
+++ b/dispatch/probe.go
@@ -55,7 +55,7 @@
 	if msg.Answered && msg.Report.Empty {
 		// The engine has restarted, and the list shows its former layers for some seconds. Each
 		// node that relied on the list would have a request refused.
-		u.entry.Held = fleet.Range{}
+		u.entry.Held = fleet.LayerRange{}
 	}
 	cmds := m.recordProbeFate(u, msg)
 	if u.crashCheckOnly {
--- a/dispatch/probe_candidates_test.go
+++ b/dispatch/probe_candidates_test.go
@@ -17,7 +17,7 @@
 		m.Update(0, CatalogMsg{Catalog: catalog.New(1, catalog.WithServices(&catalog.Service{Name: "s", Pipeline: &catalog.Pipeline{Layers: 8}}))})
 		var changes []fleet.Change
 		for i := range upstreams {
-			id := fleet.Undated(fleet.ID(fmt.Sprint("e", i)))
+			id := fleet.IncarnationByID(fleet.ID(fmt.Sprint("e", i)))
 			changes = append(changes, fleet.Change{ID: id, Upstream: fleet.Upstream{ID: id, Service: "s", Address: fmt.Sprint("e", i, ":1")}})
 		}
 		m.Update(0, FleetMsg{Changes: changes})
--- a/dispatch/prompt_load.go
+++ b/dispatch/prompt_load.go
@@ -26,7 +26,7 @@
 	if !known || layers == 0 || usedMemory <= 0 {
 		return 0
 	}
-	prompt, answer := u.pipeline.Usual()
+	prompt, answer := u.pipeline.MeanTokens()
 	streams := usedMemory / (prompt + answerMemoryShare*answer) / float64(layers)
-	return streams / m.meanStreamTime * max(u.slowdown, 1) / u.pipeline.ReadsInTime(accelerator, layers, batchShare*streams)
+	return streams / m.meanStreamTime * max(u.slowdown, 1) / u.pipeline.PromptRate(accelerator, layers, batchShare*streams)
 }
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -58,7 +58,7 @@
 
 	// The current attempt.
 	firstUpstream *upstream
-	chain         []chain.Part
+	chain         []chain.Stage
 	reservations  []reservation
 	// migrating reports whether a migration is in progress, and migrations counts them.
 	migrating  bool
@@ -112,7 +112,7 @@
 }
 
 // reserve reserves memory at all engines of a chain, in place of the former reservations.
-func (m *Model) reserve(r *request, parts []chain.Part) {
+func (m *Model) reserve(r *request, parts []chain.Stage) {
 	m.release(r)
 	r.chain = parts
 	for _, p := range parts {
--- a/dispatch/retry_budget.go
+++ b/dispatch/retry_budget.go
@@ -23,7 +23,7 @@
 	b, ok := m.retryBudgets[service]
 	if !ok {
 		share, slack := m.retryAllowance()
-		b = budget.NewWindow(m.policy.RetryWindow, share, slack, budget.WithLuck(m.retryDraw))
+		b = budget.NewWindow(m.policy.RetryWindow, share, slack, budget.WithDraw(m.retryDraw))
 		m.retryBudgets[service] = b
 	}
 	return b
@@ -46,6 +46,6 @@
 func (m *Model) updateRetryBudgets() {
 	share, slack := m.retryAllowance()
 	for _, b := range m.retryBudgets {
-		b.Set(share, slack)
+		b.SetLimits(share, slack)
 	}
 }
--- a/dispatch/retry_budget_test.go
+++ b/dispatch/retry_budget_test.go
@@ -32,9 +32,9 @@
 	m := New(WithPolicy(Policy{RetryWindow: retryWindowMS, RetryShare: retryShare, RetrySlack: retrySlack}))
 	m.Update(0, CatalogMsg{Catalog: catalog.New(1,
 		catalog.WithRoutes(&catalog.Route{Name: "r", Host: "h", Prefix: "/", Kind: catalog.Streaming, Resumable: true, Anonymous: true,
-			Targets: []catalog.Target{{Service: "s", Weight: 1}}, MaxAttempts: 9, Timeout: 20_000, Aim: 500}),
+			Targets: []catalog.Target{{Service: "s", Weight: 1}}, MaxAttempts: 9, Timeout: 20_000, LatencyTarget: 500}),
 		catalog.WithServices(&catalog.Service{Name: "s"}))})
-	id := fleet.Undated("u")
+	id := fleet.IncarnationByID("u")
 	m.Update(0, FleetMsg{Changes: []fleet.Change{{ID: id, Upstream: fleet.Upstream{ID: id, Service: "s", Address: "u:1"}}}})
 	m.Update(0, PeersMsg{TotalNodes: retryNodes})
 	return &retryingNode{model: m, startedAt: at}
--- a/dispatch/script_test.go
+++ b/dispatch/script_test.go
@@ -68,7 +68,7 @@
 	case "peers":
 		return dispatch.PeersMsg{TotalNodes: s.Int("all", 1), UsagePeers: s.Int("near", 0), LocalNodes: s.Int("here", 0), Aggregated: s.Named["summed"] == "yes"}
 	case "usage":
-		return dispatch.UsageMsg{Node: s.Word(0), Used: map[fleet.Incarnation]fleet.Use{
+		return dispatch.UsageMsg{Node: s.Word(0), Used: map[fleet.Incarnation]fleet.EngineUsage{
 			script.Incarnation(s.Word(1)): {Memory: float64(s.Int("amount", 0)), Streams: s.Int("streams", 0)},
 		}, WholeDataCentre: s.Named["total"] == "yes", AllNodes: s.Named["whole"] == "yes", Nodes: s.Int("nodes", 0), DataCentre: s.Named["in"]}
 	case "placed":
@@ -95,7 +95,7 @@
 	case "probed":
 		return dispatch.ProbedMsg{Upstream: script.Incarnation(s.Word(0)), Answered: s.Named["well"] == "yes", Named: s.Named["named"] == "yes", Report: testReport(s)}
 	case "identified":
-		return dispatch.IdentifiedMsg{Upstream: script.Incarnation(s.Word(0)), Presence: map[string]fleet.Presence{"itself": fleet.Itself, "another": fleet.Another}[s.Named["as"]]}
+		return dispatch.IdentifiedMsg{Upstream: script.Incarnation(s.Word(0)), Presence: map[string]fleet.Presence{"itself": fleet.Present, "another": fleet.Replaced}[s.Named["as"]]}
 	case "told":
 		return dispatch.PeerUnresponsiveMsg{Upstream: script.Incarnation(s.Word(0))}
 	case "toldlost":
@@ -126,7 +126,7 @@
 	case "permits":
 		return dispatch.PermitGrantMsg{From: s.Word(0), Grant: limit.Grant{
 			Upstream: script.Incarnation(s.Word(1)), Number: uint64(s.Int("number", 1)), Permits: s.Int("permits", 0),
-			Next: clock.Millis(s.Int("next", 0)), Queue: s.Int("queue", 0),
+			NextIn: clock.Millis(s.Int("next", 0)), Queue: s.Int("queue", 0),
 		}}
 	}
 	return nil
@@ -169,7 +169,7 @@
 	if same, ok := s.Named["asked"]; ok {
 		name = same
 	}
-	return work.ID{}.By(name)
+	return work.ID{}.ForAccount(name)
 }
 
 // parseIncarnations parses a comma-separated list of upstreams.
@@ -184,7 +184,7 @@
 }
 
 // clinicWork returns the work of a request of the client account clinic.
-func clinicWork(name string) work.ID { return work.ID{}.By(name).By("clinic") }
+func clinicWork(name string) work.ID { return work.ID{}.ForAccount(name).ForAccount("clinic") }
 
 // parseDelivered returns the part of the answer that the client has: a part that cannot be
 // resumed (part=yes), or the events given in the line.
@@ -214,8 +214,8 @@
 	writer := &catalog.Service{Name: "writer", HealthPath: "/health", Pipeline: &catalog.Pipeline{
 		Layers: 8, LayerMB: 1000, TokenBytes: 8_000_000, StepMS: 1, LoadMS: float64(s.Int("load", 0)),
 		Accelerators: map[string]catalog.Accelerator{
-			"fast": {Name: "fast", MB: 5000, StepFactor: 1},
-			"slow": {Name: "slow", MB: 5000, StepFactor: 10},
+			"fast": {Name: "fast", MemoryMB: 5000, StepFactor: 1},
+			"slow": {Name: "slow", MemoryMB: 5000, StepFactor: 10},
 		},
 	}}
 	key := "k"
@@ -226,10 +226,10 @@
 	return catalog.New(uint64(s.Int("version", 1)),
 		catalog.WithRoutes(
 			&catalog.Route{Name: "write", Host: "h", Prefix: "/write/", Kind: catalog.Streaming, Resumable: true,
-				Targets: to("writer"), MaxAttempts: 2, Timeout: 20000, Aim: 500},
-			&catalog.Route{Name: "once", Host: "h", Prefix: "/once/", Kind: catalog.Once, Targets: to("desk"), MaxAttempts: 2, Timeout: 1500, Aim: 100},
-			&catalog.Route{Name: "read", Host: "h", Prefix: "/read/", Kind: catalog.Repeatable, Targets: to("desk"), MaxAttempts: 2, Timeout: 1500, Aim: 100},
-			&catalog.Route{Name: "open", Host: "h", Prefix: "/open/", Kind: catalog.Once, Targets: to("desk"), MaxAttempts: 1, Anonymous: true},
+				Targets: to("writer"), MaxAttempts: 2, Timeout: 20000, LatencyTarget: 500},
+			&catalog.Route{Name: "once", Host: "h", Prefix: "/once/", Kind: catalog.AtMostOnce, Targets: to("desk"), MaxAttempts: 2, Timeout: 1500, LatencyTarget: 100},
+			&catalog.Route{Name: "read", Host: "h", Prefix: "/read/", Kind: catalog.Repeatable, Targets: to("desk"), MaxAttempts: 2, Timeout: 1500, LatencyTarget: 100},
+			&catalog.Route{Name: "open", Host: "h", Prefix: "/open/", Kind: catalog.AtMostOnce, Targets: to("desk"), MaxAttempts: 1, Anonymous: true},
 		),
 		catalog.WithServices(writer, &catalog.Service{Name: "desk", HealthPath: "/health"}),
 		catalog.WithAccount(catalog.Account{Name: "clinic"}, key),
@@ -239,7 +239,7 @@
 
 func testUpstream(s script.Step) fleet.Upstream {
 	from, to, _ := strings.Cut(s.Named["held"], "-")
-	held := fleet.Range{}
+	held := fleet.LayerRange{}
 	held.From, _ = strconv.Atoi(from)
 	held.To, _ = strconv.Atoi(to)
 	dataCentre := s.Named["in"]
@@ -318,19 +318,19 @@
 
 func showNews(news quarantine.News) string {
 	switch n := news.(type) {
-	case quarantine.LostNews:
+	case quarantine.LossNews:
 		return "lost at " + n.Upstream.String()
-	case quarantine.HeldNews:
+	case quarantine.QuarantinedNews:
 		return fmt.Sprintf("quarantined for %v", n.Ended)
-	case quarantine.CertainNews:
-		return fmt.Sprintf("certain own=%v", n.Own)
+	case quarantine.ConfirmedNews:
+		return fmt.Sprintf("certain own=%v", n.Local)
 	case quarantine.ClearedNews:
-		return fmt.Sprintf("cleared own=%v held=%v", n.Own, n.Held)
+		return fmt.Sprintf("cleared own=%v held=%v", n.Local, n.WasQuarantined)
 	}
 	return fmt.Sprintf("%T", news)
 }
 
-func showChain(parts []chain.Part) string {
+func showChain(parts []chain.Stage) string {
 	var words []string
 	for _, p := range parts {
 		words = append(words, fmt.Sprintf("%s:%d-%d", p.ID, p.Layers.From, p.Layers.To))
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -17,7 +17,7 @@
 // send chooses the upstream or chain for the next attempt of a request. Without one, the request
 // waits or ends.
 func (m *Model) send(r *request) []Cmd {
-	if remaining, quarantined := m.quarantine.Holds(m.now, r.work); quarantined {
+	if remaining, quarantined := m.quarantine.Quarantined(m.now, r.work); quarantined {
 		return m.refuseQuarantined(r, remaining)
 	}
 	var cmd SendCmd
@@ -43,7 +43,7 @@
 	}
 	r.attempts++
 	r.firstUpstream.inFlight++
-	m.limits.Sent(m.now, r.firstUpstream.entry.ID)
+	m.limits.RecordSent(m.now, r.firstUpstream.entry.ID)
 	advertised, _ := m.limits.Limit(r.firstUpstream.entry.ID)
 	cmd.Limit = advertised.Rate
 	cmd.Request, cmd.Attempt = r.arrival.Request, r.attempts
@@ -51,7 +51,7 @@
 	cmd.Route, cmd.Account, cmd.RequiresKey, cmd.Priority = r.route, r.account.Name, r.requiresKey, r.priority()
 	cmd.ClientDeadline, cmd.RouteDeadline = r.clientDeadline, r.giveUp
 	cmd.LastUpstream = m.isLastUpstream(r)
-	cmd.Work, cmd.WorkSuspected = r.work, m.quarantine.Suspects(r.work)
+	cmd.Work, cmd.WorkSuspected = r.work, m.quarantine.IsSuspect(r.work)
 	cmd.Config, cmd.ConfigAge = m.catalog.Edition(), clock.AgeOf(m.configConfirmedAt, m.now)
 	cmd.InFlight = r.firstUpstream.inFlight
 	return []Cmd{cmd}
@@ -120,7 +120,7 @@
 func (m *Model) cheapest(r *request, allowed func(*upstream) bool) *upstream {
 	var best *upstream
 	bestCost := 0.0
-	suspected := m.quarantine.Suspects(r.work)
+	suspected := m.quarantine.IsSuspect(r.work)
 	for _, u := range m.byService[r.service.Name] {
 		if !u.acceptsWork() || u.inBackOff(m.now) || !allowed(u) || !m.limitAllows(r, u) {
 			continue
@@ -145,7 +145,7 @@
 	if r.route.Kind != catalog.Repeatable || r.executions >= r.maxUpstreams() {
 		return 0
 	}
-	return max(clock.Millis(u.meanLatency*attemptTimeoutFactor), clock.Millis(float64(r.route.Aim)*attemptTimeoutAimShare))
+	return max(clock.Millis(u.meanLatency*attemptTimeoutFactor), clock.Millis(float64(r.route.LatencyTarget)*attemptTimeoutAimShare))
 }
 
 // sendPipeline builds a chain of engines. Suspected engines are excluded unless a layer has no
@@ -171,10 +171,10 @@
 
 // chainFor builds the chain of a request. Engines of other data centres are only considered if
 // the local ones do not give the cheapest chain, since there may be ten times as many.
-func (m *Model) chainFor(r *request) ([]chain.Part, error) {
+func (m *Model) chainFor(r *request) ([]chain.Stage, error) {
 	m.expirePeerUsage()
 	layers := r.service.Pipeline.Layers
-	if parts, ok := chain.BuildAtHome(layers, r.memoryTokens, m.dataCentre, m.holders(r, m.localByService[r.service.Name], (*upstream).healthy), m.fastestTokenTime[r.service.Name]); ok {
+	if parts, ok := chain.BuildLocal(layers, r.memoryTokens, m.dataCentre, m.holders(r, m.localByService[r.service.Name], (*upstream).healthy), m.fastestTokenTime[r.service.Name]); ok {
 		return parts, nil
 	}
 	all := m.byService[r.service.Name]
@@ -208,7 +208,7 @@
 }
 
 func chainErrorReason(err error) Reason {
-	if errors.Is(err, chain.ErrNoRoom) {
+	if errors.Is(err, chain.ErrNoMemory) {
 		return ReasonNoMemory
 	}
 	return ReasonNoHolder
@@ -252,7 +252,7 @@
 		}
 		holders = append(holders, h)
 	}
-	if m.quarantine.Suspects(r.work) {
+	if m.quarantine.IsSuspect(r.work) {
 		spreadSuspectedWork(r.work, holders)
 	}
 	return holders
@@ -286,10 +286,10 @@
 func (m *Model) newHolder(r *request, u *upstream) chain.Holder {
 	h := chain.Holder{
 		ID: u.entry.ID, Address: u.entry.Address, DataCentre: u.entry.DataCentre, Held: u.entry.Held,
-		LayerTime: u.layerTime * max(u.slowdown, 1), Total: u.memory, Room: m.freeMemory(u),
+		LayerTime: u.layerTime * max(u.slowdown, 1), TotalMemory: u.memory, FreeMemory: m.freeMemory(u),
 	}
-	h.Busy = m.promptLoad(u, h.Room)
-	h.Begin = m.slotCost(u)
+	h.PromptLoad = m.promptLoad(u, h.FreeMemory)
+	h.EntryCost = m.slotCost(u)
 	if r.triedUpstreams[u.entry.ID] {
 		h.Penalty = triedPenalty
 	}
@@ -300,7 +300,7 @@
 		h.Penalty += suspectPenalty
 	}
 	if u.full(m.now) {
-		h.Room = 0
+		h.FreeMemory = 0
 	}
 	return h
 }
--- a/dispatch/slot_queue.go
+++ b/dispatch/slot_queue.go
@@ -125,7 +125,7 @@
 		if r == nil {
 			break
 		}
-		if r.attempts > 0 && !m.budget(r.service.Name).Spend(m.now) {
+		if r.attempts > 0 && !m.budget(r.service.Name).TryWithdraw(m.now) {
 			return append(cmds, m.awaitSlot(r)...)
 		}
 		cmds = append(cmds, m.resend(r)...)
--- a/dispatch/slot_queue_test.go
+++ b/dispatch/slot_queue_test.go
@@ -91,13 +91,13 @@
 	}
 	to := []catalog.Target{{Service: "desk", Weight: 1}}
 	routes := catalog.New(1, catalog.WithServices(&catalog.Service{Name: "desk", HealthPath: "/health"}),
-		catalog.WithRoutes(&catalog.Route{Name: "once", Host: "h", Prefix: "/once/", Kind: catalog.Once, Targets: to, MaxAttempts: 1, Timeout: 800, Aim: 100}))
+		catalog.WithRoutes(&catalog.Route{Name: "once", Host: "h", Prefix: "/once/", Kind: catalog.AtMostOnce, Targets: to, MaxAttempts: 1, Timeout: 800, LatencyTarget: 100}))
 	for i := range slotSimNodes {
 		m := dispatch.New(dispatch.WithSeed(seed*slotSimNodes+uint64(i)), dispatch.WithPolicy(dispatch.Policy{RetryWindow: retryWindow, RetryShare: 0.2, RetrySlack: 200}))
 		m.Update(0, dispatch.PeersMsg{TotalNodes: slotSimNodes})
 		m.Update(0, dispatch.CatalogMsg{Catalog: routes})
 		for d := range load.upstreams {
-			id := fleet.Undated(fleet.ID(fmt.Sprint("d", d)))
+			id := fleet.IncarnationByID(fleet.ID(fmt.Sprint("d", d)))
 			u := fleet.Upstream{ID: id, Address: string(id.ID()), Service: "desk", Slots: load.slots}
 			m.Update(0, dispatch.FleetMsg{Changes: []fleet.Change{{ID: id, Upstream: u}}})
 		}
@@ -193,9 +193,9 @@
 		m := dispatch.New(dispatch.WithPolicy(dispatch.Policy{RetryWindow: retryWindow, RetryShare: 0.2, RetrySlack: 200}))
 		m.Update(0, dispatch.PeersMsg{TotalNodes: 1})
 		m.Update(0, dispatch.CatalogMsg{Catalog: catalog.New(1, catalog.WithServices(&catalog.Service{Name: "desk"}),
-			catalog.WithRoutes(&catalog.Route{Name: "once", Host: "h", Prefix: "/", Kind: catalog.Once, Priority: priority, MaxAttempts: 1,
+			catalog.WithRoutes(&catalog.Route{Name: "once", Host: "h", Prefix: "/", Kind: catalog.AtMostOnce, Priority: priority, MaxAttempts: 1,
 				Targets: []catalog.Target{{Service: "desk", Weight: 1}}, Timeout: 800}))})
-		id := fleet.Undated("d")
+		id := fleet.IncarnationByID("d")
 		m.Update(0, dispatch.FleetMsg{Changes: []fleet.Change{{ID: id, Upstream: fleet.Upstream{ID: id, Address: "d", Service: "desk"}}}})
 		m.Update(1, dispatch.ArriveMsg{Request: 1, Host: "h", Path: "/a"})
 		cmds := m.Update(2, dispatch.AttemptFailedMsg{Request: 1, Attempt: 1, Cause: dispatch.CauseFull})
--- a/dispatch/unsent_retry_test.go
+++ b/dispatch/unsent_retry_test.go
@@ -18,7 +18,7 @@
 	m.Update(0, dispatch.PeersMsg{TotalNodes: 1})
 	m.Update(0, dispatch.CatalogMsg{Catalog: catalog.New(1,
 		catalog.WithRoutes(&catalog.Route{Name: "read", Host: "h", Prefix: "/read/", Kind: catalog.Repeatable, Anonymous: true,
-			Targets: []catalog.Target{{Service: "desk", Weight: 1}}, MaxAttempts: 2, Timeout: 1500, Aim: 100}),
+			Targets: []catalog.Target{{Service: "desk", Weight: 1}}, MaxAttempts: 2, Timeout: 1500, LatencyTarget: 100}),
 		catalog.WithServices(&catalog.Service{Name: "desk"}))})
 	now := clock.Millis(0)
 	setUpstream := func(id fleet.Incarnation, leaving bool) {
@@ -31,18 +31,18 @@
 	}
 	for request := range dispatch.RequestID(5) {
 		now = now.Add(1000)
-		setUpstream(fleet.Undated("d1"), false)
+		setUpstream(fleet.IncarnationByID("d1"), false)
 		if _, waits := refuse(request)[0].(dispatch.SlotWaitCmd); !waits {
 			t.Fatalf("request %d: got no SlotWaitCmd, want one", request)
 		}
-		setUpstream(fleet.Undated("d1"), true)
+		setUpstream(fleet.IncarnationByID("d1"), true)
 		if _, finished := m.Update(now, dispatch.TickMsg{})[0].(dispatch.RespondCmd); !finished {
 			t.Fatalf("request %d: got no RespondCmd, want a refusal: no other upstream is available", request)
 		}
 	}
 	now = now.Add(1000)
-	setUpstream(fleet.Undated("d1"), false)
-	setUpstream(fleet.Undated("d2"), false)
+	setUpstream(fleet.IncarnationByID("d1"), false)
+	setUpstream(fleet.IncarnationByID("d2"), false)
 	if _, sent := refuse(9)[0].(dispatch.SendCmd); !sent {
 		t.Error("got no retry, want the one in the budget")
 	}
--- a/dispatch/upstream.go
+++ b/dispatch/upstream.go
@@ -20,7 +20,7 @@
 	inFlight int
 	reserved float64
 	// peerUse is the usage that other nodes reported.
-	peerUse fleet.Use
+	peerUse fleet.EngineUsage
 	// meanLatency is the moving average of the upstream's latency in ms, and failureRate that of
 	// its failures.
 	meanLatency float64
@@ -125,7 +125,7 @@
 		return
 	}
 	u.layerTime = s.Pipeline.StepTime(accelerator, 1)
-	u.memory = s.Pipeline.Room(accelerator, u.entry.Held.Len())
+	u.memory = s.Pipeline.RequestMemory(accelerator, u.entry.Held.Len())
 }
 
 // available reports whether the upstream may get new work.
--- a/dispatch/usage.go
+++ b/dispatch/usage.go
@@ -30,7 +30,7 @@
 // nodeUsage is the last usage report of another node.
 type nodeUsage struct {
 	receivedAt clock.Millis
-	used       map[fleet.Incarnation]fleet.Use
+	used       map[fleet.Incarnation]fleet.EngineUsage
 	// wholeDataCentre reports whether it is the sum over the data centre named dataCentre, and
 	// allNodes whether it is the sum over all nodes.
 	wholeDataCentre bool
@@ -45,14 +45,14 @@
 	}
 	m.nodeCount.recount(m.now)
 	m.sharedAt = m.now
-	used := make(map[fleet.Incarnation]fleet.Use)
+	used := make(map[fleet.Incarnation]fleet.EngineUsage)
 	for id, u := range m.upstreams {
 		if u.reserved > 0 {
-			used[id] = fleet.Use{Memory: u.reserved, Streams: u.inFlight}
+			used[id] = fleet.EngineUsage{Memory: u.reserved, Streams: u.inFlight}
 		}
 	}
 	m.sharedUsage = used
-	cmd := ShareUsageCmd{Used: used, Limits: m.limits.Known(m.now)}
+	cmd := ShareUsageCmd{Used: used, Limits: m.limits.Snapshot(m.now)}
 	if !m.usageAggregated {
 		cmd.WholeDataCentre, cmd.AllNodes, cmd.IncludedDataCentres = m.dataCentreUsage(used), m.allNodesUsage(), m.includedDataCentres()
 		cmd.Nodes = m.nodeCount.total
@@ -61,22 +61,22 @@
 }
 
 // allNodesUsage returns the known usage of all nodes at the most used engines.
-func (m *Model) allNodesUsage() map[fleet.Incarnation]fleet.Use {
+func (m *Model) allNodesUsage() map[fleet.Incarnation]fleet.EngineUsage {
 	type used struct {
 		id    fleet.Incarnation
-		use   fleet.Use
+		use   fleet.EngineUsage
 		share float64
 	}
 	var list []used
 	for id, u := range m.upstreams {
-		use := u.peerUse.Plus(fleet.Use{Memory: u.reserved, Streams: u.inFlight})
+		use := u.peerUse.Plus(fleet.EngineUsage{Memory: u.reserved, Streams: u.inFlight})
 		share := max(use.Memory/max(u.memory, 1), float64(use.Streams)/float64(max(u.entry.Slots, 1)))
 		if u.pipeline != nil && share >= minAggregatedUse {
 			list = append(list, used{id: id, use: use, share: share})
 		}
 	}
 	slices.SortFunc(list, func(a, b used) int { return cmp.Or(cmp.Compare(b.share, a.share), a.id.Compare(b.id)) })
-	sum := make(map[fleet.Incarnation]fleet.Use)
+	sum := make(map[fleet.Incarnation]fleet.EngineUsage)
 	for _, u := range list[:min(len(list), maxAggregated)] {
 		sum[u.id] = u.use
 	}
@@ -97,7 +97,7 @@
 
 // dataCentreUsage returns the sum of this node's usage and that of the nodes which report to it
 // one by one.
-func (m *Model) dataCentreUsage(own map[fleet.Incarnation]fleet.Use) map[fleet.Incarnation]fleet.Use {
+func (m *Model) dataCentreUsage(own map[fleet.Incarnation]fleet.EngineUsage) map[fleet.Incarnation]fleet.EngineUsage {
 	total := maps.Clone(own)
 	for _, peer := range m.peerUsage {
 		if peer.wholeDataCentre {
@@ -107,7 +107,7 @@
 			total[id] = total[id].Plus(use)
 		}
 	}
-	maps.DeleteFunc(total, func(id fleet.Incarnation, use fleet.Use) bool {
+	maps.DeleteFunc(total, func(id fleet.Incarnation, use fleet.EngineUsage) bool {
 		u := m.upstreams[id]
 		return u == nil || use.Memory < minSharedUse*u.memory && float64(use.Streams) < minSharedUse*float64(u.entry.Slots)
 	})
@@ -144,22 +144,22 @@
 // recordAlive records the nodes and data centres that a usage report shows to be alive.
 func (m *Model) recordAlive(msg UsageMsg) {
 	if msg.WholeDataCentre || msg.AllNodes {
-		m.limits.HeardAll(m.now, msg.DataCentre)
+		m.limits.RecordDataCentreSeen(m.now, msg.DataCentre)
 	}
 	for _, centre := range msg.IncludedDataCentres {
-		m.limits.HeardAll(m.now, centre)
+		m.limits.RecordDataCentreSeen(m.now, centre)
 	}
 	if !msg.WholeDataCentre {
-		m.limits.Heard(m.now, msg.Node)
+		m.limits.RecordSeen(m.now, msg.Node)
 	}
 }
 
 // withoutOwn subtracts the usage that this node shared last from the usage of all nodes.
-func (m *Model) withoutOwn(sum map[fleet.Incarnation]fleet.Use) map[fleet.Incarnation]fleet.Use {
-	others := make(map[fleet.Incarnation]fleet.Use, len(sum))
+func (m *Model) withoutOwn(sum map[fleet.Incarnation]fleet.EngineUsage) map[fleet.Incarnation]fleet.EngineUsage {
+	others := make(map[fleet.Incarnation]fleet.EngineUsage, len(sum))
 	for id, use := range sum {
 		remainder := use.Minus(m.sharedUsage[id])
-		others[id] = fleet.Use{Memory: max(remainder.Memory, 0), Streams: max(remainder.Streams, 0)}
+		others[id] = fleet.EngineUsage{Memory: max(remainder.Memory, 0), Streams: max(remainder.Streams, 0)}
 	}
 	return others
 }
@@ -173,7 +173,7 @@
 }
 
 // subtractUsage removes a node's usage from the sums of the engines.
-func (m *Model) subtractUsage(usage map[fleet.Incarnation]fleet.Use) {
+func (m *Model) subtractUsage(usage map[fleet.Incarnation]fleet.EngineUsage) {
 	for id, use := range usage {
 		if u := m.upstreams[id]; u != nil {
 			u.peerUse = u.peerUse.Minus(use)
@@ -182,8 +182,8 @@
 }
 
 // peerUseOf returns the sum of the reported usage of an engine that is new in the list.
-func (m *Model) peerUseOf(id fleet.Incarnation) fleet.Use {
-	var sum fleet.Use
+func (m *Model) peerUseOf(id fleet.Incarnation) fleet.EngineUsage {
+	var sum fleet.EngineUsage
 	for _, peer := range m.peerUsage {
 		sum = sum.Plus(peer.used[id])
 	}
@@ -219,7 +219,7 @@
 // has no reports, and neither have the others if all started together, so it assumes that they
 // choose as it does. Otherwise all of them would begin their streams on the same engines until
 // the first reports arrive.
-func (m *Model) estimatedPeerUse(u *upstream) fleet.Use {
+func (m *Model) estimatedPeerUse(u *upstream) fleet.EngineUsage {
 	use := u.peerUse
 	if m.now >= startAssumption {
 		return use
@@ -277,7 +277,7 @@
 
 // missingResource returns why no chain could be built for a request.
 func (m *Model) missingResource(r *request) *MissingResource {
-	missing := &MissingResource{Lack: chain.WhatLacks(0, r.service.Pipeline.Layers, r.memoryTokens, m.holders(r, m.byService[r.service.Name], m.answersProbes)), Source: SourceOwnRequests}
+	missing := &MissingResource{MissingResource: chain.FindMissingResource(0, r.service.Pipeline.Layers, r.memoryTokens, m.holders(r, m.byService[r.service.Name], m.answersProbes)), Source: SourceOwnRequests}
 	if u := m.upstreams[missing.ID]; u != nil {
 		missing.Source, missing.SourceAge = m.memorySource(u)
 	}
--- a/dispatch/wait.go
+++ b/dispatch/wait.go
@@ -22,7 +22,7 @@
 
 // clientPatience returns how long a client waits for the next event of a stream.
 func clientPatience(route *catalog.Route) clock.Millis {
-	return max(minPatience, patienceAims*route.Aim, patienceGapAims*route.GapAim) + patienceMargin
+	return max(minPatience, patienceAims*route.LatencyTarget, patienceGapAims*route.EventGapTarget) + patienceMargin
 }
 
 // waitOrAbort lets a stream that has begun wait if it cannot be resumed at the moment: engines
@@ -51,7 +51,7 @@
 		}
 		reason := r.waitReason
 		r.waitReason = ""
-		if reason == ReasonNoRetryBudget && !m.budget(r.service.Name).Spend(m.now) {
+		if reason == ReasonNoRetryBudget && !m.budget(r.service.Name).TryWithdraw(m.now) {
 			cmds = append(cmds, m.waitOrAbort(r, reason)...)
 			continue
 		}
--- a/entry/callers.go
+++ b/entry/callers.go
@@ -129,7 +129,7 @@
 
 // shedAnswer is the answer to a request that the decisions never saw.
 func shedAnswer(msg *core.SubmitMsg) *core.FinishCmd {
-	f := &core.FinishCmd{Outcome: outcome.NotRun, Reason: core.ReasonShed, RetryAfter: shedPause}
+	f := &core.FinishCmd{Outcome: outcome.NotExecuted, Reason: core.ReasonShed, RetryAfter: shedPause}
 	if msg.Key != "" && !msg.FirstTry {
 		f.Outcome = outcome.Unknown
 	}
--- a/entry/service.go
+++ b/entry/service.go
@@ -66,7 +66,7 @@
 		Caller: caller, KeyHash: core.HashKey(tokenOf(r.Header.Get("Authorization"))), Count: count,
 	}
 	if !s.decider.submit(ask) {
-		s.writeFinal(w, &core.FinishCmd{Outcome: outcome.NotRun, Reason: core.ReasonShed, RetryAfter: shedPause})
+		s.writeFinal(w, &core.FinishCmd{Outcome: outcome.NotExecuted, Reason: core.ReasonShed, RetryAfter: shedPause})
 		return true
 	}
 	for {
--- a/entry/silent_peers_test.go
+++ b/entry/silent_peers_test.go
@@ -52,7 +52,7 @@
 		<-answered
 		network.Mute()
 		const every = 500 * time.Millisecond
-		silent := member.DefaultSilent.Duration()
+		silent := member.DefaultLiveness.Duration()
 		for began := time.Now(); time.Since(began) < silent; time.Sleep(every) {
 			beat()
 			select {
--- a/lab/attempt.go
+++ b/lab/attempt.go
@@ -39,7 +39,7 @@
 // hop is a part of an attempt's chain.
 type hop struct {
 	engine *engine
-	layers fleet.Range
+	layers fleet.LayerRange
 }
 
 // attempt is one sending of a request, from a node's side and the engines'.
@@ -74,7 +74,7 @@
 	w.result.Sends++
 	a := &attempt{world: w, session: s, cmd: cmd, tokens: s.caller.tokens(), last: w.now, sent: s.node.age()}
 	s.attempt = a
-	if !chain.Check(w.pipeline.Layers, cmd.Chain) {
+	if !chain.Valid(w.pipeline.Layers, cmd.Chain) {
 		w.result.breach("layers", "a chain that does not run each layer once")
 	}
 	w.after(onTheWay, a.arrive)
@@ -114,7 +114,7 @@
 }
 
 // build finds the engines of a chain, or tells what is wrong with it.
-func (a *attempt) build(parts []chain.Part) (cause dispatch.Cause, at string, ok bool) {
+func (a *attempt) build(parts []chain.Stage) (cause dispatch.Cause, at string, ok bool) {
 	var hops []hop
 	for _, p := range parts {
 		e := a.world.at[p.Address]
--- a/lab/limit.go
+++ b/lab/limit.go
@@ -152,8 +152,8 @@
 
 // namedFor is what is known of a limit, by the clock of another node.
 func (n *node) namedFor(o *node, named limit.Named) limit.Named {
-	if named.At != clock.Never {
-		named.At = o.age().Sub(n.age().Sub(named.At))
+	if named.ReceivedAt != clock.Never {
+		named.ReceivedAt = o.age().Sub(n.age().Sub(named.ReceivedAt))
 	}
 	return named
 }
--- a/lab/node.go
+++ b/lab/node.go
@@ -49,7 +49,7 @@
 	seen int
 	// roster knows the nodes of its data centre, and circle its place among them.
 	roster *reading.Roster
-	circle reading.Circle
+	circle reading.Topology
 	// heard and sent count the datagrams that nodes tell each other.
 	heard, sent int
 }
@@ -62,7 +62,7 @@
 	life := n.life
 	s := w.scenario
 	n.model = dispatch.New(dispatch.WithDataCentre(n.centre), dispatch.WithSeed(uint64(n.rank)+1), dispatch.WithStoredQuarantine(),
-		dispatch.WithLimits(limit.New(limit.WithSelf(n.name), limit.WithLife(uint64(n.life)))),
+		dispatch.WithLimits(limit.New(limit.WithSelf(n.name), limit.WithBootID(uint64(n.life)))),
 		dispatch.WithPolicy(dispatch.Policy{RetryWindow: s.Nodes.WindowMS, RetryShare: w.retryShare(), RetrySlack: w.retrySlack()}))
 	n.planner = placement.New(placement.WithDelay(clock.Millis(n.rank)*planSlot), placement.WithStart(0))
 	n.view = fleet.NewView()
@@ -156,7 +156,7 @@
 
 // replaced takes in that another engine has answered at the address of one.
 func (n *node) replaced(id fleet.Incarnation, address string) {
-	if ended := n.view.Replaced(id, address); len(ended) > 0 {
+	if ended := n.view.NoteReplacement(id, address); len(ended) > 0 {
 		n.pass(ended)
 	}
 }
@@ -167,7 +167,7 @@
 	case dispatch.ShareUsageCmd:
 		n.share(cmd)
 	case dispatch.ResponsivenessCmd:
-		n.plan(placement.SilentMsg{Upstream: cmd.Upstream, Silent: cmd.Unresponsive, Agreed: cmd.Confirmed})
+		n.plan(placement.ResponsivenessMsg{Upstream: cmd.Upstream, Unresponsive: cmd.Unresponsive, Confirmed: cmd.Confirmed})
 		if cmd.Unresponsive && !cmd.Confirmed && !n.world.variant.NoSilence {
 			n.others(func(o *node) {
 				if o.centre == n.centre || len(n.world.nodes) < nearAll {
--- a/lab/troubles.go
+++ b/lab/troubles.go
@@ -89,7 +89,7 @@
 }
 
 // deadlyAsked names what the deadly request asks for.
-var deadlyAsked = work.ID{}.By("deadly")
+var deadlyAsked = work.ID{}.ForAccount("deadly")
 
 const (
 	// mostEnds is how many engines a request may end before it is to be sent to none, inTouch
--- a/relay/decider.go
+++ b/relay/decider.go
@@ -63,7 +63,7 @@
 	limitLogged    map[fleet.Incarnation]clock.Millis
 	limitsUnlogged int
 	// limits are those that hold, as of the last tick.
-	limits atomic.Pointer[[]limit.Shown]
+	limits atomic.Pointer[[]limit.Summary]
 }
 
 func newDecider(model *dispatch.Model, c *clock.Clock, log *zap.Logger, probe func(dispatch.ProbeCmd), identify func(dispatch.IdentifyCmd)) *decider {
--- a/relay/log.go
+++ b/relay/log.go
@@ -76,11 +76,11 @@
 	switch {
 	case s.route == nil:
 		return ""
-	case s.route.Kind == catalog.Streaming && s.route.Aim > 0 && s.first > s.route.Aim:
+	case s.route.Kind == catalog.Streaming && s.route.LatencyTarget > 0 && s.first > s.route.LatencyTarget:
 		return lateFirst
-	case s.route.Kind == catalog.Streaming && s.route.GapAim > 0 && s.pause > s.route.GapAim:
+	case s.route.Kind == catalog.Streaming && s.route.EventGapTarget > 0 && s.pause > s.route.EventGapTarget:
 		return latePause
-	case s.route.Kind != catalog.Streaming && s.route.Aim > 0 && s.age() > s.route.Aim:
+	case s.route.Kind != catalog.Streaming && s.route.LatencyTarget > 0 && s.age() > s.route.LatencyTarget:
 		return lateWhole
 	}
 	return ""
@@ -137,8 +137,8 @@
 		e.AddString("lacks", string(appendRange(nil, lack.Layers.From, lack.Layers.To)))
 		e.AddInt("holders", lack.Holders)
 		e.AddString("at", lack.ID.String())
-		e.AddInt64("left", int64(lack.Room))
-		e.AddInt64("asked", int64(lack.Need))
+		e.AddInt64("left", int64(lack.FreeMemory))
+		e.AddInt64("asked", int64(lack.RequiredMemory))
 		e.AddString("word_of", string(lack.Source))
 		e.AddInt64("word_age_ms", int64(lack.SourceAge))
 		return nil
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -193,7 +193,7 @@
 }
 
 // SetPlaced takes an order that an engine has taken or, with holds, carried out.
-func (r *Relay) SetPlaced(upstream fleet.Incarnation, layers fleet.Range, holds bool) {
+func (r *Relay) SetPlaced(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool) {
 	r.decider.tell(r.life, dispatch.PlacedMsg{Upstream: upstream, Layers: layers, Completed: holds})
 }
 
--- a/relay/session.go
+++ b/relay/session.go
@@ -98,7 +98,7 @@
 
 func (s *session) arrival() dispatch.ArriveMsg {
 	return dispatch.ArriveMsg{
-		Request: s.id, CallerID: s.head.ID, Work: work.IDOf(s.r, s.body), Host: hostName(s.r.Host), Path: s.r.URL.Path,
+		Request: s.id, CallerID: s.head.ID, Work: work.FromRequest(s.r, s.body), Host: hostName(s.r.Host), Path: s.r.URL.Path,
 		Key: s.head.Key, HasKey: s.head.HasKey, Remaining: s.head.Remaining,
 		PromptTokens: s.head.PromptTokens, AnswerTokens: s.head.AnswerTokens, HintTokens: s.head.HintTokens,
 	}
--- a/relay/silent_connections_test.go
+++ b/relay/silent_connections_test.go
@@ -80,7 +80,7 @@
 	listener := s.network.Listen(address)
 	go func() { _ = server.Serve(listener) }()
 	s.t.Cleanup(func() { _ = server.Close() })
-	s.relay.SetFleet([]fleet.Change{{ID: fleet.Undated(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.Undated(fleet.ID(id)), Service: standin.SiteDesk, Address: address, Slots: 6}}})
+	s.relay.SetFleet([]fleet.Change{{ID: fleet.IncarnationByID(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.IncarnationByID(fleet.ID(id)), Service: standin.SiteDesk, Address: address, Slots: 6}}})
 }
 
 // ask asks for a path in the background, and hands over the status.
--- a/relay/stall.go
+++ b/relay/stall.go
@@ -54,8 +54,8 @@
 	streams []StalledStream
 	// silent are the parts whose engines did not answer, and slow the one that
 	// is slowest, with its pace.
-	silent []chain.Part
-	slow   chain.Part
+	silent []chain.Stage
+	slow   chain.Stage
 	pace   float64
 }
 
@@ -267,12 +267,12 @@
 // answeredBy takes in who has answered at an upstream's address. Another one there proves that
 // the upstream has ended, or was never there.
 func (r *Relay) answeredBy(upstream fleet.Incarnation, address string, presence fleet.Presence) {
-	if presence == fleet.Another {
+	if presence == fleet.Replaced {
 		r.replaced(upstream, address)
 	}
 }
 
-func chainText(parts []chain.Part) string {
+func chainText(parts []chain.Stage) string {
 	text := make([]byte, 0, len(parts)*bytesEachPart)
 	for i, p := range parts {
 		if i > 0 {
