--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// benchModel has engines of one kind, eight of 80 layers each, in data centres
-// of 33.
+// benchModel returns a model with engines of one kind that hold eight of 80 layers each, in data
+// centres of 33 engines.
 func benchModel(engines int) *dispatch.Model {
 	m := dispatch.New(dispatch.WithDataCentre("dc-0"), dispatch.WithPolicy(dispatch.Policy{RetryWindow: 10_000}))
 	m.Update(0, dispatch.CatalogMsg{Catalog: catalog.New(1,
@@ -37,7 +37,7 @@
 	return m
 }
 
-func BenchmarkArriveAndLeave(b *testing.B) {
+func BenchmarkRequest(b *testing.B) {
 	for _, engines := range []int{38, 99, 330, 990} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			m := benchModel(engines)
@@ -49,20 +49,21 @@
 					Request: id, CallerID: "c", Host: "h", Path: "/write/a", PromptTokens: 700, AnswerTokens: 200,
 				})
 				if _, ok := cmds[0].(dispatch.SendCmd); !ok {
-					b.Fatalf("got %+v, want a request sent", cmds[0])
+					b.Fatalf("got %+v, want a SendCmd", cmds[0])
 				}
-				m.Update(clock.Millis(id/100), dispatch.GoneMsg{Request: id})
+				m.Update(clock.Millis(id/100), dispatch.RequestEndedMsg{Request: id})
 			}
 		})
 	}
 }
 
-// sizes are how many upstreams the users' sites have, and the size of two years from now.
-var sizes = []int{38, 218, 998, 7100}
+// fleetSizes are the numbers of upstreams at the first users' sites, and the size expected two
+// years later.
+var fleetSizes = []int{38, 218, 998, 7100}
 
-// BenchmarkTick is what the decider costs ten times a second while nothing happens.
+// BenchmarkTick measures a tick without events, which runs ten times a second.
 func BenchmarkTick(b *testing.B) {
-	for _, engines := range sizes {
+	for _, engines := range fleetSizes {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			m := benchModel(engines)
 			for b.Loop() {
@@ -72,9 +73,9 @@
 	}
 }
 
-// BenchmarkListChange is an engine that comes to hold other layers.
-func BenchmarkListChange(b *testing.B) {
-	for _, engines := range sizes {
+// BenchmarkFleetChange measures an engine that changes its layers.
+func BenchmarkFleetChange(b *testing.B) {
+	for _, engines := range fleetSizes {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			m := benchModel(engines)
 			n := 0
@@ -87,15 +88,15 @@
 	}
 }
 
-// BenchmarkHearUsage is a node that tells of as many engines as its streams pass at most:
-// 24 streams over nine engines.
-func BenchmarkHearUsage(b *testing.B) {
-	const told = 24 * 9
-	for _, engines := range sizes {
+// BenchmarkPeerUsage measures a usage report with the largest number of engines that one node's
+// streams use: 24 streams over nine engines.
+func BenchmarkPeerUsage(b *testing.B) {
+	const reported = 24 * 9
+	for _, engines := range fleetSizes {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			m := benchModel(engines)
 			used := make(map[fleet.Incarnation]fleet.EngineUsage)
-			for i := range min(told, engines) {
+			for i := range min(reported, engines) {
 				used[fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%d", i)))] = fleet.EngineUsage{Memory: float64(i)}
 			}
 			for b.Loop() {
--- a/dispatch/cmd.go
+++ b/dispatch/cmd.go
@@ -10,211 +10,216 @@
 	"github.com/hoistjunction/hoistjunction/work"
 )
 
-// Cmd is something to be done.
+// Cmd is an action that the caller of Update must execute.
 type Cmd interface{ dispatchCmd() }
 
 // SendCmd sends a request to an upstream.
 type SendCmd struct {
 	Request RequestID
 	Attempt int
-	// Upstream and Address say where; the address may belong to another
-	// upstream by now, so the id is sent along.
+	// Upstream is the target, at Address. Another upstream may have the address by now, so the
+	// request carries the id.
 	Upstream fleet.Incarnation
 	Address  string
-	// Chain is the way through the engines; nil for plain services.
+	// Chain is the chain of engines; nil for plain services.
 	Chain []chain.Stage
 	Route *catalog.Route
 	// Account is the client account's name; empty without a key.
 	Account string
-	// Priority is the request's rank at an engine, 0 being the first.
+	// Priority ranks the request in the queue of an engine; 0 is the most urgent.
 	Priority int
-	// Deadline is when the caller stops waiting, and GiveUp when the route's
-	// time is up.
-	Deadline clock.Millis
-	GiveUp   clock.Millis
-	// TryFor bounds this attempt alone; zero for no such bound.
-	TryFor clock.Millis
-	// Last tells that no further upstream may run the request once this one has.
-	Last bool
-	// Keyed requests may be sent only while the configuration is fresh.
-	Keyed bool
-	// Work names what is asked for by its client account.
+	// ClientDeadline is when the client stops waiting, and RouteDeadline when the route's timeout
+	// ends.
+	ClientDeadline clock.Millis
+	RouteDeadline  clock.Millis
+	// AttemptTimeout bounds this attempt; zero for no bound.
+	AttemptTimeout clock.Millis
+	// LastUpstream reports whether no further upstream may execute the request after this one.
+	LastUpstream bool
+	// RequiresKey reports whether the request may be sent only while the configuration is fresh.
+	RequiresKey bool
+	// Work identifies the content of the request together with its client account.
 	Work work.ID
-	// Suspected tells that an upstream has ended under it.
-	Suspected bool
-	// Inputs of the decision, for the log.
+	// WorkSuspected reports whether an upstream has crashed while it executed the same work.
+	WorkSuspected bool
+	// Config, ConfigAge and InFlight are inputs of the decision, for the log.
 	Config    catalog.Edition
 	ConfigAge clock.Millis
 	InFlight  int
-	// Limit is what the upstream takes from all nodes together, in requests a second; zero
-	// for no limit.
+	// Limit is the rate limit of the upstream over all nodes, in requests per second; zero for no
+	// limit.
 	Limit float64
 }
 
-// FinishCmd ends a request with an answer of the node's own.
-type FinishCmd struct {
+// RespondCmd ends a request with an answer that the node generates itself.
+type RespondCmd struct {
 	Request RequestID
 	Status  int
 	Reason  Reason
-	// RetryAfter tells the caller when to come back; zero for nothing.
+	// RetryAfter is the time after which the client should retry; zero for no advice.
 	RetryAfter clock.Millis
 	Config     catalog.Edition
 	ConfigAge  clock.Millis
-	// Work names what is asked for by its client account; zero where that is not known.
+	// Work identifies the content of the request together with its client account; zero if
+	// unknown.
 	Work work.ID
-	// Lack says what ran short, and Limited whose limit it was; nil where that is not it.
-	Lack    *Lack
-	Limited *Limited
+	// Missing is the resource that the request lacked, and RateLimit the limit that refused it;
+	// nil if that is not the reason.
+	Missing   *MissingResource
+	RateLimit *LimitRefusal
 }
 
-// Lack says what ran short when no chain could be built, for the log.
-type Lack struct {
+// MissingResource describes why no chain could be built, for the log.
+type MissingResource struct {
 	chain.MissingResource
-	// Word says whose word on the memory left counted, and Age how old it was.
-	Word Word
-	Age  clock.Millis
+	// Source is the origin of the value of free memory, and SourceAge its age.
+	Source    MemorySource
+	SourceAge clock.Millis
 }
 
-// Word says whose word on an engine's memory counts.
-type Word string
+// MemorySource is the origin of a value of an engine's free memory.
+type MemorySource string
 
-// The words on an engine's memory.
+// Origins of a value of free memory.
 const (
-	// WordOwn: what this node alone has in use there.
-	WordOwn Word = "own"
-	// WordNodes: what other nodes have told that they use there too.
-	WordNodes Word = "nodes"
-	// WordEngine: the engine's own report.
-	WordEngine Word = "engine"
-	// WordRefusal: the engine has refused a request just now.
-	WordRefusal Word = "refusal"
+	// SourceOwnRequests means that only this node's own reservations were counted.
+	SourceOwnRequests MemorySource = "own"
+	// SourcePeerReports means that usage reports of other nodes were counted too.
+	SourcePeerReports MemorySource = "nodes"
+	// SourceEngineReport means that the engine's own report was used.
+	SourceEngineReport MemorySource = "engine"
+	// SourceRefusal means that the engine has just refused a request.
+	SourceRefusal MemorySource = "refusal"
 )
 
-// RelayCmd passes on the upstream's own failure, which the shell holds. Like FinishCmd
-// it is only for requests whose answer has not begun.
-type RelayCmd struct {
+// RelayFailureCmd relays the upstream's error response, which the session holds. Like RespondCmd
+// it is only used for requests whose answer has not begun.
+type RelayFailureCmd struct {
 	Request RequestID
 	Attempt int
 }
 
-// CutCmd ends an answer that has begun and cannot go on, so that it looks cut off.
-type CutCmd struct {
+// AbortResponseCmd aborts a response that has begun and cannot be resumed, so that the client
+// recognizes it as incomplete.
+type AbortResponseCmd struct {
 	Request RequestID
 	Reason  Reason
 }
 
-// MoveCmd moves a running stream to other engines. The first part stays.
-type MoveCmd struct {
+// MigrateCmd migrates a running stream to other engines. The first engine of the chain stays.
+type MigrateCmd struct {
 	Request RequestID
 	Attempt int
 	Chain   []chain.Stage
-	// Away is the engine that the stream leaves.
-	Away fleet.Incarnation
+	// FromEngine is the engine that the stream leaves.
+	FromEngine fleet.Incarnation
 }
 
-// ShareCmd tells other nodes what requests take at engines.
-type ShareCmd struct {
-	// Used is what this node's requests take.
+// ShareUsageCmd sends the engine usage of requests to other nodes.
+type ShareUsageCmd struct {
+	// Used is the usage of this node's requests by engine.
 	Used map[fleet.Incarnation]fleet.EngineUsage
-	// Total is what those of all nodes that tell each other take, at engines that
-	// are worth telling others of.
-	Total map[fleet.Incarnation]fleet.EngineUsage
-	// Whole is what those of all nodes take that are known of, in other data centres those
-	// of HeardOf, at engines of which a node that is told sums is to know.
-	Whole   map[fleet.Incarnation]fleet.EngineUsage
-	HeardOf []string
-	// Nodes is how many nodes there are; 0 while that is not known.
+	// WholeDataCentre is the sum over this data centre's nodes, restricted to engines with enough
+	// usage to matter to other data centres.
+	WholeDataCentre map[fleet.Incarnation]fleet.EngineUsage
+	// AllNodes is the sum over all known nodes, including those of IncludedDataCentres,
+	// restricted to the engines that matter to nodes which receive sums.
+	AllNodes            map[fleet.Incarnation]fleet.EngineUsage
+	IncludedDataCentres []string
+	// Nodes is the number of nodes; 0 while unknown.
 	Nodes int
-	// Limits are what is known of the limits that upstreams name.
+	// Limits are the known rate limits of upstreams.
 	Limits map[fleet.Incarnation]limit.Named
 }
 
-// SilentCmd tells the planner of layers that an engine does not answer, or does
-// again.
-type SilentCmd struct {
-	Upstream fleet.Incarnation
-	Silent   bool
-	// Agreed tells that another node has found it silent before.
-	Agreed bool
+// ResponsivenessCmd notifies the placement planner that an engine became unresponsive or
+// responsive again.
+type ResponsivenessCmd struct {
+	Upstream     fleet.Incarnation
+	Unresponsive bool
+	// Confirmed reports whether another node had found the engine unresponsive before.
+	Confirmed bool
 }
 
-// ReconsiderCmd tells a request that an upstream on its way is under suspicion.
-type ReconsiderCmd struct {
+// RecheckAttemptCmd makes a request check the progress of its attempt, because an upstream on its
+// path is suspected.
+type RecheckAttemptCmd struct {
 	Request RequestID
 	Attempt int
-	// At is the upstream's address.
-	At string
-	// Ended tells that its process has ended for certain.
-	Ended bool
+	// SuspectedAddress is the address of the suspected upstream.
+	SuspectedAddress string
+	// Crashed reports whether the upstream's process is known to have ended.
+	Crashed bool
 }
 
-// ProbeCmd asks an upstream whether it is well.
+// ProbeCmd probes the health of an upstream.
 type ProbeCmd struct {
 	Upstream fleet.Incarnation
 	Address  string
 	Engine   bool
 }
 
-// SuspectCmd is for the log: an upstream gets no work for a while.
+// SuspectCmd logs that an upstream is suspected and gets no work for a while.
 type SuspectCmd struct {
 	Upstream fleet.Incarnation
 	Until    clock.Millis
-	Strikes  int
+	Failures int
 	Cause    Cause
 }
 
-// RestCmd is for the log: an upstream gets nothing until a time, since it has asked for
-// that.
-type RestCmd struct {
+// BackOffCmd logs that this node sends nothing to an upstream until a time, because the upstream
+// asked for it with Retry-After.
+type BackOffCmd struct {
 	Upstream fleet.Incarnation
 	Until    clock.Millis
-	// Asked is for how long it has asked.
-	Asked clock.Millis
+	// Requested is the duration that the upstream asked for.
+	Requested clock.Millis
 }
 
-// QuarantineCmd tells what has become known of requests that end upstreams.
+// QuarantineCmd reports a change in the quarantine of requests that crash upstreams.
 type QuarantineCmd struct{ News quarantine.News }
 
-// WakeCmd tells a request that more time has passed than its timers count.
-type WakeCmd struct {
+// RecheckDeadlineCmd resets the timers of a request after a suspension of the VM, during which
+// they did not run.
+type RecheckDeadlineCmd struct {
 	Request RequestID
-	// GiveUp is when it must be answered.
-	GiveUp clock.Millis
+	// Deadline is when the request must be answered.
+	Deadline clock.Millis
 }
 
-func (SendCmd) dispatchCmd()       {}
-func (FinishCmd) dispatchCmd()     {}
-func (RelayCmd) dispatchCmd()      {}
-func (CutCmd) dispatchCmd()        {}
-func (MoveCmd) dispatchCmd()       {}
-func (ReconsiderCmd) dispatchCmd() {}
-func (ShareCmd) dispatchCmd()      {}
-func (SilentCmd) dispatchCmd()     {}
-func (ProbeCmd) dispatchCmd()      {}
-func (SuspectCmd) dispatchCmd()    {}
-func (RestCmd) dispatchCmd()       {}
-func (QuarantineCmd) dispatchCmd() {}
-func (WakeCmd) dispatchCmd()       {}
-
-// Reason says why a request ended without an upstream's answer.
+func (SendCmd) dispatchCmd()            {}
+func (RespondCmd) dispatchCmd()         {}
+func (RelayFailureCmd) dispatchCmd()    {}
+func (AbortResponseCmd) dispatchCmd()   {}
+func (MigrateCmd) dispatchCmd()         {}
+func (RecheckAttemptCmd) dispatchCmd()  {}
+func (ShareUsageCmd) dispatchCmd()      {}
+func (ResponsivenessCmd) dispatchCmd()  {}
+func (ProbeCmd) dispatchCmd()           {}
+func (SuspectCmd) dispatchCmd()         {}
+func (BackOffCmd) dispatchCmd()         {}
+func (QuarantineCmd) dispatchCmd()      {}
+func (RecheckDeadlineCmd) dispatchCmd() {}
+
+// Reason is why a request ended without an upstream's answer.
 type Reason string
 
-// The reasons.
+// Reasons for ending a request.
 const (
-	ReasonNoConfig    Reason = "no_configuration_yet"
-	ReasonStaleConfig Reason = "configuration_too_old"
-	ReasonNoRoute     Reason = "no_such_route"
-	ReasonNoAccount   Reason = "no_such_key"
-	ReasonNoUpstream  Reason = "no_upstream"
-	ReasonNoPlace     Reason = "no_place_free"
-	ReasonNoHolder    Reason = "a_layer_has_no_engine"
-	ReasonNoRoom      Reason = "no_memory_left"
-	ReasonRest        Reason = "upstreams_asked_for_rest"
-	ReasonLimit       Reason = "upstreams_are_limited"
-	ReasonRefused     Reason = "refused_by_upstreams"
-	ReasonNoBudget    Reason = "retry_budget_spent"
-	ReasonUnknown     Reason = "answer_lost"
-	ReasonTimeout     Reason = "time_is_up"
-	ReasonStopping    Reason = "node_is_stopping"
-	ReasonQuarantined Reason = "request_ends_upstreams"
+	ReasonNoConfig      Reason = "no_configuration_yet"
+	ReasonStaleConfig   Reason = "configuration_too_old"
+	ReasonNoRoute       Reason = "no_such_route"
+	ReasonUnknownKey    Reason = "no_such_key"
+	ReasonNoUpstream    Reason = "no_upstream"
+	ReasonNoSlot        Reason = "no_place_free"
+	ReasonNoHolder      Reason = "a_layer_has_no_engine"
+	ReasonNoMemory      Reason = "no_memory_left"
+	ReasonBackOff       Reason = "upstreams_asked_for_rest"
+	ReasonRateLimit     Reason = "upstreams_are_limited"
+	ReasonRefused       Reason = "refused_by_upstreams"
+	ReasonNoRetryBudget Reason = "retry_budget_spent"
+	ReasonAnswerLost    Reason = "answer_lost"
+	ReasonTimeout       Reason = "time_is_up"
+	ReasonStopping      Reason = "node_is_stopping"
+	ReasonQuarantined   Reason = "request_ends_upstreams"
 )
--- a/dispatch/identity.go
+++ b/dispatch/identity.go
@@ -7,81 +7,83 @@
 )
 
 const (
-	// askNameAgain is after how long an upstream is asked again who it is that has not
-	// said so, which doubles up to longestAskName: it asks for a slot, and one that is
-	// full refuses. A verdict can wait for that; each question costs a health check.
-	askNameAgain   clock.Millis = 400
-	longestAskName clock.Millis = 6400
+	// minIdentifyPause is the pause before an upstream is asked again for its identity after an
+	// answer that did not contain it. The pause doubles up to maxIdentifyPause, because the
+	// question takes a slot and a full upstream refuses it. The quarantine can wait for the
+	// answer, and each question costs a health check.
+	minIdentifyPause clock.Millis = 400
+	maxIdentifyPause clock.Millis = 6400
 )
 
-// foundFate takes in what a probe tells of an upstream's end. Silence speaks of the address,
-// and so does an answer that bears no name: the next process may have it by then, under
-// another id. Such an answer takes nothing back that speaks against a request; whoever has
-// given it is asked for its name where anything hangs on that.
-func (m *Model) foundFate(u *upstream, msg ProbedMsg) []Cmd {
+// recordProbeFate updates the quarantine with the result of a probe. An unanswered probe and an
+// answer without a name only describe the address, which the next process may have under another
+// id. Such an answer therefore removes no evidence against a request; the upstream is asked for
+// its identity if that matters.
+func (m *Model) recordProbeFate(u *upstream, msg ProbedMsg) []Cmd {
 	switch {
 	case !msg.Answered:
-		return m.tellNews(m.quarantine.SetUpstreamState(m.now, msg.Upstream, quarantine.Unresponsive))
+		return m.quarantineCmds(m.quarantine.SetUpstreamState(m.now, msg.Upstream, quarantine.Unresponsive))
 	case msg.Named:
-		return m.tellNews(m.quarantine.UpstreamAnswered(msg.Upstream))
+		return m.quarantineCmds(m.quarantine.UpstreamAnswered(msg.Upstream))
 	}
-	return m.askName(u)
+	return m.identify(u)
 }
 
-// askName asks who is at an upstream's address, if that decides about a request.
-func (m *Model) askName(u *upstream) []Cmd {
-	if m.catalog == nil || u.naming || m.now < u.nameAgain || !m.quarantine.NeedsCheck(u.entry.ID) {
+// identify asks for the identity of the process at an upstream's address if a quarantine decision
+// depends on it.
+func (m *Model) identify(u *upstream) []Cmd {
+	if m.catalog == nil || u.identifying || m.now < u.identifyAfter || !m.quarantine.NeedsCheck(u.entry.ID) {
 		return nil
 	}
 	service := m.catalog.Service(u.entry.Service)
 	if service == nil || service.HealthPath == "" {
 		return nil
 	}
-	u.naming = true
+	u.identifying = true
 	return []Cmd{IdentifyCmd{Upstream: u.entry.ID, Address: u.entry.Address, Path: service.HealthPath}}
 }
 
-// askNames asks those again that have not said who they are.
-func (m *Model) askNames() []Cmd {
+// retryIdentify asks again the upstreams whose last answer did not contain their identity.
+func (m *Model) retryIdentify() []Cmd {
 	var cmds []Cmd
 	for _, id := range m.quarantine.UpstreamsToCheck() {
-		if u := m.upstreams[id]; u != nil && u.namesLost > 0 {
-			cmds = append(cmds, m.askName(u)...)
+		if u := m.upstreams[id]; u != nil && u.failedIdentifications > 0 {
+			cmds = append(cmds, m.identify(u)...)
 		}
 	}
 	return cmds
 }
 
-// identified takes in who is at an upstream's address. Only its own name speaks for it;
-// another's proves that it has ended.
+// identified handles the identity of the process at an upstream's address. The upstream's own
+// name proves that it is alive; another name proves that its process has ended.
 func (m *Model) identified(msg IdentifiedMsg) []Cmd {
 	u := m.upstreams[msg.Upstream]
 	if u != nil {
-		u.naming = false
+		u.identifying = false
 	}
 	switch msg.Presence {
 	case fleet.Present:
-		return m.tellNews(m.quarantine.UpstreamAnswered(msg.Upstream))
+		return m.quarantineCmds(m.quarantine.UpstreamAnswered(msg.Upstream))
 	case fleet.Replaced:
-		return m.tellNews(m.quarantine.SetUpstreamState(m.now, msg.Upstream, quarantine.Ended))
+		return m.quarantineCmds(m.quarantine.SetUpstreamState(m.now, msg.Upstream, quarantine.Ended))
 	case fleet.PresenceUnknown:
 		if u != nil {
-			u.nameAgain = m.now.Add(min(askNameAgain<<min(u.namesLost, 8), longestAskName))
-			u.namesLost++
+			u.identifyAfter = m.now.Add(min(minIdentifyPause<<min(u.failedIdentifications, 8), maxIdentifyPause))
+			u.failedIdentifications++
 		}
 	}
 	return nil
 }
 
-// IdentifyCmd asks who is at an upstream's address.
+// IdentifyCmd asks for the identity of the process at an upstream's address.
 type IdentifyCmd struct {
 	Upstream fleet.Incarnation
 	Address  string
-	// Path is where upstreams of its service are asked how they are.
+	// Path is the health check path of the service.
 	Path string
 }
 
-// IdentifiedMsg tells who is at an upstream's address.
+// IdentifiedMsg reports the identity of the process at an upstream's address.
 type IdentifiedMsg struct {
 	Upstream fleet.Incarnation
 	Presence fleet.Presence
--- a/dispatch/limit.go
+++ b/dispatch/limit.go
@@ -11,107 +11,108 @@
 	"github.com/hoistjunction/hoistjunction/limit"
 )
 
-// permitPatience is for how long a request waits for a permit. The question takes a
-// millisecond, and is repeated for as long where datagrams are lost; then the request goes
-// elsewhere, or is refused.
-const permitPatience clock.Millis = 250
+// maxPermitWait bounds how long a request waits for a permit. A permit request takes a
+// millisecond and is repeated during that time, since datagrams can be lost. Afterwards the
+// request is sent elsewhere or refused.
+const maxPermitWait clock.Millis = 250
 
-// awaitsPermit stands in for a reason while a request waits for a permit.
+// awaitsPermit is an internal Reason for requests that wait for a permit.
 const awaitsPermit Reason = "awaits_permit"
 
-// LimitMsg tells that an upstream takes so many requests a second from all nodes together, by
-// its own word.
-type LimitMsg struct {
+// AdvertisedLimitMsg reports the rate limit that an upstream advertises for all nodes together.
+type AdvertisedLimitMsg struct {
 	Upstream fleet.Incarnation
-	// Rate is in requests a second.
+	// Rate is in requests per second.
 	Rate float64
 }
 
-// NoLimitMsg tells that an upstream has answered a request, sent at a time, without a limit.
-type NoLimitMsg struct {
+// NoAdvertisedLimitMsg reports that an upstream advertised no limit in its answer to a request
+// that was sent at SentAt.
+type NoAdvertisedLimitMsg struct {
 	Upstream fleet.Incarnation
-	Sent     clock.Millis
+	SentAt   clock.Millis
 }
 
-// PermitAskMsg brings another node's question for permits. Ages are times of this node's.
-type PermitAskMsg struct {
+// PermitRequestMsg delivers another node's request for permits. Its ages are already converted to
+// this node's clock.
+type PermitRequestMsg struct {
 	From string
 	Ask  limit.Ask
 }
 
-// PermitsMsg brings the answer to a question for permits.
-type PermitsMsg struct {
+// PermitGrantMsg delivers the answer to a permit request.
+type PermitGrantMsg struct {
 	From  string
 	Grant limit.Grant
 }
 
-// AskPermitsCmd asks another node for permits.
-type AskPermitsCmd struct{ limit.AskCmd }
+// RequestPermitsCmd requests permits from another node.
+type RequestPermitsCmd struct{ limit.AskCmd }
 
-// GivePermitsCmd answers another node's question.
-type GivePermitsCmd struct {
+// GrantPermitsCmd answers another node's permit request.
+type GrantPermitsCmd struct {
 	To    string
 	Grant limit.Grant
 }
 
-// LimitCmd is for the log: what is known of an upstream's limit has changed.
-type LimitCmd struct {
+// LimitChangedCmd logs a change of an upstream's known rate limit.
+type LimitChangedCmd struct {
 	Upstream fleet.Incarnation
-	// Rate is in requests a second; zero for no limit any more.
+	// Rate is in requests per second; zero if there is no limit any more.
 	Rate float64
-	// From is the node that has told it; empty for the upstream itself.
+	// From is the node that reported the limit; empty if the upstream advertised it.
 	From string
-	// Age is how long ago it was heard from the upstream.
+	// Age is the time since the upstream advertised the limit.
 	Age clock.Millis
 }
 
-func (LimitMsg) dispatchMsg()       {}
-func (NoLimitMsg) dispatchMsg()     {}
-func (PermitAskMsg) dispatchMsg()   {}
-func (PermitsMsg) dispatchMsg()     {}
-func (AskPermitsCmd) dispatchCmd()  {}
-func (GivePermitsCmd) dispatchCmd() {}
-func (LimitCmd) dispatchCmd()       {}
+func (AdvertisedLimitMsg) dispatchMsg()   {}
+func (NoAdvertisedLimitMsg) dispatchMsg() {}
+func (PermitRequestMsg) dispatchMsg()     {}
+func (PermitGrantMsg) dispatchMsg()       {}
+func (RequestPermitsCmd) dispatchCmd()    {}
+func (GrantPermitsCmd) dispatchCmd()      {}
+func (LimitChangedCmd) dispatchCmd()      {}
 
-// hearLimit takes in what is told of limits.
-func (m *Model) hearLimit(msg Msg) []Cmd {
+// updateLimits handles messages about rate limits.
+func (m *Model) updateLimits(msg Msg) []Cmd {
 	switch msg := msg.(type) {
-	case LimitMsg:
+	case AdvertisedLimitMsg:
 		if m.upstreams[msg.Upstream] != nil && m.limits.Named(m.now, msg.Upstream, msg.Rate) {
-			return append(m.limitChanged(msg.Upstream, ""), asked(m.limits.ReportSent(m.now, msg.Upstream))...)
+			return append(m.limitChanged(msg.Upstream, ""), requestPermitsCmds(m.limits.ReportSent(m.now, msg.Upstream))...)
 		}
-	case NoLimitMsg:
-		if m.limits.SetUnlimited(m.now, msg.Upstream, msg.Sent) {
-			return append(m.limitChanged(msg.Upstream, ""), m.takePermits(msg.Upstream)...)
+	case NoAdvertisedLimitMsg:
+		if m.limits.SetUnlimited(m.now, msg.Upstream, msg.SentAt) {
+			return append(m.limitChanged(msg.Upstream, ""), m.resumePermitWaiters(msg.Upstream)...)
 		}
-	case PermitAskMsg:
-		grant, asks := m.limits.HandleAsk(m.now, msg.From, msg.Ask)
-		return append(asked(asks), GivePermitsCmd{To: msg.From, Grant: grant})
-	case PermitsMsg:
-		return m.permits(msg)
+	case PermitRequestMsg:
+		grant, requests := m.limits.HandleAsk(m.now, msg.From, msg.Ask)
+		return append(requestPermitsCmds(requests), GrantPermitsCmd{To: msg.From, Grant: grant})
+	case PermitGrantMsg:
+		return m.permitsGranted(msg)
 	}
 	return nil
 }
 
-// toldLimits takes in what another node knows of limits, so that the first requests that this
-// node sends to such an upstream are not too many.
-func (m *Model) toldLimits(msg UsageMsg) []Cmd {
+// mergePeerLimits adopts the rate limits that another node reported, so that this node does not
+// exceed a limit with its first requests to an upstream.
+func (m *Model) mergePeerLimits(msg UsageMsg) []Cmd {
 	var cmds []Cmd
 	for _, id := range slices.SortedFunc(maps.Keys(msg.Limits), fleet.Incarnation.Compare) {
 		if m.upstreams[id] == nil || !m.limits.Merge(m.now, id, msg.Limits[id]) {
 			continue
 		}
 		cmds = append(cmds, m.limitChanged(id, msg.Node)...)
-		cmds = append(cmds, asked(m.limits.ReportSent(m.now, id))...)
+		cmds = append(cmds, requestPermitsCmds(m.limits.ReportSent(m.now, id))...)
 		if msg.Limits[id].Rate == 0 {
-			cmds = append(cmds, m.takePermits(id)...)
+			cmds = append(cmds, m.resumePermitWaiters(id)...)
 		}
 	}
 	return cmds
 }
 
-// permits takes the answer to a question for permits.
-func (m *Model) permits(msg PermitsMsg) []Cmd {
+// permitsGranted handles the answer to a permit request.
+func (m *Model) permitsGranted(msg PermitGrantMsg) []Cmd {
 	upstream := msg.Grant.Upstream
 	before, _ := m.limits.Limit(upstream)
 	if !m.limits.HandleGrant(m.now, msg.From, msg.Grant) {
@@ -121,76 +122,76 @@
 	if now, _ := m.limits.Limit(upstream); now.Rate != before.Rate {
 		cmds = m.limitChanged(upstream, msg.From)
 	}
-	return append(cmds, m.takePermits(upstream)...)
+	return append(cmds, m.resumePermitWaiters(upstream)...)
 }
 
-// Limits returns the limits that hold, for metrics.
+// Limits returns the active rate limits, for metrics.
 func (m *Model) Limits(now clock.Millis) []limit.Summary { return m.limits.Summaries(now) }
 
 func (m *Model) limitChanged(upstream fleet.Incarnation, from string) []Cmd {
-	named, _ := m.limits.Limit(upstream)
-	cmd := LimitCmd{Upstream: upstream, Rate: named.Rate, From: from}
-	if named.Rate > 0 {
-		cmd.Age = m.now.Sub(named.ReceivedAt)
+	advertised, _ := m.limits.Limit(upstream)
+	cmd := LimitChangedCmd{Upstream: upstream, Rate: advertised.Rate, From: from}
+	if advertised.Rate > 0 {
+		cmd.Age = m.now.Sub(advertised.ReceivedAt)
 	}
 	return []Cmd{cmd}
 }
 
-func asked(asks []limit.AskCmd) []Cmd {
+func requestPermitsCmds(requests []limit.AskCmd) []Cmd {
 	var cmds []Cmd
-	for _, a := range asks {
-		cmds = append(cmds, AskPermitsCmd{a})
+	for _, req := range requests {
+		cmds = append(cmds, RequestPermitsCmd{req})
 	}
 	return cmds
 }
 
-// mayBegin tells whether a request may be sent to an upstream, as far as its limit goes: at
-// once, or after a permit was asked for.
-func (m *Model) mayBegin(r *request, u *upstream) bool {
+// limitAllows reports whether an upstream's rate limit allows a request, either at once or after
+// a permit is granted.
+func (m *Model) limitAllows(r *request, u *upstream) bool {
 	switch m.limits.State(m.now, u.entry.ID) {
 	case limit.Exhausted:
 		return false
 	case limit.NeedsPermit, limit.RequestPending:
-		return !r.impatient
+		return !r.permitWaitExpired
 	case limit.Unlimited, limit.HasPermit:
 	}
 	return true
 }
 
-// needsPermit tells whether a permit must be awaited before a request is sent to an upstream.
+// needsPermit reports whether a request must wait for a permit before it is sent to an upstream.
 func (m *Model) needsPermit(u *upstream) bool {
 	state := m.limits.State(m.now, u.entry.ID)
 	return state == limit.NeedsPermit || state == limit.RequestPending
 }
 
-// awaitPermit asks for a permit for a request. This node may be the one that gives it.
+// awaitPermit requests a permit for a request. This node itself may be the one that grants it.
 func (m *Model) awaitPermit(r *request, u *upstream) []Cmd {
 	id := u.entry.ID
-	if r.awaits.IsZero() {
-		r.awaitsUntil = m.now.Add(permitPatience)
+	if r.permitUpstream.IsZero() {
+		r.permitWaitUntil = m.now.Add(maxPermitWait)
 	}
-	r.awaits = id
-	m.awaiting[id] = append(m.awaiting[id], r.msg.Request)
-	cmds := asked(m.limits.Ask(m.now, id, len(m.awaiting[id])))
+	r.permitUpstream = id
+	m.permitWaiters[id] = append(m.permitWaiters[id], r.arrival.Request)
+	cmds := requestPermitsCmds(m.limits.Ask(m.now, id, len(m.permitWaiters[id])))
 	if m.limits.State(m.now, id) == limit.RequestPending {
 		return cmds
 	}
-	return append(cmds, m.takePermits(id)...)
+	return append(cmds, m.resumePermitWaiters(id)...)
 }
 
-// takePermits goes on with the requests that have awaited a permit for an upstream, the most
-// urgent first, and the earlier of these.
-func (m *Model) takePermits(upstream fleet.Incarnation) []Cmd {
+// resumePermitWaiters sends the requests that waited for a permit of an upstream, by priority and
+// then by arrival.
+func (m *Model) resumePermitWaiters(upstream fleet.Incarnation) []Cmd {
 	var waiting []*request
-	for _, id := range m.awaiting[upstream] {
-		if r := m.requests[id]; r != nil && r.awaits == upstream {
-			r.awaits = fleet.Incarnation{}
+	for _, id := range m.permitWaiters[upstream] {
+		if r := m.requests[id]; r != nil && r.permitUpstream == upstream {
+			r.permitUpstream = fleet.Incarnation{}
 			waiting = append(waiting, r)
 		}
 	}
-	delete(m.awaiting, upstream)
+	delete(m.permitWaiters, upstream)
 	slices.SortStableFunc(waiting, func(a, b *request) int {
-		return cmp.Or(cmp.Compare(a.priority(), b.priority()), cmp.Compare(a.arrived, b.arrived))
+		return cmp.Or(cmp.Compare(a.priority(), b.priority()), cmp.Compare(a.arrivedAt, b.arrivedAt))
 	})
 	var cmds []Cmd
 	for _, r := range waiting {
@@ -199,86 +200,86 @@
 	return cmds
 }
 
-// reviewPermits repeats the questions for permits that were not answered, and lets go of the
-// requests that have waited for long.
-func (m *Model) reviewPermits() []Cmd {
-	asks, failed := m.limits.Tick(m.now)
-	cmds := asked(asks)
+// reviewPermitWaiters repeats unanswered permit requests and resumes the requests that have
+// waited for maxPermitWait.
+func (m *Model) reviewPermitWaiters() []Cmd {
+	requests, failed := m.limits.Tick(m.now)
+	cmds := requestPermitsCmds(requests)
 	for _, upstream := range failed {
-		cmds = append(cmds, m.takePermits(upstream)...)
+		cmds = append(cmds, m.resumePermitWaiters(upstream)...)
 	}
-	for _, upstream := range slices.SortedFunc(maps.Keys(m.awaiting), fleet.Incarnation.Compare) {
-		if m.limits.State(m.now, upstream) != limit.RequestPending || m.hasWaited(upstream) {
-			cmds = append(cmds, m.takePermits(upstream)...)
+	for _, upstream := range slices.SortedFunc(maps.Keys(m.permitWaiters), fleet.Incarnation.Compare) {
+		if m.limits.State(m.now, upstream) != limit.RequestPending || m.expirePermitWaits(upstream) {
+			cmds = append(cmds, m.resumePermitWaiters(upstream)...)
 		}
 	}
 	return cmds
 }
 
-// hasWaited marks the requests that have awaited a permit for an upstream for long, and tells
-// whether there are any.
-func (m *Model) hasWaited(upstream fleet.Incarnation) bool {
+// expirePermitWaits marks the requests whose wait for a permit of an upstream has expired, and
+// reports whether there are any.
+func (m *Model) expirePermitWaits(upstream fleet.Incarnation) bool {
 	found := false
-	for _, id := range m.awaiting[upstream] {
-		if r := m.requests[id]; r != nil && r.awaits == upstream && m.now >= r.awaitsUntil {
-			r.impatient, found = true, true
+	for _, id := range m.permitWaiters[upstream] {
+		if r := m.requests[id]; r != nil && r.permitUpstream == upstream && m.now >= r.permitWaitUntil {
+			r.permitWaitExpired, found = true, true
 		}
 	}
 	return found
 }
 
-// limited returns the upstreams of a request's service that would serve it but for their
-// limits.
-func (m *Model) limited(r *request) []*upstream {
-	var list []*upstream
+// limitedUpstreams returns the upstreams that could serve a request if they had no rate limits.
+func (m *Model) limitedUpstreams(r *request) []*upstream {
+	var limited []*upstream
 	for _, u := range m.byService[r.service.Name] {
-		if u.usable() && !u.resting(m.now) && (u.pipeline != nil || r.mayUse(u)) && !m.mayBegin(r, u) {
-			list = append(list, u)
+		if u.acceptsWork() && !u.inBackOff(m.now) && (u.pipeline != nil || r.mayExecuteOn(u)) && !m.limitAllows(r, u) {
+			limited = append(limited, u)
 		}
 	}
-	if len(list) == 0 || r.service.Pipeline == nil {
-		return list
+	if len(limited) == 0 || r.service.Pipeline == nil {
+		return limited
 	}
-	holders := m.holdersAt(r, m.byService[r.service.Name], moment{at: m.now, noLimits: true}, (*upstream).well)
-	if _, err := chain.Build(r.service.Pipeline.Layers, r.tokens, m.dataCentre, holders); err != nil {
+	holders := m.holdersUnder(r, m.byService[r.service.Name], chainConditions{backOffsUntil: m.now, ignoreLimits: true}, (*upstream).healthy)
+	if _, err := chain.Build(r.service.Pipeline.Layers, r.memoryTokens, m.dataCentre, holders); err != nil {
 		return nil
 	}
-	return list
+	return limited
 }
 
-// Limited says which limit has had a request refused, for the log.
-type Limited struct {
-	// Upstream is the one that may be asked first again, and Rate its limit.
+// LimitRefusal describes the rate limit that refused a request, for the log.
+type LimitRefusal struct {
+	// Upstream is the limited upstream that accepts a request first, and Rate its limit in
+	// requests per second.
 	Upstream fleet.Incarnation
 	Rate     float64
-	// Upstreams is how many were limited, and Queue how many requests of all nodes were
-	// turned away from the first in the last 4 s.
-	Upstreams int
-	Queue     int
+	// LimitedUpstreams is the number of limited upstreams. RecentDenials is the largest number of
+	// permits that one of them denied over all nodes in the last 4 s.
+	LimitedUpstreams int
+	RecentDenials    int
 }
 
-// limitEnds returns when a caller should come back that was refused for upstreams' limits: as
-// many as were turned away lately come before it or after it, at the pace of the limits. The
-// more urgent are told less.
-func (m *Model) limitEnds(r *request) (back clock.Millis, why *Limited) {
-	list := m.limited(r)
-	if len(list) == 0 {
+// limitRetryAfter returns the Retry-After time of a request that was refused because of rate
+// limits. It spreads the retries over the time that the limits need to admit as many requests as
+// were denied lately. Requests of higher priority get shorter times.
+func (m *Model) limitRetryAfter(r *request) (retryAfter clock.Millis, refusal *LimitRefusal) {
+	limited := m.limitedUpstreams(r)
+	if len(limited) == 0 {
 		return 0, nil
 	}
-	why = &Limited{Upstreams: len(list)}
-	rates, soonest := 0.0, longestBack
-	for _, u := range list {
-		named, _ := m.limits.Limit(u.entry.ID)
-		next, queue := m.limits.NextPermit(m.now, u.entry.ID)
-		rates += named.Rate
-		why.Queue = max(why.Queue, queue)
-		if why.Upstream.IsZero() || next < soonest {
-			soonest, why.Upstream, why.Rate = min(next, longestBack), u.entry.ID, named.Rate
+	refusal = &LimitRefusal{LimitedUpstreams: len(limited)}
+	rates, soonest := 0.0, maxRetryAfter
+	for _, u := range limited {
+		advertised, _ := m.limits.Limit(u.entry.ID)
+		nextPermit, denied := m.limits.NextPermit(m.now, u.entry.ID)
+		rates += advertised.Rate
+		refusal.RecentDenials = max(refusal.RecentDenials, denied)
+		if refusal.Upstream.IsZero() || nextPermit < soonest {
+			soonest, refusal.Upstream, refusal.Rate = min(nextPermit, maxRetryAfter), u.entry.ID, advertised.Rate
 		}
 	}
-	turn := clock.Millis(msPerSecond * float64(why.Queue) / max(rates, 1/float64(longestBack)))
-	back = soonest + clock.Millis(r.lateness()*float64(min(turn, longestBack)))
-	return min(max(back, backSoon), longestBack), why
+	backlog := clock.Millis(msPerSecond * float64(refusal.RecentDenials) / max(rates, 1/float64(maxRetryAfter)))
+	retryAfter = soonest + clock.Millis(r.retryPosition()*float64(min(backlog, maxRetryAfter)))
+	return min(max(retryAfter, shortRetryAfter), maxRetryAfter), refusal
 }
 
 const msPerSecond = 1000
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -11,66 +11,67 @@
 	"github.com/hoistjunction/hoistjunction/work"
 )
 
-// request is a request under way.
+// request is a request in progress.
 type request struct {
-	msg     ArriveMsg
-	arrived clock.Millis
-	// deadline is when the caller stops waiting, giveUp when the route's time
-	// is up.
-	deadline clock.Millis
-	giveUp   clock.Millis
-	route    *catalog.Route
-	service  *catalog.Service
-	account  catalog.Account
-	keyed    bool
-	// work names what the client account asks for.
+	arrival   ArriveMsg
+	arrivedAt clock.Millis
+	// clientDeadline is when the client stops waiting. giveUp is when the route's timeout ends.
+	clientDeadline clock.Millis
+	giveUp         clock.Millis
+	route          *catalog.Route
+	service        *catalog.Service
+	account        catalog.Account
+	requiresKey    bool
+	// work identifies the content of the request together with its client account.
 	work work.ID
-	// tokens is the size that memory is reserved for.
-	tokens float64
-	// sends counts attempts, and runs those that may have run.
-	sends int
-	runs  int
-	tried map[fleet.Incarnation]bool
-	// ranAt are its runs by upstream. The operator bounds the number of upstreams, not
-	// how often one of them is asked.
-	ranAt map[fleet.Incarnation]run
-	// delivered says what the caller has of the answer, and events how many events
-	// that is.
-	delivered Delivered
-	events    int
-	// waitingFor tells that a stream that has begun waits for something to go on
-	// with, until waitUntil.
-	waitingFor Reason
+	// memoryTokens is the size for which memory is reserved, in tokens.
+	memoryTokens float64
+	// attempts counts the attempts, and executions those that may have been executed.
+	attempts       int
+	executions     int
+	triedUpstreams map[fleet.Incarnation]bool
+	// executedOn holds the executions by upstream. The operator bounds the number of upstreams,
+	// not the number of executions on each.
+	executedOn map[fleet.Incarnation]execution
+	// delivered is the part of the answer that the client has received, and deliveredEvents the
+	// number of stream events in it.
+	delivered       Delivered
+	deliveredEvents int
+	// waitReason is why a stream that has begun waits to be resumed, until waitUntil; empty if it
+	// does not wait.
+	waitReason Reason
 	waitUntil  clock.Millis
-	// awaits is the upstream for which it waits for a permit, until awaitsUntil, and
-	// impatient tells that it waits for none any more.
-	awaits      fleet.Incarnation
-	awaitsUntil clock.Millis
-	impatient   bool
-	// awaitsPlace tells that it awaits a place at a plain service, and hasWaited that it has.
-	awaitsPlace, hasWaited bool
-	// placeless counts the attempts that found no place. They end with its time, and with the
-	// budget of repeats, and not with a number.
-	placeless int
-	// afterRest tells that some of what it could go on at rests.
-	afterRest bool
+	// permitUpstream is the upstream for which the request waits for a permit, until
+	// permitWaitUntil. permitWaitExpired reports whether it no longer waits for any permit.
+	permitUpstream    fleet.Incarnation
+	permitWaitUntil   clock.Millis
+	permitWaitExpired bool
+	// awaitsSlot reports whether the request waits for a slot at a plain service, and
+	// waitedForSlot whether it has waited before.
+	awaitsSlot, waitedForSlot bool
+	// slotRefusals counts the attempts that found no slot. They are bounded by the request's time
+	// and by the retry budget, not by maxAttempts.
+	slotRefusals int
+	// afterBackOff reports whether some of the upstreams on which a waiting stream can resume are
+	// in back-off.
+	afterBackOff bool
 
-	// The attempt under way.
-	first *upstream
-	parts []chain.Stage
-	held  []reservation
-	// moving tells that a move is under way, and moves counts them.
-	moving bool
-	moves  int
+	// The current attempt.
+	firstUpstream *upstream
+	chain         []chain.Stage
+	reservations  []reservation
+	// migrating reports whether a migration is in progress, and migrations counts them.
+	migrating  bool
+	migrations int
 }
 
-// at returns the upstream at an address that the attempt under way passes. The address may
-// be another one's by now.
-func (r *request) at(address string) (fleet.Incarnation, bool) {
-	if r.first != nil && r.first.entry.Address == address {
-		return r.first.entry.ID, true
+// upstreamAt returns the incarnation that the current attempt uses at an address. Another
+// incarnation may have the address by now.
+func (r *request) upstreamAt(address string) (fleet.Incarnation, bool) {
+	if r.firstUpstream != nil && r.firstUpstream.entry.Address == address {
+		return r.firstUpstream.entry.ID, true
 	}
-	for _, p := range r.parts {
+	for _, p := range r.chain {
 		if p.Address == address {
 			return p.ID, true
 		}
@@ -78,7 +79,7 @@
 	return fleet.Incarnation{}, false
 }
 
-// priority is the account's where it has one, and the route's otherwise.
+// priority returns the priority of the client account if it has one, or else that of the route.
 func (r *request) priority() int {
 	if r.account.HasPriority {
 		return r.account.Priority
@@ -86,64 +87,64 @@
 	return r.route.Priority
 }
 
-// begun tells whether the caller has some of the answer.
-func (r *request) begun() bool { return r.delivered != DeliveredNothing }
+// answerBegun reports whether the client has received a part of the answer.
+func (r *request) answerBegun() bool { return r.delivered != DeliveredNothing }
 
-// reservation is memory that a request takes at an engine.
+// reservation is memory that a request reserves at an engine.
 type reservation struct {
 	upstream *upstream
 	amount   float64
 }
 
-// left returns the time until the request must be answered.
-func (r *request) left(now clock.Millis) clock.Millis {
-	return min(r.deadline, r.giveUp).Sub(now)
+// timeLeft returns the time until the request must be answered.
+func (r *request) timeLeft(now clock.Millis) clock.Millis {
+	return min(r.clientDeadline, r.giveUp).Sub(now)
 }
 
-// woke tells all requests that more time has passed than their timers count.
-func (m *Model) woke() []Cmd {
+// vmResumed makes all requests reset their timers after a suspension of the VM.
+func (m *Model) vmResumed() []Cmd {
 	var cmds []Cmd
 	for _, id := range slices.Sorted(maps.Keys(m.requests)) {
 		r := m.requests[id]
-		cmds = append(cmds, WakeCmd{Request: id, GiveUp: min(r.deadline, r.giveUp)})
+		cmds = append(cmds, RecheckDeadlineCmd{Request: id, Deadline: min(r.clientDeadline, r.giveUp)})
 	}
 	return cmds
 }
 
-// reserve notes the memory that a chain takes.
+// reserve reserves memory at all engines of a chain, in place of the former reservations.
 func (m *Model) reserve(r *request, parts []chain.Stage) {
 	m.release(r)
-	r.parts = parts
+	r.chain = parts
 	for _, p := range parts {
 		u := m.upstreams[p.ID]
 		if u == nil {
 			continue
 		}
-		amount := r.tokens * float64(p.Layers.Len())
+		amount := r.memoryTokens * float64(p.Layers.Len())
 		u.reserved += amount
-		r.held = append(r.held, reservation{upstream: u, amount: amount})
+		r.reservations = append(r.reservations, reservation{upstream: u, amount: amount})
 	}
 }
 
 func (m *Model) release(r *request) {
-	for _, h := range r.held {
+	for _, h := range r.reservations {
 		h.upstream.reserved -= h.amount
 	}
-	r.held = r.held[:0]
-	r.parts = nil
+	r.reservations = r.reservations[:0]
+	r.chain = nil
 }
 
-// endAttempt gives back what the attempt under way has taken.
+// endAttempt releases the resources of the current attempt.
 func (m *Model) endAttempt(r *request) {
 	m.release(r)
-	if r.first != nil {
-		r.first.inFlight--
-		r.first = nil
+	if r.firstUpstream != nil {
+		r.firstUpstream.inFlight--
+		r.firstUpstream = nil
 	}
-	r.moving = false
+	r.migrating = false
 }
 
-func (m *Model) forget(id RequestID) {
+func (m *Model) dropRequest(id RequestID) {
 	r := m.requests[id]
 	if r == nil {
 		return
--- /dev/null
+++ b/dispatch/slot_queue_test.go
@@ -0,0 +1,206 @@
+package dispatch_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"github.com/hoistjunction/hoistjunction/catalog"
+	"github.com/hoistjunction/hoistjunction/clock"
+	"github.com/hoistjunction/hoistjunction/dispatch"
+	"github.com/hoistjunction/hoistjunction/fleet"
+)
+
+// Guards against refusing plain requests that could be served a moment later. With real
+// processes, upstreams that had a free slot again within 10 ms refused a tenth of the requests,
+// because a node could not wait for a slot. Requests with 1.5 s left were refused 1 ms after the
+// upstream answered that it was full, and the clients were told to retry after 1.5 s, so some
+// were never served. The load of the test is at most half of the upstreams' capacity.
+func TestRequestsWaitForFreeSlots(t *testing.T) {
+	const (
+		servedAtLeast = 0.99
+		seeds         = 5
+	)
+	for _, load := range []plainLoad{
+		{upstreams: 1, slots: 6, meanMS: 10, perSecond: 250},
+		{upstreams: 3, slots: 6, meanMS: 60, perSecond: 130},
+		{upstreams: 3, slots: 6, meanMS: 15, perSecond: 8},
+	} {
+		t.Run(fmt.Sprintf("%d upstreams, %d requests per second", load.upstreams, load.perSecond), func(t *testing.T) {
+			for seed := range uint64(seeds) {
+				c := newSlotSim(load, seed)
+				c.run()
+				if got := float64(c.served) / float64(c.arrived); got < servedAtLeast {
+					t.Errorf("seed %d: got a share of %.3f of %d requests served, want at least %v: refused %v", seed, got, c.arrived, servedAtLeast, c.refused)
+				}
+				if got, want := c.sentRetries, allowedRetries(c.arrived); got > want {
+					t.Errorf("seed %d: got %d retries, want at most %d", seed, got, want)
+				}
+			}
+		})
+	}
+}
+
+// plainLoad is a load of plain requests on upstreams with few slots.
+type plainLoad struct {
+	upstreams, slots int
+	// meanMS is the mean execution time of a request, in ms.
+	meanMS    int
+	perSecond int
+}
+
+const (
+	slotSimNodes    = 7
+	slotSimDuration = clock.Millis(20_000)
+	// clientTimeout is how long a client waits in total. It retries once, if the advised time
+	// leaves it some.
+	clientTimeout = clock.Millis(1500)
+	retryWindow   = clock.Millis(10_000)
+)
+
+// allowedRetries returns the operator's bound on retries for a simulation that is shorter than
+// two windows.
+func allowedRetries(requests int) int { return requests/5 + 200 }
+
+// slotSim simulates nodes in front of full upstreams in virtual time.
+type slotSim struct {
+	plainLoad
+	random *rand.Rand
+	now    clock.Millis
+	nodes  []*dispatch.Model
+	// takenSlots counts the taken slots by upstream.
+	takenSlots map[fleet.Incarnation]int
+	events     map[clock.Millis][]func()
+	// clients holds the clients by request.
+	clients map[dispatch.RequestID]simClient
+
+	arrived, served, sentRetries int
+	refused                      map[dispatch.Reason]int
+}
+
+// simClient is a client that waits until a time and may retry a number of times.
+type simClient struct {
+	until   clock.Millis
+	retries int
+}
+
+func newSlotSim(load plainLoad, seed uint64) *slotSim {
+	c := &slotSim{
+		plainLoad: load, random: rand.New(rand.NewPCG(seed, 3)), takenSlots: make(map[fleet.Incarnation]int),
+		events: make(map[clock.Millis][]func()), clients: make(map[dispatch.RequestID]simClient), refused: make(map[dispatch.Reason]int),
+	}
+	to := []catalog.Target{{Service: "desk", Weight: 1}}
+	routes := catalog.New(1, catalog.WithServices(&catalog.Service{Name: "desk", HealthPath: "/health"}),
+		catalog.WithRoutes(&catalog.Route{Name: "once", Host: "h", Prefix: "/once/", Kind: catalog.AtMostOnce, Targets: to, MaxAttempts: 1, Timeout: 800, LatencyTarget: 100}))
+	for i := range slotSimNodes {
+		m := dispatch.New(dispatch.WithSeed(seed*slotSimNodes+uint64(i)), dispatch.WithPolicy(dispatch.Policy{RetryWindow: retryWindow, RetryShare: 0.2, RetrySlack: 200}))
+		m.Update(0, dispatch.PeersMsg{TotalNodes: slotSimNodes})
+		m.Update(0, dispatch.CatalogMsg{Catalog: routes})
+		for d := range load.upstreams {
+			id := fleet.IncarnationByID(fleet.ID(fmt.Sprint("d", d)))
+			u := fleet.Upstream{ID: id, Address: string(id.ID()), Service: "desk", Slots: load.slots}
+			m.Update(0, dispatch.FleetMsg{Changes: []fleet.Change{{ID: id, Upstream: u}}})
+		}
+		c.nodes = append(c.nodes, m)
+	}
+	return c
+}
+
+func (c *slotSim) after(wait clock.Millis, do func()) {
+	c.events[c.now.Add(wait)] = append(c.events[c.now.Add(wait)], do)
+}
+
+func (c *slotSim) run() {
+	const tick, perMS = 100, 1000.0
+	for ; c.now < slotSimDuration+clientTimeout; c.now++ {
+		for i := 0; i < len(c.events[c.now]); i++ {
+			c.events[c.now][i]()
+		}
+		delete(c.events, c.now)
+		for n := range c.nodes {
+			if (int(c.now)+n*tick/slotSimNodes)%tick == 0 {
+				c.update(n, dispatch.TickMsg{})
+			}
+		}
+		if c.now < slotSimDuration && c.random.Float64() < float64(c.perSecond)/perMS {
+			c.arrived++
+			c.arrive(simClient{until: c.now.Add(clientTimeout), retries: 1})
+		}
+	}
+}
+
+// arrive sends a client's request to a random node.
+func (c *slotSim) arrive(client simClient) {
+	id := dispatch.RequestID(len(c.clients) + 1)
+	c.clients[id] = client
+	c.update(c.random.IntN(slotSimNodes), dispatch.ArriveMsg{
+		Request: id, CallerID: fmt.Sprint("c", id), Host: "h", Path: "/once/a", Remaining: client.until.Sub(c.now),
+	})
+}
+
+func (c *slotSim) update(node int, msg dispatch.Msg) {
+	for _, cmd := range c.nodes[node].Update(c.now, msg) {
+		switch cmd := cmd.(type) {
+		case dispatch.SendCmd:
+			c.execute(node, cmd)
+		case dispatch.ProbeCmd:
+			free := c.takenSlots[cmd.Upstream] < c.slots
+			c.after(1, func() { c.update(node, dispatch.ProbedMsg{Upstream: cmd.Upstream, Answered: free}) })
+		case dispatch.RespondCmd:
+			c.retryClient(cmd)
+		}
+	}
+}
+
+// execute runs a request on an upstream, or refuses it if all slots are taken.
+func (c *slotSim) execute(node int, cmd dispatch.SendCmd) {
+	if cmd.Attempt > 1 {
+		c.sentRetries++
+	}
+	if c.takenSlots[cmd.Upstream] == c.slots {
+		c.after(1, func() {
+			c.update(node, dispatch.AttemptFailedMsg{Request: cmd.Request, Attempt: cmd.Attempt, Cause: dispatch.CauseFull})
+		})
+		return
+	}
+	c.takenSlots[cmd.Upstream]++
+	took := clock.Millis(1 + c.random.IntN(2*c.meanMS))
+	c.after(took, func() {
+		c.takenSlots[cmd.Upstream]--
+		if c.now <= c.clients[cmd.Request].until {
+			c.served++
+		}
+		c.update(node, dispatch.AttemptDoneMsg{Request: cmd.Request, Attempt: cmd.Attempt, Took: took})
+	})
+}
+
+// retryClient retries a refused request after the advised time if the client still waits then.
+func (c *slotSim) retryClient(cmd dispatch.RespondCmd) {
+	client := c.clients[cmd.Request]
+	retryAt := c.now.Add(cmd.RetryAfter)
+	if client.retries == 0 || retryAt >= client.until {
+		c.refused[cmd.Reason]++
+		return
+	}
+	client.retries--
+	c.after(max(cmd.RetryAfter, 1), func() { c.arrive(client) })
+}
+
+// Guards against a crash of the node. Operators may give a route any priority, and a request with
+// a priority outside the range of the queue crashed the node when it had to wait for a slot.
+func TestAnyPriorityMayWaitForSlot(t *testing.T) {
+	for _, priority := range []int{-3, 0, 9, 40} {
+		m := dispatch.New(dispatch.WithPolicy(dispatch.Policy{RetryWindow: retryWindow, RetryShare: 0.2, RetrySlack: 200}))
+		m.Update(0, dispatch.PeersMsg{TotalNodes: 1})
+		m.Update(0, dispatch.CatalogMsg{Catalog: catalog.New(1, catalog.WithServices(&catalog.Service{Name: "desk"}),
+			catalog.WithRoutes(&catalog.Route{Name: "once", Host: "h", Prefix: "/", Kind: catalog.AtMostOnce, Priority: priority, MaxAttempts: 1,
+				Targets: []catalog.Target{{Service: "desk", Weight: 1}}, Timeout: 800}))})
+		id := fleet.IncarnationByID("d")
+		m.Update(0, dispatch.FleetMsg{Changes: []fleet.Change{{ID: id, Upstream: fleet.Upstream{ID: id, Address: "d", Service: "desk"}}}})
+		m.Update(1, dispatch.ArriveMsg{Request: 1, Host: "h", Path: "/a"})
+		cmds := m.Update(2, dispatch.AttemptFailedMsg{Request: 1, Attempt: 1, Cause: dispatch.CauseFull})
+		if _, waits := cmds[0].(dispatch.SlotWaitCmd); len(cmds) != 1 || !waits {
+			t.Errorf("priority %d: got %v, want a SlotWaitCmd", priority, cmds)
+		}
+	}
+}
--- a/dispatch/usage.go
+++ b/dispatch/usage.go
@@ -11,95 +11,96 @@
 )
 
 const (
-	// shareEvery is how often a node tells others what it has in use. A stream
-	// lasts one to three seconds.
-	shareEvery clock.Millis = 300
-	// usageLasts is for how long that counts: some datagrams are lost.
-	usageLasts clock.Millis = 1500
-	// worthTelling is the part of an engine's memory, or slots, from which other data
-	// centres are told of its use: below it nobody runs out of it.
-	worthTelling = 0.25
-	// worthSumming is the same for the nodes of a data centre that are told sums, and
-	// mostSummed how many engines they are told of at the most: one takes some 25 bytes. What
-	// is used less makes no engine dearer than another.
-	worthSumming = 0.03
-	mostSummed   = 300
+	// shareInterval is the pause between two usage reports of a node. A stream lasts one to three
+	// seconds.
+	shareInterval clock.Millis = 300
+	// usageWindow is how long a usage report counts, since some datagrams are lost.
+	usageWindow clock.Millis = 1500
+	// minSharedUse is the share of an engine's memory or slots in use from which its usage is
+	// reported to other data centres. Below it the engine is far from full.
+	minSharedUse = 0.25
+	// minAggregatedUse is the share of an engine's memory or slots in use from which its usage is
+	// reported to nodes that receive aggregated usage. maxAggregated is the largest number of
+	// engines reported to them; one takes some 25 bytes. Lower usage does not affect the cost of
+	// an engine.
+	minAggregatedUse = 0.03
+	maxAggregated    = 300
 )
 
-// peerUsage is what another node has in use.
-type peerUsage struct {
-	at   clock.Millis
-	used map[fleet.Incarnation]fleet.EngineUsage
-	// total tells that it is another data centre's, whose name is centre, and whole that it
-	// is that of all nodes.
-	total  bool
-	centre string
-	whole  bool
+// nodeUsage is the last usage report of another node.
+type nodeUsage struct {
+	receivedAt clock.Millis
+	used       map[fleet.Incarnation]fleet.EngineUsage
+	// wholeDataCentre reports whether it is the sum over the data centre named dataCentre, and
+	// allNodes whether it is the sum over all nodes.
+	wholeDataCentre bool
+	dataCentre      string
+	allNodes        bool
 }
 
-// share tells the others what this node has in use, when it is time for that.
-func (m *Model) share() []Cmd {
-	if m.near == 0 && m.nodes.all < 2 || m.now < m.shared.Add(shareEvery) {
+// shareUsage sends this node's usage to other nodes once per shareInterval.
+func (m *Model) shareUsage() []Cmd {
+	if m.usagePeers == 0 && m.nodeCount.total < 2 || m.now < m.sharedAt.Add(shareInterval) {
 		return nil
 	}
-	m.nodes.add(m.now)
-	m.shared = m.now
+	m.nodeCount.recount(m.now)
+	m.sharedAt = m.now
 	used := make(map[fleet.Incarnation]fleet.EngineUsage)
 	for id, u := range m.upstreams {
 		if u.reserved > 0 {
 			used[id] = fleet.EngineUsage{Memory: u.reserved, Streams: u.inFlight}
 		}
 	}
-	m.told = used
-	cmd := ShareCmd{Used: used, Limits: m.limits.Snapshot(m.now)}
-	if !m.summed {
-		cmd.Total, cmd.Whole, cmd.HeardOf = m.total(used), m.whole(), m.heardOf()
-		cmd.Nodes = m.nodes.all
+	m.sharedUsage = used
+	cmd := ShareUsageCmd{Used: used, Limits: m.limits.Snapshot(m.now)}
+	if !m.usageAggregated {
+		cmd.WholeDataCentre, cmd.AllNodes, cmd.IncludedDataCentres = m.dataCentreUsage(used), m.allNodesUsage(), m.includedDataCentres()
+		cmd.Nodes = m.nodeCount.total
 	}
 	return []Cmd{cmd}
 }
 
-// whole is what the requests of all nodes take at the engines that are used most, as far as
-// this node knows.
-func (m *Model) whole() map[fleet.Incarnation]fleet.EngineUsage {
+// allNodesUsage returns the known usage of all nodes at the most used engines.
+func (m *Model) allNodesUsage() map[fleet.Incarnation]fleet.EngineUsage {
 	type used struct {
-		id   fleet.Incarnation
-		use  fleet.EngineUsage
-		part float64
+		id    fleet.Incarnation
+		use   fleet.EngineUsage
+		share float64
 	}
 	var list []used
 	for id, u := range m.upstreams {
-		use := u.others.Plus(fleet.EngineUsage{Memory: u.reserved, Streams: u.inFlight})
-		part := max(use.Memory/max(u.room, 1), float64(use.Streams)/float64(max(u.entry.Slots, 1)))
-		if u.pipeline != nil && part >= worthSumming {
-			list = append(list, used{id: id, use: use, part: part})
+		use := u.peerUse.Plus(fleet.EngineUsage{Memory: u.reserved, Streams: u.inFlight})
+		share := max(use.Memory/max(u.memory, 1), float64(use.Streams)/float64(max(u.entry.Slots, 1)))
+		if u.pipeline != nil && share >= minAggregatedUse {
+			list = append(list, used{id: id, use: use, share: share})
 		}
 	}
-	slices.SortFunc(list, func(a, b used) int { return cmp.Or(cmp.Compare(b.part, a.part), a.id.Compare(b.id)) })
-	whole := make(map[fleet.Incarnation]fleet.EngineUsage)
-	for _, u := range list[:min(len(list), mostSummed)] {
-		whole[u.id] = u.use
+	slices.SortFunc(list, func(a, b used) int { return cmp.Or(cmp.Compare(b.share, a.share), a.id.Compare(b.id)) })
+	sum := make(map[fleet.Incarnation]fleet.EngineUsage)
+	for _, u := range list[:min(len(list), maxAggregated)] {
+		sum[u.id] = u.use
 	}
-	return whole
+	return sum
 }
 
-// heardOf are the other data centres of whose use this node has heard.
-func (m *Model) heardOf() []string {
+// includedDataCentres returns the other data centres whose usage is known.
+func (m *Model) includedDataCentres() []string {
 	var centres []string
-	for _, peer := range m.usage {
-		if peer.total {
-			centres = append(centres, peer.centre)
+	for _, peer := range m.peerUsage {
+		if peer.wholeDataCentre {
+			centres = append(centres, peer.dataCentre)
 		}
 	}
 	slices.Sort(centres)
 	return centres
 }
 
-// total adds up what this node and those that tell it alone have in use.
-func (m *Model) total(own map[fleet.Incarnation]fleet.EngineUsage) map[fleet.Incarnation]fleet.EngineUsage {
+// dataCentreUsage returns the sum of this node's usage and that of the nodes which report to it
+// one by one.
+func (m *Model) dataCentreUsage(own map[fleet.Incarnation]fleet.EngineUsage) map[fleet.Incarnation]fleet.EngineUsage {
 	total := maps.Clone(own)
-	for _, peer := range m.usage {
-		if peer.total {
+	for _, peer := range m.peerUsage {
+		if peer.wholeDataCentre {
 			continue
 		}
 		for id, use := range peer.used {
@@ -108,177 +109,177 @@
 	}
 	maps.DeleteFunc(total, func(id fleet.Incarnation, use fleet.EngineUsage) bool {
 		u := m.upstreams[id]
-		return u == nil || use.Memory < worthTelling*u.room && float64(use.Streams) < worthTelling*float64(u.entry.Slots)
+		return u == nil || use.Memory < minSharedUse*u.memory && float64(use.Streams) < minSharedUse*float64(u.entry.Slots)
 	})
 	return total
 }
 
-// noteUsage takes what another node has in use, in place of what it has told before.
-// The sum for each engine is kept, since every request asks for it.
-func (m *Model) noteUsage(msg UsageMsg) []Cmd {
-	m.noteLife(msg)
-	m.nodes.told(m.now, msg.DataCentre, msg.Whole, msg.Nodes)
-	node, used := msg.Node, msg.Used
+// recordPeerUsage replaces the usage of another node with its new report. It maintains the sum
+// for each engine, since every request reads it.
+func (m *Model) recordPeerUsage(msg UsageMsg) []Cmd {
+	m.recordAlive(msg)
+	m.nodeCount.peerReported(m.now, msg.DataCentre, msg.AllNodes, msg.Nodes)
+	node, usage := msg.Node, msg.Used
 	switch {
-	case m.summed != msg.Whole:
-		// What a node has that is told sums is part of them, and a hub makes its own.
-		return m.toldLimits(msg)
-	case msg.Whole:
-		node, used = allNodes, m.withoutOwn(used)
+	case m.usageAggregated != msg.AllNodes:
+		// A node that receives aggregated usage ignores single reports, which are part of the
+		// sum. A hub computes the sum itself and ignores that of others.
+		return m.mergePeerLimits(msg)
+	case msg.AllNodes:
+		node, usage = allNodesKey, m.withoutOwn(usage)
 	}
-	m.takeOff(m.usage[node].used)
-	m.usage[node] = peerUsage{at: m.now, used: used, total: msg.Total, centre: msg.DataCentre, whole: msg.Whole}
-	for id, use := range used {
+	m.subtractUsage(m.peerUsage[node].used)
+	m.peerUsage[node] = nodeUsage{receivedAt: m.now, used: usage, wholeDataCentre: msg.WholeDataCentre, dataCentre: msg.DataCentre, allNodes: msg.AllNodes}
+	for id, use := range usage {
 		if u := m.upstreams[id]; u != nil {
-			u.others = u.others.Plus(use)
+			u.peerUse = u.peerUse.Plus(use)
 		}
 	}
-	return m.toldLimits(msg)
+	return m.mergePeerLimits(msg)
 }
 
-// allNodes stands in for the name of a node in what all have in use: hubs take turns.
-const allNodes = "all"
+// allNodesKey stands for the node name in aggregated reports, which hubs send in turn.
+const allNodesKey = "all"
 
-// noteLife notes signs of life in what another node tells.
-func (m *Model) noteLife(msg UsageMsg) {
-	if msg.Total || msg.Whole {
+// recordAlive records the nodes and data centres that a usage report shows to be alive.
+func (m *Model) recordAlive(msg UsageMsg) {
+	if msg.WholeDataCentre || msg.AllNodes {
 		m.limits.RecordDataCentreSeen(m.now, msg.DataCentre)
 	}
-	for _, centre := range msg.HeardOf {
+	for _, centre := range msg.IncludedDataCentres {
 		m.limits.RecordDataCentreSeen(m.now, centre)
 	}
-	if !msg.Total {
+	if !msg.WholeDataCentre {
 		m.limits.RecordSeen(m.now, msg.Node)
 	}
 }
 
-// withoutOwn takes what this node has told last off what all nodes have in use.
-func (m *Model) withoutOwn(whole map[fleet.Incarnation]fleet.EngineUsage) map[fleet.Incarnation]fleet.EngineUsage {
-	others := make(map[fleet.Incarnation]fleet.EngineUsage, len(whole))
-	for id, use := range whole {
-		rest := use.Minus(m.told[id])
-		others[id] = fleet.EngineUsage{Memory: max(rest.Memory, 0), Streams: max(rest.Streams, 0)}
+// withoutOwn subtracts the usage that this node shared last from the usage of all nodes.
+func (m *Model) withoutOwn(sum map[fleet.Incarnation]fleet.EngineUsage) map[fleet.Incarnation]fleet.EngineUsage {
+	others := make(map[fleet.Incarnation]fleet.EngineUsage, len(sum))
+	for id, use := range sum {
+		remainder := use.Minus(m.sharedUsage[id])
+		others[id] = fleet.EngineUsage{Memory: max(remainder.Memory, 0), Streams: max(remainder.Streams, 0)}
 	}
 	return others
 }
 
-// forgetUsage drops all that was told.
-func (m *Model) forgetUsage() {
-	for node, peer := range m.usage {
-		m.takeOff(peer.used)
-		delete(m.usage, node)
+// dropPeerUsage drops all usage reports of other nodes.
+func (m *Model) dropPeerUsage() {
+	for node, peer := range m.peerUsage {
+		m.subtractUsage(peer.used)
+		delete(m.peerUsage, node)
 	}
 }
 
-// takeOff takes what a node has told off the sums.
-func (m *Model) takeOff(used map[fleet.Incarnation]fleet.EngineUsage) {
-	for id, use := range used {
+// subtractUsage removes a node's usage from the sums of the engines.
+func (m *Model) subtractUsage(usage map[fleet.Incarnation]fleet.EngineUsage) {
+	for id, use := range usage {
 		if u := m.upstreams[id]; u != nil {
-			u.others = u.others.Minus(use)
+			u.peerUse = u.peerUse.Minus(use)
 		}
 	}
 }
 
-// usageOf adds up what other nodes have told of an engine that is new here.
-func (m *Model) usageOf(id fleet.Incarnation) fleet.EngineUsage {
+// peerUseOf returns the sum of the reported usage of an engine that is new in the list.
+func (m *Model) peerUseOf(id fleet.Incarnation) fleet.EngineUsage {
 	var sum fleet.EngineUsage
-	for _, peer := range m.usage {
+	for _, peer := range m.peerUsage {
 		sum = sum.Plus(peer.used[id])
 	}
 	return sum
 }
 
-// expireUsage drops what was told too long ago.
-func (m *Model) expireUsage() {
-	for node, peer := range m.usage {
-		if m.now > peer.at.Add(usageLasts) {
-			m.takeOff(peer.used)
-			delete(m.usage, node)
+// expirePeerUsage drops usage reports that are older than usageWindow.
+func (m *Model) expirePeerUsage() {
+	for node, peer := range m.peerUsage {
+		if m.now > peer.receivedAt.Add(usageWindow) {
+			m.subtractUsage(peer.used)
+			delete(m.peerUsage, node)
 		}
 	}
 }
 
-// free returns the memory that is left at an engine, as far as is known. A node
-// that has not been heard of lately is taken to use nothing: it is dead or cut
-// off far more often than its datagrams are all lost. Where that is wrong the
-// engine refuses, and is taken as full for a moment.
-func (m *Model) free(u *upstream) float64 {
-	free := u.room - u.reserved - m.othersUse(u).Memory
-	if reported, ok := m.reported(u); ok {
+// freeMemory estimates the free memory of an engine. A node without a recent report counts as
+// using nothing: it has far more often crashed or been partitioned than lost all of its
+// datagrams. If that is wrong, the engine refuses requests and counts as full for a moment.
+func (m *Model) freeMemory(u *upstream) float64 {
+	free := u.memory - u.reserved - m.estimatedPeerUse(u).Memory
+	if reported, ok := m.reportedFreeMemory(u); ok {
 		free = min(free, reported)
 	}
 	return free
 }
 
-// unheardFor is for how long after its start a node takes others that it has not heard of
-// to use as much as itself: each tells every 0.3 s.
-const unheardFor clock.Millis = 1000
+// startAssumption is how long after its start a node assumes that each node without a usage
+// report uses as much as itself. Each node sends a report every 0.3 s.
+const startAssumption clock.Millis = 1000
 
-// othersUse is what other nodes' requests take at an engine. A node that has just started
-// has heard of none, and so have the others if all have started together: each takes the
-// others to choose as it does. Without that all begin at the same engines until they have
-// heard of each other.
-func (m *Model) othersUse(u *upstream) fleet.EngineUsage {
-	use := u.others
-	if m.now >= unheardFor {
+// estimatedPeerUse returns the usage of an engine by other nodes. A node that has just started
+// has no reports, and neither have the others if all started together, so it assumes that they
+// choose as it does. Otherwise all of them would begin their streams on the same engines until
+// the first reports arrive.
+func (m *Model) estimatedPeerUse(u *upstream) fleet.EngineUsage {
+	use := u.peerUse
+	if m.now >= startAssumption {
 		return use
 	}
-	if unheard := m.near - m.heard(); unheard > 0 {
-		use.Memory += u.reserved * float64(unheard)
-		use.Streams += u.inFlight * unheard
+	if unreported := m.usagePeers - m.reportingPeers(); unreported > 0 {
+		use.Memory += u.reserved * float64(unreported)
+		use.Streams += u.inFlight * unreported
 	}
 	return use
 }
 
-// heard is of how many other nodes it is known what they have in use.
-func (m *Model) heard() int {
+// reportingPeers returns the number of other nodes whose usage is known.
+func (m *Model) reportingPeers() int {
 	n := 0
-	for _, peer := range m.usage {
+	for _, peer := range m.peerUsage {
 		switch {
-		case peer.whole:
-			return m.near
-		case !peer.total:
+		case peer.allNodes:
+			return m.usagePeers
+		case !peer.wholeDataCentre:
 			n++
 		}
 	}
 	return n
 }
 
-// reported returns the memory that is left at an engine by its own word, if that
-// is recent.
-func (m *Model) reported(u *upstream) (free float64, ok bool) {
-	if m.now > u.reportedAt.Add(reportLasts) {
+// reportedFreeMemory returns the free memory of an engine according to its own report, if that is
+// recent.
+func (m *Model) reportedFreeMemory(u *upstream) (free float64, ok bool) {
+	if m.now > u.reportedAt.Add(reportWindow) {
 		return 0, false
 	}
-	return u.reportedFree - max(0, u.reserved-u.reservedThen), true
+	return u.reportedFree - max(0, u.reserved-u.reservedAtReport), true
 }
 
-// word tells whose word on an engine's memory counts now, and how old it is.
-func (m *Model) word(u *upstream) (Word, clock.Millis) {
+// memorySource returns the origin and age of the current value of an engine's free memory.
+func (m *Model) memorySource(u *upstream) (MemorySource, clock.Millis) {
 	if u.full(m.now) {
-		return WordRefusal, m.now.Sub(u.refusedAt)
+		return SourceRefusal, m.now.Sub(u.refusedAt)
 	}
-	free := m.free(u)
-	if reported, ok := m.reported(u); ok && reported <= free {
-		return WordEngine, m.now.Sub(u.reportedAt)
+	free := m.freeMemory(u)
+	if reported, ok := m.reportedFreeMemory(u); ok && reported <= free {
+		return SourceEngineReport, m.now.Sub(u.reportedAt)
 	}
 	oldest := clock.Millis(-1)
-	for _, peer := range m.usage {
-		if m.now <= peer.at.Add(usageLasts) && peer.used[u.entry.ID].Memory > 0 {
-			oldest = max(oldest, m.now.Sub(peer.at))
+	for _, peer := range m.peerUsage {
+		if m.now <= peer.receivedAt.Add(usageWindow) && peer.used[u.entry.ID].Memory > 0 {
+			oldest = max(oldest, m.now.Sub(peer.receivedAt))
 		}
 	}
 	if oldest < 0 {
-		return WordOwn, 0
+		return SourceOwnRequests, 0
 	}
-	return WordNodes, oldest
+	return SourcePeerReports, oldest
 }
 
-// whatLacks says why no chain could be built for a request.
-func (m *Model) whatLacks(r *request) *Lack {
-	lack := &Lack{MissingResource: chain.FindMissingResource(0, r.service.Pipeline.Layers, r.tokens, m.holders(r, m.byService[r.service.Name], m.answers)), Word: WordOwn}
-	if u := m.upstreams[lack.ID]; u != nil {
-		lack.Word, lack.Age = m.word(u)
+// missingResource returns why no chain could be built for a request.
+func (m *Model) missingResource(r *request) *MissingResource {
+	missing := &MissingResource{MissingResource: chain.FindMissingResource(0, r.service.Pipeline.Layers, r.memoryTokens, m.holders(r, m.byService[r.service.Name], m.answersProbes)), Source: SourceOwnRequests}
+	if u := m.upstreams[missing.ID]; u != nil {
+		missing.Source, missing.SourceAge = m.memorySource(u)
 	}
-	return lack
+	return missing
 }
--- a/dispatch/wait.go
+++ b/dispatch/wait.go
@@ -9,67 +9,66 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// A caller gives a stream up after a pause of this many times its aims, and of
-// leastPatience at least. A stream that waits for something to go on with is kept
-// until then and patienceMargin longer: cutting it before would take away what
-// the caller still waits for.
+// A client cancels a stream after a pause of several times its latency objectives, and of
+// minPatience at least. A stream that waits to be resumed is kept until its client has canceled
+// it and patienceMargin longer, since aborting it earlier would end it while the client still
+// waits.
 const (
-	aimsOfPatience              = 4
-	gapsOfPatience              = 8
-	leastPatience  clock.Millis = 2000
-	patienceMargin clock.Millis = 600
+	patienceAims                 = 4
+	patienceGapAims              = 8
+	minPatience     clock.Millis = 2000
+	patienceMargin  clock.Millis = 600
 )
 
-// patience is for how long a caller waits for the next event.
-func patience(route *catalog.Route) clock.Millis {
-	return max(leastPatience, aimsOfPatience*route.LatencyTarget, gapsOfPatience*route.EventGapTarget) + patienceMargin
+// clientPatience returns how long a client waits for the next event of a stream.
+func clientPatience(route *catalog.Route) clock.Millis {
+	return max(minPatience, patienceAims*route.LatencyTarget, patienceGapAims*route.EventGapTarget) + patienceMargin
 }
 
-// waitOrCut keeps a stream that has begun for a while when nothing can take it
-// up just now: engines are being loaded, others end and leave room, and the
-// budget of repeats is filled again. It is cut only after its caller should have
-// left.
-func (m *Model) waitOrCut(r *request, reason Reason) []Cmd {
+// waitOrAbort lets a stream that has begun wait if it cannot be resumed at the moment: engines
+// finish loading layers, other streams end and free memory, and the retry budget refills. The
+// stream is aborted only after its client should have disconnected.
+func (m *Model) waitOrAbort(r *request, reason Reason) []Cmd {
 	if r.waitUntil == 0 {
-		r.waitUntil = m.now.Add(patience(r.route))
+		r.waitUntil = m.now.Add(clientPatience(r.route))
 	}
-	passing := reason == ReasonNoRoom || reason == ReasonNoHolder || reason == ReasonNoBudget
-	if passing && m.now < r.waitUntil {
-		r.waitingFor = reason
-		r.afterRest = len(m.rests(r)) > 0
+	temporary := reason == ReasonNoMemory || reason == ReasonNoHolder || reason == ReasonNoRetryBudget
+	if temporary && m.now < r.waitUntil {
+		r.waitReason = reason
+		r.afterBackOff = len(m.backOffEnds(r)) > 0
 		return nil
 	}
-	return m.cut(r.msg.Request, reason)
+	return m.abort(r.arrival.Request, reason)
 }
 
-// resume tries again to send the streams that wait.
-func (m *Model) resume() []Cmd {
+// resumeStreams tries again to send the waiting streams.
+func (m *Model) resumeStreams() []Cmd {
 	var cmds []Cmd
-	left := resumeEach
-	for _, r := range m.waiting() {
-		if r.afterRest && left == 0 {
+	remaining := resumesPerTick
+	for _, r := range m.waitingStreams() {
+		if r.afterBackOff && remaining == 0 {
 			continue
 		}
-		reason := r.waitingFor
-		r.waitingFor = ""
-		if reason == ReasonNoBudget && !m.budget(r.service.Name).TryWithdraw(m.now) {
-			cmds = append(cmds, m.waitOrCut(r, reason)...)
+		reason := r.waitReason
+		r.waitReason = ""
+		if reason == ReasonNoRetryBudget && !m.budget(r.service.Name).TryWithdraw(m.now) {
+			cmds = append(cmds, m.waitOrAbort(r, reason)...)
 			continue
 		}
 		next := m.resend(r)
-		if r.afterRest && slices.ContainsFunc(next, isSend) {
-			left--
+		if r.afterBackOff && slices.ContainsFunc(next, isSendCmd) {
+			remaining--
 		}
 		cmds = append(cmds, next...)
 	}
 	return cmds
 }
 
-// waiting returns the streams that wait, the most urgent first.
-func (m *Model) waiting() []*request {
+// waitingStreams returns the waiting streams by priority.
+func (m *Model) waitingStreams() []*request {
 	var list []*request
 	for _, id := range slices.Sorted(maps.Keys(m.requests)) {
-		if r := m.requests[id]; r.waitingFor != "" {
+		if r := m.requests[id]; r.waitReason != "" {
 			list = append(list, r)
 		}
 	}
@@ -77,9 +76,9 @@
 	return list
 }
 
-// resend sends a request again, if its key is still good.
+// resend sends a request again if its key is still valid.
 func (m *Model) resend(r *request) []Cmd {
-	if cmds := m.admitKey(r); cmds != nil {
+	if cmds := m.checkKey(r); cmds != nil {
 		return cmds
 	}
 	return m.send(r)
