--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -82,7 +82,7 @@
 func (m *Model) unbegin(r *request) {
 	r.begun = false
 	if r.key != nil {
-		r.key.ledger.Undo(r.key.claim.Sequence)
+		r.key.ledger.UndoBegin(r.key.claim.Sequence)
 	}
 }
 
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -73,7 +73,7 @@
 func (m *Model) awaitPlace(r *request) []Cmd {
 	q := m.placeQueue(r.service.Name)
 	rank := min(max(r.priority(), 0), fairqueue.Priorities-1)
-	ahead := q.Ahead(rank) + q.LenOf(rank, r.account.Name)
+	ahead := q.Ahead(rank) + q.AccountLen(rank, r.account.Name)
 	if r.left(m.now) < m.placeWithin(r, ahead) {
 		return m.giveUp(r, ReasonNoPlace)
 	}
