--- a/once/fuzz_test.go
+++ b/once/fuzz_test.go
@@ -7,7 +7,7 @@
 	"github.com/hoistjunction/hoistjunction/once"
 )
 
-// keyExamples are keys like those that callers send.
+// keyExamples returns a valid ticket, a truncated ticket and a key chosen by a caller.
 func keyExamples() [][]byte {
 	l := once.New(once.WithIncarnation(7), once.WithSecret([]byte("s")))
 	return [][]byte{[]byte(l.IssueTicket("clinic").String()), []byte("hjt1-"), []byte("order-17")}
@@ -16,7 +16,7 @@
 func checkRoundTrip(t *testing.T, key string) {
 	ticket, ok := once.ParseTicket(key)
 	if ok && ticket.String() != key {
-		t.Errorf("got ticket %q from key %q, want the same text", ticket, key)
+		t.Errorf("got ticket %q, want key %q unchanged", ticket, key)
 	}
 }
 
@@ -27,36 +27,36 @@
 	f.Fuzz(checkRoundTrip)
 }
 
-func TestParseTicketOnManyInputs(t *testing.T) {
+func TestParseTicketWithMutatedInputs(t *testing.T) {
 	fixedseed.Mutate(keyExamples(), func(input []byte) { checkRoundTrip(t, string(input)) })
 }
 
-func TestLedgerGivesUpTheLowestNumbers(t *testing.T) {
+func TestLedgerEvictsLowestNumbers(t *testing.T) {
 	l := once.New(once.WithIncarnation(7), once.WithCapacity(2))
-	first := l.NewClaim()
-	if !l.Begin(first.Sequence) || l.Begin(first.Sequence) {
-		t.Error("got another answer than yes once, want yes once")
+	claim := l.NewClaim()
+	if !l.Begin(claim.Sequence) || l.Begin(claim.Sequence) {
+		t.Error("got a failed first Begin or a successful second one, want true, then false")
 	}
 	l.NewClaim()
 	l.NewClaim()
-	if got := l.State(first.Sequence); got != once.Evicted {
-		t.Errorf("got state %d, want forgotten", got)
+	if got := l.State(claim.Sequence); got != once.Evicted {
+		t.Errorf("got state %d for the lowest number, want evicted", got)
 	}
-	if l.Begin(first.Sequence) {
-		t.Error("got leave to begin a forgotten number, want none")
+	if l.Begin(claim.Sequence) {
+		t.Error("got true from Begin for an evicted number, want false")
 	}
 	if got := l.State(99); got != once.NeverIssued {
-		t.Errorf("got state %d for a number never issued, want never issued", got)
+		t.Errorf("got state %d for a number that was not issued, want never issued", got)
 	}
 }
 
-func TestTicketBelongsToItsAccount(t *testing.T) {
+func TestTicketIsBoundToAccount(t *testing.T) {
 	l := once.New(once.WithIncarnation(7), once.WithSecret([]byte("s")))
 	ticket := l.IssueTicket("clinic")
 	if !l.Verify(ticket, "clinic") {
-		t.Error("got a ticket refused to its own account, want it verified")
+		t.Error("got a rejected ticket of the same account, want it verified")
 	}
 	if l.Verify(ticket, "radio") {
-		t.Error("got a ticket verified for another account, want it refused")
+		t.Error("got a verified ticket of another account, want it rejected")
 	}
 }
--- a/once/key.go
+++ b/once/key.go
@@ -9,32 +9,33 @@
 	"strings"
 )
 
-// ticketPrefix marks a key as one that a node has issued.
+// ticketPrefix marks a key as a ticket issued by a node.
 const ticketPrefix = "hjt1-"
 
-// Claim says which incarnation of a node may run a key, and under which of
-// that incarnation's sequence numbers. A key has one Claim for ever: either
-// it is written in the key (a ticket), or the platform's table holds it.
+// Claim identifies the only node incarnation that may execute a key, and the key's
+// sequence number in that incarnation. A key's claim never changes: it is part of the
+// key (a ticket) or stored in the platform's table.
 type Claim struct {
 	Owner    uint64 `json:"owner"`
 	Sequence uint64 `json:"sequence"`
 }
 
-// Ticket is a key that carries its claim in itself. The tag binds it to the
-// client account that it was issued to, so that no other account can use up
-// its sequence number.
+// Ticket is a key that contains its claim. The tag binds the ticket to the client
+// account that it was issued to, so that no other account can use up its sequence
+// number.
 type Ticket struct {
 	Claim Claim
 	Tag   uint64
 }
 
-// String returns the ticket as callers see it.
+// String returns the key that callers send for the ticket.
 func (t Ticket) String() string {
 	return fmt.Sprintf("%s%016x-%x-%016x", ticketPrefix, t.Claim.Owner, t.Claim.Sequence, t.Tag)
 }
 
-// ParseTicket reads a ticket out of a key. It returns false for a key that a
-// caller has made up itself. It does not check the tag: only the owner can.
+// ParseTicket parses a key as a ticket. It returns false for a key that is not in the
+// form of a ticket. It does not check the tag, which only the owner can do with
+// Verify.
 func ParseTicket(key string) (Ticket, bool) {
 	rest, ok := strings.CutPrefix(key, ticketPrefix)
 	if !ok {
@@ -56,13 +57,13 @@
 	return t, t.String() == key
 }
 
-// IssueTicket makes a ticket for a client account.
+// IssueTicket returns a ticket with a new claim for a client account.
 func (l *Ledger) IssueTicket(account string) Ticket {
 	c := l.NewClaim()
 	return Ticket{Claim: c, Tag: l.ticketTag(c, account)}
 }
 
-// Verify reports whether this incarnation issued a ticket to an account.
+// Verify reports whether this incarnation issued the ticket to the account.
 func (l *Ledger) Verify(t Ticket, account string) bool {
 	return l.Owns(t.Claim) && l.ticketTag(t.Claim, account) == t.Tag
 }
--- a/once/snapshot.go
+++ b/once/snapshot.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// Snapshot is all that a ledger knows, to be handed over to another node when
-// its own stops as planned. Whoever hands it over must begin nothing more.
+// Snapshot is the full content of a ledger. A node that stops as planned sends it to
+// another node in a handover, after which it must not begin any further sequence
+// number.
 type Snapshot struct {
 	Incarnation uint64   `json:"incarnation"`
 	Next        uint64   `json:"next"`
@@ -12,7 +13,7 @@
 	Secret      []byte   `json:"secret"`
 }
 
-// Snapshot returns all that the ledger knows. Begun is in rising order.
+// Snapshot returns the ledger's content. Begun is in ascending order.
 func (l *Ledger) Snapshot() Snapshot {
 	s := Snapshot{Incarnation: l.incarnation, Next: l.next, Floor: l.floor, Secret: l.secret}
 	for sequence := range l.begun {
@@ -22,13 +23,13 @@
 	return s
 }
 
-// EvictAll gives up all sequence numbers: none may begin any more.
+// EvictAll evicts every issued sequence number, so that none of them can begin.
 func (l *Ledger) EvictAll() {
 	l.floor = l.next
 	clear(l.begun)
 }
 
-// Restore returns a ledger that goes on where a snapshot was taken.
+// Restore returns a ledger with the content of a snapshot.
 func Restore(s Snapshot) *Ledger {
 	l := New(WithIncarnation(s.Incarnation), WithSecret(s.Secret))
 	l.next, l.floor = s.Next, s.Floor
--- a/once/state.go
+++ b/once/state.go
@@ -1,15 +1,16 @@
 package once
 
-// State is what a Ledger knows of a sequence number.
+// State is the state of a sequence number in a Ledger.
 type State uint8
 
 const (
-	// NotBegun means that it has not begun and may.
+	// NotBegun means that the number was issued and may begin.
 	NotBegun State = iota
-	// Begun means that it has begun and may not again.
+	// Begun means that the number has begun and may not begin again.
 	Begun
-	// Evicted means that it is too old to tell. It may not begin.
+	// Evicted means that the number was dropped from the ledger. Whether it had begun
+	// is not known, and it may not begin.
 	Evicted
-	// NeverIssued means that this incarnation did not give it out.
+	// NeverIssued means that this incarnation has not issued the number.
 	NeverIssued
 )
