--- a/callkey/callkey.go
+++ b/callkey/callkey.go
@@ -1,35 +1,37 @@
-// Package callkey names the HTTP headers that the system and those around it
-// share. docs/CALLERS.md describes them.
+// Package callkey defines the names of the HTTP headers that callers, nodes and plain
+// services exchange. docs/CALLERS.md describes them.
 package callkey
 
 // Headers of callers' requests.
 const (
-	// IdempotencyKey carries the caller's key. A request with a key runs at most
-	// once.
+	// IdempotencyKey is the key chosen by the caller or the ticket of a request. A
+	// request with a key executes at most once.
 	IdempotencyKey = "Idempotency-Key"
-	// NoRepeat marks a request as not to be repeated, with or without a key.
+	// NoRepeat marks a request that must not be repeated, with or without a key.
 	NoRepeat = "Hoist-No-Repeat"
-	// Try is how often the caller has sent this key, counting this time. Only
-	// 1 says something: that no earlier try can have run.
+	// Try is the number of times that the caller has sent this key, including this
+	// request. Only the value 1 has an effect: it states that no earlier request with
+	// the key can have executed.
 	Try = "Hoist-Try"
-	// Priority asks for a later priority than the account's own.
+	// Priority requests a lower priority than the default of the client account.
 	Priority = "Hoist-Priority"
-	// Deadline is how long the caller will wait, in milliseconds.
+	// Deadline is how long the caller waits for the response, in milliseconds.
 	Deadline = "Hoist-Deadline-Ms"
 )
 
-// Headers of answers.
+// Headers of responses to callers.
 const (
-	// Outcome is done, not_run, failed or unknown.
+	// Outcome is the outcome of the request: done, not_run, failed or unknown.
 	Outcome = "Hoist-Outcome"
-	// Reason says why.
+	// Reason is the reason for an outcome other than done.
 	Reason = "Hoist-Reason"
-	// RetryAfter is when to ask again, in milliseconds.
+	// RetryAfter is the time to wait before a retry, in milliseconds.
 	RetryAfter = "Hoist-Retry-After-Ms"
-	// RequestID names the request in the node's logs.
+	// RequestID identifies the request in the logs of the node.
 	RequestID = "Hoist-Request"
 )
 
-// Header carries the key on to a plain service. It is not named like a
-// caller's: net/http would take that for leave to send a request twice.
+// Header carries the key of a request to a plain service. It differs from
+// IdempotencyKey because net/http resends a request that has an Idempotency-Key header
+// when a reused connection breaks.
 const Header = "Hoist-Key"
