--- a/fairqueue/flow.go
+++ b/fairqueue/flow.go
@@ -1,12 +1,12 @@
 package fairqueue
 
-// entry is a waiting item with its virtual start time.
+// entry is a waiting item with its start tag in virtual time.
 type entry[T any] struct {
 	value    T
 	startTag float64
 }
 
-// flow is one account's line at one priority.
+// flow is the queue of one account, identified by name, at one priority.
 type flow[T any] struct {
 	name      string
 	weight    float64
@@ -14,8 +14,8 @@
 	items     []entry[T]
 }
 
-// flowHeap orders accounts by the virtual start of their first item, and by
-// name where that is equal, so that a replay pops in the same order.
+// flowHeap orders accounts by the start tag of their first item. Ties are broken by
+// account name, so that a replay pops items in the same order.
 type flowHeap[T any] []*flow[T]
 
 func (h flowHeap[T]) Len() int      { return len(h) }
@@ -28,10 +28,10 @@
 	return h[i].name < h[j].name
 }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (h *flowHeap[T]) Push(x any) { *h = append(*h, x.(*flow[T])) }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (h *flowHeap[T]) Pop() any {
 	old := *h
 	last := old[len(old)-1]
--- a/fairqueue/push_option.go
+++ b/fairqueue/push_option.go
@@ -1,6 +1,6 @@
 package fairqueue
 
-// PushOption says how an item is to be queued.
+// PushOption sets a property of a pushed item.
 type PushOption func(*pushOptions)
 
 type pushOptions struct {
@@ -10,8 +10,8 @@
 	cost     float64
 }
 
-// WithAccount names the client account that the item counts for, and its
-// weight among accounts of the same priority.
+// WithAccount sets the client account of the item, and the weight of the account among
+// the accounts of the same priority. A weight below 1 counts as 1.
 func WithAccount(name string, weight float64) PushOption {
 	return func(p *pushOptions) {
 		p.account = name
@@ -19,11 +19,12 @@
 	}
 }
 
-// WithPriority sets the level, from 0 (first) to Priorities-1.
+// WithPriority sets the level, from 0 (served first) to Priorities-1. Other values are
+// clamped to that range.
 func WithPriority(priority int) PushOption {
 	return func(p *pushOptions) { p.priority = min(max(priority, 0), Priorities-1) }
 }
 
-// WithCost sets how much work the item is, in any unit that is the same for
-// all items; tokens, say.
+// WithCost sets the cost of serving the item, in a unit common to all items, such as
+// tokens.
 func WithCost(cost float64) PushOption { return func(p *pushOptions) { p.cost = cost } }
--- a/fairqueue/queue.go
+++ b/fairqueue/queue.go
@@ -1,11 +1,11 @@
-// Package fairqueue orders waiting requests: strictly by priority, and inside
-// a priority by weighted fair shares among client accounts.
+// Package fairqueue orders waiting requests strictly by priority and, within a
+// priority, by weighted fair shares among client accounts.
 //
-// It is start-time fair queueing (Goyal, Vin and Cheng, 1996). Each account
-// has a virtual time that advances by cost/weight with every item it has had
-// served, so an account that sends much waits behind its own requests and not
-// in front of everybody else's. A share that nobody asks for is lent: an idle
-// account keeps no credit.
+// It implements start-time fair queueing (Goyal, Vin and Cheng, 1996). The virtual
+// time of an account advances by cost/weight for each of its items that is served.
+// An account that sends many items therefore delays its own items rather than
+// those of other accounts. The unused share of an idle account goes to the active
+// ones, and the idle account accumulates no credit.
 //
 //	q := fairqueue.New[string]()
 //	q.Push("order", fairqueue.WithAccount("market", 2), fairqueue.WithCost(30))
@@ -14,24 +14,23 @@
 
 import "container/heap"
 
-// Priorities is the number of priority levels, 0 being served first.
+// Priorities is the number of priority levels. Level 0 is served first.
 const Priorities = 10
 
-// Queue holds waiting items. It is not safe for concurrent use.
+// Queue is a priority queue with fair shares. It is not safe for concurrent use.
 type Queue[T any] struct {
 	levels [Priorities]level[T]
 	length int
 	fifo   bool
 }
 
-// Option sets up a Queue.
+// Option configures a Queue.
 type Option func(*options)
 
 type options struct{ fifo bool }
 
-// WithArrivalOrder makes the queue serve in order of arrival, whatever the
-// account and priority. It is the baseline that fair shares are measured
-// against.
+// WithArrivalOrder makes the queue serve items in order of arrival and ignore account,
+// priority and cost. It is the baseline for measurements of fair shares.
 func WithArrivalOrder() Option { return func(o *options) { o.fifo = true } }
 
 // New returns an empty queue.
@@ -50,7 +49,7 @@
 // Len returns the number of waiting items.
 func (q *Queue[T]) Len() int { return q.length }
 
-// AccountLen returns how many items an account has waiting at a priority.
+// AccountLen returns the number of waiting items of an account at a priority.
 func (q *Queue[T]) AccountLen(priority int, account string) int {
 	f := q.levels[priority].flows[account]
 	if f == nil {
@@ -59,8 +58,7 @@
 	return len(f.items)
 }
 
-// Ahead returns how many items are certain to be served before a priority:
-// those that wait at earlier ones.
+// Ahead returns the number of waiting items at the levels served before a priority.
 func (q *Queue[T]) Ahead(priority int) int {
 	n := 0
 	for p := range priority {
@@ -69,8 +67,9 @@
 	return n
 }
 
-// ActiveWeight returns the summed weights of the accounts that wait at a priority,
-// counting the named one with the given weight even if it does not wait yet.
+// ActiveWeight returns the sum of the weights of the accounts with waiting items at a
+// priority. It includes the given account, with the given weight if that account has
+// no waiting items.
 func (q *Queue[T]) ActiveWeight(priority int, account string, weight float64) float64 {
 	l := &q.levels[priority]
 	sum := l.weight
@@ -80,7 +79,7 @@
 	return sum
 }
 
-// Push adds an item.
+// Push adds an item to the queue.
 func (q *Queue[T]) Push(item T, opts ...PushOption) {
 	p := pushOptions{account: "", weight: 1, cost: 1}
 	for _, opt := range opts {
@@ -93,7 +92,7 @@
 	q.length++
 }
 
-// Peek returns the item that Pop would return.
+// Peek returns the item that Pop would return, or false if the queue is empty.
 func (q *Queue[T]) Peek() (T, bool) {
 	for i := range q.levels {
 		if q.levels[i].length > 0 {
@@ -104,7 +103,7 @@
 	return zero, false
 }
 
-// Pop removes the item that is served next.
+// Pop removes and returns the next item to be served, or false if the queue is empty.
 func (q *Queue[T]) Pop() (T, bool) {
 	for i := range q.levels {
 		if q.levels[i].length > 0 {
@@ -116,21 +115,23 @@
 	return zero, false
 }
 
-// RemoveIf removes every waiting item that the predicate holds for. It takes
-// time in proportion to the queue, so it is called once a tick at most.
-func (q *Queue[T]) RemoveIf(drop func(T) bool) {
+// RemoveIf removes every waiting item for which the predicate returns true. It runs in
+// time linear in the length of the queue, so it should run at most once per tick.
+func (q *Queue[T]) RemoveIf(remove func(T) bool) {
 	for i := range q.levels {
-		q.length -= q.levels[i].removeIf(drop)
+		q.length -= q.levels[i].removeIf(remove)
 	}
 }
 
-// level is one priority: its accounts, and a heap of those with items.
+// level is the queue of one priority: its accounts, and a heap of the accounts with
+// waiting items.
 type level[T any] struct {
 	flows       map[string]*flow[T]
 	active      flowHeap[T]
 	virtualTime float64
 	length      int
-	weight      float64
+	// weight is the sum of the weights of the accounts with waiting items.
+	weight float64
 }
 
 func (l *level[T]) push(item T, p pushOptions) {
@@ -139,9 +140,9 @@
 		f = &flow[T]{name: p.account}
 		l.flows[p.account] = f
 	}
-	start := max(l.virtualTime, f.finishTag)
-	f.finishTag = start + p.cost/p.weight
-	f.items = append(f.items, entry[T]{value: item, startTag: start})
+	startTag := max(l.virtualTime, f.finishTag)
+	f.finishTag = startTag + p.cost/p.weight
+	f.items = append(f.items, entry[T]{value: item, startTag: startTag})
 	l.length++
 	if len(f.items) == 1 {
 		f.weight = p.weight
@@ -165,9 +166,9 @@
 	return head.value
 }
 
-// deactivate takes an account out of the sums when nothing of it waits. An account
-// whose virtual time has been overtaken is forgotten, so that the map holds
-// only accounts that were busy of late.
+// deactivate subtracts the weight of an account that has no waiting items left. It
+// deletes an account whose finish tag the virtual time has reached, so that the map
+// holds only recently active accounts.
 func (l *level[T]) deactivate(f *flow[T]) {
 	l.weight -= f.weight
 	if l.length == 0 {
@@ -181,12 +182,12 @@
 	}
 }
 
-func (l *level[T]) removeIf(drop func(T) bool) int {
+func (l *level[T]) removeIf(remove func(T) bool) int {
 	removed := 0
 	for _, f := range l.active {
 		kept := f.items[:0]
 		for _, e := range f.items {
-			if !drop(e.value) {
+			if !remove(e.value) {
 				kept = append(kept, e)
 			}
 		}
--- a/fairqueue/queue_test.go
+++ b/fairqueue/queue_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m, nil) }
 
-func TestSharesFollowTheWeights(t *testing.T) {
+func TestSharesAreProportionalToWeights(t *testing.T) {
 	q := fairqueue.New[string]()
 	for range 300 {
 		q.Push("heavy", fairqueue.WithAccount("heavy", 3))
@@ -24,11 +24,11 @@
 		served[item]++
 	}
 	if got := served["heavy"]; got < 148 || got > 152 {
-		t.Errorf("got %d of 200 for weight 3 against 1, want about 150", got)
+		t.Errorf("got %d of 200 items for weight 3 against weight 1, want 148 to 152", got)
 	}
 }
 
-func TestLateComerDoesNotWaitBehindAFlood(t *testing.T) {
+func TestNewAccountIsServedBeforeBacklog(t *testing.T) {
 	q := fairqueue.New[string]()
 	for range 1000 {
 		q.Push("flood", fairqueue.WithAccount("flood", 1))
@@ -41,12 +41,12 @@
 		if item, _ := q.Pop(); item == "small" {
 			return
 		} else if i == 2 {
-			t.Error("got the small account behind three of the flood's, want it at once")
+			t.Error("got three items of the flooding account before the item of the small account, want at most two")
 		}
 	}
 }
 
-func TestPriorityGoesFirst(t *testing.T) {
+func TestHigherPriorityIsServedFirst(t *testing.T) {
 	q := fairqueue.New[int]()
 	for p := 9; p >= 0; p-- {
 		q.Push(p, fairqueue.WithPriority(p))
@@ -58,40 +58,40 @@
 	}
 }
 
-// TestQueueLosesNothing pushes, pops and removes at random: what comes out is
-// what went in, each account's items in their own order.
-func TestQueueLosesNothing(t *testing.T) {
+// TestQueueKeepsAllItemsInAccountOrder pushes, pops and removes items at random. It
+// fails if the queue loses an item, or pops the items of an account out of order.
+func TestQueueKeepsAllItemsInAccountOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := fairqueue.New[[2]int]()
 		waiting := make(map[int][]int)
-		serial, length := 0, 0
+		nextItem, length := 0, 0
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			switch rapid.IntRange(0, 5).Draw(t, "action") {
 			case 0, 1, 2:
 				account := rapid.IntRange(0, 4).Draw(t, "account")
-				q.Push([2]int{account, serial}, fairqueue.WithAccount(fmt.Sprint(account), float64(account+1)),
+				q.Push([2]int{account, nextItem}, fairqueue.WithAccount(fmt.Sprint(account), float64(account+1)),
 					fairqueue.WithCost(float64(rapid.IntRange(1, 50).Draw(t, "cost"))))
-				waiting[account] = append(waiting[account], serial)
-				serial++
+				waiting[account] = append(waiting[account], nextItem)
+				nextItem++
 				length++
 			case 3, 4:
 				item, ok := q.Pop()
 				if ok != (length > 0) {
-					t.Fatalf("got %v from a queue of %d, want the other", ok, length)
+					t.Fatalf("got ok %v from Pop on a queue of %d items, want the opposite", ok, length)
 				}
 				if !ok {
 					continue
 				}
 				if first := waiting[item[0]][0]; first != item[1] {
-					t.Fatalf("got item %d of account %d, want %d", item[1], item[0], first)
+					t.Fatalf("got item %d of account %d, want item %d", item[1], item[0], first)
 				}
 				waiting[item[0]] = waiting[item[0]][1:]
 				length--
 			case 5:
-				drop := rapid.IntRange(0, 4).Draw(t, "dropped")
-				q.RemoveIf(func(item [2]int) bool { return item[0] == drop })
-				length -= len(waiting[drop])
-				waiting[drop] = nil
+				removed := rapid.IntRange(0, 4).Draw(t, "dropped")
+				q.RemoveIf(func(item [2]int) bool { return item[0] == removed })
+				length -= len(waiting[removed])
+				waiting[removed] = nil
 			}
 			if q.Len() != length {
 				t.Fatalf("got length %d, want %d", q.Len(), length)
