--- a/entry/admin_server.go
+++ b/entry/admin_server.go
@@ -17,13 +17,14 @@
 	"github.com/hoistjunction/hoistjunction/wire/wireconnect"
 )
 
-// proposeTimeout bounds an operator's wait; the core answers before.
+// proposeTimeout bounds the wait for the reply to a proposal. The model replies
+// earlier.
 const proposeTimeout = 10 * time.Second
 
-// operatorKey is where the guard leaves the operator's name for the calls.
+// operatorKey is the context key of the authenticated operator's name.
 type operatorKey struct{}
 
-// adminServer serves operators, and hoistburn.
+// adminServer serves operators and the hoistburn tool.
 type adminServer struct {
 	log       *logging.Log
 	loop      *modelLoop
@@ -42,7 +43,8 @@
 	return mux
 }
 
-// authenticate lets operators through, and notes who it is.
+// authenticate rejects requests without an operator's token, and adds the operator's
+// name to the context.
 func (s *adminServer) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		name, ok := operatorByToken(s.operators, bearerToken(r.Header.Get("Authorization")))
@@ -59,7 +61,7 @@
 	return name
 }
 
-// burn answers with the counts that hoistburn reads.
+// burn writes the counts that hoistburn reads.
 func (s *adminServer) burn(w http.ResponseWriter, _ *http.Request) {
 	lines := []burn.Line{}
 	s.loop.query(func(m *core.Model) { lines = append(lines, m.Burn()...) })
@@ -67,9 +69,9 @@
 	_ = json.NewEncoder(w).Encode(lines)
 }
 
-// Propose implements the operators' protocol.
+// Propose implements wireconnect.AdminHandler.
 func (s *adminServer) Propose(ctx context.Context, req *connect.Request[wire.ProposeRequest]) (*connect.Response[wire.ProposeReply], error) {
-	call, answer := s.proposals.open()
+	call, replies := s.proposals.open()
 	defer s.proposals.close(call)
 	s.loop.post(core.ProposeMsg{
 		Call: call, ChangeID: req.Msg.GetChangeId(), Base: req.Msg.GetBaseVersion(),
@@ -80,14 +82,14 @@
 	select {
 	case <-ctx.Done():
 		return nil, connect.NewError(connect.CodeUnavailable, ctx.Err())
-	case reply := <-answer:
+	case reply := <-replies:
 		s.log.Info("proposal", zap.String("operator", operatorFrom(ctx)), zap.String("change", req.Msg.GetChangeId()),
 			zap.Stringer("state", reply.GetState()), zap.Uint64("version", reply.GetVersion()))
 		return connect.NewResponse(reply), nil
 	}
 }
 
-// GetConfig implements the operators' protocol.
+// GetConfig implements wireconnect.AdminHandler.
 func (s *adminServer) GetConfig(_ context.Context, req *connect.Request[wire.GetConfigRequest]) (*connect.Response[wire.GetConfigReply], error) {
 	reply := &wire.GetConfigReply{}
 	if !s.loop.query(func(m *core.Model) { reply.Config = m.ConfigAt(req.Msg.GetVersion()) }) {
@@ -99,7 +101,7 @@
 	return connect.NewResponse(reply), nil
 }
 
-// History implements the operators' protocol.
+// History implements wireconnect.AdminHandler.
 func (s *adminServer) History(_ context.Context, req *connect.Request[wire.HistoryRequest]) (*connect.Response[wire.HistoryReply], error) {
 	reply := &wire.HistoryReply{}
 	if !s.loop.query(func(m *core.Model) { reply.Records = m.History(int(req.Msg.GetLimit())) }) {
@@ -108,7 +110,7 @@
 	return connect.NewResponse(reply), nil
 }
 
-// Status implements the operators' protocol.
+// Status implements wireconnect.AdminHandler.
 func (s *adminServer) Status(context.Context, *connect.Request[wire.StatusRequest]) (*connect.Response[wire.StatusReply], error) {
 	var reply *wire.StatusReply
 	if !s.loop.query(func(m *core.Model) { reply = m.Status() }) {
@@ -117,13 +119,13 @@
 	return connect.NewResponse(reply), nil
 }
 
-// MarkLeaving implements the operators' protocol.
+// MarkLeaving implements wireconnect.AdminHandler.
 func (s *adminServer) MarkLeaving(ctx context.Context, req *connect.Request[wire.MarkLeavingRequest]) (*connect.Response[wire.MarkLeavingReply], error) {
-	known := false
-	if !s.loop.query(func(m *core.Model) { known = m.Knows(req.Msg.GetUpstream()) }) {
+	exists := false
+	if !s.loop.query(func(m *core.Model) { exists = m.Knows(req.Msg.GetUpstream()) }) {
 		return nil, errStopping()
 	}
-	if !known {
+	if !exists {
 		return nil, connect.NewError(connect.CodeNotFound, ErrUpstreamNotFound)
 	}
 	s.log.Info("mark_leaving", zap.String("operator", operatorFrom(ctx)), zap.String("upstream", req.Msg.GetUpstream()))
@@ -131,14 +133,14 @@
 	return connect.NewResponse(&wire.MarkLeavingReply{}), nil
 }
 
-// Drain implements the operators' protocol.
+// Drain implements wireconnect.AdminHandler.
 func (s *adminServer) Drain(ctx context.Context, _ *connect.Request[wire.DrainRequest]) (*connect.Response[wire.DrainReply], error) {
 	s.log.Info("drain", zap.String("operator", operatorFrom(ctx)))
 	s.loop.post(core.DrainMsg{})
 	return connect.NewResponse(&wire.DrainReply{}), nil
 }
 
-// SetLogLevel implements the operators' protocol.
+// SetLogLevel implements wireconnect.AdminHandler.
 func (s *adminServer) SetLogLevel(_ context.Context, req *connect.Request[wire.SetLogLevelRequest]) (*connect.Response[wire.SetLogLevelReply], error) {
 	if err := s.log.SetLevel(req.Msg.GetLevel()); err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
@@ -146,7 +148,7 @@
 	return connect.NewResponse(&wire.SetLogLevelReply{}), nil
 }
 
-// Recording implements the operators' protocol.
+// Recording implements wireconnect.AdminHandler.
 func (s *adminServer) Recording(context.Context, *connect.Request[wire.RecordingRequest]) (*connect.Response[wire.RecordingReply], error) {
 	lines, dropped, err := s.recorder.Lines()
 	if err != nil {
--- a/entry/bearer.go
+++ b/entry/bearer.go
@@ -11,16 +11,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrCredentialsRequired is what a call with a missing or wrong token is refused
-// with. It says nothing about which of the two.
+// ErrCredentialsRequired means that the token of a call is missing or wrong. It does
+// not distinguish the two.
 var ErrCredentialsRequired = errors.New("entry: credentials required")
 
 const bearerPrefix = "Bearer "
 
-// bearerInterceptor puts a token on outgoing calls.
+// bearerInterceptor adds a bearer token to outgoing calls.
 type bearerInterceptor struct{ token string }
 
-// newBearerInterceptor returns an interceptor for clients that puts a token on every call.
+// newBearerInterceptor returns a client interceptor that adds a bearer token to every
+// call.
 func newBearerInterceptor(token string) connect.Interceptor { return &bearerInterceptor{token: token} }
 
 // WrapUnary implements connect.Interceptor.
@@ -45,20 +46,20 @@
 	return next
 }
 
-// bearerToken returns the token of an Authorization header.
+// bearerToken returns the token in an Authorization header.
 func bearerToken(header string) string {
 	token, _ := strings.CutPrefix(header, bearerPrefix)
 	return token
 }
 
-// operatorByToken returns the name of the operator whose token it is. Operators
-// are kept as SHA-256 in hexadecimal, by name.
+// operatorByToken returns the name of the operator with the token. The map holds the
+// SHA-256 of each operator's token in hexadecimal, by operator name.
 func operatorByToken(operators map[string]string, token string) (string, bool) {
 	sum := sha256.Sum256([]byte(token))
-	given := []byte(hex.EncodeToString(sum[:]))
+	tokenHash := []byte(hex.EncodeToString(sum[:]))
 	found, ok := "", false
 	for name, hash := range operators {
-		if subtle.ConstantTimeCompare(given, []byte(strings.ToLower(hash))) == 1 {
+		if subtle.ConstantTimeCompare(tokenHash, []byte(strings.ToLower(hash))) == 1 {
 			found, ok = name, true
 		}
 	}
--- a/entry/callers.go
+++ b/entry/caller_server.go
@@ -16,10 +16,10 @@
 	"github.com/hoistjunction/hoistjunction/outcome"
 )
 
-// ErrBadRequest means that a caller's request cannot be read.
+// ErrBadRequest means that a request cannot be parsed.
 var ErrBadRequest = errors.New("entry: bad request")
 
-// shedRetryAfter is when to come back after the ring before the decisions was
+// shedRetryAfter is the time to wait before a retry after the ring of submissions was
 // full.
 const shedRetryAfter clock.Millis = 250
 
@@ -29,11 +29,11 @@
 	loop         *modelLoop
 	mailboxes    *mailboxRegistry
 	maxBodyBytes int64
-	// openRequests has an item for each request that is open.
+	// openRequests is a semaphore with one item for each open request.
 	openRequests chan struct{}
 }
 
-// handler routes the callers' paths.
+// handler returns the handler for all paths of the caller port.
 func (s *callerServer) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/completions", s.limitOpenRequests(abortUnlessComplete(s.serveCompletions)))
@@ -44,18 +44,19 @@
 	return mux
 }
 
-// abortUnlessComplete makes a handler that tells whether it has ended its answer into one that
-// breaks the answer off if not. net/http would end it in good order: as an empty 200
-// where nothing is out, and as a whole stream where some is.
-func abortUnlessComplete(answer func(http.ResponseWriter, *http.Request) (ended bool)) http.HandlerFunc {
+// abortUnlessComplete wraps a handler that reports whether its response is complete,
+// and aborts the connection if it is not. net/http would end the response normally: as
+// an empty 200 if nothing was written, or as a complete stream if part of it was.
+func abortUnlessComplete(serve func(http.ResponseWriter, *http.Request) (complete bool)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if !answer(w, r) {
+		if !serve(w, r) {
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
-// limitOpenRequests sheds a request, before its body is read, when too many are open.
+// limitOpenRequests rejects a request before reading its body when the maximum number
+// of requests is open.
 func (s *callerServer) limitOpenRequests(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -69,7 +70,7 @@
 	}
 }
 
-// serveReady tells the balancer whether to send requests here.
+// serveReady reports to the load balancer whether the node accepts requests.
 func (s *callerServer) serveReady(w http.ResponseWriter, _ *http.Request) {
 	ready := false
 	s.loop.query(func(m *core.Model) { ready = m.Ready() })
@@ -80,7 +81,8 @@
 	_, _ = w.Write([]byte("ready\n"))
 }
 
-// submitFromHeaders reads what all requests have in their headers.
+// submitFromHeaders returns a submission with the fields that come from the request's
+// headers.
 func submitFromHeaders(r *http.Request) (core.SubmitMsg, error) {
 	msg := core.SubmitMsg{
 		KeyHash:  core.HashKey(bearerToken(r.Header.Get("Authorization"))),
@@ -113,8 +115,8 @@
 	return n, nil
 }
 
-// submit opens a mailbox and hands the message over. It returns false after
-// answering the caller itself, when there was no room.
+// submit opens a mailbox and submits the message to the model loop. If the ring of
+// submissions is full, it writes the response and returns false.
 func (s *callerServer) submit(w http.ResponseWriter, msg *core.SubmitMsg) (*mailbox, bool) {
 	caller, box := s.mailboxes.open()
 	msg.Caller = caller
@@ -127,7 +129,7 @@
 	return nil, false
 }
 
-// shedResult is the answer to a request that the decisions never saw.
+// shedResult is the result of a request that was rejected before it reached the model.
 func shedResult(msg *core.SubmitMsg) *core.FinishCmd {
 	f := &core.FinishCmd{Outcome: outcome.NotRun, Reason: core.ReasonShed, RetryAfter: shedRetryAfter}
 	if msg.Key != "" && !msg.FirstTry {
@@ -136,16 +138,17 @@
 	return f
 }
 
-// closeMailbox closes a mailbox, and tells the core that the caller has gone if it
-// left before its final word.
-func (s *callerServer) closeMailbox(caller uint64, final bool) {
+// closeMailbox closes the mailbox of a caller. If the caller disconnected before the
+// result arrived, it posts a cancellation to the model loop.
+func (s *callerServer) closeMailbox(caller uint64, finished bool) {
 	s.mailboxes.close(caller)
-	if !final {
+	if !finished {
 		s.loop.post(core.CancelMsg{Caller: caller})
 	}
 }
 
-// writeResult answers with a final word that is not the answer itself.
+// writeResult writes a result as the response: the response of a plain service if
+// there is one, otherwise an error.
 func (s *callerServer) writeResult(w http.ResponseWriter, f *core.FinishCmd) {
 	setOutcomeHeaders(w.Header(), f)
 	if f.Status != 0 {
@@ -163,7 +166,7 @@
 	}})
 }
 
-// writeBadRequest answers a request that cannot be read.
+// writeBadRequest writes the response to a request that cannot be parsed.
 func (s *callerServer) writeBadRequest(w http.ResponseWriter, status int, err error) {
 	s.log.Debug("bad_request", zap.Error(err))
 	w.Header().Set(callkey.Outcome, outcome.Failed.String())
@@ -187,7 +190,7 @@
 	}
 }
 
-// errorResponse is the JSON of a refusal or failure.
+// errorResponse is the JSON of a rejected or failed request.
 type errorResponse struct {
 	Error errorBody `json:"error"`
 }
--- a/entry/completions.go
+++ b/entry/completion_handler.go
@@ -12,11 +12,11 @@
 	"github.com/hoistjunction/hoistjunction/outcome"
 )
 
-// defaultMaxTokens stands for a caller that does not say.
+// defaultMaxTokens is the limit for a request without max_tokens.
 const defaultMaxTokens = 64
 
-// completionRequest is the JSON of a request to a pipeline. Prompt is for
-// /v1/completions, and Messages for /v1/chat/completions.
+// completionRequest is the JSON of a request to a pipeline. Prompt is used by
+// /v1/completions, and Messages by /v1/chat/completions.
 type completionRequest struct {
 	Model     string        `json:"model"`
 	Prompt    string        `json:"prompt"`
@@ -30,9 +30,9 @@
 	Content string `json:"content"`
 }
 
-// serveCompletions serves a request to a pipeline, streamed or in one piece. It returns
-// whether the answer has ended.
-func (s *callerServer) serveCompletions(w http.ResponseWriter, r *http.Request) (ended bool) {
+// serveCompletions serves a request to a pipeline, streamed or as one response. It
+// reports whether the response is complete.
+func (s *callerServer) serveCompletions(w http.ResponseWriter, r *http.Request) (complete bool) {
 	msg, err := submitFromHeaders(r)
 	if err != nil {
 		s.writeBadRequest(w, http.StatusBadRequest, err)
@@ -53,7 +53,7 @@
 	if !ok {
 		return true
 	}
-	defer func() { s.closeMailbox(msg.Caller, ended) }()
+	defer func() { s.closeMailbox(msg.Caller, complete) }()
 	if req.Stream {
 		return s.streamCompletion(w, r, box, req.Model)
 	}
@@ -72,8 +72,8 @@
 	return http.StatusBadRequest
 }
 
-// parseCompletion reads the JSON of a request to a pipeline. The messages of
-// a chat become one prompt.
+// parseCompletion parses the JSON of a request to a pipeline. It joins the messages of
+// a chat into one prompt.
 func parseCompletion(body []byte) (completionRequest, error) {
 	var req completionRequest
 	if err := json.Unmarshal(body, &req); err != nil {
@@ -96,18 +96,19 @@
 	return req, nil
 }
 
-// bufferCompletion waits for the whole answer. It returns whether there was a final word.
+// bufferCompletion waits for the result and writes the whole text as one response. It
+// returns false if the caller disconnects before the result arrives.
 func (s *callerServer) bufferCompletion(w http.ResponseWriter, r *http.Request, box *mailbox, model string) bool {
 	var text strings.Builder
 	var texts []string
 	for {
-		var final *core.FinishCmd
-		texts, final = box.take(texts)
+		var result *core.FinishCmd
+		texts, result = box.take(texts)
 		for _, t := range texts {
 			text.WriteString(t)
 		}
-		if final != nil {
-			s.writeCompletion(w, final, text.String(), model)
+		if result != nil {
+			s.writeCompletion(w, result, text.String(), model)
 			return true
 		}
 		select {
@@ -133,7 +134,8 @@
 	})
 }
 
-// completionResponse is the JSON of an answer, or of a piece of one.
+// completionResponse is the JSON of a whole response, or of one event of a streamed
+// response.
 type completionResponse struct {
 	Object  string             `json:"object"`
 	Model   string             `json:"model"`
--- a/entry/config.go
+++ b/entry/config.go
@@ -9,30 +9,31 @@
 	"github.com/hoistjunction/hoistjunction/settings"
 )
 
-// The words of policy.chooser.
+// Values of the policy.chooser setting.
 const (
 	chooserTwoChoices    = "two_choices"
 	chooserLeastInFlight = "least_in_flight"
 	chooserRoundRobin    = "round_robin"
 )
 
-// Config is an entry node's settings.
+// Config holds the settings of an entry node.
 type Config struct {
 	Name       string
 	DataCentre string
 	LogLevel   string
-	// Listen addresses; port 0 asks the kernel for one.
+	// Listen addresses. With port 0 the kernel chooses a free port.
 	CallerListen string
 	PeerListen   string
 	AdminListen  string
-	// PeerAdvertise is the address that peers are told, if not the listener's.
+	// PeerAdvertise is the address that the node announces to peers. If empty, it is
+	// the address of the peer listener.
 	PeerAdvertise   string
 	PeerSecret      string
 	PeerSeeds       []string
 	PlatformAddress string
 	MaxBodyBytes    int
-	// MaxRequests bounds the callers' requests that are open at a time, and
-	// with MaxBodyBytes the memory that they can take.
+	// MaxRequests bounds the concurrent requests of callers and, together with
+	// MaxBodyBytes, the memory for their bodies.
 	MaxRequests       int
 	Grace             clock.Millis
 	Seed              int
@@ -47,8 +48,8 @@
 	MaxQueue          int
 }
 
-// NewConfig returns a configuration with the defaults of a node that is made
-// without a settings file, as in tests.
+// NewConfig returns the default configuration of a node without a settings file, as
+// used in tests.
 func NewConfig() *Config {
 	return &Config{
 		Name: "node", DataCentre: "dc", LogLevel: "info",
@@ -58,7 +59,7 @@
 	}
 }
 
-// Defaults that are numbers.
+// Default values and upper bounds of numeric settings.
 const (
 	defaultMaxBodyBytes                   = 1 << 20
 	defaultMaxRequests                    = 8192
@@ -68,7 +69,7 @@
 	maxIntSetting                         = 1 << 30
 )
 
-// Settings declares every setting of an entry node.
+// Settings declares all settings of an entry node.
 func (c *Config) Settings() *settings.Set {
 	s := settings.NewSet()
 	s.String("node", "name", &c.Name, settings.Required())
@@ -106,7 +107,7 @@
 	s.OneOf("policy", "chooser", &c.Chooser, []string{chooserTwoChoices, chooserLeastInFlight, chooserRoundRobin}, settings.WithDefault(chooserTwoChoices))
 }
 
-// Load reads a settings file.
+// Load reads and validates a settings file.
 func (c *Config) Load(path string) (*settings.Set, error) {
 	s := c.Settings()
 	if err := s.Load(path); err != nil {
@@ -117,13 +118,13 @@
 	return s, c.validate()
 }
 
-// validate looks at what no single setting shows.
+// validate checks the constraints between settings.
 func (c *Config) validate() error {
 	if (c.TLSCert == "") != (c.TLSKey == "") {
-		return errors.Wrap(settings.ErrSettings, "[tls] cert and key go together: set both or neither")
+		return errors.Wrap(settings.ErrSettings, "[tls] cert and key must both be set or both be empty")
 	}
 	if c.TLSCert != "" && c.TLSCA == "" {
-		return errors.Wrap(settings.ErrSettings, "[tls] ca is missing: peers' certificates are checked against it")
+		return errors.Wrap(settings.ErrSettings, "[tls] ca is missing; it is required to verify the certificates of peers")
 	}
 	return nil
 }
--- a/entry/config_test.go
+++ b/entry/config_test.go
@@ -24,7 +24,7 @@
 	defer cancel()
 	resp, err := bed.Admin(n).Propose(ctx, connect.NewRequest(req))
 	if err != nil {
-		t.Fatalf("got %v, want an answer to the proposal", err)
+		t.Fatalf("propose: got error %v, want none", err)
 	}
 	return resp.Msg
 }
@@ -33,12 +33,13 @@
 	t.Helper()
 	resp, err := bed.Admin(n).GetConfig(context.Background(), connect.NewRequest(&wire.GetConfigRequest{}))
 	if err != nil {
-		t.Fatalf("got %v, want the configuration", err)
+		t.Fatalf("get configuration: got error %v, want none", err)
 	}
 	return resp.Msg.GetConfig()
 }
 
-// awaitVersion waits until a node has a version in force.
+// awaitVersion waits until a version of the configuration, or a later one, is active
+// at a node.
 func awaitVersion(t *testing.T, bed *testbed.Bed, n *testbed.Node, want uint64) *wire.Config {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
@@ -46,11 +47,11 @@
 			return c
 		}
 	}
-	t.Fatalf("got version %d, want %d", activeConfig(t, bed, n).GetVersion(), want)
+	t.Fatalf("got active version %d, want at least %d", activeConfig(t, bed, n).GetVersion(), want)
 	return nil
 }
 
-func TestRacingOperatorsOneWinsEachVersion(t *testing.T) {
+func TestConcurrentProposalsOneWinsEachVersion(t *testing.T) {
 	bed := startTestbed(t, testbed.WithNodes(3))
 	base := activeConfig(t, bed, bed.Nodes[0]).GetVersion()
 	replies := make([]*wire.ProposeReply, 6)
@@ -70,7 +71,7 @@
 			accepted++
 			c := awaitVersion(t, bed, bed.Nodes[2], r.GetVersion())
 			if !hasAccount(c, fmt.Sprintf("racer-%d", i)) {
-				t.Errorf("change %d: got accepted and not in force", i)
+				t.Errorf("change %d: got accepted but missing from the active configuration", i)
 			}
 		case wire.ProposeState_PROPOSE_STATE_CONFLICT:
 		default:
@@ -78,7 +79,7 @@
 		}
 	}
 	if accepted != 1 {
-		t.Errorf("got %d accepted, want 1", accepted)
+		t.Errorf("got %d accepted proposals, want 1", accepted)
 	}
 }
 
@@ -91,61 +92,61 @@
 	return false
 }
 
-func TestLostCommitAnswerIsNotCommittedTwice(t *testing.T) {
+func TestLostCommitResponseIsNotCommittedTwice(t *testing.T) {
 	bed := startTestbed(t)
 	bed.Platform.SetFaults(standin.PlatformFaults{LoseAnswers: true})
 	testbed.After(t, 600*time.Millisecond, func() { bed.Platform.SetFaults(standin.PlatformFaults{}) })
 	base := activeConfig(t, bed, bed.Nodes[0]).GetVersion()
 	r := propose(t, bed, bed.Nodes[0], &wire.ProposeRequest{ChangeId: "lost", Changes: []*wire.Change{putAccount("late")}})
 	if r.GetState() != wire.ProposeState_PROPOSE_STATE_ACCEPTED || r.GetVersion() != base+1 {
-		t.Errorf("got %s at version %d, want accepted at %d", r.GetState(), r.GetVersion(), base+1)
+		t.Errorf("got state %s at version %d, want accepted at version %d", r.GetState(), r.GetVersion(), base+1)
 	}
 	again := propose(t, bed, bed.Nodes[1], &wire.ProposeRequest{ChangeId: "lost", Changes: []*wire.Change{putAccount("late")}})
 	if again.GetVersion() != base+1 {
-		t.Errorf("got version %d for the same change id, want %d", again.GetVersion(), base+1)
+		t.Errorf("got version %d for the repeated change id, want %d", again.GetVersion(), base+1)
 	}
 }
 
-func TestNodeStartedInAnOutageLearnsFromPeers(t *testing.T) {
+func TestNodeStartedInStoreOutageFetchesConfigFromPeers(t *testing.T) {
 	bed := startTestbed(t)
 	want := activeConfig(t, bed, bed.Nodes[0]).GetVersion()
 	bed.Platform.SetFaults(standin.PlatformFaults{Down: true})
 	n, err := bed.StartNode()
 	if err != nil {
-		t.Fatalf("got %v, want a node", err)
+		t.Fatalf("start node: got error %v, want none", err)
 	}
 	awaitVersion(t, bed, n, want)
 }
 
-func TestNodeCutOffFromTheStoreFollowsItsPeers(t *testing.T) {
+func TestNodeWithoutStoreFetchesConfigFromPeers(t *testing.T) {
 	bed := startTestbed(t)
 	base := activeConfig(t, bed, bed.Nodes[0]).GetVersion()
 	r := propose(t, bed, bed.Nodes[0], &wire.ProposeRequest{ChangeId: "before", Changes: []*wire.Change{putAccount("early")}})
 	bed.Platform.SetFaults(standin.PlatformFaults{Down: true})
 	awaitVersion(t, bed, bed.Nodes[1], base+1)
 	if r.GetState() != wire.ProposeState_PROPOSE_STATE_ACCEPTED {
-		t.Errorf("got %s, want accepted", r.GetState())
+		t.Errorf("got state %s, want accepted", r.GetState())
 	}
 	unknown := propose(t, bed, bed.Nodes[1], &wire.ProposeRequest{ChangeId: "during", Changes: []*wire.Change{putAccount("x")}})
 	if unknown.GetState() != wire.ProposeState_PROPOSE_STATE_UNKNOWN {
-		t.Errorf("got %s in the outage, want unknown", unknown.GetState())
+		t.Errorf("got state %s during the store outage, want unknown", unknown.GetState())
 	}
 }
 
-func TestInvalidConfigurationIsRefused(t *testing.T) {
+func TestInvalidConfigurationIsRejected(t *testing.T) {
 	bed := startTestbed(t)
 	for name, change := range map[string]*wire.Change{
-		"a gap between stages": {Edit: &wire.Change_PutPipeline{PutPipeline: &wire.Pipeline{
+		"layer gap between stages": {Edit: &wire.Change_PutPipeline{PutPipeline: &wire.Pipeline{
 			Name: "bad", Layers: 8, Stages: []*wire.Stage{{Pool: "low", LastLayer: 3}, {Pool: "high", FirstLayer: 5, LastLayer: 7}},
 		}}},
-		"a route to nowhere":  {Edit: &wire.Change_PutRoute{PutRoute: &wire.Route{Name: "bad", Pipeline: "none", FirstTokenMs: 1}}},
-		"a pipeline in use":   {Edit: &wire.Change_DeletePipeline{DeletePipeline: "model"}},
-		"a key without hash":  {Edit: &wire.Change_PutAccount{PutAccount: &wire.ClientAccount{Name: "bad", Weight: 1}}},
-		"deleting what isn't": {Edit: &wire.Change_DeleteAccount{DeleteAccount: "nobody"}},
+		"route to a missing pipeline":   {Edit: &wire.Change_PutRoute{PutRoute: &wire.Route{Name: "bad", Pipeline: "none", FirstTokenMs: 1}}},
+		"deletion of a pipeline in use": {Edit: &wire.Change_DeletePipeline{DeletePipeline: "model"}},
+		"account without key hash":      {Edit: &wire.Change_PutAccount{PutAccount: &wire.ClientAccount{Name: "bad", Weight: 1}}},
+		"deletion of a missing account": {Edit: &wire.Change_DeleteAccount{DeleteAccount: "nobody"}},
 	} {
 		r := propose(t, bed, bed.Nodes[0], &wire.ProposeRequest{ChangeId: name, Changes: []*wire.Change{change}})
 		if r.GetState() != wire.ProposeState_PROPOSE_STATE_INVALID || r.GetDetail() == "" {
-			t.Errorf("%s: got %s %q, want invalid with a reason", name, r.GetState(), r.GetDetail())
+			t.Errorf("%s: got state %s with detail %q, want invalid with a detail", name, r.GetState(), r.GetDetail())
 		}
 	}
 }
--- a/entry/watch.go
+++ b/entry/connection_trace.go
@@ -6,8 +6,9 @@
 	"sync/atomic"
 )
 
-// traceConnection notes whether a request made with the context ever had a connection.
-// While it had none, nothing of it can have reached the other end.
+// traceConnection returns a context that sets connected when a request made with it
+// gets a connection. While connected is false, no part of the request can have reached
+// the server.
 func traceConnection(ctx context.Context, connected *atomic.Bool) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
--- a/entry/doc.go
+++ b/entry/doc.go
@@ -1,17 +1,18 @@
-// Package entry is the shell around the core: it turns the world into
-// messages and carries commands out. It decides nothing.
+// Package entry connects the decision model of package core to the network. It
+// converts requests, responses and timer ticks into messages for the model and
+// executes the commands that the model returns. It makes no decisions itself.
 //
-// Each duty has goroutines of its own, joined by bounded rings:
+// Each task has its own goroutines, which communicate through bounded rings:
 //
-//	callers   HTTP handlers; offer submissions, wait at their mailbox
-//	decide    the only one that touches the core.Model
-//	engines   a writer and a reader for each engine's stream
-//	calls     one for each plain call in progress
-//	store     claims, commits and reads, one goroutine each
+//	callers   HTTP handlers; submit requests and wait at their mailboxes
+//	model     the only goroutine that accesses the core.Model
+//	engines   one writer and one reader for each engine's stream
+//	calls     one for each call to a plain service in progress
+//	store     one each for claims, commits, reads and the list of VMs
 //	peers     heartbeats, fetches and relays
 //	admin     operators' calls, metrics and health
 //
-// A full ring before the decisions sheds the submission with the outcome
-// not_run. Answers from engines wait for their turn instead; there are never
-// more of them than steps that have been sent.
+// When the ring of submissions is full, a submission is rejected with the outcome
+// not_run. Replies from engines wait for space in their ring instead; their number
+// is bounded by the number of steps sent.
 package entry
--- a/entry/execute.go
+++ b/entry/execute.go
@@ -6,8 +6,8 @@
 	"github.com/hoistjunction/hoistjunction/core"
 )
 
-// execute carries out a command. It never waits: what takes time goes to the
-// ring or the goroutine of its duty.
+// execute executes a command of the model. It never blocks: commands that take time
+// run in another goroutine, directly or through a ring.
 func (n *Node) execute(cmd core.Cmd) {
 	switch cmd := cmd.(type) {
 	case *core.EmitCmd:
@@ -53,7 +53,7 @@
 	n.postIfAny(n.store.enqueue(cmd))
 }
 
-// postIfAny brings a message that a command has brought about at once, if any.
+// postIfAny posts the message that a command produced synchronously, unless it is nil.
 func (n *Node) postIfAny(msg core.Msg) {
 	if msg != nil {
 		n.loop.postLocal(msg)
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -17,20 +17,20 @@
 func checkParseCompletion(t *testing.T, body []byte) {
 	req, err := parseCompletion(body)
 	if err != nil && !errors.Is(err, ErrBadRequest) {
-		t.Errorf("got %v, want ErrRequest", err)
+		t.Errorf("got error %v, want ErrBadRequest", err)
 	}
 	if err == nil && req.MaxTokens == 0 {
-		t.Errorf("got no tokens for %q, want the usual number", body)
+		t.Errorf("got max_tokens 0 for %q, want the default", body)
 	}
 }
 
-func FuzzCompletion(f *testing.F) {
+func FuzzParseCompletion(f *testing.F) {
 	for _, e := range completionExamples {
 		f.Add(e)
 	}
 	f.Fuzz(checkParseCompletion)
 }
 
-func TestCompletionOnManyInputs(t *testing.T) {
+func TestParseCompletionWithMutatedInputs(t *testing.T) {
 	fixedseed.Mutate(completionExamples, func(input []byte) { checkParseCompletion(t, input) })
 }
--- a/entry/left_test.go
+++ b/entry/half_close_test.go
@@ -13,16 +13,16 @@
 	"github.com/hoistjunction/hoistjunction/testbed"
 )
 
-// A caller that has closed its half of the connection has left, but it still reads.
-// net/http ends an answer in good order when its handler returns: such a caller got an
-// empty 200 where nothing had been answered, and a stream that ended without a break.
-// Found by reading the handlers for returns without a final word.
-func TestHalfClosedCallerSeesNoEnd(t *testing.T) {
+// A caller that has closed only its sending half of the connection counts as
+// disconnected, but still reads. net/http ends a response normally when its handler
+// returns, so such a caller received an empty 200 without a result, or a cut stream
+// that appeared complete.
+func TestHalfClosedCallerGetsNoCompleteResponse(t *testing.T) {
 	bed := startTolerantTestbed(t, testbed.WithNodes(1),
 		testbed.WithStages(testbed.Stages(1, slowEngine())...), testbed.WithServices(1, 300*time.Millisecond))
 	for _, tt := range []struct {
 		name, path, body string
-		begun            bool
+		streaming        bool
 	}{
 		{"service", "/v1/services/orders/confirm", `{"order":1}`, false},
 		{"completion", "/v1/completions", `{"model":"notices","prompt":"hola","max_tokens":400}`, false},
@@ -41,25 +41,25 @@
 				tt.path, testbed.KeyOf("clinic"), len(tt.body), tt.body); err != nil {
 				t.Fatal(err)
 			}
-			answer := bufio.NewReader(conn)
-			if tt.begun {
-				if _, err := answer.Peek(1); err != nil {
+			response := bufio.NewReader(conn)
+			if tt.streaming {
+				if _, err := response.Peek(1); err != nil {
 					t.Fatal(err)
 				}
 			}
 			if err := conn.(*net.TCPConn).CloseWrite(); err != nil {
 				t.Fatal(err)
 			}
-			resp, err := http.ReadResponse(answer, nil)
+			resp, err := http.ReadResponse(response, nil)
 			if err != nil {
 				return
 			}
 			defer func() { _ = resp.Body.Close() }()
 			body, err := io.ReadAll(resp.Body)
-			// On a slow machine the answer may have been there first.
-			final := resp.Header.Get("Hoist-Outcome") != "" || bytes.Contains(body, []byte("event: outcome"))
-			if err == nil && !final {
-				t.Errorf("got a complete answer %d of %d bytes, want none", resp.StatusCode, len(body))
+			// On a slow machine, the result may arrive before the half-close.
+			hasOutcome := resp.Header.Get("Hoist-Outcome") != "" || bytes.Contains(body, []byte("event: outcome"))
+			if err == nil && !hasOutcome {
+				t.Errorf("got a complete response with status %d and %d bytes but without outcome, want an aborted one", resp.StatusCode, len(body))
 			}
 		})
 	}
--- a/entry/handover.go
+++ b/entry/handover.go
@@ -11,7 +11,7 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// handover gives this node's keys to a peer.
+// handover sends this node's ledgers to a peer, which becomes the owner of their keys.
 func (p *peerCaller) handover(cmd *core.HandoverCmd) {
 	p.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(p.ctx, peerTimeout)
@@ -26,24 +26,25 @@
 	})
 }
 
-// Handover implements the peers' protocol. It answers once the model has taken
-// the keys over.
+// Handover implements wireconnect.PeerHandler. It replies after the model has taken
+// over the ledgers.
 func (s *peerServer) Handover(_ context.Context, req *connect.Request[wire.HandoverRequest]) (*connect.Response[wire.HandoverReply], error) {
 	msg := core.HandoverMsg{To: req.Msg.GetTo()}
 	for _, l := range req.Msg.GetLedgers() {
 		msg.Ledgers = append(msg.Ledgers, snapshotFromWire(l))
 	}
-	d := s.callers.loop
-	d.post(msg)
-	held := false
-	d.query(func(m *core.Model) { held = m.Holds(msg) })
-	if !held {
+	loop := s.callers.loop
+	loop.post(msg)
+	accepted := false
+	loop.query(func(m *core.Model) { accepted = m.Holds(msg) })
+	if !accepted {
 		return nil, errStopping()
 	}
 	return connect.NewResponse(&wire.HandoverReply{}), nil
 }
 
-// wireLedger writes the begun numbers as distances, which are small.
+// wireLedger converts a snapshot to its wire form, in which each begun number is the
+// difference from the previous one. Differences are small and encode in few bytes.
 func wireLedger(s once.Snapshot) *wire.Ledger {
 	l := &wire.Ledger{Incarnation: s.Incarnation, Next: s.Next, Floor: s.Floor, Secret: s.Secret}
 	last := uint64(0)
@@ -57,8 +58,8 @@
 func snapshotFromWire(l *wire.Ledger) once.Snapshot {
 	s := once.Snapshot{Incarnation: l.GetIncarnation(), Next: l.GetNext(), Floor: l.GetFloor(), Secret: l.GetSecret()}
 	last := uint64(0)
-	for _, distance := range l.GetBegun() {
-		last += distance
+	for _, difference := range l.GetBegun() {
+		last += difference
 		s.Begun = append(s.Begun, last)
 	}
 	return s
--- a/entry/input_test.go
+++ b/entry/input_test.go
@@ -13,7 +13,8 @@
 	"github.com/hoistjunction/hoistjunction/testbed"
 )
 
-// post sends a request as it stands and returns the status and the reason.
+// post sends a request with optional extra headers, without retries. It returns the
+// status, and the outcome and reason separated by a space.
 func post(t *testing.T, address, path, body string, headers ...string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+path, strings.NewReader(body))
@@ -27,14 +28,14 @@
 	transport := &http.Transport{DisableKeepAlives: true}
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
-		t.Fatalf("got %v, want an answer", err)
+		t.Fatalf("send request: got error %v, want none", err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	_, _ = io.Copy(io.Discard, resp.Body)
 	return resp.StatusCode, resp.Header.Get(callkey.Outcome) + " " + resp.Header.Get(callkey.Reason)
 }
 
-func TestBadInputGetsAClearAnswer(t *testing.T) {
+func TestBadInputGetsErrorResponse(t *testing.T) {
 	bed := startTestbed(t)
 	address := bed.Nodes[0].CallerAddress()
 	good := `{"model":"notices","prompt":"hola","max_tokens":2}`
@@ -52,79 +53,83 @@
 		{"wrong key", "/v1/completions", good, []string{"Authorization", "Bearer wrong"}, 401, "failed unauthorized"},
 		{"no key", "/v1/completions", good, []string{"Authorization", ""}, 401, "failed unauthorized"},
 		{"body too large", "/v1/completions", strings.Repeat("x", 2<<20), nil, 413, "failed bad_request"},
-		{"priority no number", "/v1/completions", good, []string{callkey.Priority, "high"}, 400, "failed bad_request"},
-		{"deadline below zero", "/v1/completions", good, []string{callkey.Deadline, "-1"}, 400, "failed bad_request"},
+		{"priority is not a number", "/v1/completions", good, []string{callkey.Priority, "high"}, 400, "failed bad_request"},
+		{"negative deadline", "/v1/completions", good, []string{callkey.Deadline, "-1"}, 400, "failed bad_request"},
 		{"priority out of range", "/v1/completions", good, []string{callkey.Priority, "10"}, 400, "failed bad_request"},
 		{"key too long", "/v1/completions", good, []string{callkey.IdempotencyKey, strings.Repeat("k", 300)}, 400, "failed bad_request"},
 		{"forged ticket", "/v1/completions", good, []string{callkey.IdempotencyKey, "hjt1-0000000000000001-1-0000000000000000", callkey.Try, "1"}, 502, "not_run owner_gone"},
-		{"no such path", "/v2/x", good, nil, 404, " "},
-		{"a good one after all that", "/v1/completions", good, nil, 200, "done "},
+		{"unknown path", "/v2/x", good, nil, 404, " "},
+		{"valid request after the invalid ones", "/v1/completions", good, nil, 200, "done "},
 	} {
 		status, got := post(t, address, c.path, c.body, c.headers...)
 		if status != c.status || got != c.outcome {
-			t.Errorf("%s: got %d %q, want %d %q", c.name, status, got, c.status, c.outcome)
+			t.Errorf("%s: got status %d and outcome %q, want status %d and outcome %q", c.name, status, got, c.status, c.outcome)
 		}
 	}
 }
 
-// TestDroppedConnectionsDisturbNobody hangs up at each point of a request.
-func TestDroppedConnectionsDisturbNobody(t *testing.T) {
+// TestDroppedConnectionsDoNotAffectOtherRequests closes connections at different
+// points of a request, leaves others open halfway through the body, and checks that
+// other requests get complete responses.
+func TestDroppedConnectionsDoNotAffectOtherRequests(t *testing.T) {
 	bed := startTolerantTestbed(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
 	address := bed.Nodes[0].CallerAddress()
 	body := `{"model":"notices","prompt":"hola","max_tokens":50,"stream":true}`
-	whole := fmt.Sprintf("POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s",
+	request := fmt.Sprintf("POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s",
 		testbed.KeyOf("clinic"), len(body), body)
-	for cut := 10; cut <= len(whole); cut += 40 {
-		sendAndClose(t, address, whole[:cut], false)
+	for cut := 10; cut <= len(request); cut += 40 {
+		sendAndClose(t, address, request[:cut], false)
 	}
 	for range 10 {
-		sendAndClose(t, address, whole, true)
+		sendAndClose(t, address, request, true)
 	}
 	for range 20 {
-		sendAndHold(t, address, whole[:len(whole)-5])
+		sendAndHold(t, address, request[:len(request)-5])
 	}
 	wantCorrect(t, runItems(bed, noticeRequests(10, 5)))
 }
 
+// sendAndClose sends a text on a new connection and closes it, optionally after the
+// first line of the response has arrived.
 func sendAndClose(t *testing.T, address, text string, readFirst bool) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
-		t.Fatalf("got %v, want a connection", err)
+		t.Fatalf("connect: got error %v, want none", err)
 	}
 	defer func() { _ = conn.Close() }()
 	if _, err := io.WriteString(conn, text); err != nil {
-		t.Fatalf("got %v, want the text sent", err)
+		t.Fatalf("send request text: got error %v, want none", err)
 	}
 	if readFirst {
 		_, _ = bufio.NewReader(conn).ReadString('\n')
 	}
 }
 
-// sendAndHold sends a part of a request and leaves the rest out until the test
-// ends, as a slow body does.
+// sendAndHold sends a part of a request and keeps the connection open until the end of
+// the test, like a client that sends its body slowly.
 func sendAndHold(t *testing.T, address, text string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
-		t.Fatalf("got %v, want a connection", err)
+		t.Fatalf("connect: got error %v, want none", err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
 	if _, err := io.WriteString(conn, text); err != nil {
-		t.Fatalf("got %v, want the text sent", err)
+		t.Fatalf("send request text: got error %v, want none", err)
 	}
 }
 
-func TestOperatorsNeedAToken(t *testing.T) {
+func TestAdminPathsRequireToken(t *testing.T) {
 	bed := startTestbed(t)
 	for _, path := range []string{"/debug/vars", "/debug/burn"} {
 		resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(newGetRequest(t, bed.Nodes[0].AdminAddress(), path))
 		if err != nil {
-			t.Fatalf("got %v, want an answer", err)
+			t.Fatalf("send request: got error %v, want none", err)
 		}
 		_ = resp.Body.Close()
 		if resp.StatusCode != http.StatusUnauthorized {
-			t.Errorf("%s: got %d without a token, want %d", path, resp.StatusCode, http.StatusUnauthorized)
+			t.Errorf("%s: got status %d without a token, want %d", path, resp.StatusCode, http.StatusUnauthorized)
 		}
 	}
 }
--- a/entry/mailbox.go
+++ b/entry/mailbox.go
@@ -7,9 +7,8 @@
 	"github.com/hoistjunction/hoistjunction/core"
 )
 
-// mailbox is where a caller's handler waits for its answer. It never blocks
-// the decisions: what the caller has not read yet is bounded by the length of
-// its answer.
+// mailbox buffers the response to one request for the caller's HTTP handler. It never
+// blocks the model loop: the length of the response bounds the unread content.
 type mailbox struct {
 	mu      sync.Mutex
 	texts   []string
@@ -48,14 +47,14 @@
 	b.signal()
 }
 
-// take returns what has come since the last take, and the final word if it is
-// there. It writes over the slice given.
-func (b *mailbox) take(into []string) ([]string, *core.FinishCmd) {
+// take returns the texts that arrived since the previous take, and the result once it
+// has arrived, otherwise nil. It overwrites the given slice.
+func (b *mailbox) take(buffer []string) ([]string, *core.FinishCmd) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	into = append(into[:0], b.texts...)
+	buffer = append(buffer[:0], b.texts...)
 	b.texts = slices.Delete(b.texts, 0, len(b.texts))
-	return into, b.result
+	return buffer, b.result
 }
 
 func (b *mailbox) grantedTickets() *core.TicketsCmd {
--- a/entry/mailroom.go
+++ b/entry/mailbox_registry.go
@@ -6,7 +6,8 @@
 	"github.com/hoistjunction/hoistjunction/core"
 )
 
-// mailboxRegistry finds mailboxes by the caller's number.
+// mailboxRegistry assigns caller numbers and delivers commands to the callers'
+// mailboxes.
 type mailboxRegistry struct {
 	mu         sync.Mutex
 	lastCaller uint64
@@ -17,7 +18,7 @@
 	return &mailboxRegistry{byCaller: make(map[uint64]*mailbox)}
 }
 
-// open returns a new mailbox and its caller's number.
+// open creates a mailbox and returns it with its caller number.
 func (r *mailboxRegistry) open() (uint64, *mailbox) {
 	box := newMailbox()
 	r.mu.Lock()
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -8,11 +8,11 @@
 	"github.com/hoistjunction/hoistjunction/core"
 )
 
-// shownPercentiles are what is shown of each histogram, in percent.
+// shownPercentiles lists the percentiles reported for each histogram.
 var shownPercentiles = []float64{50, 95, 99}
 
-// serveVars answers with every counter and histogram, in expvar's form. The maps
-// are this node's own, so that several nodes can run in one process.
+// serveVars writes all counters and histograms in the format of expvar. The maps
+// belong to this node, so that several nodes can run in one process.
 func (s *adminServer) serveVars(w http.ResponseWriter, _ *http.Request) {
 	node := new(expvar.Map).Init()
 	s.loop.query(func(m *core.Model) { addModelVars(node, m) })
--- a/entry/node.go
+++ b/entry/node.go
@@ -18,7 +18,7 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// Bounds of the listeners against callers that send slowly or not at all.
+// Limits of the listeners, which bound the cost of slow or idle clients.
 const (
 	readHeaderTimeout = 5 * time.Second
 	readTimeout       = 30 * time.Second
@@ -27,7 +27,8 @@
 	shutdownTimeout   = 2 * time.Second
 )
 
-// Node is an entry node: the core, and the shell around it.
+// Node is an entry node: the decision model, its event loop, and the servers and
+// clients that connect the loop to callers, peers, upstreams and the store.
 type Node struct {
 	config           *Config
 	log              *logging.Log
@@ -42,13 +43,15 @@
 	platform         *tablestore.Client
 	pendingProposals *proposalWaiters
 
-	caller  net.Listener
-	peer    net.Listener
-	admin   net.Listener
+	// Listeners for callers, peers and operators.
+	caller net.Listener
+	peer   net.Listener
+	admin  net.Listener
+	// drained is closed when a planned stop has finished.
 	drained chan struct{}
 }
 
-// NewNode binds the node's ports and builds it. Run makes it work.
+// NewNode binds the node's ports and creates its components. Run starts serving.
 func NewNode(c *Config, log *logging.Log) (*Node, error) {
 	n := &Node{
 		config: c, log: log, clock: clock.New(), mailboxes: newMailboxRegistry(), pendingProposals: newProposalWaiters(),
@@ -70,9 +73,9 @@
 
 func (n *Node) listen() error {
 	for _, l := range []struct {
-		into    *net.Listener
-		address string
-		what    string
+		listener *net.Listener
+		address  string
+		name     string
 	}{
 		{&n.caller, n.config.CallerListen, "caller"},
 		{&n.peer, n.config.PeerListen, "peer"},
@@ -81,10 +84,10 @@
 		listener, err := net.Listen("tcp", l.address)
 		if err != nil {
 			n.closeListeners()
-			return errors.Wrapf(err, "entry: cannot listen for %ss; choose another [%s] listen", l.what, l.what)
+			return errors.Wrapf(err, "entry: listen on the %s port; change the [%s] listen setting", l.name, l.name)
 		}
-		*l.into = listener
-		n.log.Info("listening", zap.String("port", l.what), zap.Stringer("address", listener.Addr()))
+		*l.listener = listener
+		n.log.Info("listening", zap.String("port", l.name), zap.Stringer("address", listener.Addr()))
 	}
 	return nil
 }
@@ -97,7 +100,7 @@
 	}
 }
 
-// buildComponents joins the duties.
+// buildComponents creates the event loop and the clients that post messages to it.
 func (n *Node) buildComponents() {
 	start := record.Start{
 		Node: n.nodeRecord(), Seed: uint64(n.config.Seed), Seeds: n.config.PeerSeeds,
@@ -115,8 +118,9 @@
 	n.store = newStoreWorker(n.platform, n.log, n.loop.post)
 }
 
-// nodeRecord is what the node says of itself. Its incarnation is 64 random bits:
-// the ownership of keys rests on no two being equal.
+// nodeRecord returns the record by which the node registers and identifies itself to
+// peers. The incarnation is 64 random bits: the ownership of keys requires that no two
+// incarnations are equal.
 func (n *Node) nodeRecord() *wire.NodeRecord {
 	address := n.config.PeerAdvertise
 	if address == "" {
@@ -133,18 +137,18 @@
 
 func randomBytes(n int) []byte {
 	b := make([]byte, n)
-	_, _ = rand.Read(b) // never fails, as its documentation says
+	_, _ = rand.Read(b) // crypto/rand.Read never returns an error
 	return b
 }
 
-// CallerAddress returns where callers are served.
+// CallerAddress returns the address of the listener for callers.
 func (n *Node) CallerAddress() string { return n.caller.Addr().String() }
 
-// PeerAddress returns where peers are served.
+// PeerAddress returns the address of the listener for peers.
 func (n *Node) PeerAddress() string { return n.peer.Addr().String() }
 
-// AdminAddress returns where operators are served.
+// AdminAddress returns the address of the listener for operators.
 func (n *Node) AdminAddress() string { return n.admin.Addr().String() }
 
-// Drain begins a planned stop. Run returns when nothing is in progress.
+// Drain starts a planned stop. Run returns when no request is in progress.
 func (n *Node) Drain() { n.loop.post(core.DrainMsg{}) }
--- a/entry/once_test.go
+++ b/entry/once_test.go
@@ -12,8 +12,8 @@
 	"github.com/hoistjunction/hoistjunction/testbed"
 )
 
-// wantOutcomesMatchRuns checks that a whole answer means that the key has run, and
-// "not run" that it has not.
+// wantOutcomesMatchRuns checks that a key with the outcome done was executed once, and
+// a key with the outcome not_run was not executed.
 func wantOutcomesMatchRuns(t *testing.T, bed *testbed.Bed, results []load.Result) {
 	t.Helper()
 	runs := make(map[string]int)
@@ -25,18 +25,18 @@
 	for _, r := range results {
 		n := runs[r.Item.Key]
 		if n > 1 {
-			t.Errorf("key %s: got %d runs, want at most 1", r.Item.Key, n)
+			t.Errorf("key %s: got %d executions, want at most 1", r.Item.Key, n)
 		}
 		if r.Outcome == outcome.Done && (n != 1 || !r.Correct) {
-			t.Errorf("key %s: got %d runs and a whole answer, want 1", r.Item.Key, n)
+			t.Errorf("key %s: got outcome done after %d executions, want a correct response after 1", r.Item.Key, n)
 		}
 		if r.Outcome == outcome.NotRun && n != 0 {
-			t.Errorf("key %s: got %d runs and \"not run\", want 0", r.Item.Key, n)
+			t.Errorf("key %s: got outcome not_run after %d executions, want 0", r.Item.Key, n)
 		}
 	}
 }
 
-func TestKeysRunOnceWhileNodesDie(t *testing.T) {
+func TestKeysRunAtMostOnceWhenANodeIsKilled(t *testing.T) {
 	bed := startTestbed(t, testbed.WithNodes(3), testbed.WithServices(2, 10*time.Millisecond))
 	items := orderRequests(150)
 	addresses := bed.Addresses()
@@ -45,11 +45,11 @@
 	wantOutcomesMatchRuns(t, bed, results)
 	done := load.Summarize(results).Done()
 	if len(addresses) != 3 || done < len(items)/2 {
-		t.Errorf("got %d of %d keys done, want most of them", done, len(items))
+		t.Errorf("got %d of %d keys done, want at least half", done, len(items))
 	}
 }
 
-func TestKeyAskedAtBothNodesAtOnce(t *testing.T) {
+func TestSameKeySentToBothNodesConcurrently(t *testing.T) {
 	bed := startTestbed(t, testbed.WithServices(1, 20*time.Millisecond))
 	client := load.NewClient()
 	defer client.Close()
@@ -57,9 +57,9 @@
 	for _, item := range orderRequests(20) {
 		for _, node := range bed.Addresses() {
 			wg.Go(func() {
-				answer, err := client.Send(context.Background(), node, testbed.KeyOf("clinic"), item, 2)
-				if err != nil || answer.Outcome != outcome.Done {
-					t.Errorf("key %s: got %s (%v), want the one answer at both nodes", item.Key, answer.Outcome, err)
+				response, err := client.Send(context.Background(), node, testbed.KeyOf("clinic"), item, 2)
+				if err != nil || response.Outcome != outcome.Done {
+					t.Errorf("key %s: got outcome %s (error %v), want done at both nodes", item.Key, response.Outcome, err)
 				}
 			})
 		}
@@ -67,11 +67,11 @@
 	wg.Wait()
 	wantAtMostOneRun(t, bed)
 	if got := bed.Services[0].Total(); got != 20 {
-		t.Errorf("got %d runs, want 20", got)
+		t.Errorf("got %d executions, want 20", got)
 	}
 }
 
-func TestStoreOutageStopsKeysButNotTickets(t *testing.T) {
+func TestStoreOutageRejectsKeysButNotTickets(t *testing.T) {
 	bed := startTestbed(t)
 	bed.Platform.SetFaults(standin.PlatformFaults{Down: true})
 	tickets := orderRequests(10)
@@ -83,18 +83,18 @@
 	refused := runItems(bed, orderRequests(10), load.WithTries(1))
 	for _, r := range refused {
 		if r.Outcome != outcome.NotRun || r.Reason != "store_down" {
-			t.Errorf("key %s: got %s (%s), want not_run (store_down)", r.Item.Key, r.Outcome, r.Reason)
+			t.Errorf("key %s: got outcome %s (%s), want not_run (store_down)", r.Item.Key, r.Outcome, r.Reason)
 		}
 	}
 	if got := bed.Services[0].Total(); got != before {
-		t.Errorf("got %d runs during the outage, want none", got-before)
+		t.Errorf("got %d executions during the outage, want 0", got-before)
 	}
 	bed.Platform.SetFaults(standin.PlatformFaults{})
 	wantCorrect(t, runItems(bed, orderRequests(10)))
 	wantAtMostOneRun(t, bed)
 }
 
-func TestLostStoreAnswersAreReadBack(t *testing.T) {
+func TestLostStoreResponsesAreReadBack(t *testing.T) {
 	bed := startTestbed(t)
 	bed.Platform.SetFaults(standin.PlatformFaults{LoseAnswers: true})
 	testbed.After(t, 400*time.Millisecond, func() { bed.Platform.SetFaults(standin.PlatformFaults{}) })
@@ -103,17 +103,17 @@
 	wantOutcomesMatchRuns(t, bed, results)
 }
 
-func TestServiceCutAfterRunningIsNotRepeated(t *testing.T) {
+func TestCallCutAfterExecutionIsNotRepeated(t *testing.T) {
 	bed := startTestbed(t)
 	bed.Services[0].SetFaults(standin.ServiceFaults{CutAfterRun: true})
 	results := runItems(bed, orderRequests(10), load.WithTries(3))
 	for _, r := range results {
 		if r.Outcome != outcome.Unknown {
-			t.Errorf("key %s: got %s, want unknown", r.Item.Key, r.Outcome)
+			t.Errorf("key %s: got outcome %s, want unknown", r.Item.Key, r.Outcome)
 		}
 	}
 	wantAtMostOneRun(t, bed)
 	if got := bed.Services[0].Total(); got != 10 {
-		t.Errorf("got %d runs, want 10", got)
+		t.Errorf("got %d executions, want 10", got)
 	}
 }
--- a/entry/peers.go
+++ b/entry/peer_caller.go
@@ -19,24 +19,25 @@
 	"github.com/hoistjunction/hoistjunction/wire/wireconnect"
 )
 
-// peerTimeout bounds heartbeats and fetches.
+// peerTimeout bounds connecting to a peer, heartbeats, fetches and handovers.
 const peerTimeout = time.Second
 
-// A connection to a peer on which nothing has come for peerPingIdle is pinged, and
-// closed if that brings nothing in peerPingTimeout. With the half second between
-// heartbeats that leaves 1.5 s of the five after which a silent peer counts as gone. The
-// patience is that for engines: what a peer runs for this node breaks with it, and one
-// that stands still for a second or two goes on afterwards.
+// A connection to a peer is pinged after peerPingIdle without incoming data, and
+// closed if there is no response within peerPingTimeout. With the half second between
+// heartbeats, that leaves 1.5 s of the five seconds after which an unresponsive peer
+// is considered to have left. The timeout equals that for engines: closing the
+// connection aborts the requests that the peer executes for this node, and a peer that
+// pauses for a second or two resumes afterwards.
 const (
 	peerPingIdle    = time.Second
 	peerPingTimeout = 2 * time.Second
 )
 
-// maxHeartbeatsInFlight bounds the heartbeats on their way. One that finds no
-// place is left out; the next round has others.
+// maxHeartbeatsInFlight bounds concurrent heartbeats. A heartbeat above the limit is
+// skipped; the next round sends to other peers.
 const maxHeartbeatsInFlight = 16
 
-// peerCaller speaks to the other entry nodes.
+// peerCaller sends calls to the other entry nodes.
 type peerCaller struct {
 	http           *http.Client
 	scheme         string
@@ -49,17 +50,17 @@
 	stop           context.CancelFunc
 }
 
-// peerOption sets up a peerCaller.
+// peerOption configures the transport of a peerCaller.
 type peerOption func(*http.Transport)
 
-// withPeerDialer sets how peers are connected to.
+// withPeerDialer sets the dial function for connections to peers.
 func withPeerDialer(dial func(ctx context.Context, network, address string) (net.Conn, error)) peerOption {
 	return func(t *http.Transport) { t.DialContext = dial }
 }
 
-func newPeerCaller(tlsFiles *TLSFiles, secret string, log *logging.Log, tell func(core.Msg), opts ...peerOption) *peerCaller {
+func newPeerCaller(tlsFiles *TLSFiles, secret string, log *logging.Log, post func(core.Msg), opts ...peerOption) *peerCaller {
 	p := &peerCaller{
-		secret: secret, log: log, post: tell, scheme: "http://",
+		secret: secret, log: log, post: post, scheme: "http://",
 		heartbeatSlots: make(chan struct{}, maxHeartbeatsInFlight),
 	}
 	protocols := new(http.Protocols)
@@ -92,7 +93,7 @@
 	return wireconnect.NewPeerClient(p.http, p.scheme+address, connect.WithInterceptors(newBearerInterceptor(p.secret)))
 }
 
-// heartbeat tells a peer what this node knows, and brings back what it says.
+// heartbeat sends a heartbeat to a peer and posts the peer's reply to the model loop.
 func (p *peerCaller) heartbeat(cmd *core.HeartbeatCmd) {
 	select {
 	case p.heartbeatSlots <- struct{}{}:
@@ -112,7 +113,7 @@
 	})
 }
 
-// fetchChanges reads change records from a peer.
+// fetchChanges reads configuration changes from a peer.
 func (p *peerCaller) fetchChanges(cmd *core.FetchChangesCmd) {
 	p.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(p.ctx, peerTimeout)
@@ -126,8 +127,8 @@
 	})
 }
 
-// relay runs a request at the owner of its key. Each relay has a connection
-// that is watched, so that it is certain when the owner has seen nothing.
+// relay sends a request to the node that owns its key. It traces the connection of
+// each relay, to determine whether the owner can have received the request.
 func (p *peerCaller) relay(cmd *core.RelayCmd) {
 	p.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(p.ctx, cmd.Deadline.Duration())
--- a/entry/peer_server.go
+++ b/entry/peer_server.go
@@ -14,7 +14,8 @@
 	"github.com/hoistjunction/hoistjunction/wire/wireconnect"
 )
 
-// peerServer serves the other entry nodes.
+// peerServer serves calls from the other entry nodes. Relayed requests use the
+// mailboxes and the model loop of the caller server.
 type peerServer struct {
 	callers *callerServer
 	secret  string
@@ -27,7 +28,7 @@
 	return mux
 }
 
-// authenticate lets through only who knows the peers' secret.
+// authenticate rejects requests without the shared secret of the peers.
 func (s *peerServer) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		token := bearerToken(r.Header.Get("Authorization"))
@@ -39,22 +40,22 @@
 	})
 }
 
-// Heartbeat implements the peers' protocol.
+// Heartbeat implements wireconnect.PeerHandler.
 func (s *peerServer) Heartbeat(_ context.Context, req *connect.Request[wire.HeartbeatRequest]) (*connect.Response[wire.HeartbeatReply], error) {
 	m := req.Msg
 	if m.GetFrom() == nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, ErrBadRequest)
 	}
-	d := s.callers.loop
-	d.post(core.HeartbeatMsg{From: m.GetFrom(), Heard: m.GetHeard(), Leaving: m.GetLeaving()})
+	loop := s.callers.loop
+	loop.post(core.HeartbeatMsg{From: m.GetFrom(), Heard: m.GetHeard(), Leaving: m.GetLeaving()})
 	var reply *wire.HeartbeatReply
-	if !d.query(func(m *core.Model) { reply = m.HeartbeatReply() }) {
+	if !loop.query(func(m *core.Model) { reply = m.HeartbeatReply() }) {
 		return nil, errStopping()
 	}
 	return connect.NewResponse(reply), nil
 }
 
-// Changes implements the peers' protocol.
+// Changes implements wireconnect.PeerHandler.
 func (s *peerServer) Changes(_ context.Context, req *connect.Request[wire.ChangesRequest]) (*connect.Response[wire.ChangesReply], error) {
 	var reply *wire.ChangesReply
 	if !s.callers.loop.query(func(m *core.Model) { reply = m.Changes(req.Msg.GetAfterVersion()) }) {
@@ -63,15 +64,15 @@
 	return connect.NewResponse(reply), nil
 }
 
-// Relay implements the peers' protocol: the peer is treated as a caller.
+// Relay implements wireconnect.PeerHandler. It serves the peer like a caller.
 func (s *peerServer) Relay(ctx context.Context, req *connect.Request[wire.RelayRequest], stream *connect.ServerStream[wire.RelayEvent]) error {
 	caller, box := s.callers.mailboxes.open()
 	if !s.callers.loop.submit(submitFromRelay(caller, req.Msg)) {
 		s.callers.mailboxes.close(caller)
 		return connect.NewError(connect.CodeResourceExhausted, ErrBadRequest)
 	}
-	final := false
-	defer func() { s.callers.closeMailbox(caller, final) }()
+	finished := false
+	defer func() { s.callers.closeMailbox(caller, finished) }()
 	for {
 		texts, f := box.take(nil)
 		if len(texts) > 0 || f != nil {
@@ -80,7 +81,7 @@
 			}
 		}
 		if f != nil {
-			final = true
+			finished = true
 			return nil
 		}
 		select {
--- a/entry/recording_test.go
+++ b/entry/recording_test.go
@@ -14,15 +14,15 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// TestRecordingOfALiveNodeReplays reads a node's recording and plays it again:
-// every caller must get what it got from the node.
-func TestRecordingOfALiveNodeReplays(t *testing.T) {
+// TestRecordingOfRunningNodeReplays replays the recording of a running node. It fails
+// if a caller gets another outcome in the replay than it got from the node.
+func TestRecordingOfRunningNodeReplays(t *testing.T) {
 	bed := startTolerantTestbed(t, testbed.WithNodes(1))
 	results := runItems(bed, noticeRequests(10, 6))
 	wantCorrect(t, results)
 	resp, err := bed.Admin(bed.Nodes[0]).Recording(context.Background(), connect.NewRequest(&wire.RecordingRequest{}))
 	if err != nil || resp.Msg.GetDropped() != 0 {
-		t.Fatalf("got %v and %d dropped, want a whole recording", err, resp.Msg.GetDropped())
+		t.Fatalf("got error %v and %d dropped messages, want a complete recording", err, resp.Msg.GetDropped())
 	}
 	text := resp.Msg.GetLines()
 	for caller := range results {
@@ -37,6 +37,6 @@
 		t.Fatal(err)
 	}
 	if err := record.File(path); err != nil {
-		t.Errorf("got %v, want the replay to end as the run did", err)
+		t.Errorf("replay: got error %v, want the recorded outcomes", err)
 	}
 }
--- a/entry/resend_test.go
+++ b/entry/resend_test.go
@@ -17,8 +17,9 @@
 	"github.com/hoistjunction/hoistjunction/logging"
 )
 
-// resettingService answers the first request on each connection, reads the second in
-// full, and breaks the connection without a word: the request may have run.
+// resettingService answers the first request on each connection. It reads the second
+// in full and closes the connection without a response, so that the client cannot know
+// whether the request was executed.
 type resettingService struct {
 	listener net.Listener
 	requests atomic.Int64
@@ -29,7 +30,7 @@
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatalf("got %v, want a port", err)
+		t.Fatalf("listen: got error %v, want none", err)
 	}
 	b := &resettingService{listener: l, done: make(chan struct{})}
 	go b.acceptLoop()
@@ -69,7 +70,7 @@
 	}
 }
 
-func TestMarkedCallIsNotSentAgainByNetHTTP(t *testing.T) {
+func TestNoRepeatCallIsNotResentByNetHTTP(t *testing.T) {
 	b := newResettingService(t)
 	c := newServiceCaller(logging.Nop(), func(core.Msg) {})
 	defer c.close()
@@ -80,7 +81,7 @@
 		})
 	}
 	if _, ok := call(1).(core.CallDoneMsg); !ok {
-		t.Fatalf("got no answer to the first call, want one")
+		t.Fatalf("got a failure of the first call, want a response")
 	}
 	got := call(2)
 	want := core.CallFailedMsg{Request: 2, Attempt: 1}
@@ -88,14 +89,14 @@
 		t.Errorf("got %#v, want %#v", got, want)
 	}
 	if n := b.requests.Load(); n != 2 {
-		t.Errorf("got %d requests at the service, want 2", n)
+		t.Errorf("got %d requests at the service, want 2 for 2 calls", n)
 	}
 }
 
-// TestNetHTTPSendsAgainWhatLooksHarmless shows the trap that newServiceRequest
-// avoids: the same call, under the key's usual name and with a body that can
-// be rewound, reaches the service twice.
-func TestNetHTTPSendsAgainWhatLooksHarmless(t *testing.T) {
+// TestNetHTTPResendsIdempotentRequests shows the resending that newServiceRequest
+// prevents: with the usual name of the key header and a body that can be rewound,
+// net/http sends the same call twice.
+func TestNetHTTPResendsIdempotentRequests(t *testing.T) {
 	b := newResettingService(t)
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
@@ -109,7 +110,7 @@
 		req.Header.Set(callkey.IdempotencyKey, "order-1")
 		resp, err := client.Do(req)
 		if err != nil {
-			t.Fatalf("got %v, want net/http to have sent it again", err)
+			t.Fatalf("got error %v, want a response after net/http resent the request", err)
 		}
 		_, _ = io.Copy(io.Discard, resp.Body)
 		_ = resp.Body.Close()
@@ -119,10 +120,10 @@
 	}
 }
 
-func TestRefusedConnectionIsNotSent(t *testing.T) {
+func TestRefusedConnectionReportsNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatalf("got %v, want a port", err)
+		t.Fatalf("listen: got error %v, want none", err)
 	}
 	address := l.Addr().String()
 	_ = l.Close()
@@ -134,9 +135,9 @@
 	}
 }
 
-func TestBearerTokenIsOnlyTakenWhole(t *testing.T) {
+func TestUnknownTokenHasNoOperator(t *testing.T) {
 	operators := map[string]string{"ana": strings.Repeat("0", 64)}
 	if name, ok := operatorByToken(operators, "guess"); ok {
-		t.Errorf("got operator %q for a wrong token, want none", name)
+		t.Errorf("got operator %q for an unknown token, want none", name)
 	}
 }
--- a/entry/run.go
+++ b/entry/run.go
@@ -13,8 +13,8 @@
 	"github.com/hoistjunction/hoistjunction/ring"
 )
 
-// Run serves until the context ends, which cuts off what is in progress, or
-// until a planned stop is through.
+// Run serves until a planned stop has finished, or until the context is canceled,
+// which aborts the requests in progress.
 func (n *Node) Run(ctx context.Context) error {
 	callers := &callerServer{
 		log: n.log, loop: n.loop, mailboxes: n.mailboxes, maxBodyBytes: int64(n.config.MaxBodyBytes),
@@ -42,10 +42,11 @@
 	return err
 }
 
-// errDrained ends the run group after a planned stop.
+// errDrained stops the run group after a planned stop.
 var errDrained = errors.New("entry: drained")
 
-// addContext ends the group when the context ends or the node has drained.
+// addContext adds an actor that stops the group when the context is canceled or the
+// node has drained.
 func (n *Node) addContext(ctx context.Context, g *run.Group) {
 	ctx, cancel := context.WithCancel(ctx)
 	g.Add(func() error {
@@ -63,8 +64,8 @@
 	g.Add(func() error { return loop(ctx) }, func(error) { cancel() })
 }
 
-// addServer serves a handler over HTTP/1.1 and HTTP/2. When the group ends it
-// lets answers that are being written out finish, for a short while.
+// addServer adds an actor that serves a handler over HTTP/1.1 and HTTP/2. When the
+// group stops, responses in progress have shutdownTimeout to finish.
 func (n *Node) addServer(g *run.Group, l net.Listener, h http.Handler) {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
--- a/entry/caller.go
+++ b/entry/service_caller.go
@@ -17,20 +17,20 @@
 	"github.com/hoistjunction/hoistjunction/logging"
 )
 
-// maxServiceResponseBytes bounds a plain service's answer, in bytes.
+// maxServiceResponseBytes bounds the body of a plain service's response.
 const maxServiceResponseBytes = 4 << 20
 
-// serviceCaller carries requests to plain services.
+// serviceCaller sends requests to plain services.
 //
-// net/http sends a request again by itself when a reused connection breaks
-// and the request looks as if that did no harm. For a marked request it must
-// not look so: it is a POST, it has no GetBody to rewind with, and its key
-// travels under a name that net/http does not know.
+// net/http resends a request when a reused connection breaks and the request appears
+// to be idempotent. A request marked as not to be repeated must not appear so: it is a
+// POST, it has no GetBody to rewind the body with, and its key is in a header that
+// net/http does not recognise.
 type serviceCaller struct {
 	keepAliveClient *http.Client
-	// singleUseClient makes a connection for each call. Every attempt after the first goes out
-	// on one: connections may go silent for good, all at once, and the caller's time
-	// does not last for one after the other.
+	// singleUseClient opens a connection for each call. Every attempt after the first
+	// uses it: all pooled connections may become unresponsive at once, and the
+	// deadline leaves no time to try them one by one.
 	singleUseClient *http.Client
 	log             *logging.Log
 	post            func(core.Msg)
@@ -39,16 +39,16 @@
 	stop            context.CancelFunc
 }
 
-// serviceOption sets up a serviceCaller.
+// serviceOption configures the transport of a serviceCaller.
 type serviceOption func(*http.Transport)
 
-// withServiceDialer sets how services are connected to.
+// withServiceDialer sets the dial function for connections to services.
 func withServiceDialer(dial func(ctx context.Context, network, address string) (net.Conn, error)) serviceOption {
 	return func(t *http.Transport) { t.DialContext = dial }
 }
 
-func newServiceCaller(log *logging.Log, tell func(core.Msg), opts ...serviceOption) *serviceCaller {
-	c := &serviceCaller{log: log, post: tell}
+func newServiceCaller(log *logging.Log, post func(core.Msg), opts ...serviceOption) *serviceCaller {
+	c := &serviceCaller{log: log, post: post}
 	transport := &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second}
 	for _, opt := range opts {
 		opt(transport)
@@ -68,10 +68,10 @@
 	}
 }
 
-// firstAttempt is the number of a request's first attempt.
+// firstAttempt is the number of the first attempt of a request.
 const firstAttempt = 1
 
-// clientFor returns what an attempt is made with.
+// clientFor returns the HTTP client for an attempt.
 func (c *serviceCaller) clientFor(cmd *core.CallCmd) *http.Client {
 	if cmd.Attempt > firstAttempt {
 		return c.singleUseClient
@@ -89,8 +89,8 @@
 	c.keepAliveClient.CloseIdleConnections()
 }
 
-// attempt makes one attempt. It says "not sent" only when there never was a
-// connection for the request.
+// attempt makes one attempt of a call. It sets NotSent in a failure only if the
+// request never had a connection.
 func (c *serviceCaller) attempt(cmd *core.CallCmd) core.Msg {
 	var connected atomic.Bool
 	ctx, cancel := context.WithTimeout(c.ctx, cmd.Timeout.Duration())
--- a/entry/service.go
+++ b/entry/service_handler.go
@@ -9,8 +9,9 @@
 	"github.com/hoistjunction/hoistjunction/outcome"
 )
 
-// serveService serves a call to a plain service. It returns whether the answer has ended.
-func (s *callerServer) serveService(w http.ResponseWriter, r *http.Request) (ended bool) {
+// serveService serves a call to a plain service. It reports whether the response is
+// complete.
+func (s *callerServer) serveService(w http.ResponseWriter, r *http.Request) (complete bool) {
 	msg, err := submitFromHeaders(r)
 	if err != nil {
 		s.writeBadRequest(w, http.StatusBadRequest, err)
@@ -28,20 +29,20 @@
 	if !ok {
 		return true
 	}
-	final := s.awaitResult(r, box)
-	defer s.closeMailbox(msg.Caller, final != nil)
-	if final == nil {
+	result := s.awaitResult(r, box)
+	defer s.closeMailbox(msg.Caller, result != nil)
+	if result == nil {
 		return false
 	}
-	s.writeResult(w, final)
+	s.writeResult(w, result)
 	return true
 }
 
-// awaitResult waits for the final word. It returns nil when the caller hangs up.
+// awaitResult waits for the result. It returns nil if the caller disconnects first.
 func (s *callerServer) awaitResult(r *http.Request, box *mailbox) *core.FinishCmd {
 	for {
-		if _, final := box.take(nil); final != nil {
-			return final
+		if _, result := box.take(nil); result != nil {
+			return result
 		}
 		select {
 		case <-r.Context().Done():
@@ -51,21 +52,22 @@
 	}
 }
 
-// ticketsResponse is the JSON of a grant of tickets.
+// ticketsResponse is the JSON of the tickets issued for a caller.
 type ticketsResponse struct {
 	Tickets []string `json:"tickets"`
 }
 
-// serveTickets grants keys that only this node will run, and runs without asking
-// the platform. It returns whether the answer has ended.
-func (s *callerServer) serveTickets(w http.ResponseWriter, r *http.Request) (ended bool) {
+// serveTickets issues tickets. Only this node, or the node that it hands its keys over
+// to, executes requests with these tickets, without a query to the platform's store.
+// It reports whether the response is complete.
+func (s *callerServer) serveTickets(w http.ResponseWriter, r *http.Request) (complete bool) {
 	caller, box := s.mailboxes.open()
 	defer s.mailboxes.close(caller)
 	count, _ := strconv.Atoi(r.URL.Query().Get("count"))
-	ask := core.TicketsMsg{
+	msg := core.TicketsMsg{
 		Caller: caller, KeyHash: core.HashKey(bearerToken(r.Header.Get("Authorization"))), Count: count,
 	}
-	if !s.loop.submit(ask) {
+	if !s.loop.submit(msg) {
 		s.writeResult(w, &core.FinishCmd{Outcome: outcome.NotRun, Reason: core.ReasonShed, RetryAfter: shedRetryAfter})
 		return true
 	}
@@ -75,8 +77,8 @@
 			_ = json.NewEncoder(w).Encode(ticketsResponse{Tickets: t.Tickets})
 			return true
 		}
-		if _, final := box.take(nil); final != nil {
-			s.writeResult(w, final)
+		if _, result := box.take(nil); result != nil {
+			s.writeResult(w, result)
 			return true
 		}
 		select {
--- a/entry/stage_test.go
+++ b/entry/stage_test.go
@@ -8,19 +8,19 @@
 	"github.com/hoistjunction/hoistjunction/testbed"
 )
 
-func TestStageKilledMidStream(t *testing.T) {
+func TestEngineKilledMidStream(t *testing.T) {
 	bed := startTolerantTestbed(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
 	testbed.After(t, 150*time.Millisecond, func() { bed.Engines[2].Kill() })
 	wantCorrect(t, runItems(bed, noticeRequests(60, 20)))
 }
 
-func TestStageFrozenMidStream(t *testing.T) {
+func TestEngineFrozenMidStream(t *testing.T) {
 	bed := startTolerantTestbed(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
 	testbed.After(t, 150*time.Millisecond, func() { bed.Engines[0].SetFaults(standin.EngineFaults{Frozen: true}) })
 	wantCorrect(t, runItems(bed, noticeRequests(60, 20)))
 }
 
-func TestAnswersThatComeTwiceAndLate(t *testing.T) {
+func TestDuplicateAndDelayedStepReplies(t *testing.T) {
 	bed := startTolerantTestbed(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
 	for i, e := range bed.Engines {
 		e.SetFaults(standin.EngineFaults{Doubled: 1, LinkMS: i * 2})
@@ -28,21 +28,21 @@
 	wantCorrect(t, runItems(bed, noticeRequests(60, 12)))
 }
 
-func TestTwoStagesKilledAndOneBack(t *testing.T) {
+func TestTwoEnginesKilledAndOneRestarted(t *testing.T) {
 	bed := startTolerantTestbed(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
 	testbed.After(t, 100*time.Millisecond, func() {
 		bed.Engines[0].Kill()
 		bed.Engines[5].Kill()
 		time.Sleep(150 * time.Millisecond)
 		if err := bed.Engines[0].Restart(); err != nil {
-			t.Errorf("got %v, want the engine back", err)
+			t.Errorf("restart engine: got error %v, want none", err)
 		}
 		bed.List()
 	})
 	wantCorrect(t, runItems(bed, noticeRequests(60, 20)))
 }
 
-func TestLeavingEngineGetsNoNewWork(t *testing.T) {
+func TestLeavingEngineAdmitsNoGenerations(t *testing.T) {
 	bed := startTolerantTestbed(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
 	wantCorrect(t, runItems(bed, noticeRequests(20, 4)))
 	leaving := bed.Engines[0]
@@ -51,6 +51,6 @@
 	before := leaving.Counts().Admitted
 	wantCorrect(t, runItems(bed, noticeRequests(40, 4)))
 	if got := leaving.Counts().Admitted; got != before {
-		t.Errorf("got %d generations admitted by the leaving engine, want none", got-before)
+		t.Errorf("got %d generations admitted by the leaving engine, want 0", got-before)
 	}
 }
--- a/entry/stop_test.go
+++ b/entry/stop_test.go
@@ -12,7 +12,7 @@
 	"github.com/hoistjunction/hoistjunction/testbed"
 )
 
-func TestPlannedStopCutsNothing(t *testing.T) {
+func TestPlannedStopCutsNoStreams(t *testing.T) {
 	bed := startTolerantTestbed(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
 	stopping := bed.Nodes[0]
 	testbed.After(t, 100*time.Millisecond, func() {
@@ -24,44 +24,45 @@
 	wantCorrect(t, results)
 	for i, r := range results {
 		if r.Cut > 0 && r.Outcome.String() == "none" {
-			t.Errorf("request %d: got a cut answer, want none cut", i)
+			t.Errorf("request %d: got a cut stream, want a complete one", i)
 		}
 	}
 	select {
 	case <-stopping.Done():
 	case <-time.After(testTimeout):
-		t.Fatal("got a node that still runs, want it stopped")
+		t.Fatal("got a node that is still running, want it stopped")
 	}
 	if err := stopping.Err(); err != nil {
-		t.Errorf("got %v, want a clean stop", err)
+		t.Errorf("stop node: got error %v, want none", err)
 	}
 }
 
 func TestPlannedStopFinishesLongStreams(t *testing.T) {
 	bed := startTolerantTestbed(t, testbed.WithNodes(1), testbed.WithStages(testbed.Stages(1, slowEngine())...))
 	testbed.After(t, 150*time.Millisecond, func() { bed.Nodes[0].Drain() })
-	// As many as a new engine is given at a time, so that none has to queue.
+	// The number of requests equals the initial limit of a new engine, so that none of
+	// them waits in a queue.
 	items := noticeRequests(int(pool.DefaultLimits().Start), 60)
 	for i := range items {
 		items[i].AtMS = 0
 	}
 	for i, r := range runItems(bed, items, load.WithTries(1)) {
 		if !r.Correct {
-			t.Errorf("request %d: got %s (%s), want its whole answer", i, r.Outcome, r.Reason)
+			t.Errorf("request %d: got outcome %s (%s), want the complete response", i, r.Outcome, r.Reason)
 		}
 	}
 }
 
-// TestTicketsOfAStoppedNodeRunAtItsSuccessor takes tickets from a node, stops
-// it as planned, and uses them at the one that is left.
-func TestTicketsOfAStoppedNodeRunAtItsSuccessor(t *testing.T) {
+// TestTicketsOfStoppedNodeRunAtSuccessor gets tickets from a node, stops that node as
+// planned, and uses the tickets at the remaining node.
+func TestTicketsOfStoppedNodeRunAtSuccessor(t *testing.T) {
 	bed := startTestbed(t)
 	client := load.NewClient()
 	defer client.Close()
 	stopping := bed.Nodes[0]
 	tickets, err := client.Tickets(context.Background(), stopping.CallerAddress(), testbed.KeyOf("clinic"), 5)
 	if err != nil || len(tickets) != 5 {
-		t.Fatalf("got %d tickets (%v), want 5", len(tickets), err)
+		t.Fatalf("got %d tickets (error %v), want 5", len(tickets), err)
 	}
 	items := orderRequests(5)
 	for i := range items {
@@ -74,7 +75,7 @@
 	wantCorrect(t, runItems(bed, items[2:]))
 	again := runItems(bed, items[:1], load.WithTries(1))
 	if again[0].Outcome != outcome.Unknown {
-		t.Errorf("got %s for a ticket used before the stop, want unknown", again[0].Outcome)
+		t.Errorf("got outcome %s for a ticket used before the stop, want unknown", again[0].Outcome)
 	}
 	wantAtMostOneRun(t, bed)
 }
--- a/entry/store_worker.go
+++ b/entry/store_worker.go
@@ -11,31 +11,32 @@
 	"github.com/hoistjunction/hoistjunction/tablestore"
 )
 
-// storeRingSize is how many commands may wait for the platform. Their timers and
-// batches keep them few.
+// storeRingSize is the capacity of each ring of commands for the store. Timers and
+// batches keep the number of commands low.
 const storeRingSize = 64
 
-// storeWorker carries out the commands for the platform. Claims, commits and
-// the rest each have a goroutine, so that none waits behind another's slow
-// answer.
+// storeWorker executes commands against the platform's store. Claims, commits, reads
+// and the list of VMs each have a goroutine, so that a slow response to one does not
+// delay the others.
 type storeWorker struct {
-	client      *tablestore.Client
-	store       *tablestore.Store
-	log         *logging.Log
-	post        func(core.Msg)
-	claims      *ring.Ring[core.Cmd]
-	commits     *ring.Ring[core.Cmd]
-	reads       *ring.Ring[core.Cmd]
-	lists       *ring.Ring[core.Cmd]
+	client  *tablestore.Client
+	store   *tablestore.Store
+	log     *logging.Log
+	post    func(core.Msg)
+	claims  *ring.Ring[core.Cmd]
+	commits *ring.Ring[core.Cmd]
+	reads   *ring.Ring[core.Cmd]
+	lists   *ring.Ring[core.Cmd]
+	// listVersion is the version of the latest list of VMs.
 	listVersion uint64
 }
 
-func newStoreWorker(c *tablestore.Client, log *logging.Log, tell func(core.Msg)) *storeWorker {
+func newStoreWorker(c *tablestore.Client, log *logging.Log, post func(core.Msg)) *storeWorker {
 	return &storeWorker{
 		client:  c,
 		store:   tablestore.NewStore(c),
 		log:     log,
-		post:    tell,
+		post:    post,
 		claims:  ring.New[core.Cmd](storeRingSize),
 		commits: ring.New[core.Cmd](storeRingSize),
 		reads:   ring.New[core.Cmd](storeRingSize),
@@ -43,8 +44,8 @@
 	}
 }
 
-// enqueue takes a command in. It returns the message that stands for a command
-// that found no room, or nil.
+// enqueue adds a command to its ring. If the ring is full, it returns the message for
+// the failed command, or nil if the failure of the command needs no message.
 func (w *storeWorker) enqueue(cmd core.Cmd) core.Msg {
 	switch cmd := cmd.(type) {
 	case *core.ClaimsCmd:
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// processRing carries out one ring's commands until the context ends.
+// processRing executes the commands of one ring until the context is canceled.
 func (w *storeWorker) processRing(ctx context.Context, r *ring.Ring[core.Cmd]) error {
 	for {
 		select {
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -8,8 +8,8 @@
 	"github.com/hoistjunction/hoistjunction/outcome"
 )
 
-// outcomeEvent is the last event of a stream. A stream that has none was cut
-// and is not whole, however it looks.
+// outcomeEvent is the last event of a stream. A stream without this event was cut and
+// is incomplete, even if its text appears whole.
 type outcomeEvent struct {
 	Outcome      string `json:"outcome"`
 	Reason       string `json:"reason,omitempty"`
@@ -17,17 +17,17 @@
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 }
 
-// streamCompletion sends the answer as server-sent events, each as soon as it is there.
-// A request that ends before its first token is answered without a stream. It
-// returns whether there was a final word.
+// streamCompletion writes the response as server-sent events, each as soon as its text
+// arrives. A request that fails before its first token gets an ordinary error
+// response. It returns false if the caller disconnects before the result arrives.
 func (s *callerServer) streamCompletion(w http.ResponseWriter, r *http.Request, box *mailbox, model string) bool {
 	events := &eventWriter{w: w, control: http.NewResponseController(w)}
 	var texts []string
 	for {
-		var final *core.FinishCmd
-		texts, final = box.take(texts)
-		if final != nil && !events.started && len(texts) == 0 && final.Outcome != outcome.Done {
-			s.writeResult(w, final)
+		var result *core.FinishCmd
+		texts, result = box.take(texts)
+		if result != nil && !events.started && len(texts) == 0 && result.Outcome != outcome.Done {
+			s.writeResult(w, result)
 			return true
 		}
 		for _, t := range texts {
@@ -35,8 +35,8 @@
 				Object: "text_completion", Model: model, Choices: []completionChoice{{Text: t}},
 			})
 		}
-		if final != nil {
-			events.writeOutcome(final)
+		if result != nil {
+			events.writeOutcome(result)
 			return true
 		}
 		events.flush()
@@ -76,8 +76,8 @@
 	_, _ = e.w.Write([]byte("\n\n"))
 }
 
-// writeOutcome writes the outcome, and then the mark that clients of model
-// servers know.
+// writeOutcome writes the outcome event, followed by the [DONE] marker that clients of
+// model servers expect.
 func (e *eventWriter) writeOutcome(f *core.FinishCmd) {
 	t := outcomeEvent{Outcome: f.Outcome.String(), Tokens: f.Tokens, RetryAfterMS: int64(f.RetryAfter)}
 	if f.Reason != core.ReasonNone {
--- a/entry/bed_test.go
+++ b/entry/testbed_test.go
@@ -15,18 +15,18 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testTimeout bounds every wait of the tests. It is no measurement: a test that
-// reaches it has failed for another reason.
+// testTimeout bounds every wait in the tests. It is far above the expected times, so a
+// test that reaches it has a fault other than slowness.
 const testTimeout = 30 * time.Second
 
-// startTestbed brings up a configured testbed that ends with the test.
+// startTestbed starts a configured testbed that is closed at the end of the test.
 func startTestbed(t *testing.T, opts ...testbed.Option) *testbed.Bed {
 	t.Helper()
 	return startTestbedWithin(t, testbed.FirstTokenMS, testbed.TokenMS, opts...)
 }
 
-// startTolerantTestbed is start with bounds so wide that nothing is refused for being
-// late: for tests of what becomes of requests, on machines of any speed.
+// startTolerantTestbed is startTestbed with time limits so long that no request is
+// rejected as late. It is for tests of outcomes, on machines of any speed.
 func startTolerantTestbed(t *testing.T, opts ...testbed.Option) *testbed.Bed {
 	t.Helper()
 	return startTestbedWithin(t, 25_000, 2_000, opts...)
@@ -37,23 +37,24 @@
 	t.Parallel()
 	bed, err := testbed.Start(opts...)
 	if err != nil {
-		t.Fatalf("got %v, want a testbed", err)
+		t.Fatalf("start testbed: got error %v, want none", err)
 	}
 	t.Cleanup(bed.Close)
 	if err := bed.Configure(testbed.ChangesWithin(first, token)...); err != nil {
-		t.Fatalf("got %v, want a configuration in force", err)
+		t.Fatalf("configure testbed: got error %v, want none", err)
 	}
 	return bed
 }
 
-// slowEngine takes long enough for a token that a test can step in between.
+// slowEngine returns an engine configuration with a token time long enough for a test
+// to inject a fault during a stream.
 func slowEngine() standin.EngineConfig {
 	c := standin.DefaultEngineConfig()
 	c.Base = 3 * time.Millisecond
 	return c
 }
 
-// runItems sends items to the nodes and returns the results.
+// runItems sends the items to the nodes and returns the results.
 func runItems(bed *testbed.Bed, items []load.Item, opts ...load.Option) []load.Result {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -63,7 +64,7 @@
 	return load.NewRunner(bed.Addresses(), append(all, opts...)...).Run(ctx, items)
 }
 
-// noticeRequests returns requests to the pipeline, one each few milliseconds.
+// noticeRequests returns requests to the pipeline at intervals of a few milliseconds.
 func noticeRequests(n, tokens int) []load.Item {
 	var items []load.Item
 	for i := range n {
@@ -75,7 +76,7 @@
 	return items
 }
 
-// orderRequests returns calls to the plain service, each with a key of its own.
+// orderRequests returns calls to the plain service, each with a different key.
 func orderRequests(n int) []load.Item {
 	var items []load.Item
 	for i := range n {
@@ -87,23 +88,23 @@
 	return items
 }
 
-// wantCorrect checks that every answer is whole and right.
+// wantCorrect checks that every response is complete and correct.
 func wantCorrect(t *testing.T, results []load.Result) {
 	t.Helper()
 	for i, r := range results {
 		if !r.Correct {
-			t.Errorf("request %d: got outcome %s (%s) after %d tries, want its whole answer", i, r.Outcome, r.Reason, r.Tries)
+			t.Errorf("request %d: got outcome %s (%s) after %d tries, want the complete response", i, r.Outcome, r.Reason, r.Tries)
 		}
 	}
 }
 
-// wantAtMostOneRun checks that no key has run more than once at the services.
+// wantAtMostOneRun checks that the services executed no key more than once.
 func wantAtMostOneRun(t *testing.T, bed *testbed.Bed) {
 	t.Helper()
 	for _, s := range bed.Services {
 		for key, n := range s.Runs() {
 			if n > 1 {
-				t.Errorf("key %s: got %d runs, want at most 1", key, n)
+				t.Errorf("key %s: got %d executions, want at most 1", key, n)
 			}
 		}
 	}
--- a/entry/tls.go
+++ b/entry/tls.go
@@ -10,11 +10,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrTLS means that certificate files cannot be used.
+// ErrTLS means that the certificate files are missing or invalid.
 var ErrTLS = errors.New("entry: tls")
 
-// TLSFiles is a certificate with its key, and the authority that peers'
-// certificates are checked against. The files are read again when they change.
+// TLSFiles holds a certificate with its key, and the certificate authority for
+// verifying peers. It reloads the certificate and key when the certificate file
+// changes.
 type TLSFiles struct {
 	certPath string
 	keyPath  string
@@ -25,7 +26,7 @@
 	loaded      *tls.Certificate
 }
 
-// NewTLSFiles reads the files once, to find out early that they are wrong.
+// NewTLSFiles loads the files once, so that an invalid file is detected at startup.
 func NewTLSFiles(cert, key, ca string) (*TLSFiles, error) {
 	f := &TLSFiles{certPath: cert, keyPath: key, caPath: ca}
 	if _, err := f.certificate(); err != nil {
@@ -39,7 +40,7 @@
 	return f, nil
 }
 
-// ServerConfig returns the configuration of a listener.
+// ServerConfig returns the TLS configuration for listeners.
 func (f *TLSFiles) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS12,
@@ -47,7 +48,7 @@
 	}
 }
 
-// ClientConfig returns the configuration for calls to peers.
+// ClientConfig returns the TLS configuration for connections to peers.
 func (f *TLSFiles) ClientConfig() *tls.Config {
 	c := &tls.Config{MinVersion: tls.VersionTLS12}
 	if pool, err := f.caPool(); err == nil {
@@ -59,17 +60,18 @@
 func (f *TLSFiles) caPool() (*x509.CertPool, error) {
 	text, err := os.ReadFile(f.caPath)
 	if err != nil {
-		return nil, errors.Wrapf(ErrTLS, "cannot read the authority's file: %v", err)
+		return nil, errors.Wrapf(ErrTLS, "read the CA file: %v", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
-		return nil, errors.Wrapf(ErrTLS, "no certificate in %s", f.caPath)
+		return nil, errors.Wrapf(ErrTLS, "no valid certificate in the CA file %s", f.caPath)
 	}
 	return pool, nil
 }
 
-// certificate returns the certificate, read anew if its file is newer. A file
-// that is being replaced and cannot be read leaves the one in use.
+// certificate returns the certificate, and reloads it if the modification time of its
+// file has changed. While the files cannot be read, as during a replacement, it
+// returns the previously loaded certificate.
 func (f *TLSFiles) certificate() (*tls.Certificate, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -82,7 +84,7 @@
 		if f.loaded != nil {
 			return f.loaded, nil
 		}
-		return nil, errors.Wrapf(ErrTLS, "cannot use %s with %s: %v", f.certPath, f.keyPath, err)
+		return nil, errors.Wrapf(ErrTLS, "load certificate %s with key %s: %v", f.certPath, f.keyPath, err)
 	}
 	f.loaded = &c
 	if info != nil {
--- a/entry/tls_test.go
+++ b/entry/tls_test.go
@@ -24,8 +24,7 @@
 	"github.com/hoistjunction/hoistjunction/wire/wireconnect"
 )
 
-// writeCertificate writes a certificate for 127.0.0.1 that is its own
-// authority, and its key.
+// writeCertificate writes a self-signed CA certificate for 127.0.0.1 and its key.
 func writeCertificate(t *testing.T, dir string, serial int64) (cert, key string) {
 	t.Helper()
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -57,8 +56,8 @@
 	}
 }
 
-// TestAllPortsOverTLS has two nodes agree on a configuration, and serve a
-// caller, with every port encrypted.
+// TestAllPortsOverTLS enables TLS on every port. It checks that a proposal needing
+// both nodes is accepted, and that the caller port answers.
 func TestAllPortsOverTLS(t *testing.T) {
 	dir := t.TempDir()
 	cert, key := writeCertificate(t, dir, 1)
@@ -81,21 +80,22 @@
 	admin := wireconnect.NewAdminClient(client.HTTP(), client.URL(bed.Nodes[0].AdminAddress()))
 	resp, err := admin.Propose(ctx, connect.NewRequest(&wire.ProposeRequest{ChangeId: "first", Changes: testbed.Changes()}))
 	if err != nil || resp.Msg.GetState() != wire.ProposeState_PROPOSE_STATE_ACCEPTED {
-		t.Fatalf("got %s (%v), want accepted: the peers must have spoken to each other", resp.Msg.GetState(), err)
+		t.Fatalf("got state %s (error %v), want accepted by both nodes", resp.Msg.GetState(), err)
 	}
 	ready, err := client.HTTP().Get(client.URL(bed.Nodes[0].CallerAddress()) + "/ready")
 	if err != nil {
-		t.Fatalf("got %v, want an answer on the callers' port", err)
+		t.Fatalf("get /ready on the caller port: got error %v, want none", err)
 	}
 	_ = ready.Body.Close()
 	if ready.StatusCode != http.StatusOK {
-		t.Errorf("got %d, want %d", ready.StatusCode, http.StatusOK)
+		t.Errorf("got status %d from /ready, want %d", ready.StatusCode, http.StatusOK)
 	}
 }
 
-// TestCertificateIsReadAgain replaces a certificate, and then breaks it: the
-// one in use stays until there is a good one.
-func TestCertificateIsReadAgain(t *testing.T) {
+// TestCertificateIsReloaded replaces the certificate file with a valid one, which must
+// be used, and then with an invalid one, which must leave the previous certificate in
+// use.
+func TestCertificateIsReloaded(t *testing.T) {
 	dir := t.TempDir()
 	cert, key := writeCertificate(t, dir, 1)
 	files, err := entry.NewTLSFiles(cert, key, cert)
@@ -125,6 +125,6 @@
 		t.Fatal(err)
 	}
 	if got := parsed.SerialNumber.Int64(); got != want {
-		t.Errorf("got certificate %d, want %d", got, want)
+		t.Errorf("got certificate serial %d, want %d", got, want)
 	}
 }
--- a/entry/silent_peers_test.go
+++ b/entry/unresponsive_peers_test.go
@@ -17,7 +17,8 @@
 	"github.com/hoistjunction/hoistjunction/wire/wireconnect"
 )
 
-// heartbeatOnlyPeer answers heartbeats and nothing else.
+// heartbeatOnlyPeer implements heartbeats, and no other method of
+// wireconnect.PeerHandler.
 type heartbeatOnlyPeer struct {
 	wireconnect.UnimplementedPeerHandler
 }
@@ -27,10 +28,11 @@
 	return connect.NewResponse(&wire.HeartbeatReply{From: &wire.NodeRecord{Name: "b"}}), nil
 }
 
-// The one connection between two nodes went silent for good. Every heartbeat on it ran
-// into its time limit, which ends a call and not the connection, so that the nodes took
-// each other for gone until a packet's last repeat, minutes later.
-func TestHeartbeatsAfterASilentConnection(t *testing.T) {
+// Guards against nodes that consider each other gone because the one connection
+// between them became unresponsive. The time limit of a heartbeat ends the call but
+// not the connection, so every heartbeat failed until the last retransmission of TCP,
+// minutes later.
+func TestHeartbeatsRecoverFromUnresponsiveConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := pipenet.New()
 		path, handler := wireconnect.NewPeerHandler(heartbeatOnlyPeer{})
@@ -42,25 +44,25 @@
 		listener := network.Listen("b:80")
 		go func() { _ = server.Serve(listener) }()
 		defer func() { _ = server.Close() }()
-		answered := make(chan struct{}, 64)
-		caller := newPeerCaller(nil, "secret", logging.Nop(), func(core.Msg) { answered <- struct{}{} },
+		replies := make(chan struct{}, 64)
+		caller := newPeerCaller(nil, "secret", logging.Nop(), func(core.Msg) { replies <- struct{}{} },
 			withPeerDialer(network.DialContext))
 		defer caller.close()
 		beat := func() { caller.heartbeat(&core.HeartbeatCmd{Address: "b:80", Beat: &wire.HeartbeatRequest{}}) }
 
 		beat()
-		<-answered
+		<-replies
 		network.Mute()
-		const every = 500 * time.Millisecond
-		silent := member.DefaultSilent.Duration()
-		for began := time.Now(); time.Since(began) < silent; time.Sleep(every) {
+		const interval = 500 * time.Millisecond
+		timeout := member.DefaultSilent.Duration()
+		for started := time.Now(); time.Since(started) < timeout; time.Sleep(interval) {
 			beat()
 			select {
-			case <-answered:
+			case <-replies:
 				return
 			default:
 			}
 		}
-		t.Errorf("got no answered heartbeat in %v, the time after which a peer counts as gone", silent)
+		t.Errorf("got no heartbeat reply within %v, the time after which a peer is considered gone", timeout)
 	})
 }
