--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -48,7 +48,7 @@
 	}
 	if r.dispatched == 0 {
 		r.dispatched = m.now
-		l.budget.Earn()
+		l.budget.Deposit()
 	}
 	r.chain = chain
 	for _, u := range chain {
--- a/core/tickets.go
+++ b/core/tickets.go
@@ -15,7 +15,7 @@
 		return
 	}
 	if m.drain.started {
-		m.do(&FinishCmd{Caller: msg.Caller, Outcome: outcome.NotRun, Reason: ReasonDraining, RetryAfter: rejectPause})
+		m.do(&FinishCmd{Caller: msg.Caller, Outcome: outcome.NotExecuted, Reason: ReasonDraining, RetryAfter: rejectPause})
 		return
 	}
 	n := min(max(msg.Count, 1), maxTickets)
--- a/entry/caller_server.go
+++ b/entry/caller_server.go
@@ -131,7 +131,7 @@
 
 // shedResult is the result of a request that was rejected before it reached the model.
 func shedResult(msg *core.SubmitMsg) *core.FinishCmd {
-	f := &core.FinishCmd{Outcome: outcome.NotRun, Reason: core.ReasonShed, RetryAfter: shedRetryAfter}
+	f := &core.FinishCmd{Outcome: outcome.NotExecuted, Reason: core.ReasonShed, RetryAfter: shedRetryAfter}
 	if msg.Key != "" && !msg.FirstTry {
 		f.Outcome = outcome.Unknown
 	}
--- a/entry/once_test.go
+++ b/entry/once_test.go
@@ -30,7 +30,7 @@
 		if r.Outcome == outcome.Done && (n != 1 || !r.Correct) {
 			t.Errorf("key %s: got outcome done after %d executions, want a correct response after 1", r.Item.Key, n)
 		}
-		if r.Outcome == outcome.NotRun && n != 0 {
+		if r.Outcome == outcome.NotExecuted && n != 0 {
 			t.Errorf("key %s: got outcome not_run after %d executions, want 0", r.Item.Key, n)
 		}
 	}
@@ -82,7 +82,7 @@
 	before := bed.Services[0].Total()
 	refused := runItems(bed, orderRequests(10), load.WithTries(1))
 	for _, r := range refused {
-		if r.Outcome != outcome.NotRun || r.Reason != "store_down" {
+		if r.Outcome != outcome.NotExecuted || r.Reason != "store_down" {
 			t.Errorf("key %s: got outcome %s (%s), want not_run (store_down)", r.Item.Key, r.Outcome, r.Reason)
 		}
 	}
--- a/entry/service_handler.go
+++ b/entry/service_handler.go
@@ -68,7 +68,7 @@
 		Caller: caller, KeyHash: core.HashKey(bearerToken(r.Header.Get("Authorization"))), Count: count,
 	}
 	if !s.loop.submit(msg) {
-		s.writeResult(w, &core.FinishCmd{Outcome: outcome.NotRun, Reason: core.ReasonShed, RetryAfter: shedRetryAfter})
+		s.writeResult(w, &core.FinishCmd{Outcome: outcome.NotExecuted, Reason: core.ReasonShed, RetryAfter: shedRetryAfter})
 		return true
 	}
 	for {
--- a/entry/unresponsive_peers_test.go
+++ b/entry/unresponsive_peers_test.go
@@ -54,7 +54,7 @@
 		<-replies
 		network.Mute()
 		const interval = 500 * time.Millisecond
-		timeout := member.DefaultSilent.Duration()
+		timeout := member.DefaultLiveness.Duration()
 		for started := time.Now(); time.Since(started) < timeout; time.Sleep(interval) {
 			beat()
 			select {
