--- a/entry/peers.go
+++ b/entry/peer_caller.go
@@ -19,54 +19,55 @@
 	"github.com/hoistjunction/hoistjunction/wire/wireconnect"
 )
 
-// peerTimeout bounds heartbeats and fetches.
+// peerTimeout bounds connecting to a peer, heartbeats, fetches and handovers.
 const peerTimeout = time.Second
 
-// A connection to a peer on which nothing has come for peerPingAfter is pinged, and
-// closed if that brings nothing in peerPingPatience. With the half second between
-// heartbeats that leaves 1.5 s of the five after which a silent peer counts as gone. The
-// patience is that for engines: what a peer runs for this node breaks with it, and one
-// that stands still for a second or two goes on afterwards.
+// A connection to a peer is pinged after peerPingIdle without incoming data, and
+// closed if there is no response within peerPingTimeout. With the half second between
+// heartbeats, that leaves 1.5 s of the five seconds after which an unresponsive peer
+// is considered to have left. The timeout equals that for engines: closing the
+// connection aborts the requests that the peer executes for this node, and a peer that
+// pauses for a second or two resumes afterwards.
 const (
-	peerPingAfter    = time.Second
-	peerPingPatience = 2 * time.Second
+	peerPingIdle    = time.Second
+	peerPingTimeout = 2 * time.Second
 )
 
-// heartbeatsAtOnce bounds the heartbeats on their way. One that finds no
-// place is left out; the next round has others.
-const heartbeatsAtOnce = 16
+// maxHeartbeatsInFlight bounds concurrent heartbeats. A heartbeat above the limit is
+// skipped; the next round sends to other peers.
+const maxHeartbeatsInFlight = 16
 
-// peerCaller speaks to the other entry nodes.
+// peerCaller sends calls to the other entry nodes.
 type peerCaller struct {
-	http   *http.Client
-	scheme string
-	secret string
-	log    *logging.Log
-	tell   func(core.Msg)
-	beats  chan struct{}
-	wg     sync.WaitGroup
-	ctx    context.Context
-	stop   context.CancelFunc
+	http           *http.Client
+	scheme         string
+	secret         string
+	log            *logging.Log
+	post           func(core.Msg)
+	heartbeatSlots chan struct{}
+	wg             sync.WaitGroup
+	ctx            context.Context
+	stop           context.CancelFunc
 }
 
-// peerOption sets up a peerCaller.
+// peerOption configures the transport of a peerCaller.
 type peerOption func(*http.Transport)
 
-// withPeerDialer sets how peers are connected to.
+// withPeerDialer sets the dial function for connections to peers.
 func withPeerDialer(dial func(ctx context.Context, network, address string) (net.Conn, error)) peerOption {
 	return func(t *http.Transport) { t.DialContext = dial }
 }
 
-func newPeerCaller(tlsFiles *TLSFiles, secret string, log *logging.Log, tell func(core.Msg), opts ...peerOption) *peerCaller {
+func newPeerCaller(tlsFiles *TLSFiles, secret string, log *logging.Log, post func(core.Msg), opts ...peerOption) *peerCaller {
 	p := &peerCaller{
-		secret: secret, log: log, tell: tell, scheme: "http://",
-		beats: make(chan struct{}, heartbeatsAtOnce),
+		secret: secret, log: log, post: post, scheme: "http://",
+		heartbeatSlots: make(chan struct{}, maxHeartbeatsInFlight),
 	}
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
 	t := &http.Transport{
 		Protocols: protocols, IdleConnTimeout: 30 * time.Second,
-		HTTP2: &http.HTTP2Config{SendPingTimeout: peerPingAfter, PingTimeout: peerPingPatience},
+		HTTP2: &http.HTTP2Config{SendPingTimeout: peerPingIdle, PingTimeout: peerPingTimeout},
 	}
 	t.DialContext = (&net.Dialer{Timeout: peerTimeout}).DialContext
 	if tlsFiles != nil {
@@ -89,18 +90,18 @@
 }
 
 func (p *peerCaller) client(address string) wireconnect.PeerClient {
-	return wireconnect.NewPeerClient(p.http, p.scheme+address, connect.WithInterceptors(bearer(p.secret)))
+	return wireconnect.NewPeerClient(p.http, p.scheme+address, connect.WithInterceptors(newBearerInterceptor(p.secret)))
 }
 
-// heartbeat tells a peer what this node knows, and brings back what it says.
+// heartbeat sends a heartbeat to a peer and posts the peer's reply to the model loop.
 func (p *peerCaller) heartbeat(cmd *core.HeartbeatCmd) {
 	select {
-	case p.beats <- struct{}{}:
+	case p.heartbeatSlots <- struct{}{}:
 	default:
 		return
 	}
 	p.wg.Go(func() {
-		defer func() { <-p.beats }()
+		defer func() { <-p.heartbeatSlots }()
 		ctx, cancel := context.WithTimeout(p.ctx, peerTimeout)
 		defer cancel()
 		resp, err := p.client(cmd.Address).Heartbeat(ctx, connect.NewRequest(cmd.Beat))
@@ -108,54 +109,54 @@
 			p.log.Debug("heartbeat_failed", zap.String("peer", cmd.Address), zap.Error(err))
 			return
 		}
-		p.tell(core.HeartbeatMsg{From: resp.Msg.GetFrom(), Heard: resp.Msg.GetHeard(), Leaving: resp.Msg.GetLeaving()})
+		p.post(core.HeartbeatMsg{From: resp.Msg.GetFrom(), Heard: resp.Msg.GetHeard(), Leaving: resp.Msg.GetLeaving()})
 	})
 }
 
-// fetch reads change records from a peer.
-func (p *peerCaller) fetch(cmd *core.FetchChangesCmd) {
+// fetchChanges reads configuration changes from a peer.
+func (p *peerCaller) fetchChanges(cmd *core.FetchChangesCmd) {
 	p.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(p.ctx, peerTimeout)
 		defer cancel()
 		resp, err := p.client(cmd.Address).Changes(ctx, connect.NewRequest(&wire.ChangesRequest{AfterVersion: cmd.After}))
 		if err != nil {
-			p.tell(core.FetchFailedMsg{})
+			p.post(core.FetchFailedMsg{})
 			return
 		}
-		p.tell(core.ChangesMsg{Snapshot: resp.Msg.GetSnapshot(), Records: resp.Msg.GetRecords()})
+		p.post(core.ChangesMsg{Snapshot: resp.Msg.GetSnapshot(), Records: resp.Msg.GetRecords()})
 	})
 }
 
-// relay runs a request at the owner of its key. Each relay has a connection
-// that is watched, so that it is certain when the owner has seen nothing.
+// relay sends a request to the node that owns its key. It traces the connection of
+// each relay, to determine whether the owner can have received the request.
 func (p *peerCaller) relay(cmd *core.RelayCmd) {
 	p.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(p.ctx, cmd.Deadline.Duration())
 		defer cancel()
-		p.follow(ctx, cmd)
+		p.receiveRelay(ctx, cmd)
 	})
 }
 
-func (p *peerCaller) follow(ctx context.Context, cmd *core.RelayCmd) {
+func (p *peerCaller) receiveRelay(ctx context.Context, cmd *core.RelayCmd) {
 	var connected atomic.Bool
-	stream, err := p.client(cmd.Address).Relay(watch(ctx, &connected), connect.NewRequest(relayRequest(cmd)))
+	stream, err := p.client(cmd.Address).Relay(traceConnection(ctx, &connected), connect.NewRequest(relayRequest(cmd)))
 	if err != nil {
-		p.tell(core.RelayFailedMsg{Request: cmd.Request, NotSent: !connected.Load()})
+		p.post(core.RelayFailedMsg{Request: cmd.Request, NotSent: !connected.Load()})
 		return
 	}
 	defer func() { _ = stream.Close() }()
 	for stream.Receive() {
 		event := stream.Msg()
 		if len(event.GetTexts()) > 0 {
-			p.tell(core.RelayTokensMsg{Request: cmd.Request, Texts: event.GetTexts()})
+			p.post(core.RelayTokensMsg{Request: cmd.Request, Texts: event.GetTexts()})
 		}
 		if event.GetOutcome() != "" {
-			p.tell(core.RelayDoneMsg{Request: cmd.Request, Finish: finishOf(event)})
+			p.post(core.RelayDoneMsg{Request: cmd.Request, Finish: finishFromEvent(event)})
 			return
 		}
 	}
 	p.log.Info("relay_failed", zap.Uint64("request", cmd.Request), zap.Error(stream.Err()))
-	p.tell(core.RelayFailedMsg{Request: cmd.Request, NotSent: !connected.Load()})
+	p.post(core.RelayFailedMsg{Request: cmd.Request, NotSent: !connected.Load()})
 }
 
 func relayRequest(cmd *core.RelayCmd) *wire.RelayRequest {
@@ -177,7 +178,7 @@
 	}
 }
 
-func finishOf(e *wire.RelayEvent) core.FinishCmd {
+func finishFromEvent(e *wire.RelayEvent) core.FinishCmd {
 	o, err := outcome.Parse(e.GetOutcome())
 	if err != nil {
 		o = outcome.Unknown
--- a/entry/run.go
+++ b/entry/run.go
@@ -13,23 +13,23 @@
 	"github.com/hoistjunction/hoistjunction/ring"
 )
 
-// Run serves until the context ends, which cuts off what is in progress, or
-// until a planned stop is through.
+// Run serves until a planned stop has finished, or until the context is canceled,
+// which aborts the requests in progress.
 func (n *Node) Run(ctx context.Context) error {
 	callers := &callerServer{
-		log: n.log, decider: n.decider, mail: n.mail, maxBody: int64(n.config.MaxBody),
-		open: make(chan struct{}, n.config.MaxRequests),
+		log: n.log, loop: n.loop, mailboxes: n.mailboxes, maxBodyBytes: int64(n.config.MaxBodyBytes),
+		openRequests: make(chan struct{}, n.config.MaxRequests),
 	}
 	peers := &peerServer{callers: callers, secret: n.config.PeerSecret}
 	admin := &adminServer{
-		log: n.log, decider: n.decider, recorder: n.decider.recorder, operators: n.config.Operators,
-		proposals: n.desk, wall: n.clock.Wall,
+		log: n.log, loop: n.loop, recorder: n.loop.recorder, operators: n.config.OperatorHashes,
+		proposals: n.pendingProposals, wallTime: n.clock.Wall,
 	}
 	var g run.Group
 	n.addContext(ctx, &g)
-	n.addLoop(&g, n.decider.run)
+	n.addLoop(&g, n.loop.run)
 	for _, r := range []*ring.Ring[core.Cmd]{n.store.claims, n.store.commits, n.store.reads, n.store.lists} {
-		n.addLoop(&g, func(ctx context.Context) error { return n.store.work(ctx, r) })
+		n.addLoop(&g, func(ctx context.Context) error { return n.store.processRing(ctx, r) })
 	}
 	n.addServer(&g, n.caller, callers.handler())
 	n.addServer(&g, n.peer, peers.handler())
@@ -42,17 +42,18 @@
 	return err
 }
 
-// errDrained ends the run group after a planned stop.
+// errDrained stops the run group after a planned stop.
 var errDrained = errors.New("entry: drained")
 
-// addContext ends the group when the context ends or the node has drained.
+// addContext adds an actor that stops the group when the context is canceled or the
+// node has drained.
 func (n *Node) addContext(ctx context.Context, g *run.Group) {
 	ctx, cancel := context.WithCancel(ctx)
 	g.Add(func() error {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-n.exit:
+		case <-n.drained:
 			return errDrained
 		}
 	}, func(error) { cancel() })
@@ -63,15 +64,15 @@
 	g.Add(func() error { return loop(ctx) }, func(error) { cancel() })
 }
 
-// addServer serves a handler over HTTP/1.1 and HTTP/2. When the group ends it
-// lets answers that are being written out finish, for a short while.
+// addServer adds an actor that serves a handler over HTTP/1.1 and HTTP/2. When the
+// group stops, responses in progress have shutdownTimeout to finish.
 func (n *Node) addServer(g *run.Group, l net.Listener, h http.Handler) {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	protocols.SetUnencryptedHTTP2(true)
 	server := &http.Server{
-		Handler: h, Protocols: protocols, ReadHeaderTimeout: headerTimeout, ReadTimeout: bodyTimeout,
-		IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader, ErrorLog: zap.NewStdLog(n.log.Logger),
+		Handler: h, Protocols: protocols, ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout,
+		IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: zap.NewStdLog(n.log.Logger),
 	}
 	if n.tls != nil {
 		protocols.SetHTTP2(true)
@@ -83,7 +84,7 @@
 		}
 		return server.Serve(l)
 	}, func(error) {
-		ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
 		if server.Shutdown(ctx) != nil {
 			_ = server.Close()
--- a/entry/tls.go
+++ b/entry/tls.go
@@ -10,36 +10,37 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrTLS means that certificate files cannot be used.
+// ErrTLS means that the certificate files are missing or invalid.
 var ErrTLS = errors.New("entry: tls")
 
-// TLSFiles is a certificate with its key, and the authority that peers'
-// certificates are checked against. The files are read again when they change.
+// TLSFiles holds a certificate with its key, and the certificate authority for
+// verifying peers. It reloads the certificate and key when the certificate file
+// changes.
 type TLSFiles struct {
-	cert string
-	key  string
-	ca   string
+	certPath string
+	keyPath  string
+	caPath   string
 
-	mu     sync.Mutex
-	read   time.Time
-	loaded *tls.Certificate
+	mu          sync.Mutex
+	certModTime time.Time
+	loaded      *tls.Certificate
 }
 
-// NewTLSFiles reads the files once, to find out early that they are wrong.
+// NewTLSFiles loads the files once, so that an invalid file is detected at startup.
 func NewTLSFiles(cert, key, ca string) (*TLSFiles, error) {
-	f := &TLSFiles{cert: cert, key: key, ca: ca}
+	f := &TLSFiles{certPath: cert, keyPath: key, caPath: ca}
 	if _, err := f.certificate(); err != nil {
 		return nil, err
 	}
 	if ca != "" {
-		if _, err := f.pool(); err != nil {
+		if _, err := f.caPool(); err != nil {
 			return nil, err
 		}
 	}
 	return f, nil
 }
 
-// ServerConfig returns the configuration of a listener.
+// ServerConfig returns the TLS configuration for listeners.
 func (f *TLSFiles) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS12,
@@ -47,46 +48,47 @@
 	}
 }
 
-// ClientConfig returns the configuration for calls to peers.
+// ClientConfig returns the TLS configuration for connections to peers.
 func (f *TLSFiles) ClientConfig() *tls.Config {
 	c := &tls.Config{MinVersion: tls.VersionTLS12}
-	if pool, err := f.pool(); err == nil {
+	if pool, err := f.caPool(); err == nil {
 		c.RootCAs = pool
 	}
 	return c
 }
 
-func (f *TLSFiles) pool() (*x509.CertPool, error) {
-	text, err := os.ReadFile(f.ca)
+func (f *TLSFiles) caPool() (*x509.CertPool, error) {
+	text, err := os.ReadFile(f.caPath)
 	if err != nil {
-		return nil, errors.Wrapf(ErrTLS, "cannot read the authority's file: %v", err)
+		return nil, errors.Wrapf(ErrTLS, "read the CA file: %v", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
-		return nil, errors.Wrapf(ErrTLS, "no certificate in %s", f.ca)
+		return nil, errors.Wrapf(ErrTLS, "no valid certificate in the CA file %s", f.caPath)
 	}
 	return pool, nil
 }
 
-// certificate returns the certificate, read anew if its file is newer. A file
-// that is being replaced and cannot be read leaves the one in use.
+// certificate returns the certificate, and reloads it if the modification time of its
+// file has changed. While the files cannot be read, as during a replacement, it
+// returns the previously loaded certificate.
 func (f *TLSFiles) certificate() (*tls.Certificate, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	info, err := os.Stat(f.cert)
-	if f.loaded != nil && (err != nil || info.ModTime().Equal(f.read)) {
+	info, err := os.Stat(f.certPath)
+	if f.loaded != nil && (err != nil || info.ModTime().Equal(f.certModTime)) {
 		return f.loaded, nil
 	}
-	c, err := tls.LoadX509KeyPair(f.cert, f.key)
+	c, err := tls.LoadX509KeyPair(f.certPath, f.keyPath)
 	if err != nil {
 		if f.loaded != nil {
 			return f.loaded, nil
 		}
-		return nil, errors.Wrapf(ErrTLS, "cannot use %s with %s: %v", f.cert, f.key, err)
+		return nil, errors.Wrapf(ErrTLS, "load certificate %s with key %s: %v", f.certPath, f.keyPath, err)
 	}
 	f.loaded = &c
 	if info != nil {
-		f.read = info.ModTime()
+		f.certModTime = info.ModTime()
 	}
 	return f.loaded, nil
 }
