--- a/burn/line.go
+++ b/burn/line.go
@@ -1,6 +1,6 @@
 package burn
 
-// Line is what one node has counted for one route and client account.
+// Line contains the request counts of one node for one route and client account.
 type Line struct {
 	Route   string `json:"route"`
 	Account string `json:"account"`
--- a/burn/meter.go
+++ b/burn/meter.go
@@ -1,8 +1,8 @@
-// Package burn counts how fast each route and client account uses up its
-// error budget: the share of requests that may miss the service level.
+// Package burn measures how fast each route and client account uses up its error budget, the
+// share of requests that may miss the service level.
 //
-// A burn rate of 1 uses the budget up exactly over the period that the
-// objective is for. Two windows together tell a burst from a lasting fault.
+// A burn rate of 1 uses up the budget exactly over the period of the objective. Two windows
+// distinguish a burst of failures from a lasting fault.
 //
 //	m := burn.NewMeter()
 //	m.Record(now, good)
@@ -11,7 +11,7 @@
 
 import "github.com/hoistjunction/hoistjunction/clock"
 
-// The windows, and how finely each is kept.
+// The lengths of the two windows, and the number of buckets in each.
 const (
 	ShortWindow  clock.Millis = 5 * 60_000
 	LongWindow   clock.Millis = 60 * 60_000
@@ -25,14 +25,13 @@
 	long  [longBuckets]bucket
 }
 
-// bucket counts one part of a window. The part's number tells a stale bucket.
+// bucket counts the requests of one part of a window. A bucket with an outdated index is expired.
 type bucket struct {
-	part  int64
+	index int64
 	count Count
 }
 
-// Count is a number of requests, and how many of them were within the service
-// level.
+// Count is a number of requests, and the number of those within the service level.
 type Count struct {
 	Total uint32 `json:"total"`
 	Good  uint32 `json:"good"`
@@ -41,8 +40,8 @@
 // Add returns the sum of two counts.
 func (c Count) Add(d Count) Count { return Count{Total: c.Total + d.Total, Good: c.Good + d.Good} }
 
-// Rate returns the burn rate against an objective, such as 0.95: the share
-// that missed over the share that may.
+// Rate returns the burn rate for an objective such as 0.95: the share of requests that missed the
+// service level, divided by the share that may miss it.
 func (c Count) Rate(objective float64) float64 {
 	if c.Total == 0 {
 		return 0
@@ -51,29 +50,29 @@
 	return missed / (1 - objective)
 }
 
-// NewMeter returns a meter that has counted nothing.
+// NewMeter returns a meter without requests.
 func NewMeter() *Meter { return &Meter{} }
 
-// Record counts one request that ended now.
+// Record counts a request that ended now.
 func (m *Meter) Record(now clock.Millis, good bool) {
 	record(m.short[:], ShortWindow, now, good)
 	record(m.long[:], LongWindow, now, good)
 }
 
-// Counts returns what the two windows that end now hold.
+// Counts returns the requests in the two windows that end now.
 func (m *Meter) Counts(now clock.Millis) (short, long Count) {
 	return sum(m.short[:], ShortWindow, now), sum(m.long[:], LongWindow, now)
 }
 
-func partOf(window clock.Millis, buckets int, now clock.Millis) int64 {
+func bucketIndex(window clock.Millis, buckets int, now clock.Millis) int64 {
 	return int64(now) / (int64(window) / int64(buckets))
 }
 
 func record(buckets []bucket, window, now clock.Millis, good bool) {
-	part := partOf(window, len(buckets), now)
-	b := &buckets[part%int64(len(buckets))]
-	if b.part != part {
-		*b = bucket{part: part}
+	index := bucketIndex(window, len(buckets), now)
+	b := &buckets[index%int64(len(buckets))]
+	if b.index != index {
+		*b = bucket{index: index}
 	}
 	b.count.Total++
 	if good {
@@ -82,10 +81,10 @@
 }
 
 func sum(buckets []bucket, window, now clock.Millis) Count {
-	part := partOf(window, len(buckets), now)
+	index := bucketIndex(window, len(buckets), now)
 	var total Count
 	for _, b := range buckets {
-		if b.part > part-int64(len(buckets)) {
+		if b.index > index-int64(len(buckets)) {
 			total = total.Add(b.count)
 		}
 	}
--- a/burn/report.go
+++ b/burn/report.go
@@ -5,11 +5,10 @@
 	"slices"
 )
 
-// DefaultObjective is the share of requests that must be within the service
-// level: the bounds are for 95 in 100.
+// DefaultObjective is the share of requests that must be within the service level: 95 in 100.
 const DefaultObjective = 0.95
 
-// Row is the burn of one route and client account over all nodes.
+// Row is the burn of one route and client account, summed over all nodes.
 type Row struct {
 	Route     string  `json:"route"`
 	Account   string  `json:"account"`
@@ -17,12 +16,12 @@
 	Long      Count   `json:"long"`
 	ShortRate float64 `json:"short_rate"`
 	LongRate  float64 `json:"long_rate"`
-	// Left is the share of the long window's error budget that is left. It
-	// falls below zero when the budget is overdrawn.
+	// Left is the remaining share of the long window's error budget. It is negative when the
+	// budget is overdrawn.
 	Left float64 `json:"budget_left"`
 }
 
-// Report is the service-level burn, the worst first.
+// Report is the service-level burn, with the highest burn first.
 type Report struct {
 	Objective float64 `json:"objective"`
 	Nodes     int     `json:"nodes"`
@@ -30,19 +29,19 @@
 	Rows      []Row   `json:"rows"`
 }
 
-// pair names a row.
-type pair struct {
+// rowKey identifies a row.
+type rowKey struct {
 	route   string
 	account string
 }
 
-// NewReport sums what nodes have counted. Missing is how many nodes could not
-// be read; the report says so, for its figures then lack theirs.
+// NewReport sums the counts of nodes. The report includes missing, the number of nodes that could
+// not be read, because their requests are not counted.
 func NewReport(objective float64, missing int, nodes ...[]Line) *Report {
-	sums := make(map[pair]*Row)
+	sums := make(map[rowKey]*Row)
 	for _, lines := range nodes {
 		for _, l := range lines {
-			p := pair{l.Route, l.Account}
+			p := rowKey{l.Route, l.Account}
 			if sums[p] == nil {
 				sums[p] = &Row{Route: l.Route, Account: l.Account}
 			}
@@ -57,13 +56,13 @@
 		row.Left = 1 - row.LongRate
 		r.Rows = append(r.Rows, *row)
 	}
-	slices.SortFunc(r.Rows, worstFirst)
+	slices.SortFunc(r.Rows, compareBurn)
 	return r
 }
 
-// worstFirst orders by the rate that both windows reach, so that a burst that
-// is over does not stand above a fault that lasts.
-func worstFirst(a, b Row) int {
+// compareBurn orders rows by the lower of their two burn rates, highest first, so that a burst
+// that has ended ranks below a lasting fault.
+func compareBurn(a, b Row) int {
 	return cmp.Or(
 		-cmp.Compare(min(a.ShortRate, a.LongRate), min(b.ShortRate, b.LongRate)),
 		-cmp.Compare(a.LongRate, b.LongRate),
--- a/burn/report_test.go
+++ b/burn/report_test.go
@@ -8,7 +8,7 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-func TestMeterForgetsWhatIsOlderThanItsWindow(t *testing.T) {
+func TestMeterDropsExpiredRequests(t *testing.T) {
 	m := burn.NewMeter()
 	for range 10 {
 		m.Record(1000, false)
@@ -23,11 +23,11 @@
 	}
 	_, long = m.Counts(clock.Millis(1000) + 2*burn.LongWindow)
 	if long.Total != 0 {
-		t.Errorf("got %d requests after two hours, want none", long.Total)
+		t.Errorf("got %d requests in the long window after two hours, want none", long.Total)
 	}
 }
 
-func TestReportPutsTheWorstFirst(t *testing.T) {
+func TestReportOrder(t *testing.T) {
 	line := func(route string, good uint32) burn.Line {
 		c := burn.Count{Total: 100, Good: good}
 		return burn.Line{Route: route, Account: "clinic", Short: c, Long: c}
@@ -41,13 +41,13 @@
 		t.Errorf("got order %v, want %s", got, want)
 	}
 	if rate := r.Rows[0].LongRate; rate < 10.99 || rate > 11.01 {
-		t.Errorf("got burn rate %v for 110 missed of 200, want 11", rate)
+		t.Errorf("got burn rate %v for 110 missed requests of 200, want 11", rate)
 	}
 	var page, text strings.Builder
 	if err := r.HTML(&page); err != nil || !strings.Contains(page.String(), "1 nodes could not be read") {
-		t.Errorf("got %v and a page of %d bytes, want one that names the missing node", err, page.Len())
+		t.Errorf("got error %v and a page of %d bytes, want a page that reports the missing node", err, page.Len())
 	}
 	if err := r.Text(&text); err != nil || !strings.Contains(text.String(), "bad    clinic") {
-		t.Errorf("got %v and %q, want a table", err, text.String())
+		t.Errorf("got error %v and text %q, want a table", err, text.String())
 	}
 }
--- a/burn/text.go
+++ b/burn/text.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// Text writes the report as a table.
+// Text writes the report as a text table.
 func (r *Report) Text(w io.Writer) error {
 	if r.Missing > 0 {
 		if _, err := fmt.Fprintf(w, "%d nodes could not be read; their requests are not counted\n", r.Missing); err != nil {
--- a/logging/async.go
+++ b/logging/async.go
@@ -10,29 +10,28 @@
 )
 
 const (
-	// linesWaiting bounds the lines that wait to be written. At some 300 bytes
-	// a line that is about 2 MB.
-	linesWaiting = 8192
-	// flushEvery is how long a line may wait for others to be written with it.
-	flushEvery = 40 * time.Millisecond
-	// flushBytes is how much is written at a time.
-	flushBytes = 32 << 10
+	// maxQueuedLines bounds the lines in the queue. At some 300 bytes per line, these take about
+	// 2 MB.
+	maxQueuedLines = 8192
+	// flushInterval is the maximum time that a line waits to be written in a batch with others.
+	flushInterval = 40 * time.Millisecond
+	// maxBatchBytes is the batch size, in bytes, at which a batch is written at once.
+	maxBatchBytes = 32 << 10
 )
 
-// Async writes lines from a goroutine of its own. It never makes its caller
-// wait: when too many lines are waiting it drops the new ones and says later
-// how many.
+// Async writes log lines from a background goroutine and never blocks its caller. When the queue
+// is full it drops new lines, and later logs how many were dropped.
 type Async struct {
 	out     io.Writer
 	lines   *ring.Ring[[]byte]
 	dropped atomic.Uint64
-	done    chan struct{}
-	ended   chan struct{}
+	closing chan struct{}
+	stopped chan struct{}
 }
 
-// NewAsync returns a writer in front of another one.
+// NewAsync returns an asynchronous writer to out.
 func NewAsync(out io.Writer) *Async {
-	a := &Async{out: out, lines: ring.New[[]byte](linesWaiting), done: make(chan struct{}), ended: make(chan struct{})}
+	a := &Async{out: out, lines: ring.New[[]byte](maxQueuedLines), closing: make(chan struct{}), stopped: make(chan struct{})}
 	go a.run()
 	return a
 }
@@ -45,52 +44,54 @@
 	return len(line), nil
 }
 
-// Sync implements zapcore.WriteSyncer. Lines are written out by Close.
+// Sync implements zapcore.WriteSyncer and does nothing. Close writes the queued lines.
 func (a *Async) Sync() error { return nil }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of dropped lines.
 func (a *Async) Dropped() uint64 { return a.lines.Refused() }
 
-// Close writes out what is waiting.
+// Close writes the queued lines and stops the goroutine.
 func (a *Async) Close() {
-	close(a.done)
-	<-a.ended
+	close(a.closing)
+	<-a.stopped
 }
 
+// run writes queued lines in batches until Close is called.
 func (a *Async) run() {
-	defer close(a.ended)
+	defer close(a.stopped)
 	var batch []byte
 	for {
 		select {
 		case line := <-a.lines.Items():
-			batch = a.gather(append(batch, line...))
+			batch = a.fillBatch(append(batch, line...))
 			a.flush(batch)
 			batch = batch[:0]
-		case <-a.done:
-			a.flush(a.rest(batch))
+		case <-a.closing:
+			a.flush(a.drain(batch))
 			return
 		}
 	}
 }
 
-// gather adds the lines of the next moments to a batch.
-func (a *Async) gather(batch []byte) []byte {
-	timer := time.NewTimer(flushEvery)
+// fillBatch adds queued lines to a batch until the batch is full or flushInterval has passed.
+func (a *Async) fillBatch(batch []byte) []byte {
+	timer := time.NewTimer(flushInterval)
 	defer timer.Stop()
-	for len(batch) < flushBytes {
+	for len(batch) < maxBatchBytes {
 		select {
 		case line := <-a.lines.Items():
 			batch = append(batch, line...)
 		case <-timer.C:
 			return batch
-		case <-a.done:
+		case <-a.closing:
 			return batch
 		}
 	}
 	return batch
 }
 
-func (a *Async) rest(batch []byte) []byte {
+// drain adds all queued lines to a batch.
+func (a *Async) drain(batch []byte) []byte {
 	for {
 		select {
 		case line := <-a.lines.Items():
@@ -101,7 +102,7 @@
 	}
 }
 
-// flush writes a batch. There is nowhere to report a failed write to.
+// flush writes a batch. A failed write is ignored, since there is nowhere to report it.
 func (a *Async) flush(batch []byte) {
 	if n := a.dropped.Swap(0); n > 0 {
 		batch = append(batch, "level=warn event=log_lines_dropped lines="+strconv.FormatUint(n, 10)+"\n"...)
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging sets up the logs: one line of key=value pairs for each
-// event, at a level that can be changed while the process runs.
+// Package logging sets up the logs: one line of key=value pairs for each event, with a level that
+// can be changed at run time.
 package logging
 
 import (
@@ -11,10 +11,10 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// ErrLevel is returned for a level that is not debug, info, warn or error.
+// ErrLevel is returned for a level other than debug, info, warn and error.
 var ErrLevel = errors.New("logging: no such level")
 
-// Log is a logger together with its level.
+// Log is a logger with an adjustable level.
 type Log struct {
 	*zap.Logger
 	level zap.AtomicLevel
@@ -38,10 +38,10 @@
 	return l, nil
 }
 
-// Nop returns a logger that drops everything.
+// Nop returns a logger that discards everything.
 func Nop() *Log { return &Log{Logger: zap.NewNop(), level: zap.NewAtomicLevel()} }
 
-// SetLevel changes the level from here on.
+// SetLevel changes the level of all later log lines.
 func (l *Log) SetLevel(level string) error {
 	parsed, err := zapcore.ParseLevel(level)
 	if err != nil {
--- a/operator/client.go
+++ b/operator/client.go
@@ -1,5 +1,4 @@
-// Package operator makes the HTTP clients with which operators' tools speak to
-// entry nodes.
+// Package operator provides the HTTP client that operators' tools use to call entry nodes.
 package operator
 
 import (
@@ -12,17 +11,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrCredentials means that a token or an authority cannot be read.
-var ErrCredentials = errors.New("operator: credentials")
+// ErrCredentials means that the token or the CA certificate cannot be read.
+var ErrCredentials = errors.New("operator: invalid credentials")
 
-// Client calls nodes as an operator.
+// Client calls nodes with an operator's credentials.
 type Client struct {
 	http   *http.Client
 	scheme string
 }
 
-// NewClient returns a client with the token that a file holds. With an
-// authority's file the nodes' ports are spoken to over TLS, and else in clear.
+// NewClient returns a client that sends the token in tokenFile. If authorityFile is set, the
+// client connects over TLS and trusts the CA certificates in that file; otherwise it uses plain
+// HTTP.
 func NewClient(tokenFile, authorityFile string) (*Client, error) {
 	token, err := os.ReadFile(tokenFile)
 	if err != nil {
@@ -31,44 +31,44 @@
 	c := &Client{scheme: "http://"}
 	transport := &http.Transport{}
 	if authorityFile != "" {
-		pool, err := readAuthority(authorityFile)
+		pool, err := readCAPool(authorityFile)
 		if err != nil {
 			return nil, err
 		}
 		transport.TLSClientConfig = &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}
 		c.scheme = "https://"
 	}
-	c.http = &http.Client{Transport: &authorized{token: strings.TrimSpace(string(token)), next: transport}}
+	c.http = &http.Client{Transport: &bearerTransport{token: strings.TrimSpace(string(token)), next: transport}}
 	return c, nil
 }
 
-// HTTP returns the client for calls to the URL that URL returns.
+// HTTP returns the HTTP client for requests to URLs that URL returns.
 func (c *Client) HTTP() *http.Client { return c.http }
 
-// URL returns the URL of a node's operators' port, given as ip:port.
+// URL returns the base URL of a node's operator port, given as ip:port.
 func (c *Client) URL(node string) string { return c.scheme + node }
 
-func readAuthority(path string) (*x509.CertPool, error) {
+func readCAPool(path string) (*x509.CertPool, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrapf(ErrCredentials, "cannot read the authority from %s", path)
+		return nil, errors.Wrapf(ErrCredentials, "cannot read the CA certificate from %s", path)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
-		return nil, errors.Wrapf(ErrCredentials, "no certificate in %s", path)
+		return nil, errors.Wrapf(ErrCredentials, "no PEM certificate in %s", path)
 	}
 	return pool, nil
 }
 
-// authorized puts the operator's token on every call.
-type authorized struct {
+// bearerTransport adds the operator's token to every request.
+type bearerTransport struct {
 	token string
 	next  http.RoundTripper
 }
 
 // RoundTrip implements http.RoundTripper.
-func (a *authorized) RoundTrip(r *http.Request) (*http.Response, error) {
+func (t *bearerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(r.Context())
-	r.Header.Set("Authorization", "Bearer "+a.token)
-	return a.next.RoundTrip(r)
+	r.Header.Set("Authorization", "Bearer "+t.token)
+	return t.next.RoundTrip(r)
 }
--- a/settings/fuzz_test.go
+++ b/settings/fuzz_test.go
@@ -27,7 +27,7 @@
 	s.Int("node", "port", &port, 1, 100, settings.WithDefault("7"))
 	err := s.Load(path)
 	if err != nil && !errors.Is(err, settings.ErrSettings) {
-		t.Errorf("got %v, want ErrSettings", err)
+		t.Errorf("got error %v, want ErrSettings", err)
 	}
 	if err == nil && (port < 1 || port > 100) {
 		t.Errorf("got port %d from %q, want one in range", port, text)
@@ -41,6 +41,6 @@
 	f.Fuzz(checkLoad)
 }
 
-func TestLoadOnManyInputs(t *testing.T) {
+func TestLoadMutatedInputs(t *testing.T) {
 	fixedseed.Mutate(loadExamples, func(input []byte) { checkLoad(t, input) })
 }
--- a/settings/loader.go
+++ b/settings/loader.go
@@ -7,10 +7,10 @@
 	"gopkg.in/ini.v1"
 )
 
-// ErrSettings is what every error of Load wraps.
+// ErrSettings is wrapped by every error of Load.
 var ErrSettings = errors.New("settings")
 
-// loader reads one file and gathers all that is wrong with it.
+// loader reads one file and collects all its faults.
 type loader struct {
 	set    *Set
 	path   string
@@ -18,60 +18,61 @@
 	faults []string
 }
 
-// unknown notes sections and keys that the set does not know.
-func (l *loader) unknown(file *ini.File) {
+// checkUnknown adds a fault for each section and key that the set does not contain, and fills the
+// sections declared with Map.
+func (l *loader) checkUnknown(file *ini.File) {
 	for _, section := range file.Sections() {
 		name := section.Name()
 		if name == ini.DefaultSection {
-			l.outside(section)
+			l.checkOutsideSections(section)
 			continue
 		}
 		if !l.set.hasSection(name) {
-			l.fault(name, "", "there is no such section; remove it or correct its name")
+			l.addFault(name, "", "there is no such section; remove it or correct its name")
 			continue
 		}
-		l.unknownKeys(section)
+		l.checkUnknownKeys(section)
 	}
 }
 
-func (l *loader) outside(section *ini.Section) {
+func (l *loader) checkOutsideSections(section *ini.Section) {
 	for _, key := range section.Keys() {
-		l.fault("", key.Name(), "stands before the first section; move it into one")
+		l.addFault("", key.Name(), "stands before the first section; move it into one")
 	}
 }
 
-func (l *loader) unknownKeys(section *ini.Section) {
-	free, isFree := l.set.maps[section.Name()]
+func (l *loader) checkUnknownKeys(section *ini.Section) {
+	values, isMap := l.set.maps[section.Name()]
 	for _, key := range section.Keys() {
-		if isFree {
-			free[key.Name()] = key.String()
+		if isMap {
+			values[key.Name()] = key.String()
 			continue
 		}
-		if l.set.find(section.Name(), key.Name()) == nil {
-			l.fault(section.Name(), key.Name(), "there is no such key; remove it or correct its name")
+		if l.set.findField(section.Name(), key.Name()) == nil {
+			l.addFault(section.Name(), key.Name(), "there is no such key; remove it or correct its name")
 		}
 	}
 }
 
-// field reads one setting.
+// field reads the value of one setting.
 func (l *loader) field(file *ini.File, f *field) {
 	f.value, f.origin = f.fallback, "default"
 	if section, err := file.GetSection(f.section); err == nil && section.HasKey(f.key) {
 		f.value, f.origin = section.Key(f.key).String(), "file"
 	}
 	if f.value == "" && f.required {
-		l.fault(f.section, f.key, "is missing; add it")
+		l.addFault(f.section, f.key, "is missing; add it")
 		return
 	}
 	if f.value == "" && f.origin == "default" {
 		return
 	}
 	if err := f.set(f.value); err != nil {
-		l.fault(f.section, f.key, err.Error())
+		l.addFault(f.section, f.key, err.Error())
 	}
 }
 
-func (l *loader) fault(section, key, remedy string) {
+func (l *loader) addFault(section, key, remedy string) {
 	where := "[" + section + "]"
 	if key != "" {
 		where += " " + key
@@ -79,16 +80,17 @@
 	l.faults = append(l.faults, errors.Newf("%s line %d: %s: %s", l.path, l.line(section, key), where, remedy).Error())
 }
 
-// line finds where a section's key stands, or the section, counting from 1.
-// The library does not keep the place. A missing section gives the last line.
+// line returns the line number of a key, or of its section if the key is not found, counting from
+// 1. If the section is missing too, it returns the number of the last line. The INI library does
+// not provide line numbers.
 func (l *loader) line(section, key string) int {
-	current, at := "", len(l.lines)
+	current, found := "", len(l.lines)
 	for i, text := range l.lines {
 		text = strings.TrimSpace(text)
 		if strings.HasPrefix(text, "[") {
 			current = strings.Trim(text, "[]")
 			if current == section {
-				at = i + 1
+				found = i + 1
 			}
 			continue
 		}
@@ -97,10 +99,10 @@
 			return i + 1
 		}
 	}
-	return at
+	return found
 }
 
-func (l *loader) err() error {
+func (l *loader) result() error {
 	if len(l.faults) == 0 {
 		return nil
 	}
--- a/settings/set.go
+++ b/settings/set.go
@@ -1,6 +1,6 @@
-// Package settings reads a process's INI file and checks it strictly: an
-// unknown section or key, a wrong type, a missing value or a missing file is
-// an error that names the section, the key, the line and the remedy.
+// Package settings reads a process's INI file and checks it strictly. An unknown section or key,
+// a value of the wrong type, a missing value or a missing file is an error that names the
+// section, the key, the line and the remedy.
 //
 //	s := settings.NewSet()
 //	s.Address("caller", "listen", &listen, settings.WithDefault("127.0.0.1:0"))
@@ -18,21 +18,20 @@
 	"gopkg.in/ini.v1"
 )
 
-// Set is the settings that a process knows.
+// Set is the set of settings that a process accepts.
 type Set struct {
 	fields []*field
 	maps   map[string]map[string]string
 }
 
-// NewSet returns a set that knows no settings.
+// NewSet returns a set without settings.
 func NewSet() *Set { return &Set{maps: make(map[string]map[string]string)} }
 
-// Map declares a section whose keys are free, such as the operators' names.
-func (s *Set) Map(section string, into map[string]string) { s.maps[section] = into }
+// Map declares a section with arbitrary keys, such as the names of operators.
+func (s *Set) Map(section string, target map[string]string) { s.maps[section] = target }
 
-// Load reads a file into the variables that were declared. Defaults stand for
-// what the file leaves out. Errors wrap ErrSettings; all of them are given at
-// once.
+// Load reads a file into the declared variables and applies defaults for missing keys. Its error
+// wraps ErrSettings and lists all faults of the file.
 func (s *Set) Load(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -43,17 +42,17 @@
 		return errors.Wrapf(ErrSettings, "%s is not INI: %v", path, err)
 	}
 	l := &loader{set: s, path: path, lines: strings.Split(string(text), "\n")}
-	l.unknown(file)
+	l.checkUnknown(file)
 	for _, f := range s.fields {
 		l.field(file, f)
 	}
-	return l.err()
+	return l.result()
 }
 
-// Print writes the settings in force, one a line, and where each came from.
+// Print writes the active settings, one per line, with the origin of each.
 func (s *Set) Print(w io.Writer) error {
 	for _, f := range s.fields {
-		if _, err := fmt.Fprintf(w, "%s.%s = %s  (%s)\n", f.section, f.key, f.shown(), f.origin); err != nil {
+		if _, err := fmt.Fprintf(w, "%s.%s = %s  (%s)\n", f.section, f.key, f.displayValue(), f.origin); err != nil {
 			return err
 		}
 	}
@@ -76,7 +75,7 @@
 	return keys
 }
 
-func (s *Set) find(section, key string) *field {
+func (s *Set) findField(section, key string) *field {
 	for _, f := range s.fields {
 		if f.section == section && f.key == key {
 			return f
@@ -86,6 +85,6 @@
 }
 
 func (s *Set) hasSection(section string) bool {
-	_, free := s.maps[section]
-	return free || slices.ContainsFunc(s.fields, func(f *field) bool { return f.section == section })
+	_, isMap := s.maps[section]
+	return isMap || slices.ContainsFunc(s.fields, func(f *field) bool { return f.section == section })
 }
