--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,6 +1,5 @@
-// Package explain finds, in the logs of relay nodes, all that bears on one
-// request: its own lines, and what the node believed of the upstreams on its
-// way and of the store at the time.
+// Package explain finds the log lines of nodes that are relevant to one request: the request's
+// own lines, and events of the same time that concern its upstreams, the store or the whole node.
 package explain
 
 import (
@@ -14,27 +13,26 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrNoLines means that no line names the request.
+// ErrNoLines means that no log line contains the request's ID.
 var ErrNoLines = errors.New("explain: no line names this request")
 
-// Figures of the search.
+// Limits of the search.
 const (
-	// before is how long before a request's first line what the node believed
-	// may still bear on it, and after the same for its last.
-	before = 3 * time.Second
-	after  = 300 * time.Millisecond
-	// longestLine bounds a line, in bytes.
-	longestLine = 1 << 20
+	// Events are included from contextBefore before the request's first line until contextAfter
+	// after its last line.
+	contextBefore = 3 * time.Second
+	contextAfter  = 300 * time.Millisecond
+	// maxLineBytes bounds the length of a log line, in bytes.
+	maxLineBytes = 1 << 20
 )
 
-// beliefs are the events about an upstream, and conditions those about the
-// whole node.
+// upstreamEvents are the log events about one upstream, nodeEvents those about the whole node.
 var (
-	beliefs    = []string{"suspect", "silent", "probe", "upstream_leaving", "upstream_says_it_leaves", "rest", "word_unread", "identified", "upstream_replaced", "order"}
-	conditions = []string{"store_lost", "store_back", "store_returned", "config", "config_outdated", "freshness_from_peer", "reader", "reader_failed", "coverage", "drain", "start", "stop"}
+	upstreamEvents = []string{"suspect", "silent", "probe", "upstream_leaving", "upstream_says_it_leaves", "rest", "word_unread", "identified", "upstream_replaced", "order"}
+	nodeEvents     = []string{"store_lost", "store_back", "store_returned", "config", "config_outdated", "freshness_from_peer", "reader", "reader_failed", "coverage", "drain", "start", "stop"}
 )
 
-// Line is one line of a log.
+// Line is one log line.
 type Line struct {
 	Time  time.Time
 	Event string
@@ -48,60 +46,60 @@
 	chainPattern    = regexp.MustCompile(`\bchain="([^"]*)"`)
 )
 
-// Read parses a log. Lines without a time or an event are left out.
+// Read parses a log. It skips lines without a time or an event.
 func Read(r io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, longestLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
-		if line, ok := parse(scanner.Text()); ok {
+		if line, ok := parseLine(scanner.Text()); ok {
 			lines = append(lines, line)
 		}
 	}
-	return lines, errors.Wrap(scanner.Err(), "explain: cannot read")
+	return lines, errors.Wrap(scanner.Err(), "explain: read log")
 }
 
-func parse(text string) (Line, bool) {
-	at, event := timePattern.FindStringSubmatch(text), eventPattern.FindStringSubmatch(text)
-	if at == nil || event == nil {
+func parseLine(text string) (Line, bool) {
+	timeMatch, eventMatch := timePattern.FindStringSubmatch(text), eventPattern.FindStringSubmatch(text)
+	if timeMatch == nil || eventMatch == nil {
 		return Line{}, false
 	}
-	when, err := time.Parse(time.RFC3339Nano, at[1])
+	t, err := time.Parse(time.RFC3339Nano, timeMatch[1])
 	if err != nil {
 		return Line{}, false
 	}
-	return Line{Time: when, Event: event[1], Text: text}, true
+	return Line{Time: t, Event: eventMatch[1], Text: text}, true
 }
 
-// Request returns the lines that bear on a request, in the order of their
-// times; ErrNoLines if none names it.
-func Request(id string, lines []Line) ([]Line, error) {
-	own := regexp.MustCompile(`\bid=` + regexp.QuoteMeta(id) + `\b`)
+// RequestLines returns the lines that are relevant to a request, in chronological order, or
+// ErrNoLines if no line contains its ID.
+func RequestLines(id string, lines []Line) ([]Line, error) {
+	idPattern := regexp.MustCompile(`\bid=` + regexp.QuoteMeta(id) + `\b`)
 	var found []Line
 	for _, line := range lines {
-		if own.MatchString(line.Text) {
+		if idPattern.MatchString(line.Text) {
 			found = append(found, line)
 		}
 	}
 	if len(found) == 0 {
 		return nil, errors.Wrapf(ErrNoLines, "%q", id)
 	}
-	slices.SortStableFunc(found, byTime)
-	from, to := found[0].Time.Add(-before), found[len(found)-1].Time.Add(after)
-	passed := upstreamsOf(found)
+	slices.SortStableFunc(found, compareTime)
+	from, to := found[0].Time.Add(-contextBefore), found[len(found)-1].Time.Add(contextAfter)
+	upstreams := upstreamsOf(found)
 	for _, line := range lines {
-		if line.Time.Before(from) || line.Time.After(to) || own.MatchString(line.Text) {
+		if line.Time.Before(from) || line.Time.After(to) || idPattern.MatchString(line.Text) {
 			continue
 		}
-		if slices.Contains(conditions, line.Event) || slices.Contains(beliefs, line.Event) && passed[upstreamOf(line)] {
+		if slices.Contains(nodeEvents, line.Event) || slices.Contains(upstreamEvents, line.Event) && upstreams[upstreamOf(line)] {
 			found = append(found, line)
 		}
 	}
-	slices.SortStableFunc(found, byTime)
+	slices.SortStableFunc(found, compareTime)
 	return found, nil
 }
 
-func byTime(a, b Line) int { return a.Time.Compare(b.Time) }
+func compareTime(a, b Line) int { return a.Time.Compare(b.Time) }
 
 func upstreamOf(line Line) string {
 	if m := upstreamPattern.FindStringSubmatch(line.Text); m != nil {
@@ -110,19 +108,19 @@
 	return ""
 }
 
-// upstreamsOf returns the upstreams that a request's lines name.
+// upstreamsOf returns the IDs of the upstreams in a request's lines.
 func upstreamsOf(lines []Line) map[string]bool {
-	passed := make(map[string]bool)
+	upstreams := make(map[string]bool)
 	for _, line := range lines {
 		if id := upstreamOf(line); id != "" {
-			passed[id] = true
+			upstreams[id] = true
 		}
 		if m := chainPattern.FindStringSubmatch(line.Text); m != nil {
 			for part := range strings.FieldsSeq(m[1]) {
 				id, _, _ := strings.Cut(part, ":")
-				passed[id] = true
+				upstreams[id] = true
 			}
 		}
 	}
-	return passed
+	return upstreams
 }
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -23,8 +23,8 @@
 	return lines
 }
 
-func TestRequest(t *testing.T) {
-	found, err := explain.Request("aa11", testLines(t))
+func TestRequestLines(t *testing.T) {
+	found, err := explain.RequestLines("aa11", testLines(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,12 +34,12 @@
 	}
 	want := []string{"store_lost", "sent", "suspect", "move", "answered"}
 	if !slices.Equal(got, want) {
-		t.Errorf("got %v, want %v", got, want)
+		t.Errorf("got events %v, want %v", got, want)
 	}
 }
 
-func TestRequestThatNobodyNames(t *testing.T) {
-	if _, err := explain.Request("a", testLines(t)); !errors.Is(err, explain.ErrNoLines) {
+func TestRequestWithoutLines(t *testing.T) {
+	if _, err := explain.RequestLines("a", testLines(t)); !errors.Is(err, explain.ErrNoLines) {
 		t.Errorf("got error %v, want %v", err, explain.ErrNoLines)
 	}
 }
--- a/explain/files.go
+++ b/explain/files.go
@@ -6,9 +6,9 @@
 	"os"
 )
 
-// Files prints all that bears on a request, from log files. Each holds all lines
-// of one node, or of several.
-func Files(out io.Writer, id string, paths []string) error {
+// PrintRequest prints the lines of log files that are relevant to a request. Each file may
+// contain the log of one node or of several.
+func PrintRequest(out io.Writer, id string, paths []string) error {
 	var all []Line
 	for _, path := range paths {
 		lines, err := readFile(path)
@@ -17,7 +17,7 @@
 		}
 		all = append(all, lines...)
 	}
-	found, err := Request(id, all)
+	found, err := RequestLines(id, all)
 	if err != nil {
 		return err
 	}
--- a/explain/summary.go
+++ b/explain/summary.go
@@ -12,189 +12,189 @@
 	"time"
 )
 
-// Loss is a request that did not end as its caller wants it: refused, cut, failed,
-// left by its caller, or late.
-type Loss struct {
+// Failure is a request that did not succeed for its caller: rejected, aborted, failed, abandoned
+// by the caller, or late.
+type Failure struct {
 	Time time.Time
-	// Cause is what became of it and why, as "refused no_memory_left".
+	// Cause is the outcome and its reason, such as "refused no_memory_left".
 	Cause string
-	// Route names the request's kind; empty where it was refused before it was
-	// known.
+	// Route is the route's name, empty if the request was rejected before its route was known.
 	Route string
-	// DataCentre is that of the node which took it; empty if the log does not say.
+	// DataCentre is the data centre of the node that received the request, empty if the log does
+	// not contain it.
 	DataCentre string
-	// Layers are those that ran short; empty where that is not it.
+	// Layers are the missing layers, empty if the failure had another cause.
 	Layers string
 }
 
-// Account is all that the logs say of how requests ended.
-type Account struct {
-	// Ended counts the requests that ended, well or not.
-	Ended  int
-	Losses []Loss
+// Summary describes how the requests in a set of logs ended.
+type Summary struct {
+	// Total is the number of requests that ended, including successful ones.
+	Total    int
+	Failures []Failure
 }
 
 var (
-	sourcePattern = regexp.MustCompile(`(\S+)\s+time=`)
-	fieldPattern  = regexp.MustCompile(`\b([a-z_]+)=("[^"]*"|\S*)`)
+	nodePattern  = regexp.MustCompile(`(\S+)\s+time=`)
+	fieldPattern = regexp.MustCompile(`\b([a-z_]+)=("[^"]*"|\S*)`)
 )
 
-// fields returns the values of a line by their names.
+// fields returns the key=value fields of a line by key.
 func (l Line) fields() map[string]string {
 	values := make(map[string]string)
 	for _, m := range fieldPattern.FindAllStringSubmatch(l.Text, -1) {
-		if _, known := values[m[1]]; !known {
+		if _, exists := values[m[1]]; !exists {
 			values[m[1]] = strings.Trim(m[2], `"`)
 		}
 	}
 	return values
 }
 
-// source names the node that wrote a line, where all nodes' lines stand in one
-// file and each begins with its node.
-func (l Line) source(file string) string {
-	if m := sourcePattern.FindStringSubmatch(l.Text); m != nil {
+// nodeName returns the name of the node that wrote a line. In a combined log of several nodes
+// each line begins with it; otherwise the file's name is used.
+func (l Line) nodeName(file string) string {
+	if m := nodePattern.FindStringSubmatch(l.Text); m != nil {
 		return m[1]
 	}
 	return file
 }
 
-// add takes in the lines of one file.
-func (a *Account) add(file string, lines []Line) {
+// add adds the lines of one file.
+func (s *Summary) add(file string, lines []Line) {
 	centres := make(map[string]string)
 	for _, line := range lines {
-		source := line.source(file)
+		node := line.nodeName(file)
 		if line.Event == "start" {
-			centres[source] = line.fields()["data_centre"]
+			centres[node] = line.fields()["data_centre"]
 			continue
 		}
-		if !slices.Contains(ends, line.Event) {
+		if !slices.Contains(endEvents, line.Event) {
 			continue
 		}
-		f := line.fields()
-		a.Ended++
-		cause := causeOf(line.Event, f)
+		fields := line.fields()
+		s.Total++
+		cause := causeOf(line.Event, fields)
 		if cause == "" {
 			continue
 		}
-		a.Losses = append(a.Losses, Loss{Time: line.Time, Cause: cause, Route: f["route"], DataCentre: centres[source], Layers: f["lacks"]})
+		s.Failures = append(s.Failures, Failure{Time: line.Time, Cause: cause, Route: fields["route"], DataCentre: centres[node], Layers: fields["lacks"]})
 	}
 }
 
-// ends are the events that end a request.
-var ends = []string{"refused", "answered", "cut", "caller_left", "caller_lost", "left_open"}
+// endEvents are the log events that end a request.
+var endEvents = []string{"refused", "answered", "cut", "caller_left", "caller_lost", "left_open"}
 
-// causeOf says why a request counts as lost, from the fields of its last line;
-// empty where it does not.
-func causeOf(event string, f map[string]string) string {
+// causeOf returns the cause of a failed request from the event and fields of its last line, or an
+// empty string if the request succeeded or its failure was the caller's own fault.
+func causeOf(event string, fields map[string]string) string {
 	switch event {
 	case "refused":
-		if f["reason"] == "no_such_route" || f["reason"] == "no_such_key" {
+		if fields["reason"] == "no_such_route" || fields["reason"] == "no_such_key" {
 			return ""
 		}
-		return "refused " + f["reason"]
+		return "refused " + fields["reason"]
 	case "cut":
-		return "cut " + f["reason"]
+		return "cut " + fields["reason"]
 	case "caller_left", "caller_lost", "left_open":
 		return event
 	}
 	switch {
-	case strings.HasPrefix(f["status"], "5"):
+	case strings.HasPrefix(fields["status"], "5"):
 		return "failed by its upstream"
-	case f["late"] == "":
+	case fields["late"] == "":
 		return ""
 	}
-	return "late " + f["late"] + afterwards(f)
+	return "late " + fields["late"] + lateSuffix(fields)
 }
 
-// afterwards says what had happened to a late answer on its way.
-func afterwards(f map[string]string) string {
+// lateSuffix describes the retry or migration of a late response.
+func lateSuffix(fields map[string]string) string {
 	switch {
-	case f["attempts"] > "1":
+	case fields["attempts"] > "1":
 		return ", repeated"
-	case f["moves"] > "0":
+	case fields["moves"] > "0":
 		return ", moved"
 	}
 	return ""
 }
 
-// Losses reads log files and returns how the requests in them ended.
-func Losses(paths []string) (*Account, error) {
-	a := &Account{}
+// ReadSummary reads log files and returns how the requests in them ended.
+func ReadSummary(paths []string) (*Summary, error) {
+	s := &Summary{}
 	for _, path := range paths {
 		lines, err := readFile(path)
 		if err != nil {
 			return nil, err
 		}
-		a.add(filepath.Base(path), lines)
+		s.add(filepath.Base(path), lines)
 	}
-	slices.SortStableFunc(a.Losses, func(x, y Loss) int { return x.Time.Compare(y.Time) })
-	return a, nil
+	slices.SortStableFunc(s.Failures, func(x, y Failure) int { return x.Time.Compare(y.Time) })
+	return s, nil
 }
 
-// Write prints the account: losses by cause, by second, by route, by data centre
-// and by what ran short.
-func (a *Account) Write(out io.Writer) error {
-	if _, err := fmt.Fprintf(out, "%d requests ended, %d of them lost or late\n", a.Ended, len(a.Losses)); err != nil {
+// Write prints the summary: failures by cause, route, data centre, missing layers and second.
+func (s *Summary) Write(out io.Writer) error {
+	if _, err := fmt.Fprintf(out, "%d requests ended, %d of them lost or late\n", s.Total, len(s.Failures)); err != nil {
 		return err
 	}
 	for _, by := range []struct {
-		name string
-		of   func(Loss) string
+		name  string
+		value func(Failure) string
 	}{
-		{"cause", func(l Loss) string { return l.Cause }},
-		{"route", func(l Loss) string { return l.Route }},
-		{"data centre", func(l Loss) string { return l.DataCentre }},
-		{"layers that ran short", func(l Loss) string { return l.Layers }},
+		{"cause", func(f Failure) string { return f.Cause }},
+		{"route", func(f Failure) string { return f.Route }},
+		{"data centre", func(f Failure) string { return f.DataCentre }},
+		{"missing layers", func(f Failure) string { return f.Layers }},
 	} {
-		if err := a.writeBy(out, by.name, by.of); err != nil {
+		if err := s.writeGroups(out, by.name, by.value); err != nil {
 			return err
 		}
 	}
-	return a.writeSeconds(out)
+	return s.writeSeconds(out)
 }
 
-// mostRows bounds each table but the one by second.
-const mostRows = 14
+// maxTableRows bounds the rows of each table except the one by second.
+const maxTableRows = 14
 
-// group is the losses that share a value.
-type group struct {
-	name   string
-	losses []Loss
+// failureGroup is a set of failures that share a value.
+type failureGroup struct {
+	name     string
+	failures []Failure
 }
 
-// groups sorts losses by a value, the largest group first.
-func groups(losses []Loss, of func(Loss) string) []group {
-	var list []group
-	place := make(map[string]int)
-	for _, loss := range losses {
-		name := of(loss)
-		i, known := place[name]
-		if !known {
+// groupFailures groups failures by a value, with the largest group first.
+func groupFailures(failures []Failure, value func(Failure) string) []failureGroup {
+	var list []failureGroup
+	position := make(map[string]int)
+	for _, f := range failures {
+		name := value(f)
+		i, exists := position[name]
+		if !exists {
 			i = len(list)
-			place[name] = i
-			list = append(list, group{name: name})
+			position[name] = i
+			list = append(list, failureGroup{name: name})
 		}
-		list[i].losses = append(list[i].losses, loss)
+		list[i].failures = append(list[i].failures, f)
 	}
-	slices.SortStableFunc(list, func(x, y group) int { return cmp.Compare(len(y.losses), len(x.losses)) })
+	slices.SortStableFunc(list, func(x, y failureGroup) int { return cmp.Compare(len(y.failures), len(x.failures)) })
 	return list
 }
 
-// writeBy prints one table: how many, from when to when, and the worst second.
-func (a *Account) writeBy(out io.Writer, name string, of func(Loss) string) error {
+// writeGroups prints one table: for each group the number of failures, the first and last time,
+// and the second with the most failures.
+func (s *Summary) writeGroups(out io.Writer, name string, value func(Failure) string) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, err := fmt.Fprintf(w, "\nby %s\tlost\tfirst\tlast\tworst second\n", name)
 	if err != nil {
 		return err
 	}
-	for i, g := range groups(a.Losses, of) {
-		if g.name == "" || i >= mostRows {
+	for i, g := range groupFailures(s.Failures, value) {
+		if g.name == "" || i >= maxTableRows {
 			continue
 		}
-		worst := groups(g.losses, bySecond)[0]
-		_, err = fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%d at %s\n", g.name, len(g.losses),
-			bySecond(g.losses[0]), bySecond(g.losses[len(g.losses)-1]), len(worst.losses), worst.name)
+		worst := groupFailures(g.failures, secondOf)[0]
+		_, err = fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%d at %s\n", g.name, len(g.failures),
+			secondOf(g.failures[0]), secondOf(g.failures[len(g.failures)-1]), len(worst.failures), worst.name)
 		if err != nil {
 			return err
 		}
@@ -202,22 +202,22 @@
 	return w.Flush()
 }
 
-func bySecond(l Loss) string { return l.Time.Format(time.TimeOnly) }
+func secondOf(f Failure) string { return f.Time.Format(time.TimeOnly) }
 
-// writeSeconds prints the losses of each second with its largest causes.
-func (a *Account) writeSeconds(out io.Writer) error {
+// writeSeconds prints the failures of each second with their most frequent causes.
+func (s *Summary) writeSeconds(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if _, err := fmt.Fprint(w, "\nsecond\tlost\tlargest causes\n"); err != nil {
 		return err
 	}
-	seconds := groups(a.Losses, bySecond)
-	slices.SortStableFunc(seconds, func(x, y group) int { return strings.Compare(x.name, y.name) })
-	for _, s := range seconds {
+	seconds := groupFailures(s.Failures, secondOf)
+	slices.SortStableFunc(seconds, func(x, y failureGroup) int { return strings.Compare(x.name, y.name) })
+	for _, second := range seconds {
 		var causes []string
-		for _, c := range groups(s.losses, func(l Loss) string { return l.Cause }) {
-			causes = append(causes, fmt.Sprintf("%d %s", len(c.losses), c.name))
+		for _, c := range groupFailures(second.failures, func(f Failure) string { return f.Cause }) {
+			causes = append(causes, fmt.Sprintf("%d %s", len(c.failures), c.name))
 		}
-		if _, err := fmt.Fprintf(w, "%s\t%d\t%s\n", s.name, len(s.losses), strings.Join(causes[:min(len(causes), 3)], "; ")); err != nil {
+		if _, err := fmt.Fprintf(w, "%s\t%d\t%s\n", second.name, len(second.failures), strings.Join(causes[:min(len(causes), 3)], "; ")); err != nil {
 			return err
 		}
 	}
