--- a/clock/clock.go
+++ b/clock/clock.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Clock tells the time since it was made. It goes on while the VM is suspended, so that what
-// was known before a suspension is as old as it is; the steady clock of time.Now stands
-// still meanwhile. A step of the wall clock does not move it.
+// Clock measures the time since its creation. It also advances while the VM is suspended, unlike
+// the monotonic clock of time.Now, so that the age of data includes suspensions. Changes of the
+// wall clock do not affect it.
 type Clock struct {
 	vm    VM
 	start time.Duration
 }
 
-// Option sets up a Clock.
+// Option configures a Clock.
 type Option func(*Clock)
 
-// WithVM sets whose clocks are read, for tests.
+// WithVM sets the VM whose clocks are read, for tests.
 func WithVM(vm VM) Option { return func(c *Clock) { c.vm = vm } }
 
-// New starts a clock at zero.
+// New returns a clock that starts at zero.
 func New(opts ...Option) *Clock {
 	c := &Clock{vm: thisVM()}
 	for _, opt := range opts {
@@ -26,9 +26,9 @@
 	return c
 }
 
-// Now returns the time since the clock was made.
+// Now returns the time since the clock was created.
 func (c *Clock) Now() Millis { return FromDuration(c.vm.Elapsed() - c.start) }
 
-// Wall returns the wall time in milliseconds since 1970. It is for records
-// that people read; no decision may depend on it.
+// Wall returns the wall time in milliseconds since 1970. It is only for records that people read:
+// decisions must not depend on it.
 func (c *Clock) Wall() int64 { return time.Now().UnixMilli() }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -25,15 +25,15 @@
 	})
 }
 
-func TestUntilCountsSuspensions(t *testing.T) {
+func TestWaitUntilCountsSuspensions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		vm := clocktest.NewVM()
 		c := clock.New(clock.WithVM(vm))
-		began := time.Now()
+		start := time.Now()
 		time.AfterFunc(time.Second, func() { vm.Suspend(5 * time.Second) })
-		c.Until(t.Context(), 5900)
-		if got, most := time.Since(began), 1100*time.Millisecond; got > most {
-			t.Errorf("got a wait of %v, want %v at most", got, most)
+		c.WaitUntil(t.Context(), 5900)
+		if got, limit := time.Since(start), 1100*time.Millisecond; got > limit {
+			t.Errorf("got a wait of %v, want at most %v", got, limit)
 		}
 		if got, want := c.Now(), clock.Millis(5900); got < want {
 			t.Errorf("got %d after the wait, want %d or more", got, want)
@@ -41,28 +41,28 @@
 	})
 }
 
-func TestWakes(t *testing.T) {
+func TestSuspensions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		vm := clocktest.NewVM()
-		wakes := clock.New(clock.WithVM(vm)).Wakes()
-		told := make(chan clock.Millis, 4)
-		wakes.Tell(func(slept clock.Millis) { told <- slept })
+		suspensions := clock.New(clock.WithVM(vm)).Suspensions()
+		notified := make(chan clock.Millis, 4)
+		suspensions.OnResume(func(d clock.Millis) { notified <- d })
 		ctx, cancel := context.WithCancel(t.Context())
-		ended := make(chan error, 1)
-		go func() { ended <- wakes.Run(ctx) }()
+		done := make(chan error, 1)
+		go func() { done <- suspensions.Run(ctx) }()
 		time.Sleep(time.Second)
 		vm.Suspend(4 * time.Second)
 		time.Sleep(time.Second)
 		vm.Suspend(700 * time.Millisecond)
 		time.Sleep(time.Second)
 		cancel()
-		if err := <-ended; !errors.Is(err, context.Canceled) {
-			t.Errorf("got %v, want the end of the context", err)
+		if err := <-done; !errors.Is(err, context.Canceled) {
+			t.Errorf("got error %v, want context.Canceled", err)
 		}
-		close(told)
+		close(notified)
 		var got []clock.Millis
-		for slept := range told {
-			got = append(got, slept)
+		for d := range notified {
+			got = append(got, d)
 		}
 		if want := []clock.Millis{4000, 700}; !slices.Equal(got, want) {
 			t.Errorf("got suspensions %v, want %v", got, want)
--- a/clock/millis.go
+++ b/clock/millis.go
@@ -1,7 +1,7 @@
-// Package clock holds the project's one notion of time.
+// Package clock provides the time source and the time type of the project.
 //
-// All decisions count in Millis, and get the time handed to them. Only the
-// shell owns a Clock, so that a recorded run replays with the times it had.
+// All decisions use Millis and receive the current time as a parameter. Only the code around the
+// decision logic reads a Clock, so that a recorded run can be replayed with its original times.
 //
 //	c := clock.New()
 //	deadline := c.Now().Add(1200)
@@ -9,22 +9,22 @@
 
 import "time"
 
-// Millis is a time or a span of time, in milliseconds. As a time it counts
-// from the start of the process and never runs backwards.
+// Millis is a point in time or a duration, in milliseconds. A point in time counts from the start
+// of the process and never goes backwards.
 type Millis int64
 
-// Add returns the time d later.
+// Add returns the time d after m.
 func (m Millis) Add(d Millis) Millis { return m + d }
 
-// Sub returns the span from earlier to m.
+// Sub returns the duration from earlier to m.
 func (m Millis) Sub(earlier Millis) Millis { return m - earlier }
 
-// Duration converts a span for the standard library.
+// Duration converts a duration to a time.Duration.
 func (m Millis) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
-// Seconds returns the span in whole seconds, rounded up. HTTP's Retry-After
-// header wants them so.
+// Seconds returns the duration in whole seconds, rounded up, as HTTP's Retry-After header
+// requires.
 func (m Millis) Seconds() int64 { return int64((m + 999) / 1000) }
 
-// FromDuration converts a span from the standard library, rounding down.
+// FromDuration converts a time.Duration to Millis, rounding down.
 func FromDuration(d time.Duration) Millis { return Millis(d / time.Millisecond) }
--- a/clock/never.go
+++ b/clock/never.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// Never is a time before all others: that of something which has not happened.
-// Times before the process's own start are negative, so zero would not do. It is
-// far enough from the least number for a span not to overflow.
+// Never is earlier than any other time, and marks an event that has not happened. Zero does not
+// work for this, because times before the start of the process are negative. The value is far
+// enough from the minimum that a duration computed from it does not overflow.
 const Never Millis = math.MinInt64 / 4
 
-// AgeOf returns how long ago a time was; -1 for Never.
+// AgeOf returns the duration from at to now, or -1 if at is Never.
 func AgeOf(at, now Millis) Millis {
 	if at == Never {
 		return -1
--- a/clock/suspensions.go
+++ b/clock/suspensions.go
@@ -7,64 +7,67 @@
 )
 
 const (
-	// wakeCheck is how often it is looked whether the VM was suspended. Timers fire later
-	// by the time slept, so it is the delay of a wake-up in the worst case.
-	wakeCheck = 50 * time.Millisecond
-	// leastSuspension is how much more time must have passed than the VM has run. Both
-	// clocks are read one after the other, and the thread may be kept waiting in between.
-	leastSuspension = 250 * time.Millisecond
+	// suspensionCheckInterval is the interval of the checks for a suspension. The check's timer
+	// does not advance during a suspension, so the interval is also the maximum delay of a
+	// notification after the VM resumes.
+	suspensionCheckInterval = 50 * time.Millisecond
+	// minSuspension is the minimum difference between elapsed and running time that counts as a
+	// suspension. Smaller differences occur without one: the two clocks are read one after the
+	// other, and the thread may be preempted in between.
+	minSuspension = 250 * time.Millisecond
 )
 
-// Wakes tells when the VM goes on after a suspension. Timers and the deadlines of the
-// standard library count in the steady clock, so all that were set before fire later by the
-// time slept; connections may be long dead. It is safe for concurrent use.
-type Wakes struct {
-	vm    VM
-	mu    sync.Mutex
-	tells []func(slept Millis)
+// Suspensions detects suspensions of the VM and calls functions after each one. Timers and
+// deadlines of the standard library use the steady clock, so those set before a suspension fire
+// late by its duration, and connections may be long dead. Suspensions is safe for concurrent use.
+type Suspensions struct {
+	vm        VM
+	mu        sync.Mutex
+	callbacks []func(suspension Millis)
 }
 
-// Wakes returns who tells of suspensions of the clock's VM. Run makes it work.
-func (c *Clock) Wakes() *Wakes { return &Wakes{vm: c.vm} }
+// Suspensions returns a detector of suspensions of the clock's VM. It works while Run is running.
+func (c *Clock) Suspensions() *Suspensions { return &Suspensions{vm: c.vm} }
 
-// Tell has a function called after each suspension, one after the other. It must not wait.
-func (w *Wakes) Tell(f func(slept Millis)) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.tells = append(w.tells, f)
+// OnResume adds a function that is called with the suspended time after each suspension. The
+// functions are called one after the other and must not block.
+func (s *Suspensions) OnResume(f func(suspension Millis)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.callbacks = append(s.callbacks, f)
 }
 
-// Run looks until the context ends.
-func (w *Wakes) Run(ctx context.Context) error {
-	tick := time.NewTicker(wakeCheck)
+// Run checks for suspensions until the context ends.
+func (s *Suspensions) Run(ctx context.Context) error {
+	tick := time.NewTicker(suspensionCheckInterval)
 	defer tick.Stop()
-	before := w.suspended()
+	before := s.suspended()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-tick.C:
 		}
-		now := w.suspended()
-		if now-before >= leastSuspension {
-			w.wake(FromDuration(now - before))
+		now := s.suspended()
+		if now-before >= minSuspension {
+			s.notify(FromDuration(now - before))
 			before = now
 		}
 		before = min(before, now)
 	}
 }
 
-// suspended is for how long the VM has been suspended in all.
-func (w *Wakes) suspended() time.Duration {
-	steady := w.vm.Steady()
-	return w.vm.Elapsed() - steady
+// suspended returns the total time for which the VM has been suspended.
+func (s *Suspensions) suspended() time.Duration {
+	steady := s.vm.Steady()
+	return s.vm.Elapsed() - steady
 }
 
-func (w *Wakes) wake(slept Millis) {
-	w.mu.Lock()
-	tells := w.tells
-	w.mu.Unlock()
-	for _, tell := range tells {
-		tell(slept)
+func (s *Suspensions) notify(suspension Millis) {
+	s.mu.Lock()
+	callbacks := s.callbacks
+	s.mu.Unlock()
+	for _, call := range callbacks {
+		call(suspension)
 	}
 }
--- a/clock/vm.go
+++ b/clock/vm.go
@@ -6,16 +6,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// VM reads the clocks of the VM that a process runs on.
+// VM reads the clocks of the VM that the process runs on.
 type VM interface {
-	// Steady is the time for which the VM has run. The time for which it was suspended
-	// is not in it; timers count in it.
+	// Steady returns the time that the VM has run, without suspensions. Timers follow this clock.
 	Steady() time.Duration
-	// Elapsed is the time that has passed, also while the VM was suspended.
+	// Elapsed returns the time that has passed, including suspensions of the VM.
 	Elapsed() time.Duration
 }
 
-// systemVM reads the clocks of the kernel.
+// systemVM reads the kernel's clocks.
 type systemVM struct{ start time.Time }
 
 // Steady implements VM.
@@ -25,8 +24,8 @@
 func (v systemVM) Elapsed() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		// Linux has had this clock since 2.6.39. Without it nothing here can be trusted
-		// to be as young as it looks.
+		// Linux has this clock since version 2.6.39. Without it, the age of data would not
+		// include suspensions.
 		panic(err)
 	}
 	return time.Duration(t.Nano())
--- a/clock/vm_suspendable.go
+++ b/clock/vm_suspendable.go
@@ -9,17 +9,18 @@
 	"time"
 )
 
-// SuspendedFile is the variable that names a file with the time for which the VM of a
-// process counts as suspended so far, in ms. It is read in builds for the fault soak alone,
-// which stops a process with a signal and wants it to find itself as after a suspension.
+// SuspendedFile is the environment variable with the path of a file that contains the total
+// simulated suspension of the VM, in ms. Only builds for the fault soak test read it: the test
+// stops a process with a signal, and the process must then behave as after a suspension of its
+// VM.
 const SuspendedFile = "HOIST_SUSPENDED_FILE"
 
-// thisVM returns the VM that the process runs on, suspended for as long as a file tells.
+// thisVM returns the VM that the process runs on, with the simulated suspension from the file.
 func thisVM() VM {
 	return suspendable{systemVM: systemVM{start: time.Now()}, file: os.Getenv(SuspendedFile)}
 }
 
-// suspendable is a VM whose steady clock has stood still for a time.
+// suspendable is a VM with a simulated suspension, by which its steady clock lags behind.
 type suspendable struct {
 	systemVM
 	file string
@@ -31,12 +32,12 @@
 func (v suspendable) suspended() time.Duration {
 	text, err := os.ReadFile(v.file)
 	if err != nil {
-		// Nobody has suspended it yet.
+		// Without the file, there was no suspension yet.
 		return 0
 	}
 	ms, err := strconv.ParseInt(strings.TrimSpace(string(text)), 10, 64)
 	if err != nil {
-		// The file is being written.
+		// The file is being written and is incomplete.
 		return 0
 	}
 	return time.Duration(ms) * time.Millisecond
--- a/follow/catalog.go
+++ b/follow/catalog.go
@@ -68,7 +68,7 @@
 	for ctx.Err() == nil {
 		reader, waits := f.reader(p.read)
 		if waits {
-			clock.Pause(ctx, look(p.read))
+			clock.Sleep(ctx, look(p.read))
 			continue
 		}
 		sent := f.clock.Now()
@@ -117,7 +117,7 @@
 		}
 		p.failures++
 		// The time in which the call hung is part of the pause.
-		clock.Pause(ctx, f.asked.Add(retryPause(p.failures)).Sub(f.clock.Now()).Duration())
+		clock.Sleep(ctx, f.asked.Add(retryPause(p.failures)).Sub(f.clock.Now()).Duration())
 	}
 }
 
--- a/follow/fleet.go
+++ b/follow/fleet.go
@@ -94,7 +94,7 @@
 		reader, waits := f.reader(p.read)
 		if waits {
 			f.takeLearnt(f.clock.Now())
-			clock.Pause(ctx, look(p.read))
+			clock.Sleep(ctx, look(p.read))
 			continue
 		}
 		p.follows(reader, f.clock.Now())
@@ -115,7 +115,7 @@
 		p = fleetProgress{asOf: reading.AsOf, read: true, followed: p.followed, followedSince: p.followedSince}
 		if len(reading.Changes) > 0 {
 			p.paused = f.gather(reader != nil)
-			clock.Pause(ctx, p.paused.Duration())
+			clock.Sleep(ctx, p.paused.Duration())
 		}
 	}
 	return ctx.Err()
@@ -179,7 +179,7 @@
 			return
 		}
 		f.takeLearnt(f.clock.Now())
-		clock.Pause(ctx, firstRetry.Duration())
+		clock.Sleep(ctx, firstRetry.Duration())
 		lost = lost || f.outage.Away()
 		if f.clock.Now() >= until || lost && !f.outage.Away() {
 			return
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -183,7 +183,7 @@
 	go func() {
 		for ctx.Err() == nil {
 			outage.Back(c.Now())
-			clock.Pause(ctx, firstRetry.Duration())
+			clock.Sleep(ctx, firstRetry.Duration())
 		}
 	}()
 	if err := f.Run(ctx); !errors.Is(err, context.Canceled) {
--- a/follow/reader_test.go
+++ b/follow/reader_test.go
@@ -170,7 +170,7 @@
 func backSoon(ctx context.Context, outage *Outage, c *clock.Clock) {
 	for ctx.Err() == nil {
 		outage.Back(c.Now())
-		clock.Pause(ctx, firstRetry.Duration())
+		clock.Sleep(ctx, firstRetry.Duration())
 	}
 }
 
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -105,7 +105,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case c := <-k.changes.Items():
-			clock.Pause(ctx, gatherFor)
+			clock.Sleep(ctx, gatherFor)
 			changes := k.gather(c)
 			k.write(ctx, changes)
 			k.note(changes)
@@ -230,7 +230,7 @@
 			return err
 		}
 		k.log.Info(event, logging.Err(err))
-		clock.Pause(ctx, pause)
+		clock.Sleep(ctx, pause)
 	}
 	return nil
 }
--- a/node/circle.go
+++ b/node/circle.go
@@ -48,7 +48,7 @@
 			last, seen = name, changes
 			n.setCircle(&circle, others, rank)
 		}
-		clock.Pause(ctx, circleEvery)
+		clock.Sleep(ctx, circleEvery)
 	}
 	return ctx.Err()
 }
--- a/peering/peering.go
+++ b/peering/peering.go
@@ -131,7 +131,7 @@
 func (p *Peering) Register(ctx context.Context) error {
 	registered := p.join(ctx)
 	for reads := 1; ctx.Err() == nil; reads++ {
-		clock.Pause(ctx, membersEvery)
+		clock.Sleep(ctx, membersEvery)
 		standing, err := p.readRegistry(ctx)
 		if err != nil {
 			p.log.Info("members_not_read", logging.Err(err))
@@ -153,11 +153,11 @@
 	turn, weak := startTurn(p.directory.self.GetStrength())
 	switch {
 	case p.firstStart && !weak:
-		clock.Pause(ctx, (p.registerAfter % strongSpread(p.directory.self.GetStrength())).Duration())
+		clock.Sleep(ctx, (p.registerAfter % strongSpread(p.directory.self.GetStrength())).Duration())
 		p.registerAnew(ctx)
 		return true
 	case p.firstStart:
-		clock.Pause(ctx, (turn + p.registerAfter%weakSpread).Duration())
+		clock.Sleep(ctx, (turn + p.registerAfter%weakSpread).Duration())
 	}
 	standing, err := p.readRegistry(ctx)
 	if err != nil {
@@ -177,7 +177,7 @@
 // registered too, reads the registry.
 func (p *Peering) registerAnew(ctx context.Context) {
 	p.until(ctx, "not_registered", func() error { return p.register(ctx) })
-	clock.Pause(ctx, membersSoon)
+	clock.Sleep(ctx, membersSoon)
 	p.until(ctx, "members_not_read", func() error {
 		_, err := p.readRegistry(ctx)
 		return err
@@ -192,7 +192,7 @@
 			return
 		}
 		p.log.Info(event, logging.Err(err))
-		clock.Pause(ctx, registerAgain)
+		clock.Sleep(ctx, registerAgain)
 	}
 }
 
--- a/peering/put_back.go
+++ b/peering/put_back.go
@@ -37,7 +37,7 @@
 		if p.clock.Now() >= clock.Millis(p.registeredAt.Load()).Add(moment.CopyReaches) {
 			continue
 		}
-		clock.Pause(ctx, (p.registerAfter % strongSpread(p.directory.self.GetStrength())).Duration())
+		clock.Sleep(ctx, (p.registerAfter % strongSpread(p.directory.self.GetStrength())).Duration())
 		p.until(ctx, "not_registered", func() error { return p.register(ctx) })
 	}
 }
--- a/peering/silent_connections_test.go
+++ b/peering/silent_connections_test.go
@@ -101,7 +101,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := clocktest.NewClock()
 		peers := startSlowPeers(t, c, 3)
-		transport := platform.NewQuestionTransport()
+		transport := platform.NewOneShotTransport()
 		transport.DialContext = peers.network.DialContext
 		t.Cleanup(transport.CloseIdleConnections)
 		asker := &knowing{}
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -238,7 +238,7 @@
 	p.placed(cmd.Upstream, cmd.Layers, false)
 	until := p.clock.Now().Add(clock.FromDuration(watchFor))
 	for pause := watchFirst; p.clock.Now() < until && ctx.Err() == nil; pause = watchEvery {
-		clock.Pause(ctx, pause)
+		clock.Sleep(ctx, pause)
 		state, err := p.engines.State(ctx, cmd.Address, cmd.Upstream)
 		if errors.Is(err, ErrOtherRun) {
 			return
