--- a/cmd/hoistctl/limits.go
+++ b/cmd/hoistctl/limits.go
@@ -23,9 +23,9 @@
 
 // relayMetrics is what of a relay node's metrics is shown.
 type relayMetrics struct {
-	Limits []limit.Shown  `json:"limits"`
-	Orders map[string]int `json:"orders"`
-	Store  storeMetrics   `json:"store"`
+	Limits []limit.Summary `json:"limits"`
+	Orders map[string]int  `json:"orders"`
+	Store  storeMetrics    `json:"store"`
 }
 
 func (c *limitsCommand) runOffline() error {
@@ -76,7 +76,7 @@
 		lines = append(lines, "upstream\tper second\tage ms\towner\tsent in 4 s\tgiven in 4 s\twanted in vain")
 	}
 	for _, l := range m.Limits {
-		lines = append(lines, fmt.Sprintf("%s\t%g\t%d\t%s\t%d\t%d\t%d", l.Upstream, l.PerSecond, l.AgeMS, l.Owner, l.Sent, l.Given, l.Queue))
+		lines = append(lines, fmt.Sprintf("%s\t%g\t%d\t%s\t%d\t%d\t%d", l.Upstream, l.PerSecond, l.AgeMillis, l.Owner, l.Sent, l.Granted, l.Denied))
 	}
 	if _, err := fmt.Fprintln(t, strings.Join(lines, "\n")); err != nil {
 		return err
--- a/core/call.go
+++ b/core/call.go
@@ -128,7 +128,7 @@
 	if r.attempt >= m.policy.MaxCalls || m.now >= r.deadline {
 		return false
 	}
-	return r.route.lane.budget.Spend()
+	return r.route.lane.budget.TryWithdraw()
 }
 
 // callElsewhere tries a request again at another upstream.
--- a/core/cancel.go
+++ b/core/cancel.go
@@ -31,5 +31,5 @@
 	if r.begun {
 		return outcome.Failed
 	}
-	return outcome.NotRun
+	return outcome.NotExecuted
 }
--- a/core/claim.go
+++ b/core/claim.go
@@ -28,7 +28,7 @@
 		return
 	}
 	r.phase = phaseClaiming
-	r.key.claim = m.ledger.Next()
+	r.key.claim = m.ledger.NewClaim()
 	m.claims.waiting = append(m.claims.waiting, r)
 	m.flushClaims()
 }
@@ -36,7 +36,7 @@
 // claimEvery is how long a node waits between its batches, so that all nodes
 // together stay within their share of the platform's writes.
 func (m *Model) claimEvery() clock.Millis {
-	return clock.Millis(float64(m.members.Running(m.now)) * 1000 / m.claimWrites)
+	return clock.Millis(float64(m.members.LiveNodes(m.now)) * 1000 / m.claimWrites)
 }
 
 // claimPause is when to ask again while the store gives no answers.
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -48,7 +48,7 @@
 	}
 	if r.dispatched == 0 {
 		r.dispatched = m.now
-		l.budget.Earn()
+		l.budget.Deposit()
 	}
 	r.chain = chain
 	for _, u := range chain {
@@ -82,7 +82,7 @@
 func (m *Model) unbegin(r *request) {
 	r.begun = false
 	if r.key != nil {
-		r.key.ledger.Undo(r.key.claim.Sequence)
+		r.key.ledger.UndoBegin(r.key.claim.Sequence)
 	}
 }
 
--- a/core/finish.go
+++ b/core/finish.go
@@ -11,7 +11,7 @@
 // try: where an earlier try with the same key may have run, the answer is
 // "unknown".
 func (m *Model) refuse(r *request, reason Reason, retryAfter clock.Millis) {
-	f := FinishCmd{Outcome: outcome.NotRun, Reason: reason, RetryAfter: retryAfter}
+	f := FinishCmd{Outcome: outcome.NotExecuted, Reason: reason, RetryAfter: retryAfter}
 	if r.begun || r.ambiguous() || reasons[reason].notRun == "" {
 		f.Outcome = outcome.Unknown
 	}
--- a/core/gossip.go
+++ b/core/gossip.go
@@ -9,10 +9,10 @@
 // beat tells a few peers what this node knows.
 func (m *Model) beat() {
 	m.node.Beat++
-	for _, p := range m.members.Targets(m.rng) {
+	for _, p := range m.members.GossipTargets(m.rng) {
 		m.beatTo(p.Record().GetAddress())
 	}
-	if len(m.seeds) > 0 && m.members.Running(m.now) == 1 {
+	if len(m.seeds) > 0 && m.members.LiveNodes(m.now) == 1 {
 		m.beatTo(m.seeds[m.rng.IntN(len(m.seeds))])
 	}
 }
@@ -40,7 +40,7 @@
 
 func (m *Model) learnNodes(msg NodesMsg) {
 	for _, n := range msg.Nodes {
-		m.members.Learn(m.now, n)
+		m.members.Update(m.now, n)
 	}
 	m.answerProposals()
 }
--- a/core/key.go
+++ b/core/key.go
@@ -45,7 +45,7 @@
 	}
 	r.key.ledger = l
 	switch l.State(c.Sequence) {
-	case once.Fresh:
+	case once.NotBegun:
 		r.key.owned = true
 		m.admit(r)
 	case once.NeverIssued:
--- a/core/lane.go
+++ b/core/lane.go
@@ -87,8 +87,8 @@
 	if l.queue.Len() == 0 && float64(l.running)+1 <= slots {
 		return 0
 	}
-	own := float64(l.queue.LenOf(priority, a.config.GetName())) + 1
-	share := a.weight() / l.queue.Weight(priority, a.config.GetName(), a.weight())
+	own := float64(l.queue.AccountLen(priority, a.config.GetName())) + 1
+	share := a.weight() / l.queue.ActiveWeight(priority, a.config.GetName(), a.weight())
 	behind := math.Min(own/share, float64(l.queue.Len())+1)
 	ahead := float64(l.queue.Ahead(priority)) + behind + float64(len(l.resuming))
 	hold := l.perToken.value * cost
--- a/core/model.go
+++ b/core/model.go
@@ -181,7 +181,7 @@
 // newBudget returns the retry budget of a lane.
 func (m *Model) newBudget() *budget.Budget {
 	if !m.policy.Budget {
-		return budget.New(budget.WithShare(float64(m.policy.MaxCalls)), budget.WithDepth(1<<20))
+		return budget.New(budget.WithShare(float64(m.policy.MaxCalls)), budget.WithBurst(1<<20))
 	}
 	return budget.New()
 }
--- a/core/propose.go
+++ b/core/propose.go
@@ -160,7 +160,7 @@
 		m.retryCommit(p)
 		return
 	}
-	if m.tracker.Version() >= p.version && m.members.Holding(p.version) >= acceptedCentres {
+	if m.tracker.Version() >= p.version && m.members.DataCentresWithVersion(p.version) >= acceptedCentres {
 		m.answer(p, &wire.ProposeReply{State: wire.ProposeState_PROPOSE_STATE_ACCEPTED, Version: p.version})
 		return
 	}
--- a/core/status.go
+++ b/core/status.go
@@ -30,7 +30,7 @@
 		r := p.Record()
 		reply.Nodes = append(reply.Nodes, &wire.NodeStatus{
 			Name: r.GetName(), Incarnation: r.GetIncarnation(), DataCentre: r.GetDataCentre(),
-			Version: r.GetVersion(), Draining: r.GetDraining(), HeardMs: int64(m.now.Sub(p.Heard())),
+			Version: r.GetVersion(), Draining: r.GetDraining(), HeardMs: int64(m.now.Sub(p.LastSeen())),
 		})
 	}
 	for _, u := range m.pool.All() {
--- a/core/submit.go
+++ b/core/submit.go
@@ -86,7 +86,7 @@
 func (m *Model) reject(msg SubmitMsg, reason Reason) {
 	f := FinishCmd{Caller: msg.Caller, Outcome: outcome.Failed, Reason: reason}
 	if reasons[reason].notRun != "" {
-		f.Outcome = outcome.NotRun
+		f.Outcome = outcome.NotExecuted
 		f.RetryAfter = rejectPause + m.jitter(rejectPause)
 		if msg.Key != "" && !msg.FirstTry {
 			f.Outcome = outcome.Unknown
--- a/core/tick.go
+++ b/core/tick.go
@@ -59,7 +59,7 @@
 	}
 	if t.nodes.due(m, nodesEvery) {
 		m.do(&PollNodesCmd{})
-		m.members.Forget(m.now)
+		m.members.Expire(m.now)
 	}
 	if t.register.due(m, registerEvery) {
 		m.do(&RegisterCmd{Node: m.Self()})
--- a/core/tickets.go
+++ b/core/tickets.go
@@ -15,13 +15,13 @@
 		return
 	}
 	if m.drain.started {
-		m.do(&FinishCmd{Caller: msg.Caller, Outcome: outcome.NotRun, Reason: ReasonDraining, RetryAfter: rejectPause})
+		m.do(&FinishCmd{Caller: msg.Caller, Outcome: outcome.NotExecuted, Reason: ReasonDraining, RetryAfter: rejectPause})
 		return
 	}
 	n := min(max(msg.Count, 1), maxTickets)
 	tickets := make([]string, 0, n)
 	for range n {
-		tickets = append(tickets, m.ledger.Issue(a.config.GetName()).String())
+		tickets = append(tickets, m.ledger.IssueTicket(a.config.GetName()).String())
 	}
 	m.do(&TicketsCmd{Caller: msg.Caller, Tickets: tickets})
 }
--- a/core/upstream.go
+++ b/core/upstream.go
@@ -28,13 +28,13 @@
 	if u == nil || !m.pool.Leave(name, "") {
 		return
 	}
-	m.members.Mark(m.now, &wire.LeavingMark{Upstream: name, Incarnation: u.Listing().Incarnation})
+	m.members.AddMark(m.now, &wire.LeavingMark{Upstream: name, Incarnation: u.Listing().Incarnation})
 }
 
 // hearMarks takes in leaving marks from a peer, and passes new ones on.
 func (m *Model) hearMarks(marks []*wire.LeavingMark) {
 	for _, mark := range marks {
 		m.pool.Leave(mark.GetUpstream(), mark.GetIncarnation())
-		m.members.Mark(m.now, mark)
+		m.members.AddMark(m.now, mark)
 	}
 }
--- a/core/world_test.go
+++ b/core/world_test.go
@@ -340,7 +340,7 @@
 	if cmd.Outcome == outcome.Done {
 		w.whole(r, cmd)
 	}
-	if cmd.Outcome != outcome.NotRun {
+	if cmd.Outcome != outcome.NotExecuted {
 		return
 	}
 	if r.spec.Key != "" && w.runs[r.spec.Key] > 0 {
--- a/fleetwire/entry.go
+++ b/fleetwire/entry.go
@@ -6,25 +6,27 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// named is a message that names an incarnation.
-type named interface {
+// incarnationMessage is a message that names an incarnation.
+type incarnationMessage interface {
 	GetId() string
 	GetBorn() int64
 }
 
 // IncarnationOf returns the incarnation that a message names.
-func IncarnationOf(msg named) fleet.Incarnation {
-	return fleet.NewIncarnation(fleet.ID(msg.GetId()), fleet.Start(msg.GetBorn()))
+func IncarnationOf(msg incarnationMessage) fleet.Incarnation {
+	return fleet.NewIncarnation(fleet.ID(msg.GetId()), fleet.StartTime(msg.GetBorn()))
 }
 
-// Name is the reverse of IncarnationOf, for the fields of a message.
-func Name(i fleet.Incarnation) (id string, born int64) { return string(i.ID()), int64(i.Born()) }
+// IncarnationFields is the reverse of IncarnationOf, for the fields of a message.
+func IncarnationFields(i fleet.Incarnation) (id string, born int64) {
+	return string(i.ID()), int64(i.StartedAt())
+}
 
-// Names returns incarnations in the form in which nodes tell each other of them.
-func Names(list []fleet.Incarnation) []*wire.Incarnation {
+// Incarnations returns incarnations in the form in which nodes tell each other of them.
+func Incarnations(list []fleet.Incarnation) []*wire.Incarnation {
 	var out []*wire.Incarnation
 	for _, i := range list {
-		id, born := Name(i)
+		id, born := IncarnationFields(i)
 		out = append(out, &wire.Incarnation{Id: id, Born: born})
 	}
 	return out
@@ -39,9 +41,9 @@
 	return list
 }
 
-// Entry returns an upstream in the form in which nodes tell each other of it.
-func Entry(u fleet.Upstream) *wire.ListedUpstream {
-	id, born := Name(u.ID)
+// UpstreamMessage returns an upstream in the form in which nodes tell each other of it.
+func UpstreamMessage(u fleet.Upstream) *wire.ListedUpstream {
+	id, born := IncarnationFields(u.ID)
 	return &wire.ListedUpstream{
 		Id: id, Born: born, Service: u.Service, Address: u.Address, DataCentre: u.DataCentre, Slots: int32(u.Slots),
 		Leaving: u.Leaving, Accelerator: u.Accelerator, HeldFrom: int32(u.Held.From), HeldTo: int32(u.Held.To), Lapsed: u.Lapsed,
@@ -54,17 +56,17 @@
 	return fleet.Upstream{
 		ID: IncarnationOf(e), Service: e.GetService(), Address: e.GetAddress(), DataCentre: e.GetDataCentre(),
 		Slots: int(e.GetSlots()), Leaving: e.GetLeaving(), Accelerator: e.GetAccelerator(),
-		Held: fleet.Range{From: int(e.GetHeldFrom()), To: int(e.GetHeldTo())}, Lapsed: e.GetLapsed(),
+		Held: fleet.LayerRange{From: int(e.GetHeldFrom()), To: int(e.GetHeldTo())}, Lapsed: e.GetLapsed(),
 		Withheld: e.GetWithheld(),
 	}
 }
 
 // Change returns a change of the list in the form in which nodes tell each other of it.
 func Change(c fleet.Change) *wire.ListedChange {
-	id, born := Name(c.ID)
+	id, born := IncarnationFields(c.ID)
 	told := &wire.ListedChange{Id: id, Born: born, Gone: c.Gone, Ended: c.Ended}
 	if !c.Gone {
-		told.Upstream = Entry(c.Upstream)
+		told.Upstream = UpstreamMessage(c.Upstream)
 	}
 	return told
 }
--- a/follow/doc.go
+++ b/follow/doc.go
@@ -25,9 +25,9 @@
 	"github.com/hoistjunction/hoistjunction/moment"
 )
 
-// ErrReadAnew marks the errors of calls that cannot go on from a moment of the store:
+// ErrFullReadRequired marks the errors of calls that cannot go on from a moment of the store:
 // the whole must be read again.
-var ErrReadAnew = errors.New("follow: read anew")
+var ErrFullReadRequired = errors.New("follow: read anew")
 
 // CatalogReading is what a call has shown of the configuration. Raw is empty
 // where it shows no newer one.
--- a/follow/fleet_take.go
+++ b/follow/fleet_take.go
@@ -11,43 +11,43 @@
 	"github.com/hoistjunction/hoistjunction/moment"
 )
 
-// take passes a reading on. Lapsing tells that entries may be missing although
+// apply passes a reading on. Lapsing tells that entries may be missing although
 // their upstreams live.
-func (f *Fleet) take(now clock.Millis, reading FleetReading, lapsing bool) {
+func (f *Fleet) apply(now clock.Millis, reading FleetReading, lapsing bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, err := range reading.Unreadable {
 		f.log.Warn("entry_unreadable", logging.Err(err))
 	}
-	if ended := f.outage.Ended(now); ended != clock.Never {
-		f.view.StoreBack(ended)
+	if ended := f.outage.EndedAt(now); ended != clock.Never {
+		f.view.StoreRecovered(ended)
 		f.view.OutageEnded(ended)
 	}
-	f.view.StoreBack(now)
-	lapsed := f.view.Lapsed()
+	f.view.StoreRecovered(now)
+	lapsed := f.view.Missing()
 	if f.view.Len() == 0 && lapsing {
 		// A node that has started in an outage cannot know what has lapsed in it.
-		f.partial = true
+		f.incomplete = true
 	}
 	var changes []fleet.Change
 	if reading.Whole {
-		changes = f.view.Replace(now, entriesIn(reading.Changes), lapsing)
+		changes = f.view.ReplaceList(now, entriesIn(reading.Changes), lapsing)
 	} else {
 		changes = f.view.Apply(now, reading.Changes, lapsing)
 	}
 	expired := f.view.Expire(now)
-	f.inDoubt = f.inDoubt || f.lapsedOthers(lapsed) || slices.ContainsFunc(expired, isListed)
-	f.show(reading, changes, expired, lapsing)
-	f.pass(append(changes, expired...), reading.AsOf)
+	f.publishFull = f.publishFull || f.falseRemovalsChanged(lapsed) || slices.ContainsFunc(expired, isEntry)
+	f.publish(reading, changes, expired, lapsing)
+	f.notify(append(changes, expired...), reading.AsOf)
 }
 
-// lapsedOthers tells whether other entries have lapsed than had before: one of these is
+// falseRemovalsChanged tells whether other entries have lapsed than had before: one of these is
 // listed again, or further ones vanished. Those that follow are told which have.
-func (f *Fleet) lapsedOthers(before []fleet.Incarnation) bool {
-	if slices.ContainsFunc(before, f.view.Listed) {
+func (f *Fleet) falseRemovalsChanged(before []fleet.Incarnation) bool {
+	if slices.ContainsFunc(before, f.view.HasEntry) {
 		return true
 	}
-	return slices.ContainsFunc(f.view.Lapsed(), func(id fleet.Incarnation) bool { return !slices.Contains(before, id) })
+	return slices.ContainsFunc(f.view.Missing(), func(id fleet.Incarnation) bool { return !slices.Contains(before, id) })
 }
 
 // expire takes entries as gone whose time to come back is over.
@@ -58,97 +58,97 @@
 	if len(expired) == 0 {
 		return
 	}
-	f.followers.AddEnded(expired)
-	f.inDoubt = f.inDoubt || slices.ContainsFunc(expired, isListed)
-	f.pass(expired, f.passedOn)
+	f.publisher.AddEnded(expired)
+	f.publishFull = f.publishFull || slices.ContainsFunc(expired, isEntry)
+	f.notify(expired, f.publishedAsOf)
 }
 
-// isListed tells whether a change is an entry. Those that follow learn of one that is listed
+// isEntry tells whether a change is an entry. Those that follow learn of one that is listed
 // without a change at the store by the whole list.
-func isListed(c fleet.Change) bool { return !c.Gone }
+func isEntry(c fleet.Change) bool { return !c.Gone }
 
 // Supersede notes that somebody has heard of a run of an upstream: an engine has answered
 // as it, or another node speaks of it. An earlier run that is known has ended.
 func (f *Fleet) Supersede(run fleet.Incarnation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	ended := f.view.Supersede(run)
+	ended := f.view.NoteIncarnation(run)
 	if len(ended) == 0 {
 		return
 	}
 	f.log.Info("upstream_started_again", zap.Stringer("upstream", run), zap.Stringer("ended", ended[0].ID))
-	f.followers.AddEnded(ended)
-	f.pass(ended, f.passedOn)
+	f.publisher.AddEnded(ended)
+	f.notify(ended, f.publishedAsOf)
 }
 
-// Leave notes that an upstream has said in an answer that it is leaving: its entry may say
+// MarkLeaving notes that an upstream has said in an answer that it is leaving: its entry may say
 // so seconds later, and not at all while the store is away. Others that follow this node are
 // told by the list or by the upstream itself: each may have heard it at another time.
-func (f *Fleet) Leave(id fleet.Incarnation) {
+func (f *Fleet) MarkLeaving(id fleet.Incarnation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	left := f.view.Leave(id)
+	left := f.view.MarkLeaving(id)
 	if len(left) == 0 {
 		return
 	}
 	f.log.Info("upstream_says_it_leaves", zap.Stringer("upstream", id))
-	f.pass(left, f.passedOn)
+	f.notify(left, f.publishedAsOf)
 }
 
-// Replaced notes that another upstream has answered at an address in place of one: that has
+// MarkReplaced notes that another upstream has answered at an address in place of one: that has
 // ended, whatever the list says of it for some seconds more.
-func (f *Fleet) Replaced(id fleet.Incarnation, address string) {
+func (f *Fleet) MarkReplaced(id fleet.Incarnation, address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	ended := f.view.Replaced(id, address)
+	ended := f.view.NoteReplacement(id, address)
 	if len(ended) == 0 {
 		return
 	}
 	f.log.Info("upstream_replaced", zap.Stringer("upstream", id), zap.String("address", address))
-	f.followers.AddEnded(ended)
-	f.pass(ended, f.passedOn)
+	f.publisher.AddEnded(ended)
+	f.notify(ended, f.publishedAsOf)
 }
 
-// show passes a reading on to the nodes that follow this one, as it has changed the
+// publish passes a reading on to the nodes that follow this one, as it has changed the
 // view. Entries that may come back stand in it until their time is over.
-func (f *Fleet) show(reading FleetReading, changes, expired []fleet.Change, lapsing bool) {
-	anew := reading.Whole || f.inDoubt || f.partial
-	f.partial = f.partial && lapsing
+func (f *Fleet) publish(reading FleetReading, changes, expired []fleet.Change, lapsing bool) {
+	anew := reading.Whole || f.publishFull || f.incomplete
+	f.incomplete = f.incomplete && lapsing
 	switch {
-	case f.partial:
-		f.followers.Suspend()
+	case f.incomplete:
+		f.publisher.Suspend()
 	case anew:
-		f.followers.SetFleet(reading.AsOf, f.view.All())
-		f.inDoubt = false
+		f.publisher.SetFleet(reading.AsOf, f.view.All())
+		f.publishFull = false
 	default:
-		f.showChanges(reading, changes)
+		f.publishChanges(reading, changes)
 	}
-	f.passedOn = reading.AsOf
+	f.publishedAsOf = reading.AsOf
 	// Those that follow know the moment at which these have vanished.
-	f.followers.AddEnded(expired)
+	f.publisher.AddEnded(expired)
 }
 
-func (f *Fleet) showChanges(reading FleetReading, changes []fleet.Change) {
-	if !reading.AsOf.After(f.passedOn) {
-		f.followers.AddEnded(changes)
+func (f *Fleet) publishChanges(reading FleetReading, changes []fleet.Change) {
+	if !reading.AsOf.After(f.publishedAsOf) {
+		f.publisher.AddEnded(changes)
 		return
 	}
-	f.followers.AddFleet(reading.AsOf, append(changes, f.knownBefore(reading, changes)...))
+	f.publisher.AddFleet(reading.AsOf, append(changes, f.redundantChanges(reading, changes)...))
 }
 
-// knownBefore returns the changes of a reading that made no difference here, and may make one
+// redundantChanges returns the changes of a reading that made no difference here, and may make one
 // at nodes that follow. One of these may know of an entry that has come and gone before this
 // node has seen it; after a return of the store from a copy, it may not know what this one
 // remembers.
-func (f *Fleet) knownBefore(reading FleetReading, changes []fleet.Change) []fleet.Change {
+func (f *Fleet) redundantChanges(reading FleetReading, changes []fleet.Change) []fleet.Change {
 	told := make(map[fleet.Incarnation]bool, len(changes))
 	for _, c := range changes {
 		told[c.ID] = true
 	}
-	remembers := f.clock.Now() < f.returnedAt.Add(fleet.CopyGrace)
+	remembers := f.clock.Now() < f.restoredAt.Add(fleet.RestoreGrace)
 	var known []fleet.Change
 	for _, c := range reading.Changes {
-		c.ID = f.view.Resolve(c)
+		c.ID = f.view.IncarnationOf(c)
 		switch u, holds := f.view.Get(c.ID); {
 		case told[c.ID]:
 		case c.Gone && !holds:
@@ -160,22 +160,22 @@
 	return known
 }
 
-// pass tells changes, and keeps the list for peers.
-func (f *Fleet) pass(changes []fleet.Change, asOf moment.Moment) {
+// notify tells changes, and keeps the list for peers.
+func (f *Fleet) notify(changes []fleet.Change, asOf moment.Moment) {
 	if len(changes) == 0 {
 		return
 	}
 	list := f.view.All()
-	f.shown.Store(&list)
+	f.current.Store(&list)
 	f.logChanges(asOf, changes)
-	f.tell(changes)
+	f.onChanges(changes)
 }
 
-// Shown returns the list as it stands; ok is false around an outage of the
+// ConfirmedList returns the list as it stands; ok is false around an outage of the
 // store, when the node cannot vouch for it.
-func (f *Fleet) Shown() (list []fleet.Upstream, ok bool) {
-	shown := f.shown.Load()
-	if shown == nil || f.outage.Lapsing(f.clock.Now()) {
+func (f *Fleet) ConfirmedList() (list []fleet.Upstream, ok bool) {
+	shown := f.current.Load()
+	if shown == nil || f.outage.FalseRemovalsPossible(f.clock.Now()) {
 		return nil, false
 	}
 	return *shown, true
@@ -203,7 +203,7 @@
 	defer f.mu.Unlock()
 	if changes := f.view.SetServices(f.clock.Now(), names); len(changes) > 0 {
 		// Those that follow have been told the list without these.
-		f.inDoubt = true
-		f.pass(changes, f.passedOn)
+		f.publishFull = true
+		f.notify(changes, f.publishedAsOf)
 	}
 }
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -15,11 +15,11 @@
 	"github.com/hoistjunction/hoistjunction/moment"
 )
 
-// errAway is what the scripted store answers while it is away.
-var errAway = errors.New("away")
+// errStoreDown is what the scripted store answers while it is away.
+var errStoreDown = errors.New("away")
 
-// scripted answers calls from a list, and ends the test's context after it.
-type scripted struct {
+// scriptedStore answers calls from a list, and ends the test's context after it.
+type scriptedStore struct {
 	t       *testing.T
 	end     context.CancelFunc
 	answers []scriptedAnswer
@@ -32,61 +32,63 @@
 	err     error
 }
 
-func (s *scripted) next(call string) scriptedAnswer {
+func (s *scriptedStore) next(call string) scriptedAnswer {
 	s.calls = append(s.calls, call)
 	if len(s.answers) == 0 {
 		s.end()
-		return scriptedAnswer{err: errAway}
+		return scriptedAnswer{err: errStoreDown}
 	}
 	answer := s.answers[0]
 	s.answers = s.answers[1:]
 	return answer
 }
 
-func (s *scripted) catalog(call string) (CatalogReading, error) {
+func (s *scriptedStore) catalog(call string) (CatalogReading, error) {
 	answer := s.next(call)
 	return CatalogReading{Raw: []byte(answer.raw), AsOf: moment.At(0, uint64(len(s.calls)))}, answer.err
 }
 
-func (s *scripted) ReadCatalog(context.Context) (CatalogReading, error) { return s.catalog("read") }
-func (s *scripted) AwaitCatalog(context.Context, moment.Moment, clock.Millis) (CatalogReading, error) {
+func (s *scriptedStore) ReadCatalog(context.Context) (CatalogReading, error) {
+	return s.catalog("read")
+}
+func (s *scriptedStore) AwaitCatalog(context.Context, moment.Moment, clock.Millis) (CatalogReading, error) {
 	return s.catalog("await")
 }
 
-func (s *scripted) DecodeCatalog(raw []byte, written moment.Moment) (*catalog.Catalog, error) {
+func (s *scriptedStore) DecodeCatalog(raw []byte, written moment.Moment) (*catalog.Catalog, error) {
 	if string(raw) == "bad" {
-		return nil, errAway
+		return nil, errStoreDown
 	}
-	return catalog.New(uint64(raw[0]-'0'), catalog.WithText(raw, written)), nil
+	return catalog.New(uint64(raw[0]-'0'), catalog.WithSource(raw, written)), nil
 }
 
-func (s *scripted) fleet(call string) (FleetReading, error) {
+func (s *scriptedStore) fleet(call string) (FleetReading, error) {
 	answer := s.next(call)
 	return FleetReading{Changes: answer.changes, AsOf: moment.At(0, uint64(len(s.calls)))}, answer.err
 }
 
-func (s *scripted) ReadUpstreams(context.Context) (FleetReading, error) { return s.fleet("read") }
-func (s *scripted) AwaitUpstreams(context.Context, moment.Moment, clock.Millis) (FleetReading, error) {
+func (s *scriptedStore) ReadUpstreams(context.Context) (FleetReading, error) { return s.fleet("read") }
+func (s *scriptedStore) AwaitUpstreams(context.Context, moment.Moment, clock.Millis) (FleetReading, error) {
 	return s.fleet("await")
 }
 
-// obeying is a node that takes proofs, and notes what has come of them.
-type obeying struct {
-	inForce       InForce
-	obeyed        []string
+// configHolder is a node that takes proofs, and notes what has come of them.
+type configHolder struct {
+	inForce       ActiveConfig
+	applied       []string
 	confirmations int
-	// proofs are when what it took was confirmed.
-	proofs []clock.Millis
+	// confirmedAt are when what it took was confirmed.
+	confirmedAt []clock.Millis
 }
 
-func (o *obeying) take(p Proof) InForce {
-	taken := o.inForce.Take(p)
+func (o *configHolder) take(p Proof) ActiveConfig {
+	taken := o.inForce.Apply(p)
 	if taken != Outdated {
 		o.confirmations++
-		o.proofs = append(o.proofs, p.Confirmed)
+		o.confirmedAt = append(o.confirmedAt, p.Confirmed)
 	}
 	if taken == Replaced {
-		o.obeyed = append(o.obeyed, p.Edition.String())
+		o.applied = append(o.applied, p.Edition.String())
 	}
 	return o.inForce
 }
@@ -105,16 +107,16 @@
 
 func TestCatalogFollows(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	source := &scripted{t: t, end: cancel, answers: []scriptedAnswer{
-		{raw: "1"}, {}, {raw: "2"}, {err: ErrReadAnew}, {raw: "2"}, {raw: "bad"}, {err: errAway}, {raw: "3"},
+	source := &scriptedStore{t: t, end: cancel, answers: []scriptedAnswer{
+		{raw: "1"}, {}, {raw: "2"}, {err: ErrFullReadRequired}, {raw: "2"}, {raw: "bad"}, {err: errStoreDown}, {raw: "3"},
 	}}
-	node := &obeying{}
+	node := &configHolder{}
 	f := NewCatalog(source, clocktest.NewClock(), zap.NewNop(), &Outage{}, node.take)
 	if err := f.Run(ctx); !errors.Is(err, context.Canceled) {
 		t.Fatalf("got error %v, want %v", err, context.Canceled)
 	}
 	checkCalls(t, source.calls, []string{"read", "await", "await", "await", "read", "await", "await", "read"})
-	if got, want := strings.Join(node.obeyed, " "), "1 2 3"; got != want {
+	if got, want := strings.Join(node.applied, " "), "1 2 3"; got != want {
 		t.Errorf("got versions %s, want %s", got, want)
 	}
 	// An unreadable configuration and a failed call prove nothing fresh.
@@ -132,30 +134,30 @@
 		at      clock.Millis
 		lapsing bool
 	}{
-		{"an answer in good times", func() bool { return o.Back(0) }, false, 0, false},
-		{"a first failure", func() bool { return o.Lost(10) }, true, 10, true},
-		{"a further one", func() bool { return o.Lost(20) }, false, 20, true},
-		{"an answer", func() bool { return o.Back(100) }, true, 100, true},
-		{"a further one", func() bool { return o.Back(200) }, false, 100 + fleet.LapseGrace - 1, true},
-		{"later", func() bool { return o.Back(9000) }, false, 100 + fleet.LapseGrace, false},
-		{"a second failure", func() bool { return o.Lost(10_000) }, true, 10_000, true},
-		{"another node's answer", func() bool { return o.Told(10_100) }, false, 10_100, true},
-		{"one later", func() bool { return o.Told(10_100 + fleet.LapseGrace) }, false, 10_100 + fleet.LapseGrace, false},
-		{"one long after", func() bool { return o.Told(10_000 + forgottenAfter) }, true, 10_000 + forgottenAfter, false},
-		{"a further one", func() bool { return o.Told(90_000) }, false, 90_000, false},
-		{"a third failure", func() bool { return o.Lost(100_000) }, true, 100_000, true},
-		{"another node's answer", func() bool { return o.Told(101_000) }, false, 101_000, true},
-		{"its last one", func() bool { return o.Told(108_000) }, false, 108_000, false},
-		{"the store's own, soon after", func() bool { return o.Back(109_000) }, true, 109_000, false},
-		{"a fourth failure", func() bool { return o.Lost(120_000) }, true, 120_000, true},
-		{"another node's only answer", func() bool { return o.Told(121_000) }, false, 121_000, true},
-		{"the store's own, long after", func() bool { return o.Back(129_000) }, true, 129_000, true},
+		{"an answer in good times", func() bool { return o.RecordAnswer(0) }, false, 0, false},
+		{"a first failure", func() bool { return o.RecordFailure(10) }, true, 10, true},
+		{"a further one", func() bool { return o.RecordFailure(20) }, false, 20, true},
+		{"an answer", func() bool { return o.RecordAnswer(100) }, true, 100, true},
+		{"a further one", func() bool { return o.RecordAnswer(200) }, false, 100 + fleet.RemovalGrace - 1, true},
+		{"later", func() bool { return o.RecordAnswer(9000) }, false, 100 + fleet.RemovalGrace, false},
+		{"a second failure", func() bool { return o.RecordFailure(10_000) }, true, 10_000, true},
+		{"another node's answer", func() bool { return o.RecordReaderAnswer(10_100) }, false, 10_100, true},
+		{"one later", func() bool { return o.RecordReaderAnswer(10_100 + fleet.RemovalGrace) }, false, 10_100 + fleet.RemovalGrace, false},
+		{"one long after", func() bool { return o.RecordReaderAnswer(10_000 + outageExpiry) }, true, 10_000 + outageExpiry, false},
+		{"a further one", func() bool { return o.RecordReaderAnswer(90_000) }, false, 90_000, false},
+		{"a third failure", func() bool { return o.RecordFailure(100_000) }, true, 100_000, true},
+		{"another node's answer", func() bool { return o.RecordReaderAnswer(101_000) }, false, 101_000, true},
+		{"its last one", func() bool { return o.RecordReaderAnswer(108_000) }, false, 108_000, false},
+		{"the store's own, soon after", func() bool { return o.RecordAnswer(109_000) }, true, 109_000, false},
+		{"a fourth failure", func() bool { return o.RecordFailure(120_000) }, true, 120_000, true},
+		{"another node's only answer", func() bool { return o.RecordReaderAnswer(121_000) }, false, 121_000, true},
+		{"the store's own, long after", func() bool { return o.RecordAnswer(129_000) }, true, 129_000, true},
 	}
 	for _, s := range steps {
 		if got := s.do(); got != s.news {
 			t.Errorf("%s: got news %v, want %v", s.what, got, s.news)
 		}
-		if got := o.Lapsing(s.at); got != s.lapsing {
+		if got := o.FalseRemovalsPossible(s.at); got != s.lapsing {
 			t.Errorf("%s: got lapsing %v at %d, want %v", s.what, got, s.at, s.lapsing)
 		}
 	}
@@ -164,10 +166,10 @@
 func TestFleetReadsWholeAfterAnOutage(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	up := func(id string) fleet.Change {
-		return fleet.Change{ID: fleet.Undated(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.Undated(fleet.ID(id))}}
+		return fleet.Change{ID: fleet.IncarnationByID(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.IncarnationByID(fleet.ID(id))}}
 	}
-	source := &scripted{t: t, end: cancel, answers: []scriptedAnswer{
-		{changes: []fleet.Change{up("u1"), up("u2")}}, {err: errAway}, {changes: []fleet.Change{up("u2")}},
+	source := &scriptedStore{t: t, end: cancel, answers: []scriptedAnswer{
+		{changes: []fleet.Change{up("u1"), up("u2")}}, {err: errStoreDown}, {changes: []fleet.Change{up("u2")}},
 	}}
 	outage := &Outage{}
 	c := clocktest.NewClock()
@@ -182,8 +184,8 @@
 	// The follower of the configuration finds the store again.
 	go func() {
 		for ctx.Err() == nil {
-			outage.Back(c.Now())
-			clock.Sleep(ctx, firstRetry.Duration())
+			outage.RecordAnswer(c.Now())
+			clock.Sleep(ctx, minRetryPause.Duration())
 		}
 	}()
 	if err := f.Run(ctx); !errors.Is(err, context.Canceled) {
--- a/follow/in_force.go
+++ b/follow/in_force.go
@@ -17,35 +17,35 @@
 	Confirmed clock.Millis
 }
 
-// InForce is the configuration that a node obeys.
-type InForce struct {
+// ActiveConfig is the configuration that a node obeys.
+type ActiveConfig struct {
 	Edition catalog.Edition
 	Raw     []byte
 	// Confirmed is when it was last known to be the newest.
 	Confirmed clock.Millis
 }
 
-// Taken says what has become of a proof.
-type Taken int
+// ProofResult says what has become of a proof.
+type ProofResult int
 
 // What may become of it.
 const (
 	// Outdated: a newer edition is in force, which this proves nothing of.
-	Outdated Taken = iota
+	Outdated ProofResult = iota
 	// Renewed: the edition in force is known to be the newest as of a later time.
 	Renewed
 	// Replaced: the edition is in force from now on.
 	Replaced
 )
 
-// Take takes in a proof. An edition that was confirmed once is given up for one that
+// Apply takes in a proof. An edition that was confirmed once is given up for one that
 // supersedes it alone, whatever a store shows: what was revoked stays revoked.
-func (f *InForce) Take(p Proof) Taken {
+func (f *ActiveConfig) Apply(p Proof) ProofResult {
 	switch {
 	case p.Edition.Supersedes(f.Edition) && p.Catalog != nil:
-		*f = InForce{Edition: p.Edition, Raw: p.Raw, Confirmed: p.Confirmed}
+		*f = ActiveConfig{Edition: p.Edition, Raw: p.Raw, Confirmed: p.Confirmed}
 		return Replaced
-	case p.Edition.Same(f.Edition) && !f.Edition.IsZero():
+	case p.Edition.SameText(f.Edition) && !f.Edition.IsZero():
 		f.Confirmed = max(f.Confirmed, p.Confirmed)
 		return Renewed
 	default:
@@ -53,10 +53,10 @@
 	}
 }
 
-// Known is what a node that reads for others passes on of the configuration.
-type Known struct {
-	InForce
-	// Answered is when the last call was sent that the store has answered, whatever that
+// PublishedConfig is what a node that reads for others passes on of the configuration.
+type PublishedConfig struct {
+	ActiveConfig
+	// AnsweredAt is when the last call was sent that the store has answered, whatever that
 	// showed: the node that passes it on has the store.
-	Answered clock.Millis
+	AnsweredAt clock.Millis
 }
--- a/follow/in_force_test.go
+++ b/follow/in_force_test.go
@@ -16,15 +16,15 @@
 // written next counts as ever.
 func TestCopyShowsAnOlderConfiguration(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	source := &scripted{t: t, end: cancel, answers: []scriptedAnswer{
-		{raw: "5"}, {raw: "6"}, {err: ErrReadAnew}, {raw: "5"}, {}, {}, {raw: "6"}, {}, {raw: "7"},
+	source := &scriptedStore{t: t, end: cancel, answers: []scriptedAnswer{
+		{raw: "5"}, {raw: "6"}, {err: ErrFullReadRequired}, {raw: "5"}, {}, {}, {raw: "6"}, {}, {raw: "7"},
 	}}
-	node := &obeying{}
+	node := &configHolder{}
 	f := NewCatalog(source, clocktest.NewClock(), zap.NewNop(), &Outage{}, node.take)
 	if err := f.Run(ctx); !errors.Is(err, context.Canceled) {
 		t.Fatalf("got error %v, want %v", err, context.Canceled)
 	}
-	if got, want := node.obeyed, "5 6 7"; strings.Join(got, " ") != want {
+	if got, want := node.applied, "5 6 7"; strings.Join(got, " ") != want {
 		t.Errorf("got versions %v, want %s", got, want)
 	}
 	// 5, 6, then the 6 that was written again, that there is none newer, and 7.
@@ -36,8 +36,8 @@
 // A copy may be of before the first configuration.
 func TestCopyShowsNoConfiguration(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	source := &scripted{t: t, end: cancel, answers: []scriptedAnswer{{raw: "5"}, {err: ErrReadAnew}, {}, {}}}
-	node := &obeying{}
+	source := &scriptedStore{t: t, end: cancel, answers: []scriptedAnswer{{raw: "5"}, {err: ErrFullReadRequired}, {}, {}}}
+	node := &configHolder{}
 	f := NewCatalog(source, clocktest.NewClock(), zap.NewNop(), &Outage{}, node.take)
 	if err := f.Run(ctx); !errors.Is(err, context.Canceled) {
 		t.Fatalf("got error %v, want %v", err, context.Canceled)
--- a/follow/learnt.go
+++ b/follow/learnt.go
@@ -6,33 +6,33 @@
 	"github.com/hoistjunction/hoistjunction/moment"
 )
 
-// learntLasts is for how long a list counts that a peer has told. It is asked for
+// peerListLifetime is for how long a list counts that a peer has told. It is asked for
 // again within 1.2 s while the store is away.
-const learntLasts clock.Millis = 1000
+const peerListLifetime clock.Millis = 1000
 
-// learntList is a list that a peer has told at a time.
-type learntList struct {
-	upstreams []fleet.Upstream
-	at        clock.Millis
+// peerList is a list that a peer has told at a time.
+type peerList struct {
+	upstreams  []fleet.Upstream
+	receivedAt clock.Millis
 }
 
-// Learn takes a list from a peer. It counts only while this node has lost the
+// AddPeerList takes a list from a peer. It counts only while this node has lost the
 // store itself.
-func (f *Fleet) Learn(list []fleet.Upstream) {
-	f.learnt.Store(&learntList{upstreams: list, at: f.clock.Now()})
+func (f *Fleet) AddPeerList(list []fleet.Upstream) {
+	f.peerList.Store(&peerList{upstreams: list, receivedAt: f.clock.Now()})
 }
 
-// takeLearnt takes the list that a peer has told last, once, if it is recent: peers
+// applyPeerList takes the list that a peer has told last, once, if it is recent: peers
 // also answer while this node has the store, and nobody takes their lists then.
-func (f *Fleet) takeLearnt(now clock.Millis) {
+func (f *Fleet) applyPeerList(now clock.Millis) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if l := f.learnt.Swap(nil); l != nil && now <= l.at.Add(learntLasts) {
-		f.confirmed.Store(int64(l.at))
-		changes := f.view.Learn(now, l.upstreams)
+	if l := f.peerList.Swap(nil); l != nil && now <= l.receivedAt.Add(peerListLifetime) {
+		f.confirmedAt.Store(int64(l.receivedAt))
+		changes := f.view.ApplyPeerList(now, l.upstreams)
 		// Those that follow have not been told of it, and the store's next answer will
 		// show it as nothing new.
-		f.inDoubt = f.inDoubt || len(changes) > 0
-		f.pass(changes, moment.Moment{})
+		f.publishFull = f.publishFull || len(changes) > 0
+		f.notify(changes, moment.Moment{})
 	}
 }
--- a/follow/limits_test.go
+++ b/follow/limits_test.go
@@ -12,7 +12,7 @@
 // which made sense by itself, added up to more than a change may take to be known. Here
 // the worst orders of events are summed from the limits in force.
 func TestLimitsAddUpToTheirBounds(t *testing.T) {
-	const within = usualWithin
+	const within = defaultChangeDeadline
 	// silenceWithin is for how long the users count a node as out of touch after
 	// connections went silent.
 	const silenceWithin clock.Millis = 3000
@@ -22,30 +22,30 @@
 		sum  clock.Millis
 		most clock.Millis
 	}{
-		{"the wait of a lone node is silent", l.wait + StoreMargin + storeAnswer, within},
-		{"the same for the configuration", l.configWait + StoreMargin + storeAnswer, within},
-		{"it is silent after a pause", max(gatherAlone, gatherYoung) + max(l.wait-gatherYoung, leastWait) + StoreMargin + storeAnswer, within},
-		{"a connection that was idle is silent", IdleConnection + l.wait + StoreMargin + storeAnswer, silenceWithin},
-		{"so is a connection to another node", IdleConnection + readerWait + 2*ReaderMargin + ReaderMargin + storeAnswer, silenceWithin},
-		{"the call in which silence shows is silent too", StoreMargin + sitOutFor(1) + firstRetry + storeAnswer, within},
-		{"and the configuration's as well", StoreMargin + retryPause(1) + firstRetry + storeAnswer, within},
-		{"the store is away for long, and back", max(longestRetry, leastHang) + firstRetry + storeAnswer, silenceWithin},
-		{"what vanished meanwhile is taken as gone", max(longestRetry, leastHang) + fleet.LapseGrace + leastWait, silenceWithin},
-		{"the node that is followed is frozen", gatherFollowed + readerWait - gatherFollowed + 2*ReaderMargin + storeAnswer, within},
-		{"so is the next one", readerLost + storeAnswer, within},
-		{"the node that is followed has lost the store", VouchFor + ReaderMargin + storeAnswer, within},
-		{"the proof of a node that others follow, while its next wait is open", 2 * followedConfigWait, VouchFor},
-		{"the same where that wait is silent, and it asks once more", 2*followedConfigWait + 2*renewal, VouchFor},
+		{"the wait of a lone node is silent", l.listWait + StoreMargin + slowStoreAnswer, within},
+		{"the same for the configuration", l.configWait + StoreMargin + slowStoreAnswer, within},
+		{"it is silent after a pause", max(gatherAlone, gatherAtStart) + max(l.listWait-gatherAtStart, minWait) + StoreMargin + slowStoreAnswer, within},
+		{"a connection that was idle is silent", IdleConnTimeout + l.listWait + StoreMargin + slowStoreAnswer, silenceWithin},
+		{"so is a connection to another node", IdleConnTimeout + readerListWait + 2*ReaderMargin + ReaderMargin + slowStoreAnswer, silenceWithin},
+		{"the call in which silence shows is silent too", StoreMargin + storePause(1) + minRetryPause + slowStoreAnswer, within},
+		{"and the configuration's as well", StoreMargin + retryPause(1) + minRetryPause + slowStoreAnswer, within},
+		{"the store is away for long, and back", max(maxRetryPause, minHang) + minRetryPause + slowStoreAnswer, silenceWithin},
+		{"what vanished meanwhile is taken as gone", max(maxRetryPause, minHang) + fleet.RemovalGrace + minWait, silenceWithin},
+		{"the node that is followed is frozen", gatherFollowed + readerListWait - gatherFollowed + 2*ReaderMargin + slowStoreAnswer, within},
+		{"so is the next one", readerLossDelay + slowStoreAnswer, within},
+		{"the node that is followed has lost the store", ProofLifetime + ReaderMargin + slowStoreAnswer, within},
+		{"the proof of a node that others follow, while its next wait is open", 2 * followedConfigWait, ProofLifetime},
+		{"the same where that wait is silent, and it asks once more", 2*followedConfigWait + 2*renewalTime, ProofLifetime},
 	} {
 		if tt.sum > tt.most {
 			t.Errorf("%s: got a sum of %d ms, want %d at most", tt.name, tt.sum, tt.most)
 		}
 	}
-	for _, bound := range []clock.Millis{usualWithin, 3000, 6000, 60_000} {
-		if got := readerLost + Patience(bound) + VouchSoon(bound) + storeAnswer; got > bound {
+	for _, bound := range []clock.Millis{defaultChangeDeadline, 3000, 6000, 60_000} {
+		if got := readerLossDelay + FailoverWait(bound) + FirstRequestWait(bound) + slowStoreAnswer; got > bound {
 			t.Errorf("changes within %d ms: a lost reader takes up to %d", bound, got)
 		}
-		if got := limitsFor(bound).wait + StoreMargin + storeAnswer; got > bound {
+		if got := limitsFor(bound).listWait + StoreMargin + slowStoreAnswer; got > bound {
 			t.Errorf("changes within %d ms: a silent wait takes up to %d", bound, got)
 		}
 	}
--- a/follow/outage.go
+++ b/follow/outage.go
@@ -11,141 +11,141 @@
 // Outage is what the followers know together of the store's being away. It is
 // safe for concurrent use.
 type Outage struct {
-	mu    sync.Mutex
-	away  bool
-	since clock.Millis
-	ended clock.Millis
-	ever  bool
-	// noticed is when this node was first answered again.
-	noticed clock.Millis
-	// told tells that another node that has the store has answered since, first at
-	// toldAt and last at toldLast: while such answers come the outage is over, although
+	mu       sync.Mutex
+	ongoing  bool
+	lostAt   clock.Millis
+	endedAt  clock.Millis
+	occurred bool
+	// recoveredAt is when this node was first answered again.
+	recoveredAt clock.Millis
+	// readerAnswered tells that another node that has the store has answered since, first at
+	// firstReaderAnswer and last at lastReaderAnswer: while such answers come the outage is over, although
 	// this node has not tried the store.
-	told             bool
-	toldAt, toldLast clock.Millis
+	readerAnswered                      bool
+	firstReaderAnswer, lastReaderAnswer clock.Millis
 	// era is a moment of the newest era that was read in.
 	era moment.Moment
-	// proved tells that the store has answered this node itself with the configuration, at
-	// provedAt last.
-	proved   bool
-	provedAt clock.Millis
+	// hasProof tells that the store has answered this node itself with the configuration, at
+	// proofAt last.
+	hasProof bool
+	proofAt  clock.Millis
 }
 
-// Outlived tells whether an outage has ended since a call was sent. That the call has
+// SentBeforeRecovery tells whether an outage has ended since a call was sent. That the call has
 // failed says nothing of the store as it is now: it may have hung since the outage.
-func (o *Outage) Outlived(sent clock.Millis) bool {
+func (o *Outage) SentBeforeRecovery(sent clock.Millis) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.ever && !o.away && sent < o.noticed
+	return o.occurred && !o.ongoing && sent < o.recoveredAt
 }
 
-// Lost notes a call without an answer, and returns whether that is news.
-func (o *Outage) Lost(now clock.Millis) bool {
+// RecordFailure notes a call without an answer, and returns whether that is news.
+func (o *Outage) RecordFailure(now clock.Millis) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	news := !o.away
-	o.away, o.ever, o.since, o.told = true, true, now, false
+	news := !o.ongoing
+	o.ongoing, o.occurred, o.lostAt, o.readerAnswered = true, true, now, false
 	return news
 }
 
-// forgottenAfter is after how long a node that has lost the store, and follows
+// outageExpiry is after how long a node that has lost the store, and follows
 // another one since, may try it again when its turn comes.
-const forgottenAfter clock.Millis = 30_000
+const outageExpiry clock.Millis = 30_000
 
-// Told notes an answer of another node, and returns whether the outage is so long
+// RecordReaderAnswer notes an answer of another node, and returns whether the outage is so long
 // ago that it no longer counts.
-func (o *Outage) Told(now clock.Millis) bool {
+func (o *Outage) RecordReaderAnswer(now clock.Millis) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if !o.told {
-		o.told, o.toldAt = true, now
+	if !o.readerAnswered {
+		o.readerAnswered, o.firstReaderAnswer = true, now
 	}
-	o.toldLast = now
-	if !o.away || now < o.since.Add(forgottenAfter) {
+	o.lastReaderAnswer = now
+	if !o.ongoing || now < o.lostAt.Add(outageExpiry) {
 		return false
 	}
-	o.away, o.ended = false, o.toldAt
+	o.ongoing, o.endedAt = false, o.firstReaderAnswer
 	return true
 }
 
-// Back notes an answer, and returns whether that is news.
-func (o *Outage) Back(now clock.Millis) bool {
+// RecordAnswer notes an answer, and returns whether that is news.
+func (o *Outage) RecordAnswer(now clock.Millis) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	news := o.away
+	news := o.ongoing
 	if news {
-		o.away, o.ended, o.noticed = false, now, now
+		o.ongoing, o.endedAt, o.recoveredAt = false, now, now
 	}
-	if news && o.othersHave(now) {
-		o.ended = o.toldAt
+	if news && o.readerHasStore(now) {
+		o.endedAt = o.firstReaderAnswer
 	}
 	return news
 }
 
-// Returned notes a reading as of a moment, and returns whether it is the first in an era.
+// RecordEra notes a reading as of a moment, and returns whether it is the first in an era.
 // Entries may then be missing as after an outage, although no call has failed.
-func (o *Outage) Returned(now clock.Millis, asOf moment.Moment) bool {
+func (o *Outage) RecordEra(now clock.Millis, asOf moment.Moment) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if asOf.SameEra(o.era) || !asOf.After(o.era) {
 		return false
 	}
 	o.era = asOf
-	o.ever, o.ended = true, now
+	o.occurred, o.endedAt = true, now
 	return true
 }
 
-// othersHave tells whether another node has had the store until just now. Afterwards it
+// readerHasStore tells whether another node has had the store until just now. Afterwards it
 // may have lost it too. The caller holds the lock.
-func (o *Outage) othersHave(now clock.Millis) bool {
-	return o.told && now <= o.toldLast.Add(readerLost)
+func (o *Outage) readerHasStore(now clock.Millis) bool {
+	return o.readerAnswered && now <= o.lastReaderAnswer.Add(readerLossDelay)
 }
 
-// Proved notes that the store has answered this node itself with the configuration.
-func (o *Outage) Proved(now clock.Millis) {
+// RecordProof notes that the store has answered this node itself with the configuration.
+func (o *Outage) RecordProof(now clock.Millis) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.proved, o.provedAt = true, now
+	o.hasProof, o.proofAt = true, now
 }
 
-// ProvedSince tells whether it has since a time, and is not away.
-func (o *Outage) ProvedSince(since clock.Millis) bool {
+// HasProofSince tells whether it has since a time, and is not away.
+func (o *Outage) HasProofSince(since clock.Millis) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return !o.away && o.proved && o.provedAt >= since
+	return !o.ongoing && o.hasProof && o.proofAt >= since
 }
 
-// Away tells whether the store does not answer.
-func (o *Outage) Away() bool {
+// Ongoing tells whether the store does not answer.
+func (o *Outage) Ongoing() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.away
+	return o.ongoing
 }
 
-// Ended returns when the last outage ended; clock.Never while one lasts, or if there was
+// EndedAt returns when the last outage ended; clock.Never while one lasts, or if there was
 // none.
-func (o *Outage) Ended(now clock.Millis) clock.Millis {
+func (o *Outage) EndedAt(now clock.Millis) clock.Millis {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.end(now)
+	return o.lastEnd(now)
 }
 
-// end is when the last outage ended. The caller holds the lock.
-func (o *Outage) end(now clock.Millis) clock.Millis {
+// lastEnd is when the last outage ended. The caller holds the lock.
+func (o *Outage) lastEnd(now clock.Millis) clock.Millis {
 	switch {
-	case o.away && o.othersHave(now):
-		return o.toldAt
-	case o.away || !o.ever:
+	case o.ongoing && o.readerHasStore(now):
+		return o.firstReaderAnswer
+	case o.ongoing || !o.occurred:
 		return clock.Never
 	default:
-		return o.ended
+		return o.endedAt
 	}
 }
 
-// Lapsing tells whether entries that vanish may have lapsed while the store
+// FalseRemovalsPossible tells whether entries that vanish may have lapsed while the store
 // was away.
-func (o *Outage) Lapsing(now clock.Millis) bool {
+func (o *Outage) FalseRemovalsPossible(now clock.Millis) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.away && !o.othersHave(now) || now < o.end(now).Add(fleet.LapseGrace)
+	return o.ongoing && !o.readerHasStore(now) || now < o.lastEnd(now).Add(fleet.RemovalGrace)
 }
--- a/follow/outage_test.go
+++ b/follow/outage_test.go
@@ -13,22 +13,22 @@
 // entries were held back.
 func TestOutageEndsWithTheWordOfOthers(t *testing.T) {
 	o := &Outage{}
-	o.Lost(1000)
-	o.Told(2000)
-	o.Told(4000)
-	o.Back(5000)
-	if got := o.Lapsing(5000); got {
+	o.RecordFailure(1000)
+	o.RecordReaderAnswer(2000)
+	o.RecordReaderAnswer(4000)
+	o.RecordAnswer(5000)
+	if got := o.FalseRemovalsPossible(5000); got {
 		t.Error("got entries held back 3 s after another node had the store, want none")
 	}
-	o.Lost(6000)
-	o.Back(7000)
-	if got := o.Lapsing(7500); !got {
+	o.RecordFailure(6000)
+	o.RecordAnswer(7000)
+	if got := o.FalseRemovalsPossible(7500); !got {
 		t.Error("got no entries held back right after an outage, want some")
 	}
-	o.Lost(8000)
-	o.Told(9000)
-	o.Back(19_000)
-	if got := o.Lapsing(19_500); !got {
+	o.RecordFailure(8000)
+	o.RecordReaderAnswer(9000)
+	o.RecordAnswer(19_000)
+	if got := o.FalseRemovalsPossible(19_500); !got {
 		t.Error("got no entries held back 10 s after another node had the store, want some: it may have lost it too")
 	}
 }
@@ -38,16 +38,16 @@
 func TestCallThatOutlivedAnOutage(t *testing.T) {
 	o := &Outage{}
 	const lost, sent, back, later clock.Millis = 1000, 1500, 2000, 2100
-	if o.Outlived(0) {
+	if o.SentBeforeRecovery(0) {
 		t.Error("got a call that has outlived an outage before there was one")
 	}
-	o.Lost(lost)
-	if o.Outlived(sent) {
+	o.RecordFailure(lost)
+	if o.SentBeforeRecovery(sent) {
 		t.Error("got a call that has outlived an outage that lasts")
 	}
-	o.Back(back)
+	o.RecordAnswer(back)
 	for at, want := range map[clock.Millis]bool{sent: true, later: false} {
-		if got := o.Outlived(at); got != want {
+		if got := o.SentBeforeRecovery(at); got != want {
 			t.Errorf("call sent at %d: got outlived %v, want %v", at, got, want)
 		}
 	}
--- a/follow/reader.go
+++ b/follow/reader.go
@@ -18,9 +18,9 @@
 // the store. The store is asked next.
 var errReaderFailed = errors.New("follow: the reader failed")
 
-// errReaderSilent marks the errors of another node whose connection may have gone silent.
+// errReaderUnresponsive marks the errors of another node whose connection may have gone silent.
 // It is asked once more before it counts as failed.
-var errReaderSilent = errors.New("follow: the reader is silent")
+var errReaderUnresponsive = errors.New("follow: the reader is silent")
 
 // Reader is another node that reads the store.
 type Reader interface {
@@ -54,9 +54,9 @@
 	StoreReturned()
 }
 
-// Followers is where what has been read goes for the nodes that follow this one.
-type Followers interface {
-	SetConfig(k Known)
+// Publisher is where what has been read goes for the nodes that follow this one.
+type Publisher interface {
+	SetConfig(k PublishedConfig)
 	SetFleet(asOf moment.Moment, list []fleet.Upstream)
 	AddFleet(asOf moment.Moment, changes []fleet.Change)
 	// AddEnded notes upstreams that have turned out to be gone although nothing has
@@ -69,51 +69,51 @@
 	Suspend()
 }
 
-// noReaders is for nodes that are on their own.
-type noReaders struct{}
-
-func (noReaders) First() (Reader, bool)                    { return nil, false }
-func (noReaders) Reader() Reader                           { return nil }
-func (noReaders) Failed(Reader)                            {}
-func (noReaders) Followed() bool                           { return false }
-func (noReaders) Overdue() bool                            { return false }
-func (noReaders) Waits() bool                              { return false }
-func (noReaders) StoreLost()                               {}
-func (noReaders) StoreReturned()                           {}
-func (noReaders) StoreBack()                               {}
-func (noReaders) SetConfig(Known)                          {}
-func (noReaders) SetFleet(moment.Moment, []fleet.Upstream) {}
-func (noReaders) AddFleet(moment.Moment, []fleet.Change)   {}
-func (noReaders) AddEnded([]fleet.Change)                  {}
-func (noReaders) Returned()                                {}
-func (noReaders) Suspend()                                 {}
-
-// shared is what both followers of a node have in common.
-type shared struct {
+// standalone is for nodes that are on their own.
+type standalone struct{}
+
+func (standalone) First() (Reader, bool)                    { return nil, false }
+func (standalone) Reader() Reader                           { return nil }
+func (standalone) Failed(Reader)                            {}
+func (standalone) Followed() bool                           { return false }
+func (standalone) Overdue() bool                            { return false }
+func (standalone) Waits() bool                              { return false }
+func (standalone) StoreLost()                               {}
+func (standalone) StoreReturned()                           {}
+func (standalone) StoreBack()                               {}
+func (standalone) SetConfig(PublishedConfig)                {}
+func (standalone) SetFleet(moment.Moment, []fleet.Upstream) {}
+func (standalone) AddFleet(moment.Moment, []fleet.Change)   {}
+func (standalone) AddEnded([]fleet.Change)                  {}
+func (standalone) Returned()                                {}
+func (standalone) Suspend()                                 {}
+
+// base is what both followers of a node have in common.
+type base struct {
 	clock     *clock.Clock
 	log       *zap.Logger
 	outage    *Outage
 	readers   Readers
-	followers Followers
+	publisher Publisher
 	limits    limits
 }
 
 // Option sets up a follower.
-type Option func(*shared)
+type Option func(*base)
 
 // WithReaders sets which nodes may be followed in place of the store, and where
 // what has been read goes for those that follow this one.
-func WithReaders(r Readers, f Followers) Option {
-	return func(s *shared) { s.readers, s.followers = r, f }
+func WithReaders(r Readers, f Publisher) Option {
+	return func(s *base) { s.readers, s.publisher = r, f }
 }
 
-// WithChangesWithin sets within what time a change must be known.
-func WithChangesWithin(within clock.Millis) Option {
-	return func(s *shared) { s.limits = limitsFor(within) }
+// WithChangeDeadline sets within what time a change must be known.
+func WithChangeDeadline(within clock.Millis) Option {
+	return func(s *base) { s.limits = limitsFor(within) }
 }
 
-func newShared(c *clock.Clock, log *zap.Logger, outage *Outage, opts []Option) shared {
-	s := shared{clock: c, log: log, outage: outage, readers: noReaders{}, followers: noReaders{}, limits: limitsFor(usualWithin)}
+func newBase(c *clock.Clock, log *zap.Logger, outage *Outage, opts []Option) base {
+	s := base{clock: c, log: log, outage: outage, readers: standalone{}, publisher: standalone{}, limits: limitsFor(defaultChangeDeadline)}
 	for _, opt := range opts {
 		opt(&s)
 	}
@@ -121,24 +121,24 @@
 }
 
 const (
-	// lookAgain is how often a node that leaves the store to others looks whether one
-	// of them can be followed, and lookFirst the same for one that has read nothing yet.
-	lookAgain = 100 * time.Millisecond
-	lookFirst = 10 * time.Millisecond
+	// readerPollInterval is how often a node that leaves the store to others looks whether one
+	// of them can be followed, and startPollInterval the same for one that has read nothing yet.
+	readerPollInterval = 100 * time.Millisecond
+	startPollInterval  = 10 * time.Millisecond
 )
 
-// look returns how often a node looks that leaves the store to others.
-func look(read bool) time.Duration {
+// pollInterval returns how often a node looks that leaves the store to others.
+func pollInterval(read bool) time.Duration {
 	if read {
-		return lookAgain
+		return readerPollInterval
 	}
-	return lookFirst
+	return startPollInterval
 }
 
-// reader returns the node to follow, nil for the store. Waits tells that the store
+// selectReader returns the node to follow, nil for the store. Waits tells that the store
 // is to be left to others for now. A node that has read nothing yet may have to serve in a
 // moment.
-func (s *shared) reader(read bool) (reader Reader, waits bool) {
+func (s *base) selectReader(read bool) (reader Reader, waits bool) {
 	if !read {
 		return s.readers.First()
 	}
@@ -146,43 +146,43 @@
 	return reader, reader == nil && s.readers.Waits()
 }
 
-// doubt is how sure a follower is that whoever it asks next is there.
-type doubt int
+// targetState is how sure a follower is that whoever it asks next is there.
+type targetState int
 
 const (
 	// sure: whoever is asked has answered before, or nothing is known against it.
-	sure doubt = iota
+	trusted targetState = iota
 	// silent: the last call brought no answer on its connection. Whoever was asked may
 	// be well, so it is asked once more, on a new connection.
-	silent
+	unresponsive
 	// successor: another node has failed, and the next one may be as dead.
-	successor
+	unverified
 )
 
-// after returns the doubt after a call that failed. While the store is away it is not
+// next returns the doubt after a call that failed. While the store is away it is not
 // asked twice in a row: every call to it costs.
-func (d doubt) after(err error, failures int) doubt {
+func (d targetState) next(err error, failures int) targetState {
 	switch {
 	case errors.Is(err, errReaderFailed):
-		return successor
-	case errors.Is(err, errReaderSilent), errors.Is(err, ErrSilent) && d != silent && failures == 0:
-		return silent
+		return unverified
+	case errors.Is(err, errReaderUnresponsive), errors.Is(err, ErrNoAnswer) && d != unresponsive && failures == 0:
+		return unresponsive
 	default:
-		return sure
+		return trusted
 	}
 }
 
-// wait is how long whoever is asked may hold a wait: in doubt not at all, so that it
+// nextWait is how long whoever is asked may hold a wait: in doubt not at all, so that it
 // shows at once whether it is there.
-func (d doubt) wait(usual clock.Millis) clock.Millis {
-	if d == sure {
+func (d targetState) nextWait(usual clock.Millis) clock.Millis {
+	if d == trusted {
 		return usual
 	}
 	return 0
 }
 
-// askAgain logs that the last call is made once more.
-func (s *shared) askAgain(ctx context.Context, table string, err error) {
+// logRetry logs that the last call is made once more.
+func (s *base) logRetry(ctx context.Context, table string, err error) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -191,9 +191,9 @@
 
 // readerFailed notes that following another node did not work, but for a connection that
 // has gone silent.
-func (s *shared) readerFailed(ctx context.Context, table string, reader Reader, d doubt, err error) error {
-	if d == sure && errors.Is(err, ErrSilent) {
-		return errors.Mark(err, errReaderSilent)
+func (s *base) readerFailed(ctx context.Context, table string, reader Reader, d targetState, err error) error {
+	if d == trusted && errors.Is(err, ErrNoAnswer) {
+		return errors.Mark(err, errReaderUnresponsive)
 	}
 	s.readers.Failed(reader)
 	if ctx.Err() == nil {
@@ -202,45 +202,45 @@
 	return errors.Mark(err, errReaderFailed)
 }
 
-// lost notes a call to the store that was sent at a time and failed, and logs the first of
+// recordFailure notes a call to the store that was sent at a time and failed, and logs the first of
 // an outage. It returns whether the call speaks against the store: one that has outlived
 // an outage does not, and is made again at once.
-func (s *shared) lost(ctx context.Context, table string, sent clock.Millis, err error) bool {
+func (s *base) recordFailure(ctx context.Context, table string, sent clock.Millis, err error) bool {
 	if ctx.Err() != nil {
 		return true
 	}
-	if s.outage.Outlived(sent) {
-		s.askAgain(ctx, table, err)
+	if s.outage.SentBeforeRecovery(sent) {
+		s.logRetry(ctx, table, err)
 		return false
 	}
 	s.readers.StoreLost()
-	if s.outage.Lost(s.clock.Now()) {
+	if s.outage.RecordFailure(s.clock.Now()) {
 		s.log.Warn("store_lost", zap.String("table", table), logging.Err(err))
 	}
 	return true
 }
 
-// back notes a call that was answered, by the store or by the node that is
+// recordAnswer notes a call that was answered, by the store or by the node that is
 // followed, and logs the end of an outage.
-func (s *shared) back(table string, reader Reader) {
+func (s *base) recordAnswer(table string, reader Reader) {
 	now := s.clock.Now()
 	if reader != nil {
-		if s.outage.Told(now) {
+		if s.outage.RecordReaderAnswer(now) {
 			s.readers.StoreBack()
 			s.log.Info("store_lost_long_ago", zap.String("table", table))
 		}
 		return
 	}
-	if s.outage.Back(now) {
+	if s.outage.RecordAnswer(now) {
 		s.readers.StoreBack()
 		s.log.Info("store_back", zap.String("table", table))
 	}
 }
 
-// returned takes in that the store was read in another era than before: it has come back from
+// checkRestore takes in that the store was read in another era than before: it has come back from
 // a copy, which may lack entries of upstreams that live.
-func (s *shared) returned(table string, known, asOf moment.Moment) {
-	if s.outage.Returned(s.clock.Now(), asOf) {
+func (s *base) checkRestore(table string, known, asOf moment.Moment) {
+	if s.outage.RecordEra(s.clock.Now(), asOf) {
 		s.readers.StoreReturned()
 		s.log.Info("read_in_another_era", zap.String("table", table), zap.Stringer("as_of", asOf), zap.Stringer("known", known))
 	}
--- a/follow/reader_test.go
+++ b/follow/reader_test.go
@@ -18,24 +18,24 @@
 
 // scriptedReader is another node. Its calls go into the list of the store's.
 type scriptedReader struct {
-	store *scripted
+	store *scriptedStore
 	// answers are its answers, in order; after them it fails.
 	answers []scriptedAnswer
-	// offered is how often it is still offered, and failed counts failures.
-	offered int
-	failed  int
-	// waits is how often the store is left to others, and lost counts the calls to
+	// offersLeft is how often it is still offered, and failed counts failures.
+	offersLeft int
+	failed     int
+	// waitsLeft is how often the store is left to others, and lost counts the calls to
 	// it in vain.
-	waits int
-	lost  int
-	// returned counts the store's returns from a copy.
-	returned int
+	waitsLeft     int
+	storeFailures int
+	// restores counts the store's returns from a copy.
+	restores int
 }
 
 func (r *scriptedReader) next() scriptedAnswer {
 	if len(r.answers) == 0 {
 		r.store.calls = append(r.store.calls, "reader fails")
-		return scriptedAnswer{err: errAway}
+		return scriptedAnswer{err: errStoreDown}
 	}
 	r.store.calls = append(r.store.calls, "reader")
 	answer := r.answers[0]
@@ -54,14 +54,14 @@
 }
 
 func (r *scriptedReader) Reader() Reader {
-	if r.offered == 0 {
+	if r.offersLeft == 0 {
 		return nil
 	}
-	r.offered--
+	r.offersLeft--
 	return r
 }
 
-func (r *scriptedReader) Failed(Reader) { r.failed, r.offered = r.failed+1, 0 }
+func (r *scriptedReader) Failed(Reader) { r.failed, r.offersLeft = r.failed+1, 0 }
 
 func (r *scriptedReader) Followed() bool { return false }
 
@@ -70,32 +70,32 @@
 func (r *scriptedReader) Overdue() bool { return false }
 
 func (r *scriptedReader) Waits() bool {
-	if r.waits == 0 {
+	if r.waitsLeft == 0 {
 		return false
 	}
-	r.waits--
+	r.waitsLeft--
 	r.store.calls = append(r.store.calls, "waits")
 	return true
 }
 
-func (r *scriptedReader) StoreLost()     { r.lost++ }
-func (r *scriptedReader) StoreBack()     { r.lost = 0 }
-func (r *scriptedReader) StoreReturned() { r.returned++ }
+func (r *scriptedReader) StoreLost()     { r.storeFailures++ }
+func (r *scriptedReader) StoreBack()     { r.storeFailures = 0 }
+func (r *scriptedReader) StoreReturned() { r.restores++ }
 
 // A node follows the reader after it has read the store itself, and reads the
 // store whole as soon as the reader fails. The reader's failure is no outage.
 func TestCatalogFollowsAReader(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	source := &scripted{t: t, end: cancel, answers: []scriptedAnswer{{raw: "1"}, {raw: "3"}, {}}}
-	reader := &scriptedReader{store: source, answers: []scriptedAnswer{{}, {raw: "2"}}, offered: 4}
+	source := &scriptedStore{t: t, end: cancel, answers: []scriptedAnswer{{raw: "1"}, {raw: "3"}, {}}}
+	reader := &scriptedReader{store: source, answers: []scriptedAnswer{{}, {raw: "2"}}, offersLeft: 4}
 	outage := &Outage{}
-	node := &obeying{}
-	f := NewCatalog(source, clocktest.NewClock(), zap.NewNop(), outage, node.take, WithReaders(reader, noReaders{}))
+	node := &configHolder{}
+	f := NewCatalog(source, clocktest.NewClock(), zap.NewNop(), outage, node.take, WithReaders(reader, standalone{}))
 	if err := f.Run(ctx); !errors.Is(err, context.Canceled) {
 		t.Fatalf("got error %v, want %v", err, context.Canceled)
 	}
 	checkCalls(t, source.calls, []string{"read", "reader", "reader", "reader fails", "read", "await"})
-	if got, want := strings.Join(node.obeyed, " "), "1 2 3"; got != want {
+	if got, want := strings.Join(node.applied, " "), "1 2 3"; got != want {
 		t.Errorf("got versions %s, want %s", got, want)
 	}
 	if got, want := reader.failed, 1; got != want {
@@ -107,9 +107,9 @@
 // is one. What this node has read itself is no older for it.
 func TestCatalogDoesNotReadAnewAfterAFirstContact(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	source := &scripted{t: t, end: cancel, answers: []scriptedAnswer{{raw: "1"}, {}}}
-	reader := &scriptedReader{store: source, offered: 2}
-	f := NewCatalog(source, clocktest.NewClock(), zap.NewNop(), &Outage{}, (&obeying{}).take, WithReaders(reader, noReaders{}))
+	source := &scriptedStore{t: t, end: cancel, answers: []scriptedAnswer{{raw: "1"}, {}}}
+	reader := &scriptedReader{store: source, offersLeft: 2}
+	f := NewCatalog(source, clocktest.NewClock(), zap.NewNop(), &Outage{}, (&configHolder{}).take, WithReaders(reader, standalone{}))
 	if err := f.Run(ctx); !errors.Is(err, context.Canceled) {
 		t.Fatalf("got error %v, want %v", err, context.Canceled)
 	}
@@ -119,26 +119,26 @@
 // The proof counts from the question, less the age that the reader gives.
 func TestCatalogCountsTheReadersAge(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	source := &scripted{t: t, end: cancel, answers: []scriptedAnswer{{raw: "1"}}}
-	reader := &scriptedReader{store: source, answers: []scriptedAnswer{{}}, offered: 2}
+	source := &scriptedStore{t: t, end: cancel, answers: []scriptedAnswer{{raw: "1"}}}
+	reader := &scriptedReader{store: source, answers: []scriptedAnswer{{}}, offersLeft: 2}
 	c := clocktest.NewClock()
-	node := &obeying{}
-	f := NewCatalog(source, c, zap.NewNop(), &Outage{}, node.take, WithReaders(reader, noReaders{}))
+	node := &configHolder{}
+	f := NewCatalog(source, c, zap.NewNop(), &Outage{}, node.take, WithReaders(reader, standalone{}))
 	if err := f.Run(ctx); !errors.Is(err, context.Canceled) {
 		t.Fatalf("got error %v, want %v", err, context.Canceled)
 	}
-	if len(node.proofs) != 2 || node.proofs[1] > c.Now()-500 {
-		t.Errorf("got proofs at %v, want two, the second 500 or more before %d", node.proofs, c.Now())
+	if len(node.confirmedAt) != 2 || node.confirmedAt[1] > c.Now()-500 {
+		t.Errorf("got proofs at %v, want two, the second 500 or more before %d", node.confirmedAt, c.Now())
 	}
 }
 
-// followersLog notes what goes to the nodes that follow this one.
-type followersLog struct {
-	noReaders
+// publishedLog notes what goes to the nodes that follow this one.
+type publishedLog struct {
+	standalone
 	calls []string
 }
 
-func (l *followersLog) AddFleet(_ moment.Moment, changes []fleet.Change) {
+func (l *publishedLog) AddFleet(_ moment.Moment, changes []fleet.Change) {
 	text := "add"
 	for _, c := range changes {
 		text += fmt.Sprint(" ", c.ID.String(), c.Gone)
@@ -146,7 +146,7 @@
 	l.calls = append(l.calls, text)
 }
 
-func (l *followersLog) SetFleet(_ moment.Moment, list []fleet.Upstream) {
+func (l *publishedLog) SetFleet(_ moment.Moment, list []fleet.Upstream) {
 	text := "set"
 	for _, u := range list {
 		text += " " + u.ID.String()
@@ -154,37 +154,37 @@
 	l.calls = append(l.calls, text)
 }
 
-func (l *followersLog) AddEnded(ended []fleet.Change) {
+func (l *publishedLog) AddEnded(ended []fleet.Change) {
 	for _, c := range ended {
 		l.calls = append(l.calls, "ended "+c.ID.String())
 	}
 }
 
-func (l *followersLog) Suspend() { l.calls = append(l.calls, "suspend") }
+func (l *publishedLog) Suspend() { l.calls = append(l.calls, "suspend") }
 
 func listed(id string) fleet.Change {
-	return fleet.Change{ID: fleet.Undated(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.Undated(fleet.ID(id))}}
+	return fleet.Change{ID: fleet.IncarnationByID(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.IncarnationByID(fleet.ID(id))}}
 }
 
-// backSoon ends an outage as the follower of the configuration would.
-func backSoon(ctx context.Context, outage *Outage, c *clock.Clock) {
+// endOutageSoon ends an outage as the follower of the configuration would.
+func endOutageSoon(ctx context.Context, outage *Outage, c *clock.Clock) {
 	for ctx.Err() == nil {
-		outage.Back(c.Now())
-		clock.Sleep(ctx, firstRetry.Duration())
+		outage.RecordAnswer(c.Now())
+		clock.Sleep(ctx, minRetryPause.Duration())
 	}
 }
 
-// passedOn plays answers of the store to a follower of the list, and returns what it
+// publishedAsOf plays answers of the store to a follower of the list, and returns what it
 // passes on to the nodes that follow it.
-func passedOn(t *testing.T, answers []scriptedAnswer) []string {
+func publishedFor(t *testing.T, answers []scriptedAnswer) []string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	source := &scripted{t: t, end: cancel, answers: answers}
+	source := &scriptedStore{t: t, end: cancel, answers: answers}
 	outage := &Outage{}
 	c := clocktest.NewClock()
-	followers := &followersLog{}
+	followers := &publishedLog{}
 	f := NewFleet(source, c, zap.NewNop(), outage, func([]fleet.Change) {}, WithReaders(&scriptedReader{store: source}, followers))
-	go backSoon(ctx, outage, c)
+	go endOutageSoon(ctx, outage, c)
 	if err := f.Run(ctx); !errors.Is(err, context.Canceled) {
 		t.Fatalf("got error %v, want %v", err, context.Canceled)
 	}
@@ -203,20 +203,20 @@
 		want    []string
 	}{
 		{"what may come back", []scriptedAnswer{
-			{changes: []fleet.Change{listed("u1"), listed("u2")}}, {err: errAway}, {changes: []fleet.Change{listed("u1")}},
+			{changes: []fleet.Change{listed("u1"), listed("u2")}}, {err: errStoreDown}, {changes: []fleet.Change{listed("u1")}},
 			{changes: []fleet.Change{listed("u3")}},
 		}, []string{"set u1 u2", "suspend", "set u1 u2", "add u3false", "suspend"}},
 		{"no part of a list", []scriptedAnswer{
-			{err: errAway}, {changes: []fleet.Change{listed("u1")}}, {changes: []fleet.Change{listed("u2")}},
+			{err: errStoreDown}, {changes: []fleet.Change{listed("u1")}}, {changes: []fleet.Change{listed("u2")}},
 		}, []string{"suspend", "suspend", "suspend", "suspend"}},
 		{"unknown ends", []scriptedAnswer{
-			{changes: []fleet.Change{listed("u1")}}, {changes: []fleet.Change{{ID: fleet.Undated("u9"), Gone: true}}},
+			{changes: []fleet.Change{listed("u1")}}, {changes: []fleet.Change{{ID: fleet.IncarnationByID("u9"), Gone: true}}},
 		}, []string{"set u1", "add u9true", "suspend"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			checkCalls(t, passedOn(t, tt.answers), tt.want)
+			checkCalls(t, publishedFor(t, tt.answers), tt.want)
 		})
 	}
 }
@@ -227,13 +227,13 @@
 // afterwards brought one change that was news to it, and only that was passed on. The logs
 // of both showed the list learnt (revision=0), and the ends of upstreams that lived.
 func TestFleetPassesOnWhatPeersHaveTold(t *testing.T) {
-	followers := &followersLog{}
-	f := NewFleet(&scripted{t: t}, clocktest.NewClock(), zap.NewNop(), &Outage{}, func([]fleet.Change) {}, WithReaders(noReaders{}, followers))
+	followers := &publishedLog{}
+	f := NewFleet(&scriptedStore{t: t}, clocktest.NewClock(), zap.NewNop(), &Outage{}, func([]fleet.Change) {}, WithReaders(standalone{}, followers))
 	now := f.clock.Now()
-	f.take(now, FleetReading{AsOf: moment.At(0, 1), Whole: true}, false)
-	f.Learn([]fleet.Upstream{{ID: fleet.Undated("u1")}, {ID: fleet.Undated("u2")}})
-	f.takeLearnt(now)
-	f.take(now, FleetReading{AsOf: moment.At(0, 4), Changes: []fleet.Change{listed("u1"), listed("u2"), listed("u3")}}, false)
+	f.apply(now, FleetReading{AsOf: moment.At(0, 1), Whole: true}, false)
+	f.AddPeerList([]fleet.Upstream{{ID: fleet.IncarnationByID("u1")}, {ID: fleet.IncarnationByID("u2")}})
+	f.applyPeerList(now)
+	f.apply(now, FleetReading{AsOf: moment.At(0, 4), Changes: []fleet.Change{listed("u1"), listed("u2"), listed("u3")}}, false)
 	checkCalls(t, followers.calls, []string{"set", "set u1 u2 u3"})
 }
 
@@ -241,9 +241,9 @@
 // but for its first reading.
 func TestLeavesTheStoreToOthers(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	source := &scripted{t: t, end: cancel, answers: []scriptedAnswer{{raw: "1"}, {}}}
-	readers := &scriptedReader{store: source, waits: 2}
-	f := NewCatalog(source, clocktest.NewClock(), zap.NewNop(), &Outage{}, (&obeying{}).take, WithReaders(readers, noReaders{}))
+	source := &scriptedStore{t: t, end: cancel, answers: []scriptedAnswer{{raw: "1"}, {}}}
+	readers := &scriptedReader{store: source, waitsLeft: 2}
+	f := NewCatalog(source, clocktest.NewClock(), zap.NewNop(), &Outage{}, (&configHolder{}).take, WithReaders(readers, standalone{}))
 	if err := f.Run(ctx); !errors.Is(err, context.Canceled) {
 		t.Fatalf("got error %v, want %v", err, context.Canceled)
 	}
@@ -255,15 +255,15 @@
 // may have left out what it held itself, and the store is read anew.
 func TestFleetFollowsAReaderWhileTheStoreIsLost(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	source := &scripted{t: t, end: cancel, answers: []scriptedAnswer{{changes: []fleet.Change{listed("u1")}}, {err: errAway}}}
-	reader := &scriptedReader{store: source, answers: []scriptedAnswer{{changes: []fleet.Change{listed("u2")}}, {changes: []fleet.Change{{ID: fleet.Undated("u1"), Gone: true}}}}}
+	source := &scriptedStore{t: t, end: cancel, answers: []scriptedAnswer{{changes: []fleet.Change{listed("u1")}}, {err: errStoreDown}}}
+	reader := &scriptedReader{store: source, answers: []scriptedAnswer{{changes: []fleet.Change{listed("u2")}}, {changes: []fleet.Change{{ID: fleet.IncarnationByID("u1"), Gone: true}}}}}
 	outage := &Outage{}
 	var seen []string
 	f := NewFleet(source, clocktest.NewClock(), zap.NewNop(), outage, func(changes []fleet.Change) {
 		for _, c := range changes {
 			seen = append(seen, fmt.Sprint(c.ID.String(), c.Gone))
 		}
-	}, WithReaders(offeredInOutage{reader, outage}, noReaders{}))
+	}, WithReaders(readerInOutage{reader, outage}, standalone{}))
 	if err := f.Run(ctx); !errors.Is(err, context.Canceled) {
 		t.Fatalf("got error %v, want %v", err, context.Canceled)
 	}
@@ -273,14 +273,14 @@
 	}
 }
 
-// offeredInOutage offers a reader while the store is lost, until it fails.
-type offeredInOutage struct {
+// readerInOutage offers a reader while the store is lost, until it fails.
+type readerInOutage struct {
 	*scriptedReader
 	outage *Outage
 }
 
-func (r offeredInOutage) Reader() Reader {
-	if !r.outage.Away() || r.failed > 0 {
+func (r readerInOutage) Reader() Reader {
+	if !r.outage.Ongoing() || r.failed > 0 {
 		return nil
 	}
 	return r.scriptedReader
@@ -290,8 +290,8 @@
 // nothing about the one in force.
 func TestUnreadableConfigurationIsNeverConfirmed(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	source := &scripted{t: t, end: cancel, answers: []scriptedAnswer{{raw: "1"}, {raw: "bad"}, {}, {}, {raw: "2"}}}
-	node := &obeying{}
+	source := &scriptedStore{t: t, end: cancel, answers: []scriptedAnswer{{raw: "1"}, {raw: "bad"}, {}, {}, {raw: "2"}}}
+	node := &configHolder{}
 	f := NewCatalog(source, clocktest.NewClock(), zap.NewNop(), &Outage{}, node.take)
 	if err := f.Run(ctx); !errors.Is(err, context.Canceled) {
 		t.Fatalf("got error %v, want %v", err, context.Canceled)
@@ -306,36 +306,36 @@
 func TestLearntListsGrowOld(t *testing.T) {
 	c := clocktest.NewClock()
 	var told []string
-	f := NewFleet(&scripted{t: t}, c, zap.NewNop(), &Outage{}, func(changes []fleet.Change) {
+	f := NewFleet(&scriptedStore{t: t}, c, zap.NewNop(), &Outage{}, func(changes []fleet.Change) {
 		for _, change := range changes {
 			told = append(told, fmt.Sprint(change.ID.String(), change.Gone))
 		}
 	})
 	f.view.Apply(c.Now(), []fleet.Change{listed("u1"), listed("u2")}, false)
-	f.Learn([]fleet.Upstream{{ID: fleet.Undated("u1")}})
-	f.Learn([]fleet.Upstream{{ID: fleet.Undated("u1")}, {ID: fleet.Undated("u2")}, {ID: fleet.Undated("u3")}})
-	f.takeLearnt(c.Now())
+	f.AddPeerList([]fleet.Upstream{{ID: fleet.IncarnationByID("u1")}})
+	f.AddPeerList([]fleet.Upstream{{ID: fleet.IncarnationByID("u1")}, {ID: fleet.IncarnationByID("u2")}, {ID: fleet.IncarnationByID("u3")}})
+	f.applyPeerList(c.Now())
 	if got, want := strings.Join(told, " "), "u3false"; got != want {
 		t.Errorf("got %q of two lists, want %q of the newer", got, want)
 	}
 	told = nil
-	f.Learn([]fleet.Upstream{{ID: fleet.Undated("u1")}})
-	f.takeLearnt(c.Now().Add(learntLasts + 1))
+	f.AddPeerList([]fleet.Upstream{{ID: fleet.IncarnationByID("u1")}})
+	f.applyPeerList(c.Now().Add(peerListLifetime + 1))
 	if len(told) > 0 {
 		t.Errorf("got %q of an old list, want nothing", told)
 	}
 }
 
-// followedReaders are those of a node that others follow.
-type followedReaders struct {
-	noReaders
-	overdue bool
+// followedNode are those of a node that others follow.
+type followedNode struct {
+	standalone
+	needsProof bool
 }
 
-func (followedReaders) Followed() bool          { return true }
-func (r followedReaders) First() (Reader, bool) { return nil, false }
+func (followedNode) Followed() bool          { return true }
+func (r followedNode) First() (Reader, bool) { return nil, false }
 
-func (r followedReaders) Overdue() bool { return r.overdue }
+func (r followedNode) Overdue() bool { return r.needsProof }
 
 // A node that others follow asks a slow store for shorter waits, so that its proofs get
 // no older than they may, and for none while others wait for a proof.
@@ -346,24 +346,24 @@
 		progress catalogProgress
 		want     clock.Millis
 	}{
-		{"nobody follows", noReaders{}, catalogProgress{slowness: 240}, limitsFor(usualWithin).configWait},
-		{"a quick store", followedReaders{}, catalogProgress{}, followedConfigWait},
-		{"a slow store", followedReaders{}, catalogProgress{slowness: 240}, followedConfigWait - 480},
-		{"a very slow store", followedReaders{}, catalogProgress{slowness: 900}, leastWait},
-		{"others wait for a proof", followedReaders{overdue: true}, catalogProgress{}, 0},
-		{"they still do", followedReaders{overdue: true}, catalogProgress{urged: true}, followedConfigWait},
+		{"nobody follows", standalone{}, catalogProgress{extraLatency: 240}, limitsFor(defaultChangeDeadline).configWait},
+		{"a quick store", followedNode{}, catalogProgress{}, followedConfigWait},
+		{"a slow store", followedNode{}, catalogProgress{extraLatency: 240}, followedConfigWait - 480},
+		{"a very slow store", followedNode{}, catalogProgress{extraLatency: 900}, minWait},
+		{"others wait for a proof", followedNode{needsProof: true}, catalogProgress{}, 0},
+		{"they still do", followedNode{needsProof: true}, catalogProgress{skippedWait: true}, followedConfigWait},
 	}
 	for _, tt := range tests {
-		f := NewCatalog(nil, clocktest.NewClock(), zap.NewNop(), &Outage{}, nil, WithReaders(tt.readers, noReaders{}))
-		if got, _ := f.wait(tt.progress); got != tt.want {
+		f := NewCatalog(nil, clocktest.NewClock(), zap.NewNop(), &Outage{}, nil, WithReaders(tt.readers, standalone{}))
+		if got, _ := f.nextWait(tt.progress); got != tt.want {
 			t.Errorf("%s: got a wait of %d ms, want %d", tt.name, got, tt.want)
 		}
 	}
-	p := catalogProgress{wait: 600, slowness: 7}
-	if got, want := p.slownessAfter(nil, CatalogReading{}, 840), clock.Millis(240); got != want {
+	p := catalogProgress{nextWait: 600, extraLatency: 7}
+	if got, want := p.latencyAfter(nil, CatalogReading{}, 840), clock.Millis(240); got != want {
 		t.Errorf("got slowness %d after a wait of 840 ms for 600, want %d", got, want)
 	}
-	if got, want := p.slownessAfter(nil, CatalogReading{Raw: []byte("1")}, 100), clock.Millis(7); got != want {
+	if got, want := p.latencyAfter(nil, CatalogReading{Raw: []byte("1")}, 100), clock.Millis(7); got != want {
 		t.Errorf("got slowness %d after a change, want %d as before", got, want)
 	}
 }
@@ -375,10 +375,10 @@
 	earlier, later := fleet.NewIncarnation("u1", 100), fleet.NewIncarnation("u1", 200)
 	list := []fleet.Upstream{{ID: earlier}}
 	var told []fleet.Change
-	followers := &followersLog{}
-	f := NewFleet(&scripted{t: t}, c, zap.NewNop(), &Outage{}, func(changes []fleet.Change) { told = append(told, changes...) },
-		WithReaders(noReaders{}, followers))
-	f.take(c.Now(), FleetReading{AsOf: moment.At(0, 1), Whole: true, Changes: []fleet.Change{{ID: earlier, Upstream: list[0]}}}, false)
+	followers := &publishedLog{}
+	f := NewFleet(&scriptedStore{t: t}, c, zap.NewNop(), &Outage{}, func(changes []fleet.Change) { told = append(told, changes...) },
+		WithReaders(standalone{}, followers))
+	f.apply(c.Now(), FleetReading{AsOf: moment.At(0, 1), Whole: true, Changes: []fleet.Change{{ID: earlier, Upstream: list[0]}}}, false)
 	told = nil
 	f.Supersede(later)
 	if len(told) != 1 || told[0].ID != earlier || !told[0].Ended {
@@ -388,9 +388,9 @@
 		t.Errorf("got %q for those that follow, want %q", got, want)
 	}
 	f.Supersede(later)
-	f.Learn(list)
-	f.takeLearnt(c.Now())
-	f.take(c.Now(), FleetReading{AsOf: moment.At(0, 2), Whole: true, Changes: []fleet.Change{{ID: earlier, Upstream: list[0]}}}, false)
+	f.AddPeerList(list)
+	f.applyPeerList(c.Now())
+	f.apply(c.Now(), FleetReading{AsOf: moment.At(0, 2), Whole: true, Changes: []fleet.Change{{ID: earlier, Upstream: list[0]}}}, false)
 	if len(told) != 1 {
 		t.Errorf("got %v told after that, want nothing more", told[1:])
 	}
--- a/follow/silent_reader_test.go
+++ b/follow/silent_reader_test.go
@@ -15,45 +15,45 @@
 	"github.com/hoistjunction/hoistjunction/moment"
 )
 
-// mostAsked bounds the questions to a node that brings no answer.
-const mostAsked = 20
+// maxRequests bounds the questions to a node that brings no answer.
+const maxRequests = 20
 
-// silentReader is another node that may be followed once the store is lost, and on whose
+// unresponsiveReader is another node that may be followed once the store is lost, and on whose
 // connections no answer comes.
-type silentReader struct {
-	noReaders
-	store *scripted
-	// asked counts the questions to it, and lost the calls to the store in vain.
-	asked, lost int
-	failed      bool
+type unresponsiveReader struct {
+	standalone
+	store *scriptedStore
+	// requests counts the questions to it, and lost the calls to the store in vain.
+	requests, storeFailures int
+	failed                  bool
 }
 
-func (r *silentReader) ask() error {
-	r.asked++
+func (r *unresponsiveReader) request() error {
+	r.requests++
 	r.store.calls = append(r.store.calls, "reader is silent")
-	if r.asked >= mostAsked {
+	if r.requests >= maxRequests {
 		r.store.end()
 	}
-	return errors.Mark(errAway, ErrSilent)
+	return errors.Mark(errStoreDown, ErrNoAnswer)
 }
 
-func (r *silentReader) AwaitCatalog(context.Context, catalog.Edition, clock.Millis) (CatalogReading, error) {
-	return CatalogReading{}, r.ask()
+func (r *unresponsiveReader) AwaitCatalog(context.Context, catalog.Edition, clock.Millis) (CatalogReading, error) {
+	return CatalogReading{}, r.request()
 }
 
-func (r *silentReader) AwaitUpstreams(context.Context, moment.Moment, clock.Millis) (FleetReading, error) {
-	return FleetReading{}, r.ask()
+func (r *unresponsiveReader) AwaitUpstreams(context.Context, moment.Moment, clock.Millis) (FleetReading, error) {
+	return FleetReading{}, r.request()
 }
 
-func (r *silentReader) Reader() Reader {
-	if r.lost == 0 || r.failed {
+func (r *unresponsiveReader) Reader() Reader {
+	if r.storeFailures == 0 || r.failed {
 		return nil
 	}
 	return r
 }
 
-func (r *silentReader) Failed(Reader) { r.failed = true }
-func (r *silentReader) StoreLost()    { r.lost++ }
+func (r *unresponsiveReader) Failed(Reader) { r.failed = true }
+func (r *unresponsiveReader) StoreLost()    { r.storeFailures++ }
 
 // A node that had lost the store followed another one, whose connections ended without an
 // answer. That was taken for a call to the store, which is not made twice while it is
@@ -63,24 +63,24 @@
 func TestReaderThatIsSilentWhileTheStoreIsLost(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		run  func(ctx context.Context, source *scripted, r *silentReader) error
+		run  func(ctx context.Context, source *scriptedStore, r *unresponsiveReader) error
 	}{
-		{"configuration", func(ctx context.Context, source *scripted, r *silentReader) error {
-			tell := (&obeying{}).take
-			return NewCatalog(source, clocktest.NewClock(), zap.NewNop(), &Outage{}, tell, WithReaders(r, noReaders{})).Run(ctx)
+		{"configuration", func(ctx context.Context, source *scriptedStore, r *unresponsiveReader) error {
+			tell := (&configHolder{}).take
+			return NewCatalog(source, clocktest.NewClock(), zap.NewNop(), &Outage{}, tell, WithReaders(r, standalone{})).Run(ctx)
 		}},
-		{"list", func(ctx context.Context, source *scripted, r *silentReader) error {
-			return NewFleet(source, clocktest.NewClock(), zap.NewNop(), &Outage{}, func([]fleet.Change) {}, WithReaders(r, noReaders{})).Run(ctx)
+		{"list", func(ctx context.Context, source *scriptedStore, r *unresponsiveReader) error {
+			return NewFleet(source, clocktest.NewClock(), zap.NewNop(), &Outage{}, func([]fleet.Change) {}, WithReaders(r, standalone{})).Run(ctx)
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
-			source := &scripted{t: t, end: cancel, answers: []scriptedAnswer{{raw: "1"}, {err: errAway}, {err: errAway}, {raw: "2"}}}
-			r := &silentReader{store: source}
+			source := &scriptedStore{t: t, end: cancel, answers: []scriptedAnswer{{raw: "1"}, {err: errStoreDown}, {err: errStoreDown}, {raw: "2"}}}
+			r := &unresponsiveReader{store: source}
 			if err := tt.run(ctx, source, r); !errors.Is(err, context.Canceled) {
 				t.Fatalf("got error %v, want %v", err, context.Canceled)
 			}
-			if got, want := r.asked, 2; got != want {
+			if got, want := r.requests, 2; got != want {
 				t.Errorf("got calls %v, want the other node asked %d times", source.calls, want)
 			}
 			if !slices.Contains(source.calls, "reader is silent") || !r.failed {
--- a/follow/silent_test.go
+++ b/follow/silent_test.go
@@ -12,31 +12,31 @@
 	"github.com/hoistjunction/hoistjunction/clock/clocktest"
 )
 
-// muteReader is a node whose connections bring no answer at all.
-type muteReader struct {
+// noAnswerReader is a node whose connections bring no answer at all.
+type noAnswerReader struct {
 	*scriptedReader
 }
 
-func (r muteReader) Reader() Reader {
-	if r.offered == 0 {
+func (r noAnswerReader) Reader() Reader {
+	if r.offersLeft == 0 {
 		return nil
 	}
 	return r
 }
 
-func (r muteReader) AwaitCatalog(context.Context, catalog.Edition, clock.Millis) (CatalogReading, error) {
+func (r noAnswerReader) AwaitCatalog(context.Context, catalog.Edition, clock.Millis) (CatalogReading, error) {
 	r.store.calls = append(r.store.calls, "silent")
-	return CatalogReading{}, errors.Mark(errAway, ErrSilent)
+	return CatalogReading{}, errors.Mark(errStoreDown, ErrNoAnswer)
 }
 
-func (r muteReader) Failed(Reader) { r.offered = 0 }
+func (r noAnswerReader) Failed(Reader) { r.offersLeft = 0 }
 
 // A node that had lost the store was offered another one whose connections were dead,
 // and asked it without end and without a pause: what is asked once more before it counts
 // as failed did so by another rule than what counts it. It is asked twice and no more,
 // whether the store was lost before or not; so is the store.
 func TestSilentConnectionsAreTriedTwice(t *testing.T) {
-	silent := errors.Mark(errAway, ErrSilent)
+	silent := errors.Mark(errStoreDown, ErrNoAnswer)
 	tests := []struct {
 		name    string
 		answers []scriptedAnswer
@@ -48,17 +48,17 @@
 	}
 	for _, tt := range tests {
 		ctx, cancel := context.WithCancel(context.Background())
-		source := &scripted{t: t, end: cancel, answers: tt.answers}
-		reader := muteReader{&scriptedReader{store: source, offered: 1}}
-		f := NewCatalog(source, clocktest.NewClock(), zap.NewNop(), &Outage{}, (&obeying{}).take, WithReaders(reader, noReaders{}))
+		source := &scriptedStore{t: t, end: cancel, answers: tt.answers}
+		reader := noAnswerReader{&scriptedReader{store: source, offersLeft: 1}}
+		f := NewCatalog(source, clocktest.NewClock(), zap.NewNop(), &Outage{}, (&configHolder{}).take, WithReaders(reader, standalone{}))
 		if err := f.Run(ctx); !errors.Is(err, context.Canceled) {
 			t.Fatalf("%s: got error %v, want %v", tt.name, err, context.Canceled)
 		}
 		checkCalls(t, source.calls, tt.want)
 	}
 	for _, failures := range []int{0, 3} {
-		err := (&shared{log: zap.NewNop(), readers: noReaders{}}).readerFailed(t.Context(), "config", nil, sure, silent)
-		if got := sure.after(err, failures); got != doubt(1) {
+		err := (&base{log: zap.NewNop(), readers: standalone{}}).readerFailed(t.Context(), "config", nil, trusted, silent)
+		if got := trusted.next(err, failures); got != targetState(1) {
 			t.Errorf("after %d failures of the store: got doubt %d of a silent node, want that it is asked once more", failures, got)
 		}
 	}
--- a/lab/node_share.go
+++ b/lab/node_share.go
@@ -24,20 +24,20 @@
 // lookAround takes in who the hubs are, if that has changed, and at first.
 func (n *node) lookAround(first bool) {
 	w := n.world
-	circle := n.roster.Circle(w.now)
-	same := circle.Meshed == n.circle.Meshed && circle.Place == n.circle.Place && slices.Equal(circle.Hubs, n.circle.Hubs)
+	circle := n.roster.Topology(w.now)
+	same := circle.FullMesh == n.circle.FullMesh && circle.HubIndex == n.circle.HubIndex && slices.Equal(circle.Hubs, n.circle.Hubs)
 	if same && !first {
 		return
 	}
 	n.circle = circle
-	msg := dispatch.PeersMsg{All: len(w.nodes), Near: w.near(n), Members: w.members()}
+	msg := dispatch.PeersMsg{TotalNodes: len(w.nodes), UsagePeers: w.near(n), Members: w.members()}
 	rank := placement.RankMsg{Delay: planSlot * clock.Millis(n.rank)}
-	if !circle.Meshed {
-		msg.Summed = !circle.Hub
-		if circle.Hub {
-			msg.Here = circle.Others + 1
+	if !circle.FullMesh {
+		msg.Aggregated = !circle.IsHub
+		if circle.IsHub {
+			msg.LocalNodes = circle.PeerCount + 1
 		}
-		rank = placement.RankMsg{Delay: planSlot * clock.Millis(circle.Place), Rests: !circle.Hub, Elsewhere: w.elsewhere(n)}
+		rank = placement.RankMsg{Delay: planSlot * clock.Millis(circle.HubIndex), Standby: !circle.IsHub, ExcludedDataCentres: w.elsewhere(n)}
 	}
 	n.tell(msg)
 	n.plan(rank)
@@ -56,7 +56,7 @@
 
 // share tells others what the node has in use. In larger systems each tells its own data
 // centre, or the hubs there, and one of them others what it has in all.
-func (n *node) share(cmd dispatch.ShareCmd) {
+func (n *node) share(cmd dispatch.ShareUsageCmd) {
 	w := n.world
 	if w.variant.NoUsage {
 		return
@@ -65,7 +65,7 @@
 		o.roster.Heard(w.now, n.name, true)
 		o.tell(dispatch.UsageMsg{Node: n.name, DataCentre: n.centre, Used: cmd.Used, Limits: n.limitsFor(o, cmd.Limits)})
 	}
-	if n.circle.Meshed {
+	if n.circle.FullMesh {
 		for _, o := range w.nodes {
 			if o != n && (len(w.nodes) < nearAll || o.centre == n.centre) {
 				n.to(o, used)
@@ -74,38 +74,38 @@
 	} else {
 		n.tellEach(n.circle.Hubs, used)
 	}
-	if n.circle.Meshed && len(w.nodes) >= nearAll && w.reader(n.centre) == n || n.circle.Leads() {
+	if n.circle.FullMesh && len(w.nodes) >= nearAll && w.reader(n.centre) == n || n.circle.IsFirstHub() {
 		n.shareTotal(cmd)
 	}
-	if n.circle.Hub {
+	if n.circle.IsHub {
 		n.tellEach(n.circle.Leaves, func(o *node) { n.shareWhole(o, cmd) })
 	}
 }
 
 // shareTotal tells other data centres what the nodes of this one's have in use.
-func (n *node) shareTotal(cmd dispatch.ShareCmd) {
+func (n *node) shareTotal(cmd dispatch.ShareUsageCmd) {
 	w := n.world
 	told := make(map[string]int)
 	for _, o := range w.nodes {
-		if o.centre == n.centre || told[o.centre] == reading.Told(w.scenario.Nodes.EachCentre) {
+		if o.centre == n.centre || told[o.centre] == reading.BroadcastFanout(w.scenario.Nodes.EachCentre) {
 			continue
 		}
 		told[o.centre]++
 		n.to(o, func(o *node) {
 			o.tell(dispatch.UsageMsg{
-				Node: "all of " + n.centre, Used: cmd.Total, Total: true, DataCentre: n.centre,
-				Nodes: n.circle.Others + 1, Limits: n.limitsFor(o, cmd.Limits),
+				Node: "all of " + n.centre, Used: cmd.WholeDataCentre, WholeDataCentre: true, DataCentre: n.centre,
+				Nodes: n.circle.PeerCount + 1, Limits: n.limitsFor(o, cmd.Limits),
 			})
 		})
 	}
 }
 
 // shareWhole tells a leaf that a hub is there and, if it is the first, what all have in use.
-func (n *node) shareWhole(o *node, cmd dispatch.ShareCmd) {
+func (n *node) shareWhole(o *node, cmd dispatch.ShareUsageCmd) {
 	o.roster.Heard(n.world.now, n.name, true)
-	if n.circle.Leads() {
+	if n.circle.IsFirstHub() {
 		o.tell(dispatch.UsageMsg{
-			Node: n.name, DataCentre: n.centre, Used: cmd.Whole, Whole: true, HeardOf: cmd.HeardOf,
+			Node: n.name, DataCentre: n.centre, Used: cmd.AllNodes, AllNodes: true, IncludedDataCentres: cmd.IncludedDataCentres,
 			Nodes: cmd.Nodes, Limits: n.limitsFor(o, cmd.Limits),
 		})
 	}
--- a/lab/troubles.go
+++ b/lab/troubles.go
@@ -89,7 +89,7 @@
 }
 
 // deadlyAsked names what the deadly request asks for.
-var deadlyAsked = work.ID{}.By("deadly")
+var deadlyAsked = work.ID{}.ForAccount("deadly")
 
 const (
 	// mostEnds is how many engines a request may end before it is to be sent to none, inTouch
@@ -125,7 +125,7 @@
 	}
 	if !w.variant.NoRest {
 		id, asks := e.id, e.asks
-		w.after(onTheWay, func() { n.tell(dispatch.RestMsg{Upstream: id, For: asks}) })
+		w.after(onTheWay, func() { n.tell(dispatch.BackOffMsg{Upstream: id, For: asks}) })
 	}
 }
 
--- a/lab/world.go
+++ b/lab/world.go
@@ -117,7 +117,7 @@
 		return &catalog.Route{
 			Name: name, Host: host, Prefix: "/" + name + "/", Kind: catalog.Streaming, Resumable: true, Anonymous: true, Priority: priority,
 			Targets: []catalog.Target{{Service: serviceName, Weight: 1}}, MaxAttempts: s.Nodes.MostAttempts,
-			Timeout: s.Load.PatienceMS, Aim: s.Load.AimMS, GapAim: s.Load.GapMS,
+			Timeout: s.Load.PatienceMS, LatencyTarget: s.Load.AimMS, EventGapTarget: s.Load.GapMS,
 		}
 	}
 	return catalog.New(1, catalog.WithRoutes(route("urgent", 0), route("other", 1)),
@@ -178,7 +178,7 @@
 	centres := w.scenario.Fleet.Centres()
 	size := func(mean int) int { return max(int(float64(mean)*(0.5+w.arrivals.Float64())), 1) }
 	c := &caller{
-		world: w, number: w.numbers, centre: centres[w.arrivals.IntN(len(centres))], asked: work.ID{}.By(fmt.Sprint(w.numbers)),
+		world: w, number: w.numbers, centre: centres[w.arrivals.IntN(len(centres))], asked: work.ID{}.ForAccount(fmt.Sprint(w.numbers)),
 		urgent: w.arrivals.Float64() < l.Urgent, prompt: size(l.Prompt), events: max(size(l.Answer)/l.EventTokens, 1), sent: w.now, deadline: w.now.Add(l.PatienceMS),
 	}
 	if w.arrivals.Float64() < w.deadly.share {
@@ -244,8 +244,8 @@
 
 // plans tells whether a node is one of those that plan.
 func (w *world) plans(n *node) bool {
-	if !n.circle.Meshed {
-		return n.circle.Hub
+	if !n.circle.FullMesh {
+		return n.circle.IsHub
 	}
 	before := 0
 	for _, o := range w.nodes {
--- a/limit/doc.go
+++ b/limit/doc.go
@@ -18,7 +18,7 @@
 //	the next two, while the owner may be there       1/8 + 1/16
 //	owner of a minority that was cut off             1/4 of these
 //
-// Permits are worth nothing after permitLasts, and what is not used is lost: a permit that
+// Permits are worth nothing after permitLifetime, and what is not used is lost: a permit that
 // was given back could be used twice.
 //
 // Keeper is a model: it does no I/O, and the time is handed to it.
--- a/limit/handover_test.go
+++ b/limit/handover_test.go
@@ -9,13 +9,13 @@
 	"github.com/hoistjunction/hoistjunction/limit"
 )
 
-// ownedBy returns an upstream that a node owns among each of some lists of nodes.
-func ownedBy(t *testing.T, owner string, lists ...[]string) fleet.Incarnation {
+// upstreamOwnedBy returns an upstream that a node owns among each of some lists of nodes.
+func upstreamOwnedBy(t *testing.T, owner string, lists ...[]string) fleet.Incarnation {
 	for i := range 1000 {
-		id := fleet.Undated(fleet.ID(fmt.Sprint("u", i)))
+		id := fleet.IncarnationByID(fleet.ID(fmt.Sprint("u", i)))
 		owned := true
 		for _, names := range lists {
-			owned = owned && limit.Order(names, id)[0] == owner
+			owned = owned && limit.Candidates(names, id)[0] == owner
 		}
 		if owned {
 			return id
@@ -45,8 +45,8 @@
 		asks        = 10
 	)
 	with, without := []string{"a", "b", "c", "d"}, []string{"a", "b", "c"}
-	upstream := ownedBy(t, "a", with, without)
-	k := limit.New(limit.WithSelf("a"), limit.WithLife(1))
+	upstream := upstreamOwnedBy(t, "a", with, without)
+	k := limit.New(limit.WithSelf("a"), limit.WithBootID(1))
 	k.SetMembers(0, members(with))
 	start := clock.Millis(20_000)
 	k.Named(start, upstream, rate)
@@ -60,10 +60,10 @@
 			k.SetMembers(now, members(list))
 		}
 		for _, name := range with {
-			k.Heard(now, name)
+			k.RecordSeen(now, name)
 		}
-		grant, _ := k.Asked(now, "b", limit.Ask{
-			Upstream: upstream, Life: 1, Number: uint64(now), Want: 1, Named: limit.Named{Rate: rate, At: start},
+		grant, _ := k.HandleAsk(now, "b", limit.Ask{
+			Upstream: upstream, Life: 1, Number: uint64(now), Want: 1, Named: limit.Named{Rate: rate, ReceivedAt: start},
 		})
 		permits += grant.Permits
 	}
@@ -79,13 +79,13 @@
 func TestWordOfAPartBindsNoLongerThanTheLimit(t *testing.T) {
 	const rate, soon = 0.5, clock.Millis(2200)
 	names := []string{"a", "b", "c"}
-	upstream := ownedBy(t, "b", names)
-	k := limit.New(limit.WithSelf("a"), limit.WithLife(1))
+	upstream := upstreamOwnedBy(t, "b", names)
+	k := limit.New(limit.WithSelf("a"), limit.WithBootID(1))
 	k.SetMembers(0, members(names))
 	k.Named(0, upstream, rate)
 	asks := k.Ask(10, upstream, 1)
-	k.Granted(12, "b", limit.Grant{Upstream: upstream, Life: 1, Number: asks[0].Ask.Number, Next: 60_000, Named: limit.Named{Rate: rate, At: 0}})
-	if got, want := k.State(12+soon, upstream), limit.Askable; got != want {
+	k.HandleGrant(12, "b", limit.Grant{Upstream: upstream, Life: 1, Number: asks[0].Ask.Number, NextIn: 60_000, Named: limit.Named{Rate: rate, ReceivedAt: 0}})
+	if got, want := k.State(12+soon, upstream), limit.NeedsPermit; got != want {
 		t.Errorf("got state %d after %d ms, want %d: a permit has fallen due", got, soon, want)
 	}
 }
@@ -94,12 +94,12 @@
 // second, one request in 20 s was sent, and callers were refused for as long after its end.
 func TestEndOfALimitOfNothingShowsInTime(t *testing.T) {
 	const atMost = clock.Millis(5000)
-	upstream := fleet.Undated("u")
-	k := limit.New(limit.WithSelf("a"), limit.WithLife(1))
+	upstream := fleet.IncarnationByID("u")
+	k := limit.New(limit.WithSelf("a"), limit.WithBootID(1))
 	k.Named(0, upstream, 0)
 	for now := clock.Millis(0); now <= atMost; now += 100 {
 		k.Ask(now, upstream, 1)
-		if k.State(now, upstream) == limit.Permitted {
+		if k.State(now, upstream) == limit.HasPermit {
 			return
 		}
 	}
--- a/limit/members.go
+++ b/limit/members.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// heardFor is for how long a node counts as there after it was heard of: nodes tell what
+	// reachableFor is for how long a node counts as there after it was heard of: nodes tell what
 	// they have in use each 0.3 s.
-	heardFor clock.Millis = 1500
-	// lostAfter is after how long without a word a node is none any more. Until then those
+	reachableFor clock.Millis = 1500
+	// removedAfter is after how long without a word a node is none any more. Until then those
 	// that hear less than half of the nodes take themselves to be cut off.
-	lostAfter clock.Millis = 10_000
-	// silentFor is for how long a node is not asked that has not answered; it doubles with
-	// each further time, up to longestSilent.
-	silentFor     clock.Millis = 1000
-	longestSilent clock.Millis = 8000
-	// doubtAfter is after how long without a word of its own a node is asked whether it is
-	// there by one that would take its place, and doubtEvery the pause between the questions.
-	doubtAfter clock.Millis = 1000
-	doubtEvery clock.Millis = 300
+	removedAfter clock.Millis = 10_000
+	// skipFor is for how long a node is not asked that has not answered; it doubles with
+	// each further time, up to maxSkip.
+	skipFor clock.Millis = 1000
+	maxSkip clock.Millis = 8000
+	// probeAfter is after how long without a word of its own a node is asked whether it is
+	// there by one that would take its place, and probeInterval the pause between the questions.
+	probeAfter    clock.Millis = 1000
+	probeInterval clock.Millis = 300
 )
 
 // members are the nodes, and when they were heard of.
@@ -36,18 +36,18 @@
 // member is what is known of another node.
 type member struct {
 	dataCentre string
-	// heardAt is when it was heard of last, or became known.
-	heardAt clock.Millis
-	// silentUntil is until when it is not asked, and silences is how often in a row it has
+	// lastSeenAt is when it was heard of last, or became known.
+	lastSeenAt clock.Millis
+	// skipUntil is until when it is not asked, and silences is how often in a row it has
 	// not answered.
-	silentUntil clock.Millis
-	silences    int
-	// directAt is when it was heard itself.
-	directAt clock.Millis
-	// doubtedAt is since when this node has asked it in vain, to take its place; zero for
+	skipUntil  clock.Millis
+	unanswered int
+	// lastDirectAt is when it was heard itself.
+	lastDirectAt clock.Millis
+	// unansweredSince is since when this node has asked it in vain, to take its place; zero for
 	// not at all.
-	doubtedAt clock.Millis
-	probedAt  clock.Millis
+	unansweredSince clock.Millis
+	lastProbeAt     clock.Millis
 }
 
 func newMembers(self string) *members {
@@ -70,7 +70,7 @@
 		}
 		known := s.nodes[m.Name]
 		if known == nil {
-			known = &member{heardAt: now, directAt: now}
+			known = &member{lastSeenAt: now, lastDirectAt: now}
 		}
 		known.dataCentre = m.DataCentre
 		nodes[m.Name] = known
@@ -84,46 +84,46 @@
 	}
 }
 
-// heard notes a sign of life.
-func (s *members) heard(now clock.Millis, name string) {
+// recordSeen notes a sign of life.
+func (s *members) recordSeen(now clock.Millis, name string) {
 	if m := s.nodes[name]; m != nil {
-		m.heardAt, m.directAt, m.silentUntil, m.silences, m.doubtedAt = now, now, 0, 0, 0
+		m.lastSeenAt, m.lastDirectAt, m.skipUntil, m.unanswered, m.unansweredSince = now, now, 0, 0, 0
 	}
 }
 
-// heardAll notes a sign of life of a data centre. It is none of any node in particular.
-func (s *members) heardAll(now clock.Millis, dataCentre string) {
+// recordDataCentreSeen notes a sign of life of a data centre. It is none of any node in particular.
+func (s *members) recordDataCentreSeen(now clock.Millis, dataCentre string) {
 	for _, m := range s.nodes {
 		if m.dataCentre == dataCentre {
-			m.heardAt = now
+			m.lastSeenAt = now
 		}
 	}
 }
 
-// silent notes that a node has not answered.
-func (s *members) silent(now clock.Millis, name string) {
+// recordUnanswered notes that a node has not answered.
+func (s *members) recordUnanswered(now clock.Millis, name string) {
 	if m := s.nodes[name]; m != nil {
-		m.silentUntil = now.Add(min(silentFor<<min(m.silences, 8), longestSilent))
-		m.silences++
+		m.skipUntil = now.Add(min(skipFor<<min(m.unanswered, 8), maxSkip))
+		m.unanswered++
 	}
 }
 
-// isSilent tells whether a node is not asked now.
-func (s *members) isSilent(now clock.Millis, name string) bool {
+// isSkipped tells whether a node is not asked now.
+func (s *members) isSkipped(now clock.Millis, name string) bool {
 	m := s.nodes[name]
-	return m != nil && now < m.silentUntil
+	return m != nil && now < m.skipUntil
 }
 
-// cutOff tells whether this node hears less than half of the nodes that have been there
+// inMinority tells whether this node hears less than half of the nodes that have been there
 // lately. Of two halves, the one with the first name is not cut off.
-func (s *members) cutOff(now clock.Millis) bool {
+func (s *members) inMinority(now clock.Millis) bool {
 	all, heard := 1, 1
 	first, firstHeard := s.self, true
 	for name, m := range s.nodes {
-		if now > m.heardAt.Add(lostAfter) {
+		if now > m.lastSeenAt.Add(removedAfter) {
 			continue
 		}
-		hears := now <= m.heardAt.Add(heardFor)
+		hears := now <= m.lastSeenAt.Add(reachableFor)
 		all++
 		if hears {
 			heard++
@@ -135,21 +135,21 @@
 	return 2*heard < all || 2*heard == all && !firstHeard
 }
 
-// doubt has a node asked whether it is there, if it has not been heard for a while. It
+// probe has a node asked whether it is there, if it has not been heard for a while. It
 // returns for how long it has been asked in vain, and whether it is to be asked now.
-func (s *members) doubt(now clock.Millis, name string) (lasted clock.Millis, ask bool) {
+func (s *members) probe(now clock.Millis, name string) (lasted clock.Millis, ask bool) {
 	m := s.nodes[name]
 	if m == nil {
 		return 0, false
 	}
-	if now <= m.directAt.Add(doubtAfter) {
+	if now <= m.lastDirectAt.Add(probeAfter) {
 		return 0, false
 	}
-	if m.doubtedAt == 0 {
-		m.doubtedAt = now
+	if m.unansweredSince == 0 {
+		m.unansweredSince = now
 	}
-	if now >= m.probedAt.Add(doubtEvery) {
-		m.probedAt, ask = now, true
+	if now >= m.lastProbeAt.Add(probeInterval) {
+		m.lastProbeAt, ask = now, true
 	}
-	return now.Sub(m.doubtedAt), ask
+	return now.Sub(m.unansweredSince), ask
 }
--- a/limit/msg.go
+++ b/limit/msg.go
@@ -9,8 +9,8 @@
 type Named struct {
 	// Rate is in requests a second from all nodes together; zero once it names none.
 	Rate float64
-	// At is when it was heard, by the clock of whoever knows it.
-	At clock.Millis
+	// ReceivedAt is when it was heard, by the clock of whoever knows it.
+	ReceivedAt clock.Millis
 }
 
 // Ask is a node's question for permits.
@@ -35,8 +35,8 @@
 	Life     uint64
 	Number   uint64
 	Permits  int
-	// Next is how long it takes until another permit may be had.
-	Next clock.Millis
+	// NextIn is how long it takes until another permit may be had.
+	NextIn clock.Millis
 	// Queue is how many permits were wanted in the window and not given.
 	Queue int
 	// Named is what the owner knows of the limit.
--- a/limit/order.go
+++ b/limit/order.go
@@ -9,14 +9,14 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// owners is how many nodes may hand out permits for an upstream: the owner, and two in its
+// maxCandidates is how many nodes may hand out permits for an upstream: the owner, and two in its
 // place.
-const owners = 3
+const maxCandidates = 3
 
-// Order returns the names of the nodes that may hand out permits for an upstream, the owner
+// Candidates returns the names of the nodes that may hand out permits for an upstream, the owner
 // first. All nodes that know the same names find the same, and where a node is added or
 // lost, only the upstreams change hands that are or were its own.
-func Order(names []string, upstream fleet.Incarnation) []string {
+func Candidates(names []string, upstream fleet.Incarnation) []string {
 	type ranked struct {
 		name   string
 		weight uint64
@@ -26,8 +26,8 @@
 		list = append(list, ranked{name: name, weight: xxhash.Sum64String(name + "\x00" + upstream.String())})
 	}
 	slices.SortFunc(list, func(a, b ranked) int { return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.name, b.name)) })
-	order := make([]string, 0, owners)
-	for _, r := range list[:min(owners, len(list))] {
+	order := make([]string, 0, maxCandidates)
+	for _, r := range list[:min(maxCandidates, len(list))] {
 		order = append(order, r.name)
 	}
 	return order
--- a/limit/question.go
+++ b/limit/question.go
@@ -7,115 +7,115 @@
 
 // Ask asks for permits, or repeats a question. Where this node is the owner, its answer is
 // there at once.
-func (k *Keeper) Ask(now clock.Millis, upstream fleet.Incarnation, want int) []AskCmd {
-	s := k.share(upstream)
-	if !s.asking {
-		s.begin(now, min(max(want, 1), asksTogether))
-	} else if now < s.askedAt.Add(askAgain) {
+func (k *Limiter) Ask(now clock.Millis, upstream fleet.Incarnation, want int) []AskCmd {
+	s := k.upstreamState(upstream)
+	if !s.requesting {
+		s.beginRequest(now, min(max(want, 1), maxPermitsPerRequest))
+	} else if now < s.lastSentAt.Add(resendAfter) {
 		return nil
 	}
-	return k.question(now, s)
+	return k.sendRequest(now, s)
 }
 
-// Report tells an upstream's owner what this node has sent there before its limit was known:
+// ReportSent tells an upstream's owner what this node has sent there before its limit was known:
 // it counts, and other nodes may be given permits that do not fit in beside it.
-func (k *Keeper) Report(now clock.Millis, upstream fleet.Incarnation) []AskCmd {
-	s := k.share(upstream)
-	if s.asking || s.named.Rate == 0 || s.all.Sum(now) == 0 {
+func (k *Limiter) ReportSent(now clock.Millis, upstream fleet.Incarnation) []AskCmd {
+	s := k.upstreamState(upstream)
+	if s.requesting || s.advertised.Rate == 0 || s.sentLocally.Sum(now) == 0 {
 		return nil
 	}
-	s.begin(now, 0)
-	return k.question(now, s)
+	s.beginRequest(now, 0)
+	return k.sendRequest(now, s)
 }
 
-// question sends a question to the first owner that may answer it.
-func (k *Keeper) question(now clock.Millis, s *share) []AskCmd {
-	if s.tries >= asksEach {
-		k.members.silent(now, s.to)
+// sendRequest sends a question to the first owner that may answer it.
+func (k *Limiter) sendRequest(now clock.Millis, s *upstreamState) []AskCmd {
+	if s.attempts >= maxAttempts {
+		k.members.recordUnanswered(now, s.granter)
 	}
-	to, found := k.answering(now, s)
+	to, found := k.firstCandidate(now, s)
 	if !found {
-		s.fail(now)
+		s.failRequest(now)
 		return nil
 	}
-	if to != s.to || s.tries >= asksEach {
-		s.turnTo(now, to)
+	if to != s.granter || s.attempts >= maxAttempts {
+		s.switchGranter(now, to)
 	}
-	s.askedAt = now
-	s.tries++
-	ask := Ask{Upstream: s.upstream, Life: k.life, Number: s.number, Want: s.want, Named: s.named, Sent: s.unreported(now)}
+	s.lastSentAt = now
+	s.attempts++
+	ask := Ask{Upstream: s.upstream, Life: k.bootID, Number: s.seq, Want: s.wanted, Named: s.advertised, Sent: s.unreported(now)}
 	if to == k.self {
-		grant, cmds := k.Asked(now, k.self, ask)
-		k.Granted(now, k.self, grant)
+		grant, cmds := k.HandleAsk(now, k.self, ask)
+		k.HandleGrant(now, k.self, grant)
 		return cmds
 	}
 	return []AskCmd{{To: to, Ask: ask}}
 }
 
-// answering returns the first of an upstream's owners that is not silent.
-func (k *Keeper) answering(now clock.Millis, s *share) (string, bool) {
-	for _, name := range k.order(s) {
-		if name == k.self || !k.members.isSilent(now, name) {
+// firstCandidate returns the first of an upstream's owners that is not silent.
+func (k *Limiter) firstCandidate(now clock.Millis, s *upstreamState) (string, bool) {
+	for _, name := range k.candidates(s) {
+		if name == k.self || !k.members.isSkipped(now, name) {
 			return name, true
 		}
 	}
 	return "", false
 }
 
-func (k *Keeper) order(s *share) []string {
-	if s.orderOf != k.members.version || s.order == nil {
+func (k *Limiter) candidates(s *upstreamState) []string {
+	if s.candidatesVersion != k.members.version || s.candidates == nil {
 		before := s.owner()
-		s.order, s.orderOf = Order(k.members.names, s.upstream), k.members.version
+		s.candidates, s.candidatesVersion = Candidates(k.members.names, s.upstream), k.members.version
 		if s.owner() != before {
-			s.ownedSince = k.members.changedAt
+			s.ownerSince = k.members.changedAt
 		}
 	}
-	return s.order
+	return s.candidates
 }
 
-// Granted takes an answer, and returns whether it brings news: permits, the word that there
+// HandleGrant takes an answer, and returns whether it brings news: permits, the word that there
 // are none, or another limit.
-func (k *Keeper) Granted(now clock.Millis, from string, grant Grant) bool {
-	k.members.heard(now, from)
-	s := k.shares[grant.Upstream]
-	if s == nil || grant.Life != k.life {
+func (k *Limiter) HandleGrant(now clock.Millis, from string, grant Grant) bool {
+	k.members.recordSeen(now, from)
+	s := k.upstreams[grant.Upstream]
+	if s == nil || grant.Life != k.bootID {
 		return false
 	}
-	news := grant.Named.At > s.named.At && k.learn(now, s, grant.Named)
-	if !s.asking || grant.Number != s.number || from != s.to {
+	news := grant.Named.ReceivedAt > s.advertised.ReceivedAt && k.apply(now, s, grant.Named)
+	if !s.requesting || grant.Number != s.seq || from != s.granter {
 		return news
 	}
-	s.answer(now, grant)
+	s.applyGrant(now, grant)
 	return true
 }
 
 // Tick repeats the questions that nobody has answered. It returns the upstreams whose
 // owners all leave them unanswered.
-func (k *Keeper) Tick(now clock.Millis) (cmds []AskCmd, failed []fleet.Incarnation) {
+func (k *Limiter) Tick(now clock.Millis) (cmds []AskCmd, failed []fleet.Incarnation) {
 	k.owner.expire(now)
-	for _, s := range k.shares {
-		if !s.asking {
-			cmds = append(cmds, k.reportToNext(now, s)...)
+	for _, s := range k.upstreams {
+		if !s.requesting {
+			cmds = append(cmds, k.reportToNewGranter(now, s)...)
 			continue
 		}
-		if now < s.askedAt.Add(askAgain) {
+		if now < s.lastSentAt.Add(resendAfter) {
 			continue
 		}
-		cmds = append(cmds, k.question(now, s)...)
-		if !s.asking {
+		cmds = append(cmds, k.sendRequest(now, s)...)
+		if !s.requesting {
 			failed = append(failed, s.upstream)
 		}
 	}
 	return cmds, failed
 }
 
-// reportToNext tells a node what was sent that has come to be the one to ask.
-func (k *Keeper) reportToNext(now clock.Millis, s *share) []AskCmd {
-	if s.named.Rate == 0 {
+// reportToNewGranter tells a node what was sent that has come to be the one to ask.
+func (k *Limiter) reportToNewGranter(now clock.Millis, s *upstreamState) []AskCmd {
+	if s.advertised.Rate == 0 {
 		return nil
 	}
-	if to, found := k.answering(now, s); !found || to == s.to {
+	if to, found := k.firstCandidate(now, s); !found || to == s.granter {
 		return nil
 	}
-	return k.Report(now, s.upstream)
+	return k.ReportSent(now, s.upstream)
 }
--- a/limit/sim_test.go
+++ b/limit/sim_test.go
@@ -29,37 +29,37 @@
 // if that is less than U. Near allows 4 L + 2 in 4 s, and all 6 L + 5.
 func TestLimitIsShared(t *testing.T) {
 	script.Run(t, "testdata/shared", func(t *testing.T) func(script.Step) []string {
-		p := &simPlay{}
+		p := &simScript{}
 		return p.step
 	})
 }
 
 const (
-	simLasts clock.Millis = 30_000
-	// simCounts is from when on windows count: the limit is known at the start.
-	simCounts clock.Millis = 4000
-	simWindow clock.Millis = 4000
-	tickEvery clock.Millis = 100
-	tellEvery clock.Millis = 300
-	// nearAll is up to how many nodes tell each other what they have in use; in larger
+	simDuration clock.Millis = 30_000
+	// simWarmUp is from when on windows count: the limit is known at the start.
+	simWarmUp         clock.Millis = 4000
+	simWindow         clock.Millis = 4000
+	tickInterval      clock.Millis = 100
+	heartbeatInterval clock.Millis = 300
+	// maxFullMesh is up to how many nodes tell each other what they have in use; in larger
 	// systems each tells its data centre, and one node the other data centres.
-	nearAll    = 24
-	simCentres = 3
+	maxFullMesh = 24
+	simCentres  = 3
 )
 
-var simUpstream = fleet.Undated("u")
+var simUpstream = fleet.IncarnationByID("u")
 
-type simPlay struct {
+type simScript struct {
 	events []simEvent
 }
 
 type simEvent struct {
-	at, lasts, every clock.Millis
-	verb             string
-	share, rate      float64
+	at, duration, interval clock.Millis
+	verb                   string
+	share, rate            float64
 }
 
-func (p *simPlay) step(s script.Step) []string {
+func (p *simScript) step(s script.Step) []string {
 	number := func(name string, fallback float64) float64 {
 		if v, err := strconv.ParseFloat(s.Named[name], 64); err == nil {
 			return v
@@ -68,7 +68,7 @@
 	}
 	if s.Verb != "run" {
 		p.events = append(p.events, simEvent{
-			at: clock.Millis(s.Int("at", 0)), lasts: clock.Millis(s.Int("for", 0)), every: clock.Millis(s.Int("every", 0)),
+			at: clock.Millis(s.Int("at", 0)), duration: clock.Millis(s.Int("for", 0)), interval: clock.Millis(s.Int("every", 0)),
 			verb: s.Verb, share: number("share", 1), rate: number("rate", 0),
 		})
 		return nil
@@ -77,11 +77,11 @@
 	least, worst, datagrams := math.Inf(1), 0, 0.0
 	for seed := range s.Int("seeds", 1) {
 		w := newSim(uint64(seed+1), s.Int("nodes", 2), number("rate", 1), number("demand", 10), s.Named["how"], number("loss", 0))
-		w.events, w.way = p.events, s.Named["way"]
+		w.events, w.strategy = p.events, s.Named["way"]
 		w.run()
-		worst = max(worst, w.most())
-		least = min(least, w.used())
-		datagrams = max(datagrams, float64(w.datagrams)/float64(simLasts/1000)/float64(len(w.nodes)))
+		worst = max(worst, w.maxInWindow())
+		least = min(least, w.utilization())
+		datagrams = max(datagrams, float64(w.datagrams)/float64(simDuration/1000)/float64(len(w.nodes)))
 	}
 	rate := number("rate", 1)
 	most := int(4*rate + 2)
@@ -106,51 +106,51 @@
 
 // sim is one play.
 type sim struct {
-	random *rand.Rand
-	now    clock.Millis
-	nodes  []*simNode
-	queue  simQueue
-	events []simEvent
-	rate   float64
-	demand float64
-	how    string
-	loss   float64
-	// way is how the limit is kept: by permits, or one of the ways that were weighed.
-	way       string
+	random       *rand.Rand
+	now          clock.Millis
+	nodes        []*simNode
+	queue        simQueue
+	events       []simEvent
+	rate         float64
+	demand       float64
+	distribution string
+	loss         float64
+	// strategy is how the limit is kept: by permits, or one of the ways that were weighed.
+	strategy  string
 	arrivals  []clock.Millis
-	wanted    []clock.Millis
+	demanded  []clock.Millis
 	datagrams int
 }
 
 type simNode struct {
-	sim     *sim
-	index   int
-	name    string
-	keeper  *limit.Keeper
-	life    uint64
-	up      bool
-	frozen  bool
-	side    int
-	pending []clock.Millis
-	inbox   []func()
-	alone   aloneNode
+	sim       *sim
+	index     int
+	name      string
+	keeper    *limit.Limiter
+	bootID    uint64
+	up        bool
+	frozen    bool
+	partition int
+	pending   []clock.Millis
+	inbox     []func()
+	local     localState
 }
 
 type simItem struct {
-	at   clock.Millis
-	turn int
-	do   func()
+	at  clock.Millis
+	seq int
+	run func()
 }
 
 type simQueue struct {
 	items []simItem
-	turn  int
+	seq   int
 }
 
 func (q *simQueue) Len() int { return len(q.items) }
 func (q *simQueue) Less(i, j int) bool {
 	a, b := q.items[i], q.items[j]
-	return a.at < b.at || a.at == b.at && a.turn < b.turn
+	return a.at < b.at || a.at == b.at && a.seq < b.seq
 }
 func (q *simQueue) Swap(i, j int) { q.items[i], q.items[j] = q.items[j], q.items[i] }
 func (q *simQueue) Push(x any)    { q.items = append(q.items, x.(simItem)) }
@@ -161,7 +161,7 @@
 }
 
 func newSim(seed uint64, nodes int, rate, demand float64, how string, loss float64) *sim {
-	w := &sim{random: rand.New(rand.NewPCG(seed, 1)), rate: rate, demand: demand, how: how, loss: loss}
+	w := &sim{random: rand.New(rand.NewPCG(seed, 1)), rate: rate, demand: demand, distribution: how, loss: loss}
 	for i := range nodes {
 		n := &simNode{sim: w, index: i, name: fmt.Sprintf("n%d", i)}
 		w.nodes = append(w.nodes, n)
@@ -172,23 +172,23 @@
 	return w
 }
 
-func (w *sim) after(d clock.Millis, do func()) {
-	w.queue.turn++
-	heap.Push(&w.queue, simItem{at: w.now.Add(d), turn: w.queue.turn, do: do})
+func (w *sim) schedule(d clock.Millis, do func()) {
+	w.queue.seq++
+	heap.Push(&w.queue, simItem{at: w.now.Add(d), seq: w.queue.seq, run: do})
 }
 
 func (w *sim) run() {
 	for _, e := range w.events {
-		w.after(e.at, func() { w.play(e) })
+		w.schedule(e.at, func() { w.inject(e) })
 	}
-	w.after(1, w.arrive)
+	w.schedule(1, w.arrive)
 	for w.queue.Len() > 0 {
 		item := heap.Pop(&w.queue).(simItem)
-		if item.at > simLasts {
+		if item.at > simDuration {
 			return
 		}
 		w.now = item.at
-		item.do()
+		item.run()
 	}
 }
 
@@ -204,20 +204,20 @@
 
 func (n *simNode) start() {
 	n.up = true
-	n.life = n.sim.random.Uint64()
-	n.pending, n.inbox, n.alone = nil, nil, aloneNode{levelAt: n.sim.now}
-	n.keeper = limit.New(limit.WithSelf(n.name), limit.WithLife(n.life))
+	n.bootID = n.sim.random.Uint64()
+	n.pending, n.inbox, n.local = nil, nil, localState{refilledAt: n.sim.now}
+	n.keeper = limit.New(limit.WithSelf(n.name), limit.WithBootID(n.bootID))
 	n.keeper.SetMembers(n.sim.now, n.sim.members())
 	if n.sim.rate > 0 {
 		n.keeper.Named(n.sim.now, simUpstream, n.sim.rate)
 	}
-	life := n.life
-	n.sim.after(clock.Millis(n.sim.random.IntN(int(tickEvery))), func() { n.tick(life) })
-	n.sim.after(clock.Millis(n.sim.random.IntN(int(tellEvery))), func() { n.tell(life) })
+	life := n.bootID
+	n.sim.schedule(clock.Millis(n.sim.random.IntN(int(tickInterval))), func() { n.tick(life) })
+	n.sim.schedule(clock.Millis(n.sim.random.IntN(int(heartbeatInterval))), func() { n.heartbeat(life) })
 }
 
 func (n *simNode) tick(life uint64) {
-	if n.life != life || !n.up {
+	if n.bootID != life || !n.up {
 		return
 	}
 	if !n.frozen {
@@ -225,30 +225,30 @@
 		n.send(cmds)
 		n.retry()
 	}
-	n.sim.after(tickEvery, func() { n.tick(life) })
+	n.sim.schedule(tickInterval, func() { n.tick(life) })
 }
 
-// tell tells others that it is there.
-func (n *simNode) tell(life uint64) {
-	if n.life != life || !n.up {
+// heartbeat tells others that it is there.
+func (n *simNode) heartbeat(life uint64) {
+	if n.bootID != life || !n.up {
 		return
 	}
 	if !n.frozen {
 		for _, o := range n.sim.nodes {
-			near := len(n.sim.nodes) <= nearAll || o.centre() == n.centre()
+			near := len(n.sim.nodes) <= maxFullMesh || o.centre() == n.centre()
 			switch {
 			case near && o != n:
-				demand := n.alone.demand
-				n.datagram(o, n.sim.way == "demand", func() {
-					o.keeper.Heard(n.sim.now, n.name)
-					o.alone.hear(n.name, demand, n.sim.now)
+				demand := n.local.demand
+				n.datagram(o, n.sim.strategy == "demand", func() {
+					o.keeper.RecordSeen(n.sim.now, n.name)
+					o.local.recordPeerDemand(n.name, demand, n.sim.now)
 				})
 			case n.index < simCentres && !near:
-				n.datagram(o, false, func() { o.keeper.HeardAll(n.sim.now, n.centre()) })
+				n.datagram(o, false, func() { o.keeper.RecordDataCentreSeen(n.sim.now, n.centre()) })
 			}
 		}
 	}
-	n.sim.after(tellEvery, func() { n.tell(life) })
+	n.sim.schedule(heartbeatInterval, func() { n.heartbeat(life) })
 }
 
 // datagram sends something to another node, which takes it in if it comes through.
@@ -259,8 +259,8 @@
 	if n.sim.random.Float64() < n.sim.loss {
 		return
 	}
-	n.sim.after(clock.Millis(n.sim.random.IntN(3)), func() {
-		if !to.up || n.side != to.side {
+	n.sim.schedule(clock.Millis(n.sim.random.IntN(3)), func() {
+		if !to.up || n.partition != to.partition {
 			return
 		}
 		if to.frozen {
@@ -275,15 +275,15 @@
 	for _, cmd := range cmds {
 		to := n.sim.node(cmd.To)
 		asked := cmd.Ask
-		age := n.sim.now.Sub(asked.Named.At)
+		age := n.sim.now.Sub(asked.Named.ReceivedAt)
 		n.datagram(to, true, func() {
-			asked.Named.At = n.sim.now.Sub(age)
-			grant, more := to.keeper.Asked(n.sim.now, n.name, asked)
+			asked.Named.ReceivedAt = n.sim.now.Sub(age)
+			grant, more := to.keeper.HandleAsk(n.sim.now, n.name, asked)
 			to.send(more)
-			age := n.sim.now.Sub(grant.Named.At)
+			age := n.sim.now.Sub(grant.Named.ReceivedAt)
 			to.datagram(n, true, func() {
-				grant.Named.At = n.sim.now.Sub(age)
-				n.keeper.Granted(n.sim.now, to.name, grant)
+				grant.Named.ReceivedAt = n.sim.now.Sub(age)
+				n.keeper.HandleGrant(n.sim.now, to.name, grant)
 				n.retry()
 			})
 		})
@@ -297,50 +297,50 @@
 
 // arrive brings one request and plans the next.
 func (w *sim) arrive() {
-	w.wanted = append(w.wanted, w.now)
+	w.demanded = append(w.demanded, w.now)
 	n := w.nodes[w.random.IntN(len(w.nodes))]
-	switch w.how {
+	switch w.distribution {
 	case "one":
 		n = w.nodes[0]
 	case "moving":
 		n = w.nodes[int(w.now/700)%len(w.nodes)]
 	}
 	if n.up && !n.frozen {
-		n.alone.came(w.now)
+		n.local.recordArrival(w.now)
 		n.pending = append(n.pending, w.now)
 		n.retry()
 	}
-	w.after(max(1, clock.Millis(w.random.ExpFloat64()*1000/w.demand)), w.arrive)
+	w.schedule(max(1, clock.Millis(w.random.ExpFloat64()*1000/w.demand)), w.arrive)
 }
 
 // retry sends what may be sent, as a node does when its belief has changed.
 func (n *simNode) retry() {
-	if n.sim.way != "" {
-		n.retryAlone()
+	if n.sim.strategy != "" {
+		n.retryLocal()
 		return
 	}
 	for len(n.pending) > 0 {
 		now := n.sim.now
 		switch n.keeper.State(now, simUpstream) {
-		case limit.Free, limit.Permitted:
-			n.keeper.Sent(now, simUpstream)
+		case limit.Unlimited, limit.HasPermit:
+			n.keeper.RecordSent(now, simUpstream)
 			n.sim.arrivals = append(n.sim.arrivals, now)
 			n.pending = n.pending[1:]
-		case limit.Askable:
+		case limit.NeedsPermit:
 			n.send(n.keeper.Ask(now, simUpstream, len(n.pending)))
-			if n.keeper.State(now, simUpstream) == limit.Waiting {
+			if n.keeper.State(now, simUpstream) == limit.RequestPending {
 				return
 			}
-		case limit.Waiting:
+		case limit.RequestPending:
 			n.pending = slices.DeleteFunc(n.pending, func(at clock.Millis) bool { return now > at.Add(250) })
 			return
-		case limit.Spent:
+		case limit.Exhausted:
 			n.pending = nil
 		}
 	}
 }
 
-func (w *sim) play(e simEvent) {
+func (w *sim) inject(e simEvent) {
 	count := int(math.Ceil(e.share * float64(len(w.nodes))))
 	switch e.verb {
 	case "names":
@@ -350,33 +350,33 @@
 		}
 	case "cut":
 		for _, n := range w.nodes[len(w.nodes)-count:] {
-			n.side = 1
-			w.after(e.lasts, func() { n.side = 0 })
+			n.partition = 1
+			w.schedule(e.duration, func() { n.partition = 0 })
 		}
 	case "freeze":
-		for _, n := range w.ownersFirst()[:count] {
+		for _, n := range w.candidatesFirst()[:count] {
 			n.frozen = true
-			w.after(e.lasts, n.thaw)
+			w.schedule(e.duration, n.thaw)
 		}
 	case "kill":
-		for _, n := range w.ownersFirst()[:count] {
-			n.kill(e.lasts)
+		for _, n := range w.candidatesFirst()[:count] {
+			n.kill(e.duration)
 		}
 	case "roll":
 		for i, n := range w.nodes {
-			w.after(clock.Millis(i)*e.every, func() { n.kill(500) })
+			w.schedule(clock.Millis(i)*e.interval, func() { n.kill(500) })
 		}
 	}
 }
 
-// ownersFirst are the nodes, with those that may own the upstream before the others.
-func (w *sim) ownersFirst() []*simNode {
+// candidatesFirst are the nodes, with those that may own the upstream before the others.
+func (w *sim) candidatesFirst() []*simNode {
 	var names []string
 	for _, n := range w.nodes {
 		names = append(names, n.name)
 	}
 	var list []*simNode
-	for _, name := range limit.Order(names, simUpstream) {
+	for _, name := range limit.Candidates(names, simUpstream) {
 		list = append(list, w.node(name))
 	}
 	for _, n := range w.nodes {
@@ -389,8 +389,8 @@
 
 func (n *simNode) kill(back clock.Millis) {
 	n.up = false
-	n.life = 0
-	n.sim.after(back, n.start)
+	n.bootID = 0
+	n.sim.schedule(back, n.start)
 }
 
 func (n *simNode) thaw() {
@@ -402,11 +402,11 @@
 	n.retry()
 }
 
-// most is the most that came in any window.
-func (w *sim) most() int {
+// maxInWindow is the most that came in any window.
+func (w *sim) maxInWindow() int {
 	most := 0
 	for i, at := range w.arrivals {
-		if at < simCounts {
+		if at < simWarmUp {
 			continue
 		}
 		n := 0
@@ -418,16 +418,16 @@
 	return most
 }
 
-// used is the part of the limit, or of the demand where that is less, that was used.
-func (w *sim) used() float64 {
+// utilization is the part of the limit, or of the demand where that is less, that was used.
+func (w *sim) utilization() float64 {
 	count := func(list []clock.Millis) float64 {
 		n := 0
 		for _, at := range list {
-			if at >= simCounts {
+			if at >= simWarmUp {
 				n++
 			}
 		}
 		return float64(n)
 	}
-	return count(w.arrivals) / min(w.rate*float64(simLasts-simCounts)/1000, count(w.wanted))
+	return count(w.arrivals) / min(w.rate*float64(simDuration-simWarmUp)/1000, count(w.demanded))
 }
--- a/limit/state.go
+++ b/limit/state.go
@@ -4,14 +4,14 @@
 type State uint8
 
 const (
-	// Free means that it names no limit.
-	Free State = iota
-	// Permitted means that there is a permit for a request.
-	Permitted
-	// Askable means that there is none, and one may be asked for.
-	Askable
-	// Waiting means that one has been asked for.
-	Waiting
-	// Spent means that none can be had before a time.
-	Spent
+	// Unlimited means that it names no limit.
+	Unlimited State = iota
+	// HasPermit means that there is a permit for a request.
+	HasPermit
+	// NeedsPermit means that there is none, and one may be asked for.
+	NeedsPermit
+	// RequestPending means that one has been asked for.
+	RequestPending
+	// Exhausted means that none can be had before a time.
+	Exhausted
 )
--- a/load/runner.go
+++ b/load/runner.go
@@ -114,7 +114,7 @@
 	if err != nil {
 		return true
 	}
-	return a.Outcome == outcome.NotRun || (a.Outcome == outcome.Unknown && item.Key != "")
+	return a.Outcome == outcome.NotExecuted || (a.Outcome == outcome.Unknown && item.Key != "")
 }
 
 // leastPause is how long a caller waits that has not been told.
--- a/moment/identity_test.go
+++ b/moment/identity_test.go
@@ -10,12 +10,12 @@
 
 const module = "github.com/hoistjunction/hoistjunction"
 
-// translators may turn moments and editions into numbers and back: they write and read
+// allowedPackages may turn moments and editions into numbers and back: they write and read
 // messages.
-var translators = []string{module + "/moment", module + "/catalog", module + "/platform", module + "/momentwire"}
+var allowedPackages = []string{module + "/moment", module + "/catalog", module + "/platform", module + "/momentwire"}
 
-// bare are the functions that do so.
-var bare = []string{
+// conversionFuncs are the functions that do so.
+var conversionFuncs = []string{
 	module + "/moment.At", "(" + module + "/moment.Moment).Parts",
 	module + "/catalog.EditionOf", "(" + module + "/catalog.Edition).Parts",
 }
@@ -34,16 +34,16 @@
 	for _, p := range loaded {
 		for ident, object := range p.TypesInfo.Uses {
 			f, ok := object.(*types.Func)
-			if !ok || !slices.Contains(bare, f.FullName()) {
+			if !ok || !slices.Contains(conversionFuncs, f.FullName()) {
 				continue
 			}
 			uses++
-			if !slices.Contains(translators, p.PkgPath) {
+			if !slices.Contains(allowedPackages, p.PkgPath) {
 				t.Errorf("%s: %s is used", p.Fset.Position(ident.Pos()), f.FullName())
 			}
 		}
 	}
-	if want := len(bare); uses < want {
+	if want := len(conversionFuncs); uses < want {
 		t.Errorf("got %d uses, want %d or more for the test to mean something", uses, want)
 	}
 }
--- a/moment/moment.go
+++ b/moment/moment.go
@@ -12,9 +12,9 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// CopyReaches is how far back a copy may reach that the store comes back from: what was
+// MaxBackupAge is how far back a copy may reach that the store comes back from: what was
 // written before that is in it.
-const CopyReaches clock.Millis = 60_000
+const MaxBackupAge clock.Millis = 60_000
 
 // Moment is a revision of a store in an era of it. Eras count the returns. The zero value is
 // before all that was read.
--- a/momentwire/momentwire.go
+++ b/momentwire/momentwire.go
@@ -25,5 +25,5 @@
 
 // EditionOf is the reverse of Edition; the zero edition for none.
 func EditionOf(told *wire.Edition) catalog.Edition {
-	return catalog.EditionOf(told.GetVersion(), told.GetDigest(), MomentOf(told.GetWritten()))
+	return catalog.EditionFromParts(told.GetVersion(), told.GetDigest(), MomentOf(told.GetWritten()))
 }
--- a/node/circle.go
+++ b/node/circle.go
@@ -37,12 +37,12 @@
 	}
 	last, seen := "", 0
 	for ctx.Err() == nil {
-		circle := n.roster.Circle(n.clock.Now())
+		circle := n.roster.Topology(n.clock.Now())
 		others, rank, changes := n.members.get()
 		name := circleName(&circle)
 		if name != last {
-			n.log.Info("circle", zap.Bool("meshed", circle.Meshed), zap.Bool("hub", circle.Hub), zap.Int("place", circle.Place),
-				zap.String("hubs", namesOf(circle.Hubs)), zap.Int("others", circle.Others))
+			n.log.Info("circle", zap.Bool("meshed", circle.FullMesh), zap.Bool("hub", circle.IsHub), zap.Int("place", circle.HubIndex),
+				zap.String("hubs", namesOf(circle.Hubs)), zap.Int("others", circle.PeerCount))
 		}
 		if changes > seen || name != last {
 			last, seen = name, changes
@@ -54,11 +54,11 @@
 }
 
 // circleName tells circles apart.
-func circleName(c *reading.Circle) string {
-	if c.Meshed {
+func circleName(c *reading.Topology) string {
+	if c.FullMesh {
 		return "meshed"
 	}
-	return strconv.Itoa(c.Place) + " " + namesOf(c.Hubs) + " " + namesOf(c.Absent)
+	return strconv.Itoa(c.HubIndex) + " " + namesOf(c.Hubs) + " " + namesOf(c.Absent)
 }
 
 func namesOf(members []*wire.Member) string {
@@ -70,35 +70,35 @@
 }
 
 // setCircle takes whom this node tells, and what others leave to it.
-func (n *Node) setCircle(circle *reading.Circle, others []*wire.Member, rank int) {
+func (n *Node) setCircle(circle *reading.Topology, others []*wire.Member, rank int) {
 	here := n.settings.DataCentre
 	msg := peersMsg(circle, append(others[:len(others):len(others)], n.roster.Self()))
 	n.usage.SetAddresses(usageAddressesByName(others))
-	if circle.Meshed {
+	if circle.FullMesh {
 		near, far := meshedPeers(others, here)
-		msg.Near = len(near)
+		msg.UsagePeers = len(near)
 		n.usage.SetPeers(usageAddresses(near), usageAddresses(far))
 		n.relay.SetPeers(msg)
-		n.placer.Tell(placement.RankMsg{Delay: plannerDelay(rank)})
+		n.placer.Send(placement.RankMsg{Delay: plannerDelay(rank)})
 		return
 	}
-	n.usage.SetRoutes(hubRoutes(circle, others, here))
+	n.usage.SetRecipients(hubRoutes(circle, others, here))
 	n.relay.SetPeers(msg)
-	n.placer.Tell(placement.RankMsg{Delay: plannerDelay(circle.Place), Rests: !circle.Hub, Elsewhere: otherCentres(others, here)})
+	n.placer.Send(placement.RankMsg{Delay: plannerDelay(circle.HubIndex), Standby: !circle.IsHub, ExcludedDataCentres: otherCentres(others, here)})
 }
 
 // peersMsg tells the relay of all nodes that are known. Where others stand in a large data
 // centre not all of its nodes are, and their number is told.
-func peersMsg(circle *reading.Circle, all []*wire.Member) dispatch.PeersMsg {
+func peersMsg(circle *reading.Topology, all []*wire.Member) dispatch.PeersMsg {
 	told := toldIn(all)
-	msg := dispatch.PeersMsg{Near: circle.Others, Members: owners(told)}
+	msg := dispatch.PeersMsg{UsagePeers: circle.PeerCount, Members: owners(told)}
 	switch {
-	case !circle.Meshed && !circle.Hub:
-		msg.Summed = true
+	case !circle.FullMesh && !circle.IsHub:
+		msg.Aggregated = true
 	case len(told) < len(inDataCentres(all)):
-		msg.Here = circle.Others + 1
+		msg.LocalNodes = circle.PeerCount + 1
 	default:
-		msg.All = len(msg.Members)
+		msg.TotalNodes = len(msg.Members)
 	}
 	return msg
 }
@@ -129,16 +129,16 @@
 }
 
 // hubRoutes are the routes of a node of a data centre with hubs.
-func hubRoutes(circle *reading.Circle, others []*wire.Member, here string) usage.Routes {
+func hubRoutes(circle *reading.Topology, others []*wire.Member, here string) usage.Recipients {
 	hubs, leaves, far := usageAddresses(circle.Hubs), usageAddresses(circle.Leaves), usageAddresses(toldElsewhere(others, here))
 	absent := usageAddresses(circle.Absent)
-	if !circle.Hub {
-		return usage.Routes{Use: hubs, Absent: absent, Orders: hubs, Silences: hubs, Works: slices.Concat(hubs, far)}
+	if !circle.IsHub {
+		return usage.Recipients{Usage: hubs, Absent: absent, Placements: hubs, Unresponsive: hubs, Outcomes: slices.Concat(hubs, far)}
 	}
 	near := slices.Concat(hubs, leaves)
-	r := usage.Routes{Use: hubs, Absent: absent, Hubs: circle.Hubs, Total: far, Leaves: leaves, Orders: near, Silences: near, Works: slices.Concat(near, far)}
-	if circle.Place < passers {
-		r.PassOn = near
+	r := usage.Recipients{Usage: hubs, Absent: absent, Hubs: circle.Hubs, DataCentreTotal: far, Leaves: leaves, Placements: near, Unresponsive: near, Outcomes: slices.Concat(near, far)}
+	if circle.HubIndex < passers {
+		r.Forward = near
 	}
 	return r
 }
@@ -153,8 +153,8 @@
 func toldIn(members []*wire.Member) []*wire.Member {
 	var told []*wire.Member
 	for _, centre := range otherCentres(members, "") {
-		ranked := slices.SortedFunc(slices.Values(membersOf(members, centre)), reading.Compare)
-		told = append(told, ranked[:reading.Told(len(ranked))]...)
+		ranked := slices.SortedFunc(slices.Values(membersOf(members, centre)), reading.CompareRank)
+		told = append(told, ranked[:reading.BroadcastFanout(len(ranked))]...)
 	}
 	return told
 }
--- a/node/circle_test.go
+++ b/node/circle_test.go
@@ -26,10 +26,10 @@
 }
 
 // circleOf returns the place of a node among others, all of which are there.
-func circleOf(self *wire.Member, others []*wire.Member) reading.Circle {
+func circleOf(self *wire.Member, others []*wire.Member) reading.Topology {
 	r := reading.NewRoster(self, 0, 2000)
 	r.SetGroup(membersOf(others, self.GetDataCentre()))
-	return r.Circle(0)
+	return r.Topology(0)
 }
 
 // What a node sends must not grow with the nodes: with 986 of them each told two hundred
@@ -42,10 +42,10 @@
 		others = slices.Delete(others, each-1, each)
 		circle := circleOf(self, others)
 		r := hubRoutes(&circle, others, "a")
-		if circle.Meshed || circle.Hub {
+		if circle.FullMesh || circle.IsHub {
 			t.Fatalf("%d nodes a data centre: got %+v, want a leaf", each, circle)
 		}
-		told := map[string]int{"use": len(r.Use), "orders": len(r.Orders), "silences": len(r.Silences), "works": len(r.Works), "leaves": len(r.Leaves)}
+		told := map[string]int{"use": len(r.Usage), "orders": len(r.Placements), "silences": len(r.Unresponsive), "works": len(r.Outcomes), "leaves": len(r.Leaves)}
 		for what, got := range told {
 			if want := 40; got > want {
 				t.Errorf("%d nodes a data centre: got %d addresses for %s, want %d at most", each, got, what, want)
@@ -64,8 +64,8 @@
 		others := slices.Delete(slices.Clone(members), i, i+1)
 		circle := circleOf(m, others)
 		r := hubRoutes(&circle, others, m.GetDataCentre())
-		routes[m.GetUsageAddress()] = func() []string { return r.Works }
-		passes[m.GetUsageAddress()] = r.PassOn
+		routes[m.GetUsageAddress()] = func() []string { return r.Outcomes }
+		passes[m.GetUsageAddress()] = r.Forward
 	}
 	for _, m := range members {
 		reached := make(map[string]bool)
@@ -121,11 +121,11 @@
 	small, large := fleetOf([]string{"a"}, 10), fleetOf([]string{"b"}, 25)
 	all := slices.Concat(small, large)
 	circle := circleOf(small[0], small[1:])
-	if got := peersMsg(&circle, all); got.All != 0 || got.Here != 10 {
-		t.Errorf("got %d nodes, %d of them here, want what others tell and 10 of its own", got.All, got.Here)
+	if got := peersMsg(&circle, all); got.TotalNodes != 0 || got.LocalNodes != 10 {
+		t.Errorf("got %d nodes, %d of them here, want what others tell and 10 of its own", got.TotalNodes, got.LocalNodes)
 	}
 	circle = circleOf(small[0], small[1:])
-	if got := peersMsg(&circle, small); got.All != 10 || got.Here != 0 {
-		t.Errorf("got %d nodes, %d of them here, want all 10 by name", got.All, got.Here)
+	if got := peersMsg(&circle, small); got.TotalNodes != 10 || got.LocalNodes != 0 {
+		t.Errorf("got %d nodes, %d of them here, want all 10 by name", got.TotalNodes, got.LocalNodes)
 	}
 }
--- a/node/known.go
+++ b/node/known.go
@@ -17,31 +17,31 @@
 type known struct {
 	node    *Node
 	mu      sync.Mutex
-	inForce follow.InForce
+	inForce follow.ActiveConfig
 }
 
 // take takes in what was shown of the configuration, and returns what is in force then.
-func (k *known) take(p follow.Proof) (follow.Taken, follow.InForce) {
+func (k *known) take(p follow.Proof) (follow.ProofResult, follow.ActiveConfig) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	taken := k.inForce.Take(p)
+	taken := k.inForce.Apply(p)
 	return taken, k.inForce
 }
 
-// Config implements peering.Knowledge.
-func (k *known) Config() follow.InForce {
+// Config implements peering.LocalState.
+func (k *known) Config() follow.ActiveConfig {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.inForce
 }
 
-// Fleet implements peering.Knowledge.
-func (k *known) Fleet() ([]fleet.Upstream, bool) { return k.node.fleets.Shown() }
+// Fleet implements peering.LocalState.
+func (k *known) Fleet() ([]fleet.Upstream, bool) { return k.node.fleets.ConfirmedList() }
 
-// Listed implements peering.Knowledge.
-func (k *known) Listed() bool { return k.node.fleets.Listed() }
+// Listed implements peering.LocalState.
+func (k *known) Listed() bool { return k.node.fleets.HasList() }
 
-// LearnConfig implements peering.Learner.
+// LearnConfig implements peering.Receiver.
 func (k *known) LearnConfig(edition catalog.Edition, raw []byte, confirmed clock.Millis) {
 	proof := follow.Proof{Edition: edition, Confirmed: confirmed}
 	if len(raw) > 0 {
@@ -55,8 +55,8 @@
 	k.node.setCatalog(proof)
 }
 
-// LearnFleet implements peering.Learner.
-func (k *known) LearnFleet(list []fleet.Upstream) { k.node.fleets.Learn(list) }
+// LearnFleet implements peering.Receiver.
+func (k *known) LearnFleet(list []fleet.Upstream) { k.node.fleets.AddPeerList(list) }
 
 // nearAll is up to how many nodes tell each other what they have in use across
 // data centres too, where chains go when an engine is lost. In larger systems
@@ -65,7 +65,7 @@
 // the nodes, and bytes between data centres are dear.
 const nearAll = 24
 
-// LearnMembers implements peering.Learner.
+// LearnMembers implements peering.Receiver.
 func (k *known) LearnMembers(others []*wire.Member, rank int) {
 	k.node.roster.SetGroup(readingGroup(others, k.node.settings.DataCentre))
 	k.node.members.set(others, rank)
--- a/node/learn.go
+++ b/node/learn.go
@@ -16,7 +16,7 @@
 
 // setCatalog takes what was shown of the configuration, and returns what is in force then. The
 // follower of the store and peers both show some: all that hangs on it is told in one order.
-func (n *Node) setCatalog(p follow.Proof) follow.InForce {
+func (n *Node) setCatalog(p follow.Proof) follow.ActiveConfig {
 	n.obeying.Lock()
 	defer n.obeying.Unlock()
 	taken, inForce := n.known.take(p)
@@ -32,7 +32,7 @@
 	case follow.Replaced:
 		n.log.Info("config", zap.Stringer("version", p.Edition), zap.Stringer("written", p.Edition.Written()), age)
 		n.relay.SetCatalog(p.Catalog, p.Confirmed)
-		n.placer.Tell(placement.CatalogMsg{Catalog: p.Catalog})
+		n.placer.Send(placement.CatalogMsg{Catalog: p.Catalog})
 		n.fleets.SetServices(serviceNames(p.Catalog))
 	}
 	return inForce
@@ -46,31 +46,31 @@
 	}
 	go func() {
 		defer n.asking.Store(false)
-		n.peers.AskAt(n.life, address)
+		n.peers.QueryAddress(n.life, address)
 	}()
 }
 
 // setSaidLeaving takes in that an upstream has said that it is leaving.
-func (n *Node) setSaidLeaving(upstream fleet.Incarnation) { n.fleets.Leave(upstream) }
+func (n *Node) setSaidLeaving(upstream fleet.Incarnation) { n.fleets.MarkLeaving(upstream) }
 
 // setReplaced takes in that another upstream has answered at the address of one.
 func (n *Node) setReplaced(upstream fleet.Incarnation, address string) {
-	n.fleets.Replaced(upstream, address)
+	n.fleets.MarkReplaced(upstream, address)
 }
 
 // serviceNames returns the services of a configuration.
 func serviceNames(c *catalog.Catalog) []string {
 	var names []string
-	c.Services(func(s *catalog.Service) { names = append(names, s.Name) })
+	c.EachService(func(s *catalog.Service) { names = append(names, s.Name) })
 	return names
 }
 
 // setSilent tells the planner that an engine does not answer, or does again, and other
 // nodes of one that they have not told of.
-func (n *Node) setSilent(cmd dispatch.SilentCmd) {
-	n.log.Info("silent", zap.Stringer("upstream", cmd.Upstream), zap.Bool("silent", cmd.Silent), zap.Bool("agreed", cmd.Agreed))
-	n.placer.Tell(placement.SilentMsg{Upstream: cmd.Upstream, Silent: cmd.Silent, Agreed: cmd.Agreed})
-	if cmd.Silent && !cmd.Agreed {
+func (n *Node) setSilent(cmd dispatch.ResponsivenessCmd) {
+	n.log.Info("silent", zap.Stringer("upstream", cmd.Upstream), zap.Bool("silent", cmd.Unresponsive), zap.Bool("agreed", cmd.Confirmed))
+	n.placer.Send(placement.ResponsivenessMsg{Upstream: cmd.Upstream, Unresponsive: cmd.Unresponsive, Confirmed: cmd.Confirmed})
+	if cmd.Unresponsive && !cmd.Confirmed {
 		n.usage.Silent(cmd.Upstream)
 	}
 }
@@ -78,18 +78,18 @@
 // share tells other nodes what this one has in use. A hub tells its leaves what all have,
 // and the node that leads, or that reads the store for its data centre, tells others what
 // all of that have.
-func (n *Node) share(cmd dispatch.ShareCmd) {
+func (n *Node) share(cmd dispatch.ShareUsageCmd) {
 	now := n.clock.Now()
-	circle := n.roster.Circle(now)
-	n.usage.Share(cmd.Used, cmd.Limits)
-	if circle.Meshed && n.roster.Reads(now) || circle.Leads() {
-		n.usage.ShareTotal(cmd.Total, circle.Others+1, cmd.Limits)
+	circle := n.roster.Topology(now)
+	n.usage.SendUsage(cmd.Used, cmd.Limits)
+	if circle.FullMesh && n.roster.IsReader(now) || circle.IsFirstHub() {
+		n.usage.SendDataCentreTotal(cmd.WholeDataCentre, circle.PeerCount+1, cmd.Limits)
 	}
 	switch {
-	case circle.Leads():
-		n.usage.ShareWhole(cmd.Whole, cmd.HeardOf, cmd.Nodes, cmd.Limits)
-	case circle.Hub:
-		n.usage.ShareLife()
+	case circle.IsFirstHub():
+		n.usage.SendAllNodes(cmd.AllNodes, cmd.IncludedDataCentres, cmd.Nodes, cmd.Limits)
+	case circle.IsHub:
+		n.usage.SendHeartbeat()
 	}
 }
 
@@ -97,11 +97,11 @@
 type listener struct{ node *Node }
 
 // HearUse implements usage.Listener.
-func (l listener) HearUse(from *wire.Member, msg usage.Msg) {
+func (l listener) HearUse(from *wire.Member, msg usage.Report) {
 	n := l.node
 	n.peers.Heard(from)
-	n.peers.Told(msg.Hubs)
-	n.compareQuarantine(from, msg.Quarantine)
+	n.peers.AddReported(msg.Hubs)
+	n.compareQuarantine(from, msg.QuarantineDigest)
 	for engine := range msg.Used {
 		n.meet(engine)
 	}
@@ -109,7 +109,7 @@
 		n.roster.Heard(n.clock.Now(), from.GetName(), msg.Followable)
 	}
 	n.relay.SetUsage(dispatch.UsageMsg{
-		Node: from.GetName(), Used: msg.Used, Total: msg.Total, Whole: msg.Whole, HeardOf: msg.HeardOf, Nodes: msg.Nodes,
+		Node: from.GetName(), Used: msg.Used, WholeDataCentre: msg.Total, AllNodes: msg.Whole, IncludedDataCentres: msg.HeardOf, Nodes: msg.Nodes,
 		DataCentre: from.GetDataCentre(), Limits: msg.Limits,
 	})
 }
@@ -126,7 +126,7 @@
 }
 
 // HearPlaced implements usage.Listener.
-func (l listener) HearPlaced(upstream fleet.Incarnation, layers fleet.Range, holds bool) {
+func (l listener) HearPlaced(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool) {
 	l.node.meet(upstream)
 	l.node.setPlaced(upstream, layers, holds)
 }
@@ -144,24 +144,24 @@
 // meet takes in that another node speaks of a run of an upstream, which may be a later one
 // than the one that this node knows.
 func (n *Node) meet(upstream fleet.Incarnation) {
-	if upstream.Born() != 0 {
+	if upstream.StartedAt() != 0 {
 		n.fleets.Supersede(upstream)
 	}
 }
 
 // tellPlaced tells the own relay and other nodes of an order of this node's.
-func (n *Node) tellPlaced(upstream fleet.Incarnation, layers fleet.Range, holds bool) {
+func (n *Node) tellPlaced(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool) {
 	n.setPlaced(upstream, layers, holds)
-	n.usage.Placed(upstream, layers, holds)
+	n.usage.SendPlacement(upstream, layers, holds)
 }
 
 // setPlaced takes an order that this node or another one has given.
-func (n *Node) setPlaced(upstream fleet.Incarnation, layers fleet.Range, holds bool) {
+func (n *Node) setPlaced(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool) {
 	n.relay.SetPlaced(upstream, layers, holds)
-	n.placer.Tell(placement.PlacedMsg{Upstream: upstream, Layers: layers, Holds: holds})
+	n.placer.Send(placement.PlacedMsg{Upstream: upstream, Layers: layers, Completed: holds})
 }
 
 func (n *Node) setFleet(changes []fleet.Change) {
 	n.relay.SetFleet(changes)
-	n.placer.Tell(placement.FleetMsg{Changes: changes})
+	n.placer.Send(placement.FleetMsg{Changes: changes})
 }
--- a/node/node.go
+++ b/node/node.go
@@ -55,7 +55,7 @@
 	fleets   *follow.Fleet
 	catalogs *follow.Catalog
 	peers    *peering.Peering
-	usage    *usage.Sharing
+	usage    *usage.Exchange
 	known    *known
 	// obeying has the node take one proof of the configuration after the other. Outdated is
 	// the last edition that was shown and is not obeyed, and asking tells that another node
@@ -113,12 +113,12 @@
 		dispatch.WithDataCentre(s.DataCentre),
 		dispatch.WithSeed(hash(s.Name)),
 		dispatch.WithPolicy(dispatch.Policy{
-			RevokeWithin: s.keysWithin(), RetryWindow: clock.Millis(s.RetryWindowSeconds * msPerSecond),
+			MaxConfigAge: s.keysWithin(), RetryWindow: clock.Millis(s.RetryWindowSeconds * msPerSecond),
 			RetryShare: s.RetryShare, RetrySlack: s.RetrySlack,
-			QuarantineLasts: s.quarantineLasts(),
+			QuarantineDuration: s.quarantineLasts(),
 		}),
-		dispatch.WithKeptQuarantine(),
-		dispatch.WithLimits(limit.New(limit.WithSelf(s.Name), limit.WithLife(uint64(time.Now().UnixNano())))),
+		dispatch.WithStoredQuarantine(),
+		dispatch.WithLimits(limit.New(limit.WithSelf(s.Name), limit.WithBootID(uint64(time.Now().UnixNano())))),
 	)
 	self := &wire.Member{Name: s.Name, DataCentre: s.DataCentre, Address: n.peer.Addr().String(), Strength: s.strength()}
 	sharing, err := usage.New(n.life, self, s.UsageListen, n.log, n.followable, listener{n}, usage.WithQuarantine(n.quarantined.digest), usage.WithClock(n.clock))
@@ -135,7 +135,7 @@
 		relay.WithCounters("quarantined", expvar.Func(n.quarantined.count)),
 		relay.WithCounters("peers", expvar.Func(func() any { return n.Peers() })),
 		relay.WithListAge(listAge), relay.WithSilence(n.setSilent), relay.WithSharing(n.share), relay.WithLeaving(n.setSaidLeaving), relay.WithReplaced(n.setReplaced), relay.WithQuarantine(n.setQuarantine),
-		relay.WithPermits(n.usage.Ask, n.usage.Give))
+		relay.WithPermits(n.usage.Ask, n.usage.SendPermitGrant))
 	planner := placement.New(placement.WithDelay(plannerDelay(int(hash(s.Name)%unknownRanks))), placement.WithStart(n.clock.Now()))
 	n.placer = placer.New(planner, n.engines, n.clock, n.log, n.tellPlaced, placer.WithSeed(hash(s.Name)), placer.WithListAge(listAge),
 		placer.WithResults(n.orders))
@@ -148,15 +148,15 @@
 }
 
 // follow builds the followers of the store, and what they know of other nodes.
-func (n *Node) follow(self *wire.Member, peerTransport http.RoundTripper, setCatalog func(follow.Proof) follow.InForce, setFleet func([]fleet.Change)) {
+func (n *Node) follow(self *wire.Member, peerTransport http.RoundTripper, setCatalog func(follow.Proof) follow.ActiveConfig, setFleet func([]fleet.Change)) {
 	within := n.settings.changesWithin()
-	n.roster = reading.NewRoster(self, n.clock.Now(), follow.Patience(within), reading.WithStartWait(n.settings.startWait()))
-	n.shared = reading.NewLog(n.clock, follow.VouchFor, follow.VouchSoon(within))
+	n.roster = reading.NewRoster(self, n.clock.Now(), follow.FailoverWait(within), reading.WithStartWait(n.settings.startWait()))
+	n.shared = reading.NewLog(n.clock, follow.ProofLifetime, follow.FirstRequestWait(within))
 	n.outage = &follow.Outage{}
-	n.known = &known{node: n, inForce: follow.InForce{Confirmed: clock.Never}}
+	n.known = &known{node: n, inForce: follow.ActiveConfig{Confirmed: clock.Never}}
 	n.readers = &readers{node: n, client: &http.Client{Transport: peerTransport}}
 	share := follow.WithReaders(n.readers, n.shared)
-	bound := follow.WithChangesWithin(within)
+	bound := follow.WithChangeDeadline(within)
 	n.catalogs = follow.NewCatalog(n.store, n.clock, n.log, n.outage, setCatalog, share, bound)
 	n.fleets = follow.NewFleet(n.store, n.clock, n.log, n.outage, setFleet, share, bound)
 }
@@ -186,7 +186,7 @@
 func (n *Node) ReadinessAddress() string { return n.readiness.Addr().String() }
 
 // Peers returns how many other nodes are known.
-func (n *Node) Peers() int { return n.peers.Others() }
+func (n *Node) Peers() int { return n.peers.NamedPeers() }
 
 // PeerAddress returns where other nodes ask this one.
 func (n *Node) PeerAddress() string { return n.peer.Addr().String() }
@@ -222,8 +222,8 @@
 	n.addLoop(&g, n.placer.Run)
 	n.addLoop(&g, n.catalogs.Run)
 	n.addLoop(&g, n.fleets.Run)
-	n.addLoop(&g, n.peers.Register)
-	n.addLoop(&g, n.peers.PutBack)
+	n.addLoop(&g, n.peers.MaintainRegistration)
+	n.addLoop(&g, n.peers.RestoreRegistration)
 	n.addLoop(&g, n.peers.Run)
 	n.addLoop(&g, n.followCircle)
 	n.addLoop(&g, n.usage.Run)
--- a/node/put_back.go
+++ b/node/put_back.go
@@ -13,12 +13,12 @@
 	n.log.Info("put_back")
 	n.peers.StoreReturned()
 	n.keeper.StoreReturned()
-	if !n.roster.Reads(n.clock.Now()) {
+	if !n.roster.IsReader(n.clock.Now()) {
 		return
 	}
 	kept := 0
 	for _, w := range n.quarantined.list() {
-		if w.Age < moment.CopyReaches {
+		if w.Age < moment.MaxBackupAge {
 			n.keeper.Keep(w)
 			kept++
 		}
--- a/node/quarantined.go
+++ b/node/quarantined.go
@@ -52,7 +52,7 @@
 }
 
 func newQuarantined(c *clock.Clock, lasts clock.Millis) *quarantined {
-	works, err := simplelru.NewLRU[work.ID, quarantinedWork](quarantine.MostWorks, nil)
+	works, err := simplelru.NewLRU[work.ID, quarantinedWork](quarantine.MaxQuarantined, nil)
 	if err != nil {
 		// Only a size below one is refused.
 		panic(err)
@@ -161,17 +161,17 @@
 // setQuarantine acts on what the relay has found out of requests that end upstreams.
 func (n *Node) setQuarantine(news quarantine.News) {
 	switch news := news.(type) {
-	case quarantine.LostNews:
+	case quarantine.LossNews:
 		n.log.Info("lost", zap.Stringer("work", news.Work), zap.Stringer("upstream", news.Upstream))
-		n.usage.Lost(news.Work, news.Upstream)
-	case quarantine.HeldNews:
-		n.log.Warn("quarantined", zap.Stringer("work", news.Work), zap.Stringers("ended", news.Ended), zap.Bool("own", news.Own))
-		n.keep(dispatch.Quarantined{Work: news.Work, Ended: news.Ended}, news.Own)
-	case quarantine.CertainNews:
-		n.log.Info("quarantine_certain", zap.Stringer("work", news.Work), zap.Bool("own", news.Own))
-		n.keep(dispatch.Quarantined{Work: news.Work}, news.Own)
+		n.usage.SendCrash(news.Work, news.Upstream)
+	case quarantine.QuarantinedNews:
+		n.log.Warn("quarantined", zap.Stringer("work", news.Work), zap.Stringers("ended", news.Ended), zap.Bool("own", news.Local))
+		n.keep(dispatch.Quarantined{Work: news.Work, Ended: news.Ended}, news.Local)
+	case quarantine.ConfirmedNews:
+		n.log.Info("quarantine_certain", zap.Stringer("work", news.Work), zap.Bool("own", news.Local))
+		n.keep(dispatch.Quarantined{Work: news.Work}, news.Local)
 	case quarantine.ClearedNews:
-		n.log.Info("cleared", zap.Stringer("work", news.Work), zap.Bool("own", news.Own), zap.Bool("quarantined", news.Held))
+		n.log.Info("cleared", zap.Stringer("work", news.Work), zap.Bool("own", news.Local), zap.Bool("quarantined", news.WasQuarantined))
 		n.clear(news)
 	}
 }
@@ -188,10 +188,10 @@
 // clear takes a request out of quarantine that an upstream has answered.
 func (n *Node) clear(news quarantine.ClearedNews) {
 	n.quarantined.remove(news.Work)
-	if news.Own {
-		n.usage.Answered(news.Work)
+	if news.Local {
+		n.usage.SendAnswered(news.Work)
 	}
-	if news.Held && (news.Own || news.Lost) {
+	if news.WasQuarantined && (news.Local || news.LostLocally) {
 		n.keeper.Release(news.Work)
 	}
 }
@@ -207,7 +207,7 @@
 // have missed datagrams, know the same within a second or two.
 func (n *Node) compareQuarantine(from *wire.Member, digest uint64) {
 	if n.quarantined.differs(digest) {
-		go n.peers.AskQuarantined(n.life, from)
+		go n.peers.QueryQuarantined(n.life, from)
 	}
 }
 
@@ -220,8 +220,8 @@
 // HearAnswered implements usage.Listener.
 func (l listener) HearAnswered(id work.ID) { l.node.relay.SetAnswered(id) }
 
-// Quarantined implements peering.Knowledge.
+// Quarantined implements peering.LocalState.
 func (k *known) Quarantined() []dispatch.Quarantined { return k.node.quarantined.list() }
 
-// LearnQuarantined implements peering.Learner.
+// LearnQuarantined implements peering.Receiver.
 func (k *known) LearnQuarantined(list []dispatch.Quarantined) { k.node.learnQuarantined(list) }
--- a/node/quarantined_test.go
+++ b/node/quarantined_test.go
@@ -29,8 +29,8 @@
 		}
 		return q
 	}
-	a, b := dispatch.Quarantined{Work: work.ID{}.By("a")}, dispatch.Quarantined{Work: work.ID{}.By("b")}
-	thought := dispatch.Quarantined{Work: b.Work, Ended: []fleet.Incarnation{fleet.Undated("e1")}}
+	a, b := dispatch.Quarantined{Work: work.ID{}.ForAccount("a")}, dispatch.Quarantined{Work: work.ID{}.ForAccount("b")}
+	thought := dispatch.Quarantined{Work: b.Work, Ended: []fleet.Incarnation{fleet.IncarnationByID("e1")}}
 	tests := []struct {
 		name string
 		one  *quarantined
@@ -81,7 +81,7 @@
 // BenchmarkDigest measures what a peer's word costs where thousands of requests are known.
 func BenchmarkDigest(b *testing.B) {
 	q := newQuarantined(clocktest.NewClock(), 3_600_000)
-	for i := range quarantine.MostWorks {
+	for i := range quarantine.MaxQuarantined {
 		q.add(dispatch.Quarantined{Work: work.ID{byte(i), byte(i >> 8)}})
 	}
 	for b.Loop() {
--- a/node/readers.go
+++ b/node/readers.go
@@ -104,7 +104,7 @@
 
 // First implements follow.Readers.
 func (r *readers) First() (follow.Reader, bool) {
-	m, waits := r.node.roster.First(r.node.clock.Now())
+	m, waits := r.node.roster.InitialReader(r.node.clock.Now())
 	if m == nil {
 		return nil, waits
 	}
@@ -113,7 +113,7 @@
 
 // sourceAt returns what follows a node.
 func (r *readers) sourceAt(m *wire.Member) *namedSource {
-	vouchSoon := follow.VouchSoon(r.node.settings.changesWithin())
+	vouchSoon := follow.FirstRequestWait(r.node.settings.changesWithin())
 	return &namedSource{Source: reading.NewSource(r.client, m.GetAddress(), r.node.roster.Self().GetAddress(), vouchSoon), name: m.GetName()}
 }
 
@@ -121,25 +121,25 @@
 func (r *readers) Failed(reader follow.Reader) {
 	switch source := reader.(type) {
 	case *namedSource:
-		r.node.roster.Failed(r.node.clock.Now(), source.name)
+		r.node.roster.ReaderFailed(r.node.clock.Now(), source.name)
 	case firstReader:
-		r.node.roster.Failed(r.node.clock.Now(), source.name)
+		r.node.roster.ReaderFailed(r.node.clock.Now(), source.name)
 	}
 }
 
 // Overdue implements follow.Readers.
-func (r *readers) Overdue() bool { return r.node.shared.Overdue() }
+func (r *readers) Overdue() bool { return r.node.shared.NeedsProof() }
 
 // Waits implements follow.Readers.
 func (r *readers) Waits() bool {
-	return r.node.roster.Waits(r.node.clock.Now(), r.node.shared.Followed())
+	return r.node.roster.ShouldWait(r.node.clock.Now(), r.node.shared.HasFollowers())
 }
 
 // StoreLost implements follow.Readers.
 func (r *readers) StoreLost() { r.node.roster.StoreLost(r.node.clock.Now()) }
 
 // StoreBack implements follow.Readers.
-func (r *readers) StoreBack() { r.node.roster.StoreBack(r.node.clock.Now()) }
+func (r *readers) StoreBack() { r.node.roster.StoreRecovered(r.node.clock.Now()) }
 
 // StoreReturned implements follow.Readers.
 func (r *readers) StoreReturned() { r.node.putBack() }
@@ -147,14 +147,14 @@
 // Followed implements follow.Readers. A node whose turn it is to read for others
 // is ready before they ask.
 func (r *readers) Followed() bool {
-	return r.node.roster.Reads(r.node.clock.Now()) || r.node.shared.Followed()
+	return r.node.roster.IsReader(r.node.clock.Now()) || r.node.shared.HasFollowers()
 }
 
 // followable tells whether other nodes may follow this one in place of the
 // store.
 func (n *Node) followable() bool {
-	return !n.relay.Stopping() && !n.outage.Away() && !n.known.Config().Edition.IsZero() &&
-		n.clock.Now().Sub(n.shared.Answered()) <= followableWithin
+	return !n.relay.Stopping() && !n.outage.Ongoing() && !n.known.Config().Edition.IsZero() &&
+		n.clock.Now().Sub(n.shared.AnsweredAt()) <= followableWithin
 }
 
 // readingGroup returns the nodes of which one reads the store for all: those of the
@@ -162,7 +162,7 @@
 // tell each other of themselves, all.
 func readingGroup(others []*wire.Member, dataCentre string) []*wire.Member {
 	here := membersOf(others, dataCentre)
-	if len(here)+1 < reading.FewestNodes && len(others) < nearAll {
+	if len(here)+1 < reading.MinNodes && len(others) < nearAll {
 		return others
 	}
 	return here
--- a/node/settings.go
+++ b/node/settings.go
@@ -121,7 +121,7 @@
 // startWait is how long a node that has just started may wait to know of others before it
 // turns to the store.
 func (s *Settings) startWait() clock.Millis {
-	wait := peering.StartWait(s.strength())
+	wait := peering.MaxStartWait(s.strength())
 	if s.FirstStart {
 		return wait
 	}
--- a/node/simsite_test.go
+++ b/node/simsite_test.go
@@ -343,8 +343,8 @@
 
 // told are the names of the nodes that a node tells of itself; nil for all.
 func (n *simNode) told() map[string]bool {
-	circle := n.roster.Circle(n.clock.Now())
-	if circle.Meshed {
+	circle := n.roster.Topology(n.clock.Now())
+	if circle.FullMesh {
 		return nil
 	}
 	told := make(map[string]bool)
@@ -369,7 +369,7 @@
 }
 
 // tellCatalog takes what the follower of the configuration tells.
-func (n *simNode) tellCatalog(p follow.Proof) follow.InForce {
+func (n *simNode) tellCatalog(p follow.Proof) follow.ActiveConfig {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	taken, inForce := n.known.take(p)
--- a/node/store_view.go
+++ b/node/store_view.go
@@ -25,7 +25,7 @@
 	now, inForce := n.clock.Now(), n.known.Config()
 	return storeView{
 		AsOf: n.fleets.AsOf().String(), From: n.readers.following(),
-		AnsweredMS: int64(clock.AgeOf(n.shared.Answered(), now)),
+		AnsweredMS: int64(clock.AgeOf(n.shared.AnsweredAt(), now)),
 		Config:     inForce.Edition.String(), Written: inForce.Edition.Written().String(),
 		ConfirmedMS: int64(clock.AgeOf(inForce.Confirmed, now)), Eras: n.store.Eras(),
 	}
--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -4,8 +4,8 @@
 
 import "github.com/cockroachdb/errors"
 
-// ErrUnknownName is returned by Parse for a name that is no outcome.
-var ErrUnknownName = errors.New("outcome: no such outcome")
+// ErrUnknownOutcome is returned by Parse for a name that is no outcome.
+var ErrUnknownOutcome = errors.New("outcome: no such outcome")
 
 // Outcome is how a request ended.
 type Outcome uint8
@@ -15,9 +15,9 @@
 	None Outcome = iota
 	// Done means that the whole answer has been given.
 	Done
-	// NotRun means that nothing of the request has run, at any node, and that
+	// NotExecuted means that nothing of the request has run, at any node, and that
 	// it is safe to ask again.
-	NotRun
+	NotExecuted
 	// Failed means that the request ran or was read, and that this is its
 	// error; asking again would give the same.
 	Failed
@@ -26,7 +26,7 @@
 	Unknown
 )
 
-var names = [...]string{None: "none", Done: "done", NotRun: "not_run", Failed: "failed", Unknown: "unknown"}
+var names = [...]string{None: "none", Done: "done", NotExecuted: "not_run", Failed: "failed", Unknown: "unknown"}
 
 // String returns the name that callers see.
 func (o Outcome) String() string { return names[o] }
@@ -38,5 +38,5 @@
 			return Outcome(o), nil
 		}
 	}
-	return None, errors.Wrapf(ErrUnknownName, "%q", name)
+	return None, errors.Wrapf(ErrUnknownOutcome, "%q", name)
 }
--- a/proof/freeze_test.go
+++ b/proof/freeze_test.go
@@ -112,7 +112,7 @@
 		if r.Outcome == outcome.Done && runs[r.Item.Key] != 1 {
 			t.Errorf("key %s: got %d runs and a whole answer, want 1", r.Item.Key, runs[r.Item.Key])
 		}
-		if r.Outcome == outcome.NotRun && runs[r.Item.Key] != 0 {
+		if r.Outcome == outcome.NotExecuted && runs[r.Item.Key] != 0 {
 			t.Errorf("key %s: got %d runs and \"not run\", want 0", r.Item.Key, runs[r.Item.Key])
 		}
 	}
--- a/quarantine/bounds_test.go
+++ b/quarantine/bounds_test.go
@@ -13,15 +13,15 @@
 // BenchmarkQuarantined measures what it costs to refuse a request that ends upstreams, with
 // as many of them known as the table holds, and what it costs to find that others are none.
 func BenchmarkQuarantined(b *testing.B) {
-	for _, known := range []int{0, quarantine.MostWorks} {
+	for _, known := range []int{0, quarantine.MaxQuarantined} {
 		b.Run(fmt.Sprintf("%d known", known), func(b *testing.B) {
 			t := quarantine.New(3_600_000)
 			for i := range known {
-				t.Learn(0, work.ID{}.By(fmt.Sprint(i)), 0)
+				t.AdoptConfirmed(0, work.ID{}.ForAccount(fmt.Sprint(i)), 0)
 			}
-			other := work.ID{}.By("other")
+			other := work.ID{}.ForAccount("other")
 			for b.Loop() {
-				if _, held := t.Holds(1, other); held {
+				if _, held := t.Quarantined(1, other); held {
 					b.Fatal("got a request held that ends nothing")
 				}
 			}
@@ -36,8 +36,8 @@
 	told := 0
 	for i := range 20_000 {
 		now := clock.Millis(i)
-		w := work.ID{}.By(fmt.Sprint("w", i))
-		news := table.Lost(now, w, fleet.NewIncarnation(fleet.ID(fmt.Sprint("e", i/5)), 1), quarantine.Ended, 1000, true)
+		w := work.ID{}.ForAccount(fmt.Sprint("w", i))
+		news := table.RecordLoss(now, w, fleet.NewIncarnation(fleet.ID(fmt.Sprint("e", i/5)), 1), quarantine.Ended, 1000, true)
 		told += len(news)
 	}
 	if got, want := told, 20_000; got != want {
@@ -57,9 +57,9 @@
 				table := quarantine.New(3_600_000)
 				for i := range beside {
 					now++
-					table.Lost(now, work.ID{byte(i)}, fleet.NewIncarnation("e1", 1), quarantine.Unknown, 1000, true)
+					table.RecordLoss(now, work.ID{byte(i)}, fleet.NewIncarnation("e1", 1), quarantine.Unknown, 1000, true)
 				}
-				table.Found(now, fleet.NewIncarnation("e1", 1), quarantine.Silent)
+				table.SetUpstreamState(now, fleet.NewIncarnation("e1", 1), quarantine.Unresponsive)
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*beside), "ns/loss")
 		})
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -8,68 +8,68 @@
 	"github.com/hoistjunction/hoistjunction/work"
 )
 
-// MostWorks bounds the works that are quarantined, mostSuspects those under suspicion, and
-// mostUpstreams the upstreams that are known to have ended under one. Together they take
+// MaxQuarantined bounds the works that are quarantined, maxSuspects those under suspicion, and
+// maxUpstreams the upstreams that are known to have ended under one. Together they take
 // less than 2 MB. The one that was asked for or lost least recently gives way.
 const (
-	MostWorks     = 4096
-	mostSuspects  = 2048
-	mostUpstreams = 1024
+	MaxQuarantined = 4096
+	maxSuspects    = 2048
+	maxUpstreams   = 1024
 )
 
 // Table is what is known of works and of the upstreams that ended under them. It is not
 // safe for concurrent use.
 type Table struct {
-	// lasts is for how long a work stays quarantined.
-	lasts     clock.Millis
-	held      *simplelru.LRU[work.ID, *held]
-	suspects  *simplelru.LRU[work.ID, *suspect]
-	upstreams *simplelru.LRU[fleet.Incarnation, *upstream]
-	// contested are works that wait for word of what else was lost where they were.
-	contested map[work.ID]bool
+	// duration is for how long a work stays quarantined.
+	duration    clock.Millis
+	quarantined *simplelru.LRU[work.ID, *quarantineEntry]
+	suspects    *simplelru.LRU[work.ID, *suspect]
+	upstreams   *simplelru.LRU[fleet.Incarnation, *upstream]
+	// deferred are works that wait for word of what else was lost where they were.
+	deferred map[work.ID]bool
 }
 
-// held is a work in quarantine.
-type held struct {
-	since clock.Millis
-	ended []fleet.Incarnation
-	// own tells that this node has lost it itself, and certain that they have ended: a
+// quarantineEntry is a work in quarantine.
+type quarantineEntry struct {
+	since   clock.Millis
+	crashed []fleet.Incarnation
+	// local tells that this node has lost it itself, and certain that they have ended: a
 	// silent upstream may yet answer.
-	own     bool
-	certain bool
+	local     bool
+	confirmed bool
 }
 
 // suspect is a work that was lost.
 type suspect struct {
-	lost map[fleet.Incarnation]loss
-	// lostAt is when it was lost last.
-	lostAt clock.Millis
+	losses map[fleet.Incarnation]loss
+	// lastLossAt is when it was lost last.
+	lastLossAt clock.Millis
 	// answeredAt is when an upstream has answered it last.
 	answeredAt clock.Millis
 }
 
 // loss is that a work was lost at an upstream.
 type loss struct {
-	// until is until when the upstream's end counts.
-	until clock.Millis
+	// countsUntil is until when the upstream's end counts.
+	countsUntil clock.Millis
 	// explained tells that another work is quarantined for that end.
 	explained bool
 }
 
 // upstream is one under which works were lost.
 type upstream struct {
-	fate Fate
-	// works are those that were lost there; true for those that this node has lost.
-	works map[work.ID]bool
-	// blamed is the work that is quarantined for its end, if one is.
-	blamed work.ID
+	state UpstreamState
+	// lost are those that were lost there; true for those that this node has lost.
+	lost map[work.ID]bool
+	// culprit is the work that is quarantined for its end, if one is.
+	culprit work.ID
 }
 
 // New returns an empty table. Works stay quarantined for a time.
 func New(lasts clock.Millis) *Table {
 	return &Table{
-		lasts: lasts, held: newLRU[work.ID, *held](MostWorks), suspects: newLRU[work.ID, *suspect](mostSuspects),
-		upstreams: newLRU[fleet.Incarnation, *upstream](mostUpstreams), contested: make(map[work.ID]bool),
+		duration: lasts, quarantined: newLRU[work.ID, *quarantineEntry](MaxQuarantined), suspects: newLRU[work.ID, *suspect](maxSuspects),
+		upstreams: newLRU[fleet.Incarnation, *upstream](maxUpstreams), deferred: make(map[work.ID]bool),
 	}
 }
 
@@ -82,34 +82,34 @@
 	return lru
 }
 
-// Holds tells whether a work is quarantined, and for how long it stays so.
-func (t *Table) Holds(now clock.Millis, w work.ID) (left clock.Millis, ok bool) {
-	h, ok := t.held.Get(w)
+// Quarantined tells whether a work is quarantined, and for how long it stays so.
+func (t *Table) Quarantined(now clock.Millis, w work.ID) (left clock.Millis, ok bool) {
+	h, ok := t.quarantined.Get(w)
 	if !ok {
 		return 0, false
 	}
-	left = t.lasts - now.Sub(h.since)
+	left = t.duration - now.Sub(h.since)
 	if left <= 0 {
-		t.held.Remove(w)
+		t.quarantined.Remove(w)
 		return 0, false
 	}
 	return left, true
 }
 
-// Certain tells whether it is certain that upstreams have ended under a work in quarantine.
-func (t *Table) Certain(w work.ID) bool {
-	h, ok := t.held.Peek(w)
-	return ok && h.certain
+// Confirmed tells whether it is certain that upstreams have ended under a work in quarantine.
+func (t *Table) Confirmed(w work.ID) bool {
+	h, ok := t.quarantined.Peek(w)
+	return ok && h.confirmed
 }
 
-// Suspects tells whether an upstream has ended under a work that nothing else explains, and
+// IsSuspect tells whether an upstream has ended under a work that nothing else explains, and
 // none has answered it since.
-func (t *Table) Suspects(w work.ID) bool { return len(t.ends(w, false)) > 0 }
+func (t *Table) IsSuspect(w work.ID) bool { return len(t.crashes(w, false)) > 0 }
 
 func (t *Table) suspect(w work.ID) *suspect {
 	s, ok := t.suspects.Get(w)
 	if !ok {
-		s = &suspect{lost: make(map[fleet.Incarnation]loss), answeredAt: clock.Never}
+		s = &suspect{losses: make(map[fleet.Incarnation]loss), answeredAt: clock.Never}
 		t.suspects.Add(w, s)
 	}
 	return s
@@ -118,7 +118,7 @@
 func (t *Table) upstream(id fleet.Incarnation) *upstream {
 	u, ok := t.upstreams.Get(id)
 	if !ok {
-		u = &upstream{works: make(map[work.ID]bool)}
+		u = &upstream{lost: make(map[work.ID]bool)}
 		t.upstreams.Add(id, u)
 	}
 	return u
--- a/reading/await.go
+++ b/reading/await.go
@@ -7,14 +7,14 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// glance is what one look at the log has shown.
-type glance struct {
-	at clock.Millis
+// checkResult is what one look at the log has shown.
+type checkResult struct {
+	now clock.Millis
 	// found tells that there is something new, and vouched that the log can vouch.
-	found, vouched bool
-	// next is when to look again if changed is not closed before.
-	next    clock.Millis
-	changed <-chan struct{}
+	found, fresh bool
+	// nextCheck is when to look again if changed is not closed before.
+	nextCheck clock.Millis
+	changed   <-chan struct{}
 }
 
 // await looks, under the lock, until there is something new or the wait is over.
@@ -22,19 +22,19 @@
 func (l *Log) await(ctx context.Context, wait clock.Millis, look func() (bool, error)) error {
 	until := l.clock.Now().Add(wait)
 	for {
-		g, err := l.look(look)
+		g, err := l.checkOnce(look)
 		switch {
 		case err != nil || g.found:
 			return err
-		case g.at >= until && g.vouched:
+		case g.now >= until && g.fresh:
 			return nil
 		}
-		next := g.next
-		if g.vouched {
+		next := g.nextCheck
+		if g.fresh {
 			next = min(until, next)
 		}
 		// One more, since the clock rounds down.
-		timer := time.NewTimer((next.Sub(g.at) + 1).Duration())
+		timer := time.NewTimer((next.Sub(g.now) + 1).Duration())
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -46,24 +46,24 @@
 	}
 }
 
-// look looks once. On a first question the log may become able to vouch; later it
+// checkOnce looks once. On a first question the log may become able to vouch; later it
 // fails where it is not.
-func (l *Log) look(look func() (bool, error)) (glance, error) {
+func (l *Log) checkOnce(look func() (bool, error)) (checkResult, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	g := glance{at: l.clock.Now(), changed: l.changed}
-	if g.at >= l.asked.Add(followedFor) {
-		l.followedSince = g.at
+	g := checkResult{now: l.clock.Now(), changed: l.changed}
+	if g.now >= l.lastRequest.Add(followerTimeout) {
+		l.followedSince = g.now
 	}
-	l.asked = g.at
-	if !l.vouches(g.at) {
-		g.next = l.followedSince.Add(l.vouchSoon)
-		if g.at > g.next {
-			return g, ErrCannotVouch
+	l.lastRequest = g.now
+	if !l.isFresh(g.now) {
+		g.nextCheck = l.followedSince.Add(l.firstRequestWait)
+		if g.now > g.nextCheck {
+			return g, ErrStale
 		}
 		return g, nil
 	}
-	g.vouched, g.next = true, l.known.Answered.Add(l.vouchFor)
+	g.fresh, g.nextCheck = true, l.config.AnsweredAt.Add(l.proofLifetime)
 	var err error
 	g.found, err = look()
 	return g, err
--- a/reading/hubs_test.go
+++ b/reading/hubs_test.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	// wordEvery is how often a node tells of itself, in ms.
-	wordEvery = 300
-	// strongEvery is which nodes have VMs that can do more than the others'.
-	strongEvery = 20
+	// statusInterval is how often a node tells of itself, in ms.
+	statusInterval = 300
+	// strongNodeInterval is which nodes have VMs that can do more than the others'.
+	strongNodeInterval = 20
 )
 
-// crowd is a group of nodes in virtual time, each of which tells those of its circle of
+// nodeGroup is a group of nodes in virtual time, each of which tells those of its circle of
 // itself.
-type crowd struct {
+type nodeGroup struct {
 	names   []string
 	members map[string]*wire.Member
 	rosters map[string]*reading.Roster
-	// heard counts the words that have come to each node.
-	heard map[string]int
-	now   clock.Millis
+	// received counts the words that have come to each node.
+	received map[string]int
+	now      clock.Millis
 }
 
-func newCrowd(nodes int) *crowd {
-	c := &crowd{members: make(map[string]*wire.Member), rosters: make(map[string]*reading.Roster), heard: make(map[string]int)}
+func newNodeGroup(nodes int) *nodeGroup {
+	c := &nodeGroup{members: make(map[string]*wire.Member), rosters: make(map[string]*reading.Roster), received: make(map[string]int)}
 	for i := range nodes {
 		name := fmt.Sprintf("n%04d", i)
 		strength := uint32(2)
-		if i%strongEvery == strongEvery-1 {
+		if i%strongNodeInterval == strongNodeInterval-1 {
 			strength = 32
 		}
 		c.names = append(c.names, name)
@@ -45,7 +45,7 @@
 }
 
 // start starts a node, which knows all others.
-func (c *crowd) start(name string) {
+func (c *nodeGroup) start(name string) {
 	r := reading.NewRoster(c.members[name], c.now, 2000)
 	var others []*wire.Member
 	for _, other := range c.names {
@@ -57,20 +57,20 @@
 	c.rosters[name] = r
 }
 
-// run has all nodes tell of themselves for a time.
-func (c *crowd) run(lasts clock.Millis) {
-	for until := c.now.Add(lasts); c.now < until; c.now = c.now.Add(wordEvery) {
+// exchangeStatuses has all nodes tell of themselves for a time.
+func (c *nodeGroup) exchangeStatuses(lasts clock.Millis) {
+	for until := c.now.Add(lasts); c.now < until; c.now = c.now.Add(statusInterval) {
 		for _, name := range c.names {
 			r := c.rosters[name]
 			if r == nil {
 				continue
 			}
-			circle := r.Circle(c.now)
+			circle := r.Topology(c.now)
 			told := circle.Hubs
-			if circle.Hub {
+			if circle.IsHub {
 				told = append(told, circle.Leaves...)
 			}
-			if circle.Meshed {
+			if circle.FullMesh {
 				told = nil
 				for _, other := range c.names {
 					told = append(told, c.members[other])
@@ -79,7 +79,7 @@
 			for _, m := range told {
 				if to := c.rosters[m.GetName()]; to != nil && m.GetName() != name {
 					to.Heard(c.now, name, true)
-					c.heard[m.GetName()]++
+					c.received[m.GetName()]++
 				}
 			}
 		}
@@ -87,11 +87,11 @@
 }
 
 // hubs returns the names of the nodes that take themselves for hubs.
-func (c *crowd) hubs() []string {
+func (c *nodeGroup) hubs() []string {
 	var hubs []string
 	for _, name := range c.names {
 		if r := c.rosters[name]; r != nil {
-			if circle := r.Circle(c.now); circle.Hub {
+			if circle := r.Topology(c.now); circle.IsHub {
 				hubs = append(hubs, name)
 			}
 		}
@@ -106,8 +106,8 @@
 	const lasts = 4500
 	const perSecond = 1000.0 / lasts
 	for _, nodes := range []int{30, 100, 300, 1000} {
-		c := newCrowd(nodes)
-		c.run(lasts)
+		c := newNodeGroup(nodes)
+		c.exchangeStatuses(lasts)
 		hubs := c.hubs()
 		isHub := make(map[string]bool)
 		for _, hub := range hubs {
@@ -115,10 +115,10 @@
 		}
 		sum, most, leaves := 0, 0, 0
 		for _, name := range c.names {
-			sum += c.heard[name]
+			sum += c.received[name]
 			if !isHub[name] {
 				leaves++
-				most = max(most, c.heard[name])
+				most = max(most, c.received[name])
 			}
 		}
 		if got, want := float64(most)*perSecond, 30.0; got > want {
@@ -136,8 +136,8 @@
 // The nodes whose VMs can do most are the hubs, all nodes know the same, and one of them is
 // followed.
 func TestStrongestNodesAreHubs(t *testing.T) {
-	c := newCrowd(200)
-	c.run(3000)
+	c := newNodeGroup(200)
+	c.exchangeStatuses(3000)
 	for _, hub := range c.hubs() {
 		if got, want := c.members[hub].GetStrength(), uint32(32); got != want {
 			t.Errorf("got hub %s of strength %d, want %d", hub, got, want)
@@ -155,8 +155,8 @@
 // Where hubs are lost others take their places, also where those are lost too, and give them
 // back.
 func TestHubsThatAreLostAreReplaced(t *testing.T) {
-	c := newCrowd(200)
-	c.run(3000)
+	c := newNodeGroup(200)
+	c.exchangeStatuses(3000)
 	before := c.hubs()
 	lost := append([]string(nil), before...)
 	for _, name := range c.names {
@@ -168,7 +168,7 @@
 	for _, name := range lost {
 		c.rosters[name] = nil
 	}
-	c.run(6000)
+	c.exchangeStatuses(6000)
 	after := c.hubs()
 	if len(after) < len(before) {
 		t.Fatalf("got hubs %v, want as many as before: %v", after, before)
@@ -181,7 +181,7 @@
 	for _, name := range lost {
 		c.start(name)
 	}
-	c.run(3000)
+	c.exchangeStatuses(3000)
 	if got := c.hubs(); fmt.Sprint(got) != fmt.Sprint(before) {
 		t.Errorf("got hubs %v, want those of before: %v", got, before)
 	}
--- a/reading/log.go
+++ b/reading/log.go
@@ -18,31 +18,31 @@
 
 // Errors that callers test for with errors.Is.
 var (
-	// ErrCannotVouch means that a node does not know well enough whether it
+	// ErrStale means that a node does not know well enough whether it
 	// knows the newest.
-	ErrCannotVouch = errors.New("reading: cannot vouch for what it knows")
+	ErrStale = errors.New("reading: cannot vouch for what it knows")
 	// ErrBehind means that who asks knows more than the node: a newer configuration, or
 	// the list in a later era of the store. What the node knows proves nothing of that.
 	ErrBehind = errors.New("reading: behind who asks")
 )
 
 const (
-	// keptBatches is how many changes of the list are kept for others. A
+	// maxBatches is how many changes of the list are kept for others. A
 	// follower is at most a wait behind; a busy list changes a few times a
 	// second.
-	keptBatches = 64
-	// followedFor is for how long a node counts as followed after a question:
+	maxBatches = 64
+	// followerTimeout is for how long a node counts as followed after a question:
 	// several waits of its followers.
-	followedFor clock.Millis = 5000
-	// endedTold is for how long answers tell of upstreams that ended without a change at
+	followerTimeout clock.Millis = 5000
+	// endedRetention is for how long answers tell of upstreams that ended without a change at
 	// the store, each time: who asks may have been frozen or cut off meanwhile.
-	endedTold clock.Millis = 60_000
-	// copyShows is for how long after the store's return it may show what this node knows to
+	endedRetention clock.Millis = 60_000
+	// restoreGrace is for how long after the store's return it may show what this node knows to
 	// be over.
-	copyShows = fleet.CopyGrace
-	// endedMissed is for how long a question is answered at once for such an end: some
+	restoreGrace = fleet.RestoreGrace
+	// endedReplay is for how long a question is answered at once for such an end: some
 	// more than a follower's pause between two questions.
-	endedMissed clock.Millis = 700
+	endedReplay clock.Millis = 700
 )
 
 // batch is what one answer of the store has changed in the list.
@@ -51,44 +51,44 @@
 	changes []fleet.Change
 }
 
-// ending is when an upstream was found to be gone, and whether its process has ended for
+// removal is when an upstream was found to be gone, and whether its process has ended for
 // certain.
-type ending struct {
-	at      clock.Millis
-	certain bool
+type removal struct {
+	at           clock.Millis
+	processEnded bool
 }
 
 // Log holds what a node has learnt of the store lately, for the nodes that
 // follow it. It is safe for concurrent use.
 type Log struct {
 	clock *clock.Clock
-	// vouchFor is how old the proof may be that the newest is known, and vouchSoon
+	// proofLifetime is how old the proof may be that the newest is known, and firstRequestWait
 	// for how long a first question may wait for one.
-	vouchFor  clock.Millis
-	vouchSoon clock.Millis
+	proofLifetime    clock.Millis
+	firstRequestWait clock.Millis
 
 	mu sync.Mutex
 	// changed is closed, and replaced, when something has changed.
 	changed chan struct{}
-	// known is the configuration in force.
-	known follow.Known
+	// config is the configuration in force.
+	config follow.PublishedConfig
 	// The list stands in upstreams as of a moment, and its changes are known from floor on;
 	// listed tells whether it is known at all.
-	listed    bool
-	upstreams map[fleet.Incarnation]fleet.Upstream
-	floor     moment.Moment
-	asOf      moment.Moment
-	batches   []batch
-	// returned is when the store has come back from a copy last.
-	returned clock.Millis
-	// token is what the whole list is called, and a new one with each change of it.
-	token uint64
+	hasList      bool
+	upstreams    map[fleet.Incarnation]fleet.Upstream
+	historyStart moment.Moment
+	asOf         moment.Moment
+	batches      []batch
+	// restoredAt is when the store has come back from a copy last.
+	restoredAt clock.Millis
+	// listToken is what the whole list is called, and a new one with each change of it.
+	listToken uint64
 	// ended are upstreams that were found to be gone without a change at the store, by
 	// when.
-	ended map[fleet.Incarnation]ending
-	// asked is when another node last asked, and followedSince when the first did
+	ended map[fleet.Incarnation]removal
+	// lastRequest is when another node last asked, and followedSince when the first did
 	// after a time in which none had.
-	asked         clock.Millis
+	lastRequest   clock.Millis
 	followedSince clock.Millis
 }
 
@@ -98,20 +98,20 @@
 // only now that it reads for others.
 func NewLog(c *clock.Clock, vouchFor, vouchSoon clock.Millis) *Log {
 	return &Log{
-		clock: c, vouchFor: vouchFor, vouchSoon: vouchSoon, changed: make(chan struct{}), known: follow.Known{InForce: follow.InForce{Confirmed: clock.Never}, Answered: clock.Never},
-		returned: clock.Never, token: rand.Uint64(), ended: make(map[fleet.Incarnation]ending), asked: clock.Never, followedSince: clock.Never, upstreams: make(map[fleet.Incarnation]fleet.Upstream),
+		clock: c, proofLifetime: vouchFor, firstRequestWait: vouchSoon, changed: make(chan struct{}), config: follow.PublishedConfig{ActiveConfig: follow.ActiveConfig{Confirmed: clock.Never}, AnsweredAt: clock.Never},
+		restoredAt: clock.Never, listToken: rand.Uint64(), ended: make(map[fleet.Incarnation]removal), lastRequest: clock.Never, followedSince: clock.Never, upstreams: make(map[fleet.Incarnation]fleet.Upstream),
 	}
 }
 
 // SetConfig notes the configuration in force, and when the store has answered last.
-func (l *Log) SetConfig(k follow.Known) {
+func (l *Log) SetConfig(k follow.PublishedConfig) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	news := k.Answered > l.known.Answered || k.Confirmed > l.known.Confirmed || !k.Edition.Same(l.known.Edition)
-	k.Answered = max(k.Answered, l.known.Answered)
-	l.known = k
+	news := k.AnsweredAt > l.config.AnsweredAt || k.Confirmed > l.config.Confirmed || !k.Edition.SameText(l.config.Edition)
+	k.AnsweredAt = max(k.AnsweredAt, l.config.AnsweredAt)
+	l.config = k
 	if news {
-		l.wake()
+		l.notifyWaiters()
 	}
 }
 
@@ -125,12 +125,12 @@
 		l.upstreams[u.ID] = u
 		delete(l.ended, u.ID)
 	}
-	l.listed, l.floor, l.asOf = true, asOf, asOf
+	l.hasList, l.historyStart, l.asOf = true, asOf, asOf
 	l.batches = nil
 	if !maps.Equal(before, l.upstreams) {
-		l.token++
+		l.listToken++
 	}
-	l.wake()
+	l.notifyWaiters()
 }
 
 // AddFleet notes changes of the list up to a moment, of the era in which it stands. They count
@@ -138,7 +138,7 @@
 func (l *Log) AddFleet(asOf moment.Moment, changes []fleet.Change) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.listed || !asOf.SameEra(l.asOf) {
+	if !l.hasList || !asOf.SameEra(l.asOf) {
 		return
 	}
 	l.asOf = moment.Latest(l.asOf, asOf)
@@ -153,13 +153,13 @@
 		l.upstreams[c.ID] = c.Upstream
 		delete(l.ended, c.ID)
 	}
-	l.token++
+	l.listToken++
 	l.batches = append(l.batches, batch{asOf: asOf, changes: changes})
-	if len(l.batches) > keptBatches {
-		l.floor = l.batches[0].asOf
+	if len(l.batches) > maxBatches {
+		l.historyStart = l.batches[0].asOf
 		l.batches = l.batches[1:]
 	}
-	l.wake()
+	l.notifyWaiters()
 }
 
 // AddEnded notes upstreams that are gone although nothing has changed at the store: who
@@ -171,15 +171,15 @@
 	for _, c := range ended {
 		if c.Gone {
 			if _, listed := l.upstreams[c.ID]; listed {
-				l.token++
+				l.listToken++
 			}
 			delete(l.upstreams, c.ID)
-			l.ended[c.ID] = ending{at: now, certain: c.Ended || l.ended[c.ID].certain}
+			l.ended[c.ID] = removal{at: now, processEnded: c.Ended || l.ended[c.ID].processEnded}
 		}
 	}
-	maps.DeleteFunc(l.ended, func(_ fleet.Incarnation, e ending) bool { return now >= e.at.Add(endedTold) })
+	maps.DeleteFunc(l.ended, func(_ fleet.Incarnation, e removal) bool { return now >= e.at.Add(endedRetention) })
 	if len(ended) > 0 {
-		l.wake()
+		l.notifyWaiters()
 	}
 }
 
@@ -188,7 +188,7 @@
 func (l *Log) Returned() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.returned = l.clock.Now()
+	l.restoredAt = l.clock.Now()
 }
 
 // Suspend notes that what the list shows cannot be passed on: the store is, or
@@ -196,31 +196,31 @@
 func (l *Log) Suspend() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.listed {
-		l.listed = false
-		l.wake()
+	if l.hasList {
+		l.hasList = false
+		l.notifyWaiters()
 	}
 }
 
-// wake ends the waits. The caller holds the lock.
-func (l *Log) wake() {
+// notifyWaiters ends the waits. The caller holds the lock.
+func (l *Log) notifyWaiters() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// Followed tells whether other nodes have asked lately.
-func (l *Log) Followed() bool {
+// HasFollowers tells whether other nodes have asked lately.
+func (l *Log) HasFollowers() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.clock.Now() < l.asked.Add(followedFor)
+	return l.clock.Now() < l.lastRequest.Add(followerTimeout)
 }
 
-// Overdue tells whether other nodes wait for a proof that this one does not have.
-func (l *Log) Overdue() bool {
+// NeedsProof tells whether other nodes wait for a proof that this one does not have.
+func (l *Log) NeedsProof() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
-	return now < l.asked.Add(followedFor) && !l.vouches(now)
+	return now < l.lastRequest.Add(followerTimeout) && !l.isFresh(now)
 }
 
 // AwaitConfig returns the configuration in force if it supersedes the one that who asks has, as
@@ -230,18 +230,18 @@
 func (l *Log) AwaitConfig(ctx context.Context, have catalog.Edition, wait clock.Millis) (follow.CatalogReading, error) {
 	var reading follow.CatalogReading
 	var behind bool
-	asked, answered := l.clock.Now(), l.Answered()
+	asked, answered := l.clock.Now(), l.AnsweredAt()
 	err := l.await(ctx, wait, func() (bool, error) {
-		k := l.known
+		k := l.config
 		if behind = have.Supersedes(k.Edition); behind {
 			// A change that who asks has read itself is known here in a moment too.
 			return false, nil
 		}
-		reading = follow.CatalogReading{Edition: k.Edition, Age: asked.Sub(k.Confirmed), AnsweredAge: asked.Sub(k.Answered)}
+		reading = follow.CatalogReading{Edition: k.Edition, Age: asked.Sub(k.Confirmed), AnsweredAge: asked.Sub(k.AnsweredAt)}
 		if k.Edition.Supersedes(have) {
 			reading.Raw = k.Raw
 		}
-		return len(reading.Raw) > 0 || k.Answered > answered, nil
+		return len(reading.Raw) > 0 || k.AnsweredAt > answered, nil
 	})
 	if err == nil && behind {
 		err = ErrBehind
@@ -249,12 +249,12 @@
 	return reading, err
 }
 
-// Answered is when the last call was sent that the store has answered, to this node or to the
+// AnsweredAt is when the last call was sent that the store has answered, to this node or to the
 // one that it follows.
-func (l *Log) Answered() clock.Millis {
+func (l *Log) AnsweredAt() clock.Millis {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.known.Answered
+	return l.config.AnsweredAt
 }
 
 // AwaitFleet returns the changes of the list after a moment, as soon as there
@@ -267,12 +267,12 @@
 	err := l.await(ctx, wait, func() (bool, error) {
 		reading = follow.FleetReading{AsOf: moment.Latest(l.asOf, after)}
 		switch {
-		case !l.listed:
-			return false, ErrCannotVouch
+		case !l.hasList:
+			return false, ErrStale
 		case after.After(l.asOf) && !after.SameEra(l.asOf):
 			return false, ErrBehind
-		case l.floor.After(after), have == 0 && l.clock.Now() < l.returned.Add(copyShows):
-			reading.Whole, reading.Changes, reading.Token = true, l.whole(), l.token
+		case l.historyStart.After(after), have == 0 && l.clock.Now() < l.restoredAt.Add(restoreGrace):
+			reading.Whole, reading.Changes, reading.Token = true, l.fullList(), l.listToken
 			return true, nil
 		}
 		for _, b := range l.batches {
@@ -281,7 +281,7 @@
 			}
 		}
 		news := len(reading.Changes) > 0
-		ended, soon := l.endedSince(asked.Sub(endedMissed))
+		ended, soon := l.endedSince(asked.Sub(endedReplay))
 		reading.Changes = append(reading.Changes, ended...)
 		return news || soon, nil
 	})
@@ -292,14 +292,14 @@
 // it has after a time. The caller holds the lock.
 func (l *Log) endedSince(after clock.Millis) (list []fleet.Change, soon bool) {
 	for _, id := range slices.SortedFunc(maps.Keys(l.ended), fleet.Incarnation.Compare) {
-		list = append(list, fleet.Change{ID: id, Gone: true, Ended: l.ended[id].certain})
+		list = append(list, fleet.Change{ID: id, Gone: true, Ended: l.ended[id].processEnded})
 		soon = soon || l.ended[id].at > after
 	}
 	return list, soon
 }
 
-// whole returns the list as changes from nothing. The caller holds the lock.
-func (l *Log) whole() []fleet.Change {
+// fullList returns the list as changes from nothing. The caller holds the lock.
+func (l *Log) fullList() []fleet.Change {
 	list := make([]fleet.Change, 0, len(l.upstreams))
 	for _, id := range slices.SortedFunc(maps.Keys(l.upstreams), fleet.Incarnation.Compare) {
 		list = append(list, fleet.Change{ID: id, Upstream: l.upstreams[id]})
@@ -307,5 +307,5 @@
 	return list
 }
 
-// vouches tells whether the store has answered recently enough. The caller holds the lock.
-func (l *Log) vouches(now clock.Millis) bool { return now <= l.known.Answered.Add(l.vouchFor) }
+// isFresh tells whether the store has answered recently enough. The caller holds the lock.
+func (l *Log) isFresh(now clock.Millis) bool { return now <= l.config.AnsweredAt.Add(l.proofLifetime) }
