--- a/reading/log_test.go
+++ b/reading/log_test.go
@@ -20,20 +20,20 @@
 	"github.com/hoistjunction/hoistjunction/reading"
 )
 
-// vouchFor is long enough for these tests not to depend on it; proofs that are
+// proofLifetime is long enough for these tests not to depend on it; proofs that are
 // too old are made so by when they count from.
 const (
-	vouchFor  clock.Millis = 600_000
-	tooOld    clock.Millis = -700_000
-	longWait  clock.Millis = 500_000
-	vouchSoon clock.Millis = 1000
+	testProofLifetime    clock.Millis = 600_000
+	staleTime            clock.Millis = -700_000
+	longWait             clock.Millis = 500_000
+	testFirstRequestWait clock.Millis = 1000
 )
 
 func at(revision uint64) moment.Moment { return moment.At(0, revision) }
 
-// known is a configuration that is in force, and that the store has shown last at a time.
-func known(text string, answered clock.Millis) follow.Known {
-	return follow.Known{InForce: follow.InForce{Edition: edition(text), Raw: []byte(text), Confirmed: answered}, Answered: answered}
+// configState is a configuration that is in force, and that the store has shown last at a time.
+func configState(text string, answered clock.Millis) follow.PublishedConfig {
+	return follow.PublishedConfig{ActiveConfig: follow.ActiveConfig{Edition: edition(text), Raw: []byte(text), Confirmed: answered}, AnsweredAt: answered}
 }
 
 // edition is that of a text of the form vVERSION.
@@ -45,25 +45,27 @@
 	return catalog.NewEdition(version, []byte(text), at(version))
 }
 
-func gone(id fleet.ID) []fleet.Change { return []fleet.Change{{ID: fleet.Undated(id), Gone: true}} }
+func removed(id fleet.ID) []fleet.Change {
+	return []fleet.Change{{ID: fleet.IncarnationByID(id), Gone: true}}
+}
 
 // newLog returns a log that knows a configuration and the list.
 func newLog(t *testing.T) *reading.Log {
 	t.Helper()
-	l := reading.NewLog(clocktest.NewClock(), vouchFor, vouchSoon)
-	l.SetConfig(known("v1", 0))
+	l := reading.NewLog(clocktest.NewClock(), testProofLifetime, testFirstRequestWait)
+	l.SetConfig(configState("v1", 0))
 	l.SetFleet(at(10), nil)
 	return l
 }
 
-// follower is a source that follows a log over HTTP.
-func follower(t *testing.T, l *reading.Log) *reading.Source {
+// newSource is a source that follows a log over HTTP.
+func newSource(t *testing.T, l *reading.Log) *reading.Source {
 	t.Helper()
 	mux := http.NewServeMux()
 	mux.Handle(reading.Handler(l, func(string) {}))
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
-	return reading.NewSource(server.Client(), server.Listener.Addr().String(), "", vouchSoon)
+	return reading.NewSource(server.Client(), server.Listener.Addr().String(), "", testFirstRequestWait)
 }
 
 func TestAwaitConfig(t *testing.T) {
@@ -80,7 +82,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			got, err := follower(t, newLog(t)).AwaitCatalog(context.Background(), tt.have, 0)
+			got, err := newSource(t, newLog(t)).AwaitCatalog(context.Background(), tt.have, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -99,7 +101,7 @@
 	mux.Handle(reading.Handler(newLog(t), func(address string) { asked = append(asked, address) }))
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
-	source := reading.NewSource(server.Client(), server.Listener.Addr().String(), "here:1", vouchSoon)
+	source := reading.NewSource(server.Client(), server.Listener.Addr().String(), "here:1", testFirstRequestWait)
 	_, err := source.AwaitCatalog(t.Context(), edition("v2"), 0)
 	var failure *connect.Error
 	if !errors.As(err, &failure) || failure.Code() != connect.CodeUnavailable {
@@ -115,11 +117,11 @@
 // proof that there was.
 func TestStoreMayShowLessThanIsInForce(t *testing.T) {
 	c := clocktest.NewClock()
-	l := reading.NewLog(c, vouchFor, vouchSoon)
-	k := known("v2", c.Now())
+	l := reading.NewLog(c, testProofLifetime, testFirstRequestWait)
+	k := configState("v2", c.Now())
 	k.Confirmed = c.Now() - 5000
 	l.SetConfig(k)
-	got, err := follower(t, l).AwaitCatalog(t.Context(), edition("v1"), 0)
+	got, err := newSource(t, l).AwaitCatalog(t.Context(), edition("v1"), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -131,9 +133,9 @@
 // The answer tells how old the proof is, so that the asker can count it from
 // when it asked.
 func TestAwaitConfigTellsTheAge(t *testing.T) {
-	l := reading.NewLog(clocktest.NewClock(), vouchFor, vouchSoon)
-	l.SetConfig(known("v1", -5000))
-	got, err := follower(t, l).AwaitCatalog(context.Background(), edition("v1"), 0)
+	l := reading.NewLog(clocktest.NewClock(), testProofLifetime, testFirstRequestWait)
+	l.SetConfig(configState("v1", -5000))
+	got, err := newSource(t, l).AwaitCatalog(context.Background(), edition("v1"), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +146,7 @@
 
 func TestAwaitEndsWithAChange(t *testing.T) {
 	l := newLog(t)
-	source := follower(t, l)
+	source := newSource(t, l)
 	type answer struct {
 		raw string
 		id  string
@@ -163,8 +165,8 @@
 		}
 		answers <- a
 	}()
-	l.SetConfig(known("v2", 1))
-	l.AddFleet(at(12), gone("u1"))
+	l.SetConfig(configState("v2", 1))
+	l.AddFleet(at(12), removed("u1"))
 	raw, id := "", ""
 	for range 2 {
 		a := <-answers
@@ -180,15 +182,15 @@
 
 func TestAwaitFleet(t *testing.T) {
 	l := newLog(t)
-	l.AddFleet(at(11), gone("u1"))
+	l.AddFleet(at(11), removed("u1"))
 	l.AddFleet(at(12), nil)
-	l.AddFleet(at(13), gone("u2"))
+	l.AddFleet(at(13), removed("u2"))
 	tests := []struct {
 		after uint64
 		want  int
 	}{{10, 2}, {11, 1}, {12, 1}, {13, 0}}
 	for _, tt := range tests {
-		got, err := follower(t, l).AwaitUpstreams(context.Background(), at(tt.after), 0)
+		got, err := newSource(t, l).AwaitUpstreams(context.Background(), at(tt.after), 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -200,20 +202,20 @@
 
 // A node answers for nothing that it does not know well enough.
 func TestLogThatCannotVouch(t *testing.T) {
-	old := reading.NewLog(clocktest.NewClock(), vouchFor, vouchSoon)
-	old.SetConfig(known("v1", tooOld))
+	old := reading.NewLog(clocktest.NewClock(), testProofLifetime, testFirstRequestWait)
+	old.SetConfig(configState("v1", staleTime))
 	old.SetFleet(at(10), nil)
 	suspended := newLog(t)
 	suspended.Suspend()
-	unlisted := reading.NewLog(clocktest.NewClock(), vouchFor, vouchSoon)
-	unlisted.SetConfig(known("v1", 0))
+	unlisted := reading.NewLog(clocktest.NewClock(), testProofLifetime, testFirstRequestWait)
+	unlisted.SetConfig(configState("v1", 0))
 	tests := []struct {
 		name   string
 		log    *reading.Log
 		config bool
 		want   connect.Code
 	}{
-		{"nothing known", reading.NewLog(clocktest.NewClock(), vouchFor, vouchSoon), true, connect.CodeUnavailable},
+		{"nothing known", reading.NewLog(clocktest.NewClock(), testProofLifetime, testFirstRequestWait), true, connect.CodeUnavailable},
 		{"the proof is too old", old, true, connect.CodeUnavailable},
 		{"the proof is too old for the list", old, false, connect.CodeUnavailable},
 		{"around an outage", suspended, false, connect.CodeUnavailable},
@@ -221,7 +223,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			source := follower(t, tt.log)
+			source := newSource(t, tt.log)
 			var err error
 			if tt.config {
 				_, err = source.AwaitCatalog(context.Background(), catalog.Edition{}, longWait)
@@ -245,8 +247,8 @@
 		failed <- err
 	}()
 	l.Suspend()
-	if got := <-failed; !errors.Is(got, reading.ErrCannotVouch) {
-		t.Errorf("got error %v, want %v", got, reading.ErrCannotVouch)
+	if got := <-failed; !errors.Is(got, reading.ErrStale) {
+		t.Errorf("got error %v, want %v", got, reading.ErrStale)
 	}
 }
 
@@ -255,13 +257,13 @@
 	l := newLog(t)
 	const many = 100
 	for i := range uint64(many) {
-		l.AddFleet(at(11+i), gone("u"))
+		l.AddFleet(at(11+i), removed("u"))
 	}
-	l.AddFleet(at(11+many), []fleet.Change{{ID: fleet.Undated("u1"), Upstream: fleet.Upstream{ID: fleet.Undated("u1")}}})
-	source := follower(t, l)
+	l.AddFleet(at(11+many), []fleet.Change{{ID: fleet.IncarnationByID("u1"), Upstream: fleet.Upstream{ID: fleet.IncarnationByID("u1")}}})
+	source := newSource(t, l)
 	for _, after := range []uint64{0, 10} {
 		got, err := source.AwaitUpstreams(context.Background(), at(after), 0)
-		if err != nil || !got.Whole || len(got.Changes) != 1 || got.Changes[0].ID != fleet.Undated("u1") {
+		if err != nil || !got.Whole || len(got.Changes) != 1 || got.Changes[0].ID != fleet.IncarnationByID("u1") {
 			t.Errorf("after %d: got whole=%v, %v and error %v, want u1 alone as the whole", after, got.Whole, got.Changes, err)
 		}
 	}
@@ -275,15 +277,15 @@
 // wait until it can vouch; later ones fail at once where it cannot.
 func TestFirstQuestionsWaitForAProof(t *testing.T) {
 	c := clocktest.NewClock()
-	l := reading.NewLog(c, vouchFor, vouchSoon)
-	l.SetConfig(known("v1", tooOld))
+	l := reading.NewLog(c, testProofLifetime, testFirstRequestWait)
+	l.SetConfig(configState("v1", staleTime))
 	got := make(chan error, 1)
 	go func() {
 		_, err := l.AwaitConfig(context.Background(), edition("v1"), 0)
 		got <- err
 	}()
-	if err := <-got; !errors.Is(err, reading.ErrCannotVouch) {
-		t.Errorf("got error %v from a question without patience, want %v", err, reading.ErrCannotVouch)
+	if err := <-got; !errors.Is(err, reading.ErrStale) {
+		t.Errorf("got error %v from a question without patience, want %v", err, reading.ErrStale)
 	}
 	go func() {
 		reading, err := l.AwaitConfig(context.Background(), catalog.Edition{}, longWait)
@@ -292,7 +294,7 @@
 		}
 		got <- err
 	}()
-	l.SetConfig(known("v1", c.Now()))
+	l.SetConfig(configState("v1", c.Now()))
 	if err := <-got; err != nil {
 		t.Errorf("got error %v from a first question, want none", err)
 	}
@@ -303,8 +305,8 @@
 // does.
 func TestAgeCountsFromTheQuestion(t *testing.T) {
 	c := clocktest.NewClock()
-	l := reading.NewLog(c, vouchFor, vouchSoon)
-	l.SetConfig(known("v1", c.Now()-500))
+	l := reading.NewLog(c, testProofLifetime, testFirstRequestWait)
+	l.SetConfig(configState("v1", c.Now()-500))
 	asked := make(chan struct{})
 	got := make(chan follow.CatalogReading, 1)
 	go func() {
@@ -317,7 +319,7 @@
 		got <- reading
 	}()
 	<-asked
-	l.SetConfig(known("v2", c.Now()+300_000))
+	l.SetConfig(configState("v2", c.Now()+300_000))
 	if reading := <-got; reading.Age > 0 {
 		t.Errorf("got age %d, want none or a negative one", reading.Age)
 	}
@@ -337,12 +339,12 @@
 		}
 		return r
 	}
-	listed := []fleet.Change{{ID: fleet.Undated("u1"), Upstream: fleet.Upstream{ID: fleet.Undated("u1")}}}
+	listed := []fleet.Change{{ID: fleet.IncarnationByID("u1"), Upstream: fleet.Upstream{ID: fleet.IncarnationByID("u1")}}}
 	l.AddFleet(at(12), listed)
 	if got := await(12); len(got.Changes) != 0 {
 		t.Fatalf("got %+v at the newest revision, want no change", got)
 	}
-	l.AddEnded(gone("u1"))
+	l.AddEnded(removed("u1"))
 	for range 2 {
 		if got := await(12); len(got.Changes) != 1 || !got.Changes[0].Gone || got.AsOf != at(12) {
 			t.Errorf("got %+v, want the end of u1 at revision 12 whenever it is asked for", got)
@@ -359,8 +361,8 @@
 func TestListOfAnotherEra(t *testing.T) {
 	l := newLog(t)
 	l.SetFleet(moment.At(2, 5), nil)
-	l.AddFleet(moment.At(1, 99), gone("u1"))
-	l.AddFleet(moment.At(2, 6), gone("u2"))
+	l.AddFleet(moment.At(1, 99), removed("u1"))
+	l.AddFleet(moment.At(2, 6), removed("u2"))
 	tests := []struct {
 		name  string
 		after moment.Moment
@@ -385,9 +387,9 @@
 // has left, though the copy does not show it.
 func TestWhoHasReadACopyIsToldWhatIsRemembered(t *testing.T) {
 	l := newLog(t)
-	l.SetFleet(moment.At(2, 5), []fleet.Upstream{{ID: fleet.Undated("u1"), Leaving: true}})
+	l.SetFleet(moment.At(2, 5), []fleet.Upstream{{ID: fleet.IncarnationByID("u1"), Leaving: true}})
 	l.Returned()
-	source := follower(t, l)
+	source := newSource(t, l)
 	first, err := source.AwaitUpstreams(t.Context(), moment.At(2, 5), 0)
 	if err != nil {
 		t.Fatal(err)
--- a/reading/roster_test.go
+++ b/reading/roster_test.go
@@ -12,11 +12,11 @@
 func TestRosterScripts(t *testing.T) {
 	script.Run(t, "testdata", func(t *testing.T) func(script.Step) []string {
 		roster := reading.NewRoster(&wire.Member{Name: "n3"}, 0, 2000)
-		return func(s script.Step) []string { return playRoster(t, roster, s) }
+		return func(s script.Step) []string { return runStep(t, roster, s) }
 	})
 }
 
-func playRoster(t *testing.T, r *reading.Roster, s script.Step) []string {
+func runStep(t *testing.T, r *reading.Roster, s script.Step) []string {
 	now := clock.Millis(s.Int("at", 0))
 	switch s.Verb {
 	case "near":
@@ -31,27 +31,27 @@
 		}
 	case "failed":
 		for _, name := range s.Words {
-			r.Failed(now, name)
+			r.ReaderFailed(now, name)
 		}
 	case "away":
 		r.StoreLost(now)
 	case "back":
-		r.StoreBack(now)
+		r.StoreRecovered(now)
 	case "reader":
-		return []string{readerOf(r, now, s.Named["asked"] != "")}
+		return []string{readerName(r, now, s.Named["asked"] != "")}
 	default:
 		t.Fatalf("line %d: no verb %q", s.Line, s.Verb)
 	}
 	return nil
 }
 
-func readerOf(r *reading.Roster, now clock.Millis, asked bool) string {
+func readerName(r *reading.Roster, now clock.Millis, asked bool) string {
 	switch m := r.Reader(now); {
 	case m != nil:
 		return m.GetName()
-	case r.Waits(now, asked):
+	case r.ShouldWait(now, asked):
 		return "leaves it to others"
-	case asked || r.Reads(now):
+	case asked || r.IsReader(now):
 		return "itself for all"
 	default:
 		return "itself alone"
--- a/reading/server.go
+++ b/reading/server.go
@@ -14,46 +14,46 @@
 	"github.com/hoistjunction/hoistjunction/wire/wireconnect"
 )
 
-// longestWait bounds a wait that another node asks for.
-const longestWait clock.Millis = 10_000
+// maxWait bounds a wait that another node asks for.
+const maxWait clock.Millis = 10_000
 
 // server answers other nodes from a log. It implements
 // wireconnect.ReadingHandler.
 type server struct {
-	log    *Log
-	behind func(address string)
+	log      *Log
+	onBehind func(address string)
 }
 
 // Handler serves a log to other nodes, at the path that it returns. Behind is told the address
 // of a node that has asked and knows a newer configuration.
 func Handler(l *Log, behind func(address string)) (path string, handler http.Handler) {
-	return wireconnect.NewReadingHandler(server{log: l, behind: behind}, connect.WithConditionalHandlerOptions(compression))
+	return wireconnect.NewReadingHandler(server{log: l, onBehind: behind}, connect.WithConditionalHandlerOptions(listHandlerOptions))
 }
 
-// compression leaves the list of upstreams as it is: it goes to hundreds of nodes that start
+// listHandlerOptions leaves the list of upstreams as it is: it goes to hundreds of nodes that start
 // together, and to compress it takes ten times the processor that it takes to encode it.
-func compression(spec connect.Spec) []connect.HandlerOption {
+func listHandlerOptions(spec connect.Spec) []connect.HandlerOption {
 	if spec.Procedure == wireconnect.ReadingAwaitFleetProcedure {
 		return []connect.HandlerOption{connect.WithCompression("gzip", nil, nil)}
 	}
 	return nil
 }
 
-// errNamesNoEdition means that who asks counts changes in revisions alone, which stand for
+// errMissingEdition means that who asks counts changes in revisions alone, which stand for
 // something else once the store has come back from a copy.
-var errNamesNoEdition = errors.Wrap(ErrCannotVouch, "reading: a question without an edition")
+var errMissingEdition = errors.Wrap(ErrStale, "reading: a question without an edition")
 
 // AwaitConfig implements wireconnect.ReadingHandler.
 func (s server) AwaitConfig(ctx context.Context, req *connect.Request[wire.AwaitConfigRequest]) (*connect.Response[wire.AwaitConfigResponse], error) {
 	if req.Msg.GetHave() == nil {
-		return nil, asConnect(errNamesNoEdition)
+		return nil, toConnectError(errMissingEdition)
 	}
-	reading, err := s.log.AwaitConfig(ctx, momentwire.EditionOf(req.Msg.GetHave()), boundedWait(req.Msg.GetWaitMs()))
+	reading, err := s.log.AwaitConfig(ctx, momentwire.EditionOf(req.Msg.GetHave()), clampWait(req.Msg.GetWaitMs()))
 	if errors.Is(err, ErrBehind) {
-		s.behind(req.Msg.GetAddress())
+		s.onBehind(req.Msg.GetAddress())
 	}
 	if err != nil {
-		return nil, asConnect(err)
+		return nil, toConnectError(err)
 	}
 	return connect.NewResponse(&wire.AwaitConfigResponse{
 		Edition: momentwire.Edition(reading.Edition), AgeMs: int64(reading.Age), AnsweredAgeMs: int64(reading.AnsweredAge), Config: reading.Raw,
@@ -62,9 +62,9 @@
 
 // AwaitFleet implements wireconnect.ReadingHandler.
 func (s server) AwaitFleet(ctx context.Context, req *connect.Request[wire.AwaitFleetRequest]) (*connect.Response[wire.AwaitFleetResponse], error) {
-	reading, err := s.log.AwaitFleet(ctx, momentwire.MomentOf(req.Msg.GetAfter()), req.Msg.GetHave(), boundedWait(req.Msg.GetWaitMs()))
+	reading, err := s.log.AwaitFleet(ctx, momentwire.MomentOf(req.Msg.GetAfter()), req.Msg.GetHave(), clampWait(req.Msg.GetWaitMs()))
 	if err != nil {
-		return nil, asConnect(err)
+		return nil, toConnectError(err)
 	}
 	answer := &wire.AwaitFleetResponse{AsOf: momentwire.Moment(reading.AsOf), Whole: reading.Whole, Token: reading.Token}
 	if reading.Whole && reading.Token == req.Msg.GetHave() {
@@ -77,11 +77,11 @@
 	return connect.NewResponse(answer), nil
 }
 
-func boundedWait(ms int64) clock.Millis { return min(max(clock.Millis(ms), 0), longestWait) }
+func clampWait(ms int64) clock.Millis { return min(max(clock.Millis(ms), 0), maxWait) }
 
-func asConnect(err error) error {
+func toConnectError(err error) error {
 	switch {
-	case errors.Is(err, ErrCannotVouch), errors.Is(err, ErrBehind):
+	case errors.Is(err, ErrStale), errors.Is(err, ErrBehind):
 		return connect.NewError(connect.CodeUnavailable, err)
 	default:
 		return err
--- a/reading/source.go
+++ b/reading/source.go
@@ -21,53 +21,53 @@
 
 // Source follows another node's log. It implements follow.Reader.
 type Source struct {
-	client wireconnect.ReadingClient
-	http   *http.Client
-	// vouchSoon is for how long the node may let a first question wait.
-	vouchSoon clock.Millis
-	// self is where this node answers questions.
-	self string
+	client     wireconnect.ReadingClient
+	httpClient *http.Client
+	// firstRequestWait is for how long the node may let a first question wait.
+	firstRequestWait clock.Millis
+	// selfAddress is where this node answers questions.
+	selfAddress string
 
 	mu sync.Mutex
-	// whole is the whole list that the node has told last.
-	whole follow.FleetReading
+	// lastFullList is the whole list that the node has told last.
+	lastFullList follow.FleetReading
 }
 
 // NewSource returns a source that follows the node at an address, which may let a first
 // question wait for a time. Self is where this node answers questions.
 func NewSource(client *http.Client, address, self string, vouchSoon clock.Millis) *Source {
-	return &Source{client: wireconnect.NewReadingClient(client, "http://"+address), http: client, self: self, vouchSoon: vouchSoon}
+	return &Source{client: wireconnect.NewReadingClient(client, "http://"+address), httpClient: client, selfAddress: self, firstRequestWait: vouchSoon}
 }
 
-// limit is how long a call may take. A first question to a node has no wait of its own.
-func (s *Source) limit(wait clock.Millis) time.Duration {
+// callTimeout is how long a call may take. A first question to a node has no wait of its own.
+func (s *Source) callTimeout(wait clock.Millis) time.Duration {
 	if wait == 0 {
-		wait = s.vouchSoon
+		wait = s.firstRequestWait
 	}
 	return (wait + follow.ReaderMargin).Duration()
 }
 
-// failed takes a call that failed. Where it brought no answer, other connections that
+// handleError takes a call that failed. Where it brought no answer, other connections that
 // were open may be as silent as its own, so none of them is used again.
-func (s *Source) failed(err error, what string) error {
+func (s *Source) handleError(err error, what string) error {
 	err = errors.Wrap(err, what)
 	if connect.IsWireError(err) {
 		return err
 	}
-	s.http.CloseIdleConnections()
-	return follow.MarkSilent(err)
+	s.httpClient.CloseIdleConnections()
+	return follow.MarkNoAnswer(err)
 }
 
 // AwaitCatalog implements follow.Reader.
 func (s *Source) AwaitCatalog(ctx context.Context, have catalog.Edition, wait clock.Millis) (follow.CatalogReading, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.limit(wait))
+	ctx, cancel := context.WithTimeout(ctx, s.callTimeout(wait))
 	defer cancel()
-	resp, err := s.client.AwaitConfig(ctx, connect.NewRequest(&wire.AwaitConfigRequest{Have: momentwire.Edition(have), WaitMs: int64(wait), Address: s.self}))
+	resp, err := s.client.AwaitConfig(ctx, connect.NewRequest(&wire.AwaitConfigRequest{Have: momentwire.Edition(have), WaitMs: int64(wait), Address: s.selfAddress}))
 	if err != nil {
-		return follow.CatalogReading{}, s.failed(err, "reading: configuration")
+		return follow.CatalogReading{}, s.handleError(err, "reading: configuration")
 	}
 	if resp.Msg.GetEdition() == nil {
-		return follow.CatalogReading{}, errNamesNoEdition
+		return follow.CatalogReading{}, errMissingEdition
 	}
 	edition := momentwire.EditionOf(resp.Msg.GetEdition())
 	return follow.CatalogReading{
@@ -78,15 +78,15 @@
 
 // AwaitUpstreams implements follow.Reader.
 func (s *Source) AwaitUpstreams(ctx context.Context, after moment.Moment, wait clock.Millis) (follow.FleetReading, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.limit(wait))
+	ctx, cancel := context.WithTimeout(ctx, s.callTimeout(wait))
 	defer cancel()
-	had := s.had()
+	had := s.previousList()
 	resp, err := s.client.AwaitFleet(ctx, connect.NewRequest(&wire.AwaitFleetRequest{After: momentwire.Moment(after), WaitMs: int64(wait), Have: had.Token}))
 	if err != nil {
-		return follow.FleetReading{}, s.failed(err, "reading: list of upstreams")
+		return follow.FleetReading{}, s.handleError(err, "reading: list of upstreams")
 	}
 	if resp.Msg.GetAsOf() == nil {
-		return follow.FleetReading{}, errNamesNoEdition
+		return follow.FleetReading{}, errMissingEdition
 	}
 	reading := follow.FleetReading{AsOf: momentwire.MomentOf(resp.Msg.GetAsOf()), Whole: resp.Msg.GetWhole(), Token: resp.Msg.GetToken()}
 	if resp.Msg.GetSame() && had.Token != 0 && reading.Token == had.Token {
@@ -96,22 +96,22 @@
 	for _, c := range resp.Msg.GetChanges() {
 		reading.Changes = append(reading.Changes, fleetwire.ChangeOf(c))
 	}
-	s.keep(reading)
+	s.storeFullList(reading)
 	return reading, nil
 }
 
-// had returns the whole list that the node has told last. Followers ask for the whole list
+// previousList returns the whole list that the node has told last. Followers ask for the whole list
 // again and again while entries may come back, and it seldom changes meanwhile.
-func (s *Source) had() follow.FleetReading {
+func (s *Source) previousList() follow.FleetReading {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.whole
+	return s.lastFullList
 }
 
-func (s *Source) keep(reading follow.FleetReading) {
+func (s *Source) storeFullList(reading follow.FleetReading) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if reading.Whole {
-		s.whole = reading
+		s.lastFullList = reading
 	}
 }
--- a/reading/view.go
+++ b/reading/view.go
@@ -7,131 +7,131 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// view is how the group stands.
-type view struct {
+// groupState is how the group stands.
+type groupState struct {
 	// nodes is how many there are, this one included.
 	nodes int
-	// first is the first by rank that may be followed, empty for none; of those that
+	// reader is the first by rank that may be followed, empty for none; of those that
 	// have the store again only where there is no other. It is this node where it has
 	// not lost the store and no other comes before it.
-	first string
-	// before is how many of those that may not be followed come before this node by
+	reader string
+	// nodesAhead is how many of those that may not be followed come before this node by
 	// rank.
-	before int
-	// refused is how many have failed this node lately.
-	refused int
+	nodesAhead int
+	// failedReaders is how many have failed this node lately.
+	failedReaders int
 }
 
-// view looks at the group, and notes since when there has been nobody to follow.
+// groupState looks at the group, and notes since when there has been nobody to follow.
 // The caller holds the lock.
-func (r *Roster) view(now clock.Millis) view {
-	r.forgetRefused(now)
+func (r *Roster) groupState(now clock.Millis) groupState {
+	r.expireBackoffs(now)
 	v := r.survey(now)
-	if v.refused >= mostRefused && !r.away {
-		v.first = r.self.GetName()
+	if v.failedReaders >= maxFailedReaders && !r.storeLost {
+		v.reader = r.self.GetName()
 	}
-	r.noteSince(now, v)
+	r.updateTimers(now, v)
 	return v
 }
 
 // survey counts the nodes of the group, and finds the first that may be followed. The
 // caller holds the lock.
-func (r *Roster) survey(now clock.Millis) view {
-	v := view{nodes: 1}
+func (r *Roster) survey(now clock.Millis) groupState {
+	v := groupState{nodes: 1}
 	var sure, doubtful string
 	offer := func(name string, doubtedUntil clock.Millis) {
 		if now < doubtedUntil {
-			doubtful = r.firstOf(doubtful, name)
+			doubtful = r.higherRanked(doubtful, name)
 		} else {
-			sure = r.firstOf(sure, name)
+			sure = r.higherRanked(sure, name)
 		}
 	}
-	if !r.away {
-		offer(r.self.GetName(), r.doubtedUntil)
+	if !r.storeLost {
+		offer(r.self.GetName(), r.recoveringUntil)
 	}
-	for name, h := range r.heard {
-		if now > h.at.Add(heardWithin) {
-			delete(r.heard, name)
+	for name, h := range r.statuses {
+		if now > h.receivedAt.Add(statusTimeout) {
+			delete(r.statuses, name)
 			continue
 		}
 		if r.group[name] == nil {
 			continue
 		}
 		v.nodes++
-		refused := r.refuses(now, name)
+		refused := r.inBackoff(now, name)
 		switch {
 		case h.followable && !refused:
-			offer(name, h.doubtedUntil)
+			offer(name, h.recoveringUntil)
 		case r.ranks[name] < r.ranks[r.self.GetName()]:
-			v.before++
+			v.nodesAhead++
 		}
 		if refused {
-			v.refused++
+			v.failedReaders++
 		}
 	}
-	v.first = cmp.Or(sure, doubtful)
-	if r.meshed() {
+	v.reader = cmp.Or(sure, doubtful)
+	if r.fullMesh() {
 		return v
 	}
 	// Only the hubs are heard here, or hear all.
 	v.nodes = len(r.ranked)
 	if !slices.Contains(r.hubs(now), r.self.GetName()) {
-		v.before = max(v.before, firstToTry)
+		v.nodesAhead = max(v.nodesAhead, probingNodes)
 	}
 	return v
 }
 
-// firstOf returns the first by rank of two nodes; an empty name is none.
-func (r *Roster) firstOf(a, b string) string {
+// higherRanked returns the first by rank of two nodes; an empty name is none.
+func (r *Roster) higherRanked(a, b string) string {
 	if a == "" || r.ranks[b] < r.ranks[a] {
 		return b
 	}
 	return a
 }
 
-// noteSince notes since when there are enough nodes, and since when there has been nobody
+// updateTimers notes since when there are enough nodes, and since when there has been nobody
 // to follow. The caller holds the lock.
-func (r *Roster) noteSince(now clock.Millis, v view) {
+func (r *Roster) updateTimers(now clock.Millis, v groupState) {
 	switch {
-	case v.nodes < FewestNodes:
-		r.grouped = clock.Never
-	case r.grouped == clock.Never:
-		r.grouped = now
+	case v.nodes < MinNodes:
+		r.enoughSince = clock.Never
+	case r.enoughSince == clock.Never:
+		r.enoughSince = now
 	}
-	led := v.first != "" && v.first != r.self.GetName()
+	led := v.reader != "" && v.reader != r.self.GetName()
 	switch {
 	case led:
-		r.unledSince = clock.Never
-	case r.unledSince == clock.Never:
-		r.unledSince = now
+		r.noReaderSince = clock.Never
+	case r.noReaderSince == clock.Never:
+		r.noReaderSince = now
 	}
 }
 
-// refuses tells whether a node is not followed for now since it has failed this one. The
+// inBackoff tells whether a node is not followed for now since it has failed this one. The
 // caller holds the lock.
-func (r *Roster) refuses(now clock.Millis, name string) bool {
-	until, ok := r.refused[name]
-	if r.away {
-		until = until.Sub(settle).Add(refusedAway)
+func (r *Roster) inBackoff(now clock.Millis, name string) bool {
+	until, ok := r.backoffUntil[name]
+	if r.storeLost {
+		until = until.Sub(settleTime).Add(backoffStoreLost)
 	}
 	return ok && now < until
 }
 
-// alone tells whether there are too few nodes for one to read for all.
-func (r *Roster) alone(v view) bool { return v.nodes < FewestNodes }
+// tooFewNodes tells whether there are too few nodes for one to read for all.
+func (r *Roster) tooFewNodes(v groupState) bool { return v.nodes < MinNodes }
 
-// turn is from when on this node tries the store while there is nobody to follow.
-func (r *Roster) turn(v view) clock.Millis {
-	return max(r.turnByRank(v), r.grouped.Add(claimAfter))
+// probeTime is from when on this node tries the store while there is nobody to follow.
+func (r *Roster) probeTime(v groupState) clock.Millis {
+	return max(r.probeTimeByRank(v), r.enoughSince.Add(claimDelay))
 }
 
-func (r *Roster) turnByRank(v view) clock.Millis {
-	since := r.unledSince
-	if len(r.refused) > 0 {
+func (r *Roster) probeTimeByRank(v groupState) clock.Millis {
+	since := r.noReaderSince
+	if len(r.backoffUntil) > 0 {
 		since = min(since, r.failedSince)
 	}
-	if v.before >= firstToTry {
-		return since.Add(r.patience)
+	if v.nodesAhead >= probingNodes {
+		return since.Add(r.failoverWait)
 	}
-	return since.Add(min(clock.Millis(v.before)*turnEvery, r.patience))
+	return since.Add(min(clock.Millis(v.nodesAhead)*probeInterval, r.failoverWait))
 }
--- a/reading/whole_test.go
+++ b/reading/whole_test.go
@@ -30,7 +30,7 @@
 		l := newLog(t)
 		var list []fleet.Upstream
 		for i := range upstreams {
-			id := fleet.Undated(fleet.ID(fmt.Sprintf("u%04d", i)))
+			id := fleet.IncarnationByID(fleet.ID(fmt.Sprintf("u%04d", i)))
 			list = append(list, fleet.Upstream{ID: id, Service: "writer", Address: "10.0.0.1:80", DataCentre: "a"})
 		}
 		l.SetFleet(at(10), list)
@@ -41,7 +41,7 @@
 			mux.ServeHTTP(countedWriter{w, &bytes}, r)
 		}))
 		t.Cleanup(server.Close)
-		f := reading.NewSource(server.Client(), server.Listener.Addr().String(), "", vouchSoon)
+		f := reading.NewSource(server.Client(), server.Listener.Addr().String(), "", testFirstRequestWait)
 		ask := func(want int) int64 {
 			t.Helper()
 			before := bytes.Load()
--- a/record/transcript.go
+++ b/record/transcript.go
@@ -109,7 +109,7 @@
 	if _, ended := t.finals[cmd.Caller]; ended {
 		t.fault("caller %d was given two final words", cmd.Caller)
 	}
-	if cmd.Outcome == outcome.NotRun && t.out[cmd.Caller] {
+	if cmd.Outcome == outcome.NotExecuted && t.out[cmd.Caller] {
 		t.fault("caller %d was told \"not run\" while its request was out at an upstream", cmd.Caller)
 	}
 	t.finals[cmd.Caller] = finalWord{at: at, finish: *cmd}
--- a/work/id.go
+++ b/work/id.go
@@ -13,16 +13,16 @@
 // a cryptographic hash: two requests with the same name are the same.
 const size = 16
 
-// inLogs is how many bytes of a name stand in logs.
-const inLogs = 8
+// loggedBytes is how many bytes of a name stand in logs.
+const loggedBytes = 8
 
 // ID names what a request asks for, and for which client account. The zero value names
 // nothing.
 type ID [size]byte
 
-// IDOf names what a request asks for by its method, host, path, query and body. Headers
+// FromRequest names what a request asks for by its method, host, path, query and body. Headers
 // are left out: those that say how long the caller waits differ between its tries.
-func IDOf(r *http.Request, body []byte) ID {
+func FromRequest(r *http.Request, body []byte) ID {
 	h := sha256.New()
 	for _, part := range []string{r.Method, r.Host, r.URL.RequestURI()} {
 		// Writing to a hash cannot fail. None of these has a zero byte.
@@ -33,8 +33,8 @@
 	return ID(h.Sum(nil)[:size])
 }
 
-// By names what is asked for by a client account; empty where none is known.
-func (id ID) By(account string) ID {
+// ForAccount names what is asked for by a client account; empty where none is known.
+func (id ID) ForAccount(account string) ID {
 	sum := sha256.Sum256(append(id[:], account...))
 	return ID(sum[:size])
 }
@@ -47,14 +47,14 @@
 	if id.IsZero() {
 		return ""
 	}
-	return hex.EncodeToString(id[:inLogs])
+	return hex.EncodeToString(id[:loggedBytes])
 }
 
 // Compare orders names.
 func (id ID) Compare(o ID) int { return bytes.Compare(id[:], o[:]) }
 
-// IDFrom is the reverse of Bytes; ok is false for what is no name.
-func IDFrom(raw []byte) (id ID, ok bool) {
+// FromBytes is the reverse of Bytes; ok is false for what is no name.
+func FromBytes(raw []byte) (id ID, ok bool) {
 	if len(raw) != size {
 		return ID{}, false
 	}
--- a/work/id_test.go
+++ b/work/id_test.go
@@ -9,7 +9,7 @@
 )
 
 func id(method, target, body, account string) work.ID {
-	return work.IDOf(httptest.NewRequest(method, target, nil), []byte(body)).By(account)
+	return work.FromRequest(httptest.NewRequest(method, target, nil), []byte(body)).ForAccount(account)
 }
 
 func TestID(t *testing.T) {
@@ -46,6 +46,6 @@
 	r := httptest.NewRequest(http.MethodPost, "http://a.example/b/c", nil)
 	body := make([]byte, 4096)
 	for b.Loop() {
-		_ = work.IDOf(r, body).By("clinic")
+		_ = work.FromRequest(r, body).ForAccount("clinic")
 	}
 }
