--- a/core/account.go
+++ b/core/account.go
@@ -5,7 +5,8 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// account is a client account, with what it has in progress here.
+// account is a client account with its requests in progress at this node and a burn meter for each
+// route.
 type account struct {
 	config     *wire.ClientAccount
 	inProgress int
@@ -16,7 +17,7 @@
 	return &account{config: c, meters: make(map[string]*burn.Meter)}
 }
 
-// meter returns the account's burn meter for a route.
+// meter returns the account's burn meter for a route, and creates it on first use.
 func (a *account) meter(route string) *burn.Meter {
 	m := a.meters[route]
 	if m == nil {
@@ -28,9 +29,9 @@
 
 func (a *account) weight() float64 { return float64(a.config.GetWeight()) }
 
-// full reports whether the account has more in progress than it may. The
-// request that asks counts as in progress.
-func (a *account) full() bool {
+// overLimit reports whether the account has more requests in progress than its limit. The request
+// being admitted is counted already.
+func (a *account) overLimit() bool {
 	limit := a.config.GetMaxInFlight()
 	return limit > 0 && a.inProgress > int(limit)
 }
--- a/core/admit.go
+++ b/core/admit.go
@@ -5,61 +5,61 @@
 	"github.com/hoistjunction/hoistjunction/fairqueue"
 )
 
-// leastPause is the shortest time after which a refused caller is asked back.
-const leastPause clock.Millis = 50
+// minRetryAfter is the shortest delay after which a refused client may retry.
+const minRetryAfter clock.Millis = 50
 
-// unstaffedPause is when to ask again for a route that has no upstreams.
-const unstaffedPause clock.Millis = 1000
+// noUpstreamRetryAfter is the retry delay for a route that has no upstreams.
+const noUpstreamRetryAfter clock.Millis = 1000
 
-// admit queues a request, or refuses it at once when it is not expected to
-// meet its bound.
+// admit queues a request, or refuses it at once when the predicted wait exceeds its bound.
 func (m *Model) admit(r *request) {
 	l := r.route.lane
-	if r.account.full() && !r.spec.Relayed {
-		m.refuse(r, ReasonAccountLimit, m.pause(l, r, leastPause))
+	if r.account.overLimit() && !r.spec.Relayed {
+		m.refuse(r, ReasonAccountLimit, m.retryAfter(l, r, minRetryAfter))
 		return
 	}
-	if !l.staffed() {
-		m.refuse(r, ReasonNoUpstream, unstaffedPause+m.jitter(unstaffedPause))
+	if !l.hasUpstreams() {
+		m.refuse(r, ReasonNoUpstream, noUpstreamRetryAfter+m.jitter(noUpstreamRetryAfter))
 		return
 	}
 	if l.queue.Len() >= m.policy.MaxQueue {
-		m.refuse(r, ReasonOverloaded, m.pause(l, r, 0))
+		m.refuse(r, ReasonOverloaded, m.retryAfter(l, r, 0))
 		return
 	}
-	if excess := m.excess(l, r); m.policy.Predict && excess > 0 {
-		m.refuse(r, ReasonOverloaded, m.pause(l, r, excess))
+	if overrun := m.predictedOverrun(l, r); m.policy.Predict && overrun > 0 {
+		m.refuse(r, ReasonOverloaded, m.retryAfter(l, r, overrun))
 		return
 	}
 	m.enqueue(l, r)
 }
 
-// excess predicts by how much a request would miss its bound.
-func (m *Model) excess(l *lane, r *request) clock.Millis {
-	wait := l.wait(r.account, r.priority, r.cost())
-	predicted := wait + clock.Millis(l.first.value)
+// predictedOverrun returns the time by which a request is predicted to miss its bound for the first
+// token. A request that need not wait is never predicted to miss it.
+func (m *Model) predictedOverrun(l *lane, r *request) clock.Millis {
+	wait := l.predictedWait(r.account, r.priority, r.cost())
+	predicted := wait + clock.Millis(l.firstTokenMillis.value)
 	if wait == 0 {
 		return 0
 	}
-	return predicted - m.queueBound(r)
+	return predicted - m.firstTokenBudget(r)
 }
 
-// queueBound is how long after its arrival a request must have its first
-// token, with a margin for what the prediction does not see.
-func (m *Model) queueBound(r *request) clock.Millis {
-	bound := clock.Millis(float64(r.route.firstBound()) * m.policy.Margin)
-	return min(bound, r.deadline.Sub(r.arrived))
+// firstTokenBudget returns the time after its arrival within which a request must have its first
+// token. Policy.Margin shortens the bound to allow for prediction errors.
+func (m *Model) firstTokenBudget(r *request) clock.Millis {
+	bound := clock.Millis(float64(r.route.firstTokenBound()) * m.policy.Margin)
+	return min(bound, r.deadline.Sub(r.arrivedAt))
 }
 
-// pause works out when a refused caller should ask again: when the queue will
-// have drained by the excess. A random part keeps the callers that were
-// refused together from coming back together.
-func (m *Model) pause(l *lane, r *request, excess clock.Millis) clock.Millis {
-	p := max(excess, leastPause)
-	if excess == 0 {
-		p = max(l.wait(r.account, r.priority, r.cost()), leastPause)
+// retryAfter returns the delay after which a refused client may retry: the overrun, or the predicted
+// wait if the overrun is zero, plus a random part that spreads the retries of clients that were
+// refused together.
+func (m *Model) retryAfter(l *lane, r *request, overrun clock.Millis) clock.Millis {
+	delay := max(overrun, minRetryAfter)
+	if overrun == 0 {
+		delay = max(l.predictedWait(r.account, r.priority, r.cost()), minRetryAfter)
 	}
-	return p + m.jitter(p/4+leastPause)
+	return delay + m.jitter(delay/4+minRetryAfter)
 }
 
 func (m *Model) enqueue(l *lane, r *request) {
@@ -71,29 +71,29 @@
 	m.dispatch(l)
 }
 
-// expire takes requests from the queue that can no longer meet their bound,
-// and those whose callers have gone.
-func (m *Model) expire(l *lane) {
-	var late []*request
+// expireQueued removes from the queue the requests that can no longer meet their bound, and refuses
+// them. It also removes requests that have ended already, such as canceled ones.
+func (m *Model) expireQueued(l *lane) {
+	var expired []*request
 	l.queue.RemoveIf(func(r *request) bool {
 		if r.phase != phaseQueued {
 			return true
 		}
-		if m.now.Sub(r.arrived) <= m.queueBudget(l, r) {
+		if m.now.Sub(r.arrivedAt) <= m.maxQueueWait(l, r) {
 			return false
 		}
-		late = append(late, r)
+		expired = append(expired, r)
 		return true
 	})
-	for _, r := range late {
-		m.refuse(r, ReasonExpired, m.pause(l, r, 0))
+	for _, r := range expired {
+		m.refuse(r, ReasonExpired, m.retryAfter(l, r, 0))
 	}
 }
 
-// queueBudget is how long a request may wait in the queue.
-func (m *Model) queueBudget(l *lane, r *request) clock.Millis {
+// maxQueueWait returns how long a request may wait in the queue.
+func (m *Model) maxQueueWait(l *lane, r *request) clock.Millis {
 	if !m.policy.Predict {
-		return r.deadline.Sub(r.arrived)
+		return r.deadline.Sub(r.arrivedAt)
 	}
-	return max(m.queueBound(r)-clock.Millis(l.first.value), leastPause)
+	return max(m.firstTokenBudget(r)-clock.Millis(l.firstTokenMillis.value), minRetryAfter)
 }
--- a/core/answer_store.go
+++ b/core/answer_store.go
@@ -1,34 +1,34 @@
 package core
 
-// DefaultAnswers bounds the answers that are kept for callers that ask again
-// with the same key, in bytes.
-const DefaultAnswers = 32 << 20
+// DefaultAnswerBytes is the default bound on the memory for answers that are kept for client
+// retries with the same key.
+const DefaultAnswerBytes = 32 << 20
 
-// answerStore keeps the answers of ended requests that have a key, oldest
-// first, up to a number of bytes. What it drops is remembered as having run,
-// by the ledger; only its text is gone.
+// answerStore keeps the answers of ended requests that have a key, oldest first, up to a number of
+// bytes. After an answer is evicted, the ledger still records that its key has begun; only the text
+// is lost.
 type answerStore struct {
-	kept  []*keyRecord
-	bytes int
-	most  int
+	records  []*keyRecord
+	bytes    int
+	maxBytes int
 }
 
-func (s *answerStore) put(k *keyRecord) (dropped []*keyRecord) {
-	s.kept = append(s.kept, k)
+func (s *answerStore) put(k *keyRecord) (evicted []*keyRecord) {
+	s.records = append(s.records, k)
 	s.bytes += k.request.size()
-	for s.bytes > s.most && len(s.kept) > 1 {
-		oldest := s.kept[0]
-		s.kept = s.kept[1:]
+	for s.bytes > s.maxBytes && len(s.records) > 1 {
+		oldest := s.records[0]
+		s.records = s.records[1:]
 		s.bytes -= oldest.request.size()
-		dropped = append(dropped, oldest)
+		evicted = append(evicted, oldest)
 	}
-	return dropped
+	return evicted
 }
 
-// requestOverhead is about what a request takes in memory beside its texts.
+// requestOverhead is the approximate memory that a request uses in addition to its texts, in bytes.
 const requestOverhead = 512
 
-// size is about what a request takes in memory.
+// size returns the approximate memory that a request uses, in bytes.
 func (r *request) size() int {
 	n := requestOverhead + len(r.final.Body) + len(r.spec.Prompt) + len(r.spec.Body)
 	for _, t := range r.texts {
--- a/core/caller_cmd.go
+++ b/core/caller_cmd.go
@@ -5,28 +5,29 @@
 	"github.com/hoistjunction/hoistjunction/outcome"
 )
 
-// EmitCmd gives callers the next pieces of an answer.
+// EmitCmd sends the next pieces of an answer to callers.
 type EmitCmd struct {
 	Callers []uint64 `json:"callers"`
 	Texts   []string `json:"texts"`
 }
 
-// FinishCmd gives a caller the final word on its request.
+// FinishCmd ends a caller's request with its result.
 type FinishCmd struct {
 	Caller  uint64          `json:"caller"`
 	Outcome outcome.Outcome `json:"outcome"`
 	Reason  Reason          `json:"reason"`
-	// RetryAfter is when to ask again, if the reason will pass.
+	// RetryAfter is the delay after which the client may retry, in ms; zero when a retry is not
+	// suggested.
 	RetryAfter clock.Millis `json:"retry_after,omitempty"`
-	// Tokens is how many pieces the answer had.
+	// Tokens is the number of pieces in the answer.
 	Tokens int `json:"tokens,omitempty"`
-	// Status, ContentType and Body are a plain service's answer.
+	// Status, ContentType and Body are the answer of a plain service.
 	Status      int    `json:"status,omitempty"`
 	ContentType string `json:"content_type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
 }
 
-// TicketsCmd gives a caller its tickets.
+// TicketsCmd sends issued tickets to a caller.
 type TicketsCmd struct {
 	Caller  uint64   `json:"caller"`
 	Tickets []string `json:"tickets"`
--- a/core/cancel.go
+++ b/core/cancel.go
@@ -6,8 +6,8 @@
 	"github.com/hoistjunction/hoistjunction/outcome"
 )
 
-// cancel notes that a caller has hung up. A marked request runs on: its
-// caller may ask for the answer with the same key.
+// cancel handles the disconnect of a caller. A request with a key that has begun continues without
+// callers, so that a client retry with the same key gets the answer.
 func (m *Model) cancel(msg CancelMsg) {
 	r := m.byCaller[msg.Caller]
 	if r == nil {
@@ -20,7 +20,7 @@
 	}
 	m.stats.Canceled++
 	if r.phase == phaseRelayed {
-		// The owner goes on, and keeps the answer.
+		// The owner continues the request and keeps the answer.
 		m.end(r, FinishCmd{Outcome: outcome.Unknown, Reason: ReasonCanceled})
 		return
 	}
--- a/core/claim_msg.go
+++ b/core/claim_msg.go
@@ -5,33 +5,33 @@
 	"github.com/hoistjunction/hoistjunction/once"
 )
 
-// KeyClaim asks for a key to be this claim's for ever, or says that it is.
+// KeyClaim pairs a key with a claim: the one requested in a ClaimsCmd, or the permanent one in a
+// ClaimsMsg.
 type KeyClaim struct {
 	Key   string     `json:"key"`
 	Claim once.Claim `json:"claim"`
 }
 
-// ClaimsCmd writes claims into the platform's table, in one transaction where
-// it can: each key that has no claim gets the one given.
+// ClaimsCmd writes claims into the platform's table, in one transaction if possible. A key without
+// a claim gets the given one; a key that has one keeps it.
 type ClaimsCmd struct {
 	Batch  uint64     `json:"batch"`
 	Claims []KeyClaim `json:"claims"`
 }
 
-// ClaimsMsg gives, for each key of a batch, the claim that stands in the
-// table.
+// ClaimsMsg reports, for each key of a batch, the claim that the table holds.
 type ClaimsMsg struct {
 	Batch  uint64     `json:"batch"`
 	Claims []KeyClaim `json:"claims"`
 }
 
-// ClaimsFailedMsg says that the table gave no answer to a batch. The claims
-// may have been written or not, now or later.
+// ClaimsFailedMsg reports that the table did not answer a batch. The claims may or may not have
+// been written, and may still be written later.
 type ClaimsFailedMsg struct {
 	Batch uint64 `json:"batch"`
 }
 
-// RelayCmd hands a request to the node that owns its key.
+// RelayCmd relays a request to the node that owns its key.
 type RelayCmd struct {
 	Request  uint64       `json:"request"`
 	Owner    once.Claim   `json:"owner"`
@@ -41,21 +41,21 @@
 	Deadline clock.Millis `json:"deadline"`
 }
 
-// RelayTokensMsg brings pieces of an answer from the owner.
+// RelayTokensMsg carries pieces of an answer from the owner of the key.
 type RelayTokensMsg struct {
 	Request uint64   `json:"request"`
 	Texts   []string `json:"texts"`
 }
 
-// RelayDoneMsg brings the owner's final word.
+// RelayDoneMsg carries the result of a relayed request from the owner of the key.
 type RelayDoneMsg struct {
 	Request uint64    `json:"request"`
 	Finish  FinishCmd `json:"finish"`
 }
 
-// RelayFailedMsg says that the owner gave no final word.
+// RelayFailedMsg reports that the owner of the key gave no result.
 type RelayFailedMsg struct {
 	Request uint64 `json:"request"`
-	// NotSent is proof that the owner has not seen the request.
+	// NotSent is set when it is certain that the owner did not receive the request.
 	NotSent bool `json:"not_sent,omitempty"`
 }
--- a/core/configure.go
+++ b/core/configure.go
@@ -4,44 +4,45 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// snapshotEvery is how many versions lie between whole configurations in the
-// object store. A node that starts reads one of them, and the records after.
-const snapshotEvery = 64
+// snapshotInterval is the number of versions between full configurations in the object store. A
+// starting node reads one full configuration and the change records after it.
+const snapshotInterval = 64
 
-// head takes in the newest version in the platform's table.
-func (m *Model) head(msg HeadMsg) {
+// headReceived compares the newest version in the platform's table with the active one, and fetches
+// the missing records.
+func (m *Model) headReceived(msg HeadMsg) {
 	if msg.Version > m.tracker.Version() {
 		m.fetchChanges("")
 	}
 }
 
-// fetchChanges asks for the records that are missing here, one request at a
-// time.
+// fetchChanges requests the change records after the active version, from a peer if address is set
+// and from the platform otherwise. One request is in flight at a time.
 func (m *Model) fetchChanges(address string) {
 	if m.fetching {
 		return
 	}
 	m.fetching = true
-	m.do(&FetchChangesCmd{After: m.tracker.Version(), Address: address})
+	m.addCmd(&FetchChangesCmd{After: m.tracker.Version(), Address: address})
 }
 
-// changes puts newer versions in force. Older ones are passed over, and a gap
-// waits for the next fetch.
-func (m *Model) changes(msg ChangesMsg) {
+// changesReceived activates newer versions. Records of older versions are ignored, and records
+// after a gap are left for the next fetch.
+func (m *Model) changesReceived(msg ChangesMsg) {
 	m.fetching = false
 	before := m.tracker.Version()
 	if msg.Snapshot != nil && m.tracker.Restore(msg.Snapshot) {
 		m.rebuild()
 	}
 	for _, r := range msg.Records {
-		m.addRecord(r)
+		m.applyRecord(r)
 	}
 	if m.tracker.Version() != before {
-		m.inForce()
+		m.versionApplied()
 	}
 }
 
-func (m *Model) addRecord(r *wire.ChangeRecord) {
+func (m *Model) applyRecord(r *wire.ChangeRecord) {
 	changed, err := m.tracker.Add(r)
 	if err != nil || !changed {
 		return
@@ -49,48 +50,50 @@
 	for _, c := range r.GetChanges() {
 		m.applyChange(c)
 	}
-	if r.GetVersion()%snapshotEvery == 0 {
-		m.snapshot()
+	if r.GetVersion()%snapshotInterval == 0 {
+		m.maybeWriteSnapshot()
 	}
 }
 
-// snapshot writes the whole configuration into the object store. Every node
-// would write the same bytes; one in about a handful does.
-func (m *Model) snapshot() {
+// maybeWriteSnapshot writes the full configuration into the object store with a probability that
+// makes about snapshotWriters nodes of the cluster write it. All nodes write the same bytes.
+func (m *Model) maybeWriteSnapshot() {
 	if m.rng.IntN(m.members.Len()+1) < snapshotWriters {
-		m.do(&SnapshotCmd{Config: m.tracker.Current()})
+		m.addCmd(&SnapshotCmd{Config: m.tracker.Current()})
 	}
 }
 
-// snapshotWriters is about how many nodes write each snapshot, so that one
-// gets through when some of them fail.
+// snapshotWriters is the expected number of nodes that write each snapshot. It is above one, so
+// that a snapshot is usually written even if some of them fail.
 const snapshotWriters = 2
 
-// inForce tells the rest of the node, and its peers, of the version.
-func (m *Model) inForce() {
+// versionApplied updates the node's own record, which its peers receive, and answers proposals that
+// wait for the version.
+func (m *Model) versionApplied() {
 	m.node.Version = m.tracker.Version()
 	m.stats.Versions++
 	m.answerProposals()
 }
 
-// rebuild derives everything from a whole configuration.
+// rebuild derives accounts and routes from a full configuration. Accounts that remain keep their
+// state.
 func (m *Model) rebuild() {
 	c := m.tracker.Current()
 	clear(m.accounts)
-	old := m.byName
-	m.byName = make(map[string]*account, len(c.GetAccounts()))
+	previous := m.accountsByName
+	m.accountsByName = make(map[string]*account, len(c.GetAccounts()))
 	for _, a := range c.GetAccounts() {
-		m.putAccount(a, old[a.GetName()])
+		m.putAccount(a, previous[a.GetName()])
 	}
 	m.rebuildRoutes()
 }
 
-// applyChange derives what one change touches. An account's change does not
-// look at the other accounts.
+// applyChange updates the accounts or routes that one change concerns. The cost of an account's
+// change does not depend on the number of accounts.
 func (m *Model) applyChange(c *wire.Change) {
 	switch e := c.GetEdit().(type) {
 	case *wire.Change_PutAccount:
-		m.putAccount(e.PutAccount, m.byName[e.PutAccount.GetName()])
+		m.putAccount(e.PutAccount, m.accountsByName[e.PutAccount.GetName()])
 	case *wire.Change_DeleteAccount:
 		m.deleteAccount(e.DeleteAccount)
 	default:
@@ -102,23 +105,23 @@
 	if a == nil {
 		a = newAccount(c)
 	} else {
-		delete(m.accounts, hashOf(a.config))
+		delete(m.accounts, keyHashOf(a.config))
 		a.config = c
 	}
-	m.accounts[hashOf(c)] = a
-	m.byName[c.GetName()] = a
+	m.accounts[keyHashOf(c)] = a
+	m.accountsByName[c.GetName()] = a
 }
 
 func (m *Model) deleteAccount(name string) {
-	a := m.byName[name]
+	a := m.accountsByName[name]
 	if a == nil {
 		return
 	}
-	delete(m.accounts, hashOf(a.config))
-	delete(m.byName, name)
+	delete(m.accounts, keyHashOf(a.config))
+	delete(m.accountsByName, name)
 }
 
-func hashOf(c *wire.ClientAccount) KeyHash {
+func keyHashOf(c *wire.ClientAccount) KeyHash {
 	var h KeyHash
 	copy(h[:], c.GetKeyHash())
 	return h
@@ -131,19 +134,18 @@
 		lanes[l.name] = l
 	}
 	m.lanes = nil
-	old := m.routes
+	previous := m.routes
 	m.routes = make(map[string]*route, len(c.GetRoutes()))
 	for _, rc := range c.GetRoutes() {
 		r := &route{config: rc, lane: m.laneFor(rc, lanes)}
-		if before := old[rc.GetName()]; before != nil {
-			r.times = before.times
+		if existing := previous[rc.GetName()]; existing != nil {
+			r.latencies = existing.latencies
 		}
 		m.routes[rc.GetName()] = r
 	}
 }
 
-// laneFor returns the lane of a route, which it shares with all routes to the
-// same pipeline or service.
+// laneFor returns the lane of a route. All routes to the same pipeline or service share one lane.
 func (m *Model) laneFor(rc *wire.Route, lanes map[string]*lane) *lane {
 	name := "service/" + rc.GetService()
 	groups := []string{rc.GetService()}
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -2,8 +2,8 @@
 
 import "github.com/hoistjunction/hoistjunction/pool"
 
-// dispatch starts waiting requests while the upstreams have room: first those
-// that have lost an upstream half way, then the queue.
+// dispatch starts waiting requests while the upstreams have free capacity: first requests whose
+// upstream failed during execution, then the queue.
 func (m *Model) dispatch(l *lane) {
 	for len(l.resuming) > 0 {
 		r := l.resuming[0]
@@ -40,14 +40,14 @@
 	}
 }
 
-// start sends a request to upstreams that have room.
+// start sends a request to upstreams that have free capacity.
 func (m *Model) start(l *lane, r *request, chain []*pool.Upstream) {
-	if !m.begin(r) {
-		m.unknown(r, ReasonAnswerGone)
+	if !m.markBegun(r) {
+		m.endUnknown(r, ReasonAnswerGone)
 		return
 	}
-	if r.dispatched == 0 {
-		r.dispatched = m.now
+	if r.dispatchedAt == 0 {
+		r.dispatchedAt = m.now
 		l.budget.Deposit()
 	}
 	r.chain = chain
@@ -55,19 +55,19 @@
 		m.pool.Begin(u)
 	}
 	l.running++
-	r.slot = len(m.running)
+	r.runningIndex = len(m.running)
 	m.running = append(m.running, r)
 	r.phase = phaseRunning
-	if r.route.service() {
+	if r.route.isService() {
 		m.call(r)
 		return
 	}
 	m.startGeneration(r)
 }
 
-// begin lets a request start. The ledger says yes once for each key; a request
-// that goes on after losing an upstream has had its yes.
-func (m *Model) begin(r *request) bool {
+// markBegun records that a request begins to execute, and reports whether it may. The ledger allows
+// this once for each key. A request that resumes after an upstream failure has begun already.
+func (m *Model) markBegun(r *request) bool {
 	if r.begun {
 		return true
 	}
@@ -78,16 +78,17 @@
 	return true
 }
 
-// unbegin takes begin back, on proof that no upstream has started.
-func (m *Model) unbegin(r *request) {
+// undoBegun reverts markBegun. The caller must have proof that no upstream has started to execute
+// the request.
+func (m *Model) undoBegun(r *request) {
 	r.begun = false
 	if r.key != nil {
 		r.key.ledger.Undo(r.key.claim.Sequence)
 	}
 }
 
-// pickChain chooses an upstream for each stage, or returns nil when a stage
-// has none with room.
+// pickChain chooses an upstream for each stage. It returns nil when a stage has no upstream with
+// free capacity.
 func (m *Model) pickChain(l *lane, r *request) []*pool.Upstream {
 	if m.policy.Affinity && l.pipeline != nil {
 		if chain := m.cachedChain(l, r); chain != nil {
@@ -96,7 +97,7 @@
 	}
 	chain := make([]*pool.Upstream, 0, len(l.groups))
 	for _, g := range l.groups {
-		u, ok := m.pickOne(g, r)
+		u, ok := m.pickUpstream(g, r)
 		if !ok {
 			return nil
 		}
@@ -105,24 +106,25 @@
 	return chain
 }
 
-// pickOne avoids upstreams that have failed the request before, unless there
-// are no others.
-func (m *Model) pickOne(g *pool.Group, r *request) (*pool.Upstream, bool) {
+// pickUpstream avoids upstreams that have failed the request before, unless the group has no
+// others.
+func (m *Model) pickUpstream(g *pool.Group, r *request) (*pool.Upstream, bool) {
 	pick := m.pool.Pick
 	if r.phase == phaseResuming {
 		pick = m.pool.PickOver
 	}
-	u, ok := pick(g.Name(), m.rng, r.tried...)
-	if ok || len(r.tried) == 0 || g.Limit() > 0 && g.Len() > 1 {
+	u, ok := pick(g.Name(), m.rng, r.failed...)
+	if ok || len(r.failed) == 0 || g.Limit() > 0 && g.Len() > 1 {
 		return u, ok
 	}
 	return pick(g.Name(), m.rng)
 }
 
-// cachedChain returns the chain that may have the prompt's prefix cached, if
-// all of it has room to spare. A hint does not outweigh crowding.
+// cachedChain returns the chain that may have the prompt's prefix cached. It returns nil when an
+// upstream of the chain is more than half full: a cache hit does not outweigh the slower steps of a
+// busy upstream.
 func (m *Model) cachedChain(l *lane, r *request) []*pool.Upstream {
-	if len(r.tried) > 0 {
+	if len(r.failed) > 0 {
 		return nil
 	}
 	chain := l.affinity.get(m.now, r.spec.Prompt)
@@ -134,22 +136,23 @@
 	return chain
 }
 
-// leaveLane gives back the places that a request holds.
-func (m *Model) leaveLane(r *request) {
-	if !r.holds() {
+// releaseSlots releases the upstream slots that a request holds, and removes it from the running
+// requests.
+func (m *Model) releaseSlots(r *request) {
+	if !r.holdsSlots() {
 		return
 	}
 	for _, u := range r.chain {
 		m.pool.End(u)
 	}
-	if !r.route.service() {
+	if !r.route.isService() {
 		m.endGeneration(r)
 	}
 	r.chain = nil
 	r.route.lane.running--
 	last := len(m.running) - 1
-	m.running[r.slot] = m.running[last]
-	m.running[r.slot].slot = r.slot
+	m.running[r.runningIndex] = m.running[last]
+	m.running[r.runningIndex].runningIndex = r.runningIndex
 	m.running[last] = nil
 	m.running = m.running[:last]
 }
--- a/core/doc.go
+++ b/core/doc.go
@@ -1,25 +1,20 @@
-// Package core takes every decision of an entry node: admission, queueing,
-// the choice of upstreams, retries, at most once, membership, configuration
-// and drain.
+// Package core makes every decision of an entry node: admission, queueing, the choice of upstreams,
+// retries, at-most-once execution, cluster membership, configuration and drain.
 //
-// It has a small vocabulary. The Model is the state. A Msg is something that
-// happened: a caller submitted a request, an engine answered a step, a timer
-// ticked. A Cmd is something to be done: send this step, give that caller an
-// answer, commit these claims. Update takes the time and a Msg, changes the
-// Model and returns the Cmds:
+// Model is the state. A Msg is an event: a caller submitted a request, an engine answered a step, a
+// timer ticked. A Cmd is an action to execute: send a step, give a caller an answer, commit claims.
+// Update takes the time and a Msg, changes the Model and returns the Cmds:
 //
 //	m := core.New(core.WithNode(self), core.WithSeed(1))
 //	for _, cmd := range m.Update(now, core.TickMsg{}) {
-//		// carry it out, and send what comes of it back as a Msg
+//		// execute cmd, and pass its result to a later Update as a Msg
 //	}
 //
-// Update is pure: no goroutine, no I/O, no clock, no randomness but the seeded
-// one, and nothing that depends on the order of a map. The same messages at
-// the same times give the same commands. That is why a recording of a node's
-// messages can be replayed, and why the promises can be tested at millions of
-// steps.
+// Update is deterministic: it starts no goroutine, does no I/O, reads no clock, uses only the seeded
+// random source and does not depend on the iteration order of maps. The same messages at the same
+// times give the same commands, so a recording of a node's messages can be replayed, and the
+// guarantees can be tested over millions of steps.
 //
-// The life of a request is told by the names of the files: submit, claim,
-// admit, dispatch, then step (for a pipeline) or call (for a plain service),
-// and finish.
+// A request passes through the files submit, claim, admit, dispatch, then step (for a pipeline) or
+// call (for a plain service), and finish.
 package core
--- a/core/finish.go
+++ b/core/finish.go
@@ -6,64 +6,64 @@
 	"github.com/hoistjunction/hoistjunction/outcome"
 )
 
-// refuse ends a request that has not begun, and says when to ask again. It is
-// the only place that says "not run", and says so of the request, not of this
-// try: where an earlier try with the same key may have run, the answer is
-// "unknown".
+// refuse ends a request that has not begun and gives a retry delay. Apart from results relayed from
+// an owner, only refuse reports "not executed" to the caller of an accepted request. The report
+// covers the whole request and not just this try: if an earlier try with the same key may have been
+// executed, the outcome is Unknown.
 func (m *Model) refuse(r *request, reason Reason, retryAfter clock.Millis) {
 	f := FinishCmd{Outcome: outcome.NotExecuted, Reason: reason, RetryAfter: retryAfter}
-	if r.begun || r.ambiguous() || reasons[reason].notRun == "" {
+	if r.begun || r.mayHaveExecuted() || reasons[reason].notExecuted == "" {
 		f.Outcome = outcome.Unknown
 	}
 	m.end(r, f)
 }
 
-// fail ends a request with an error that asking again would not change.
+// fail ends a request with an error that a retry would get again.
 func (m *Model) fail(r *request, reason Reason) {
 	m.end(r, FinishCmd{Outcome: outcome.Failed, Reason: reason})
 }
 
-// unknown ends a request that may have run, and will not be run again.
-func (m *Model) unknown(r *request, reason Reason) {
+// endUnknown ends a request that may have been executed and will not be executed again.
+func (m *Model) endUnknown(r *request, reason Reason) {
 	m.end(r, FinishCmd{Outcome: outcome.Unknown, Reason: reason})
 }
 
-// lose ends a request whose upstream is lost: one that may not be repeated is
-// unknown, any other has failed.
-func (m *Model) lose(r *request, reason Reason) {
-	if r.marked() {
-		m.unknown(r, reason)
+// endUnanswered ends a request whose upstream crashed or did not answer in time. The outcome is
+// Unknown if the request may not be repeated, and Failed otherwise.
+func (m *Model) endUnanswered(r *request, reason Reason) {
+	if r.noRepeat() {
+		m.endUnknown(r, reason)
 		return
 	}
 	m.fail(r, reason)
 }
 
-// end gives a request its final word, at once, and frees what it held.
+// end sends a request's result to its callers and releases its resources.
 func (m *Model) end(r *request, f FinishCmd) {
 	if r.phase == phaseEnded {
 		return
 	}
-	m.leaveLane(r)
+	m.releaseSlots(r)
 	r.phase = phaseEnded
 	f.Tokens = len(r.texts)
 	r.final = f
 	for _, caller := range r.callers {
 		final := f
 		final.Caller = caller
-		m.do(&final)
+		m.addCmd(&final)
 		delete(m.byCaller, caller)
 	}
 	r.callers = nil
 	delete(m.requests, r.id)
 	r.account.inProgress--
-	m.keepAnswer(r)
-	m.measure(r, f)
+	m.storeAnswer(r)
+	m.recordOutcome(r, f)
 	m.dispatch(r.route.lane)
 }
 
-// keepAnswer holds on to the answer of a key that has run, for callers that
-// ask again. A key that has not run is let go: it may be asked for anew.
-func (m *Model) keepAnswer(r *request) {
+// storeAnswer keeps the answer of a key that has begun, for client retries. A key that has not
+// begun is deleted, so that a retry is handled as a new request.
+func (m *Model) storeAnswer(r *request) {
 	k := r.key
 	if k == nil {
 		return
@@ -74,18 +74,19 @@
 	}
 	r.step = nil
 	r.chain = nil
-	// The record's digest stands for what was asked.
+	// The digest in the key record suffices to compare a retry with this request.
 	r.spec.Prompt = ""
 	r.spec.Body = nil
-	for _, dropped := range m.answers.put(k) {
-		delete(m.keys, dropped.name)
+	for _, evicted := range m.answers.put(k) {
+		delete(m.keys, evicted.name)
 	}
 }
 
-// measure counts how a request ended.
-func (m *Model) measure(r *request, f FinishCmd) {
+// recordOutcome counts a request's outcome, and whether it met its bounds in the account's burn
+// meter. Canceled requests and client errors are not metered.
+func (m *Model) recordOutcome(r *request, f FinishCmd) {
 	m.stats.count(f.Outcome, f.Reason)
-	if f.Reason == ReasonCanceled || (f.Outcome == outcome.Failed && f.Reason.callersFault()) {
+	if f.Reason == ReasonCanceled || (f.Outcome == outcome.Failed && f.Reason.isClientError()) {
 		return
 	}
 	good := f.Outcome == outcome.Done && r.withinBounds(m.now)
@@ -95,21 +96,21 @@
 	}
 }
 
-// lateShare is the share of an answer's tokens that may come late: the bound
-// is for 95 in 100.
-const lateShare = 0.05
+// maxLateShare is the share of an answer's tokens that may exceed the bound: the objective applies
+// to 95 in 100 tokens.
+const maxLateShare = 0.05
 
 func (r *request) withinBounds(now clock.Millis) bool {
-	if r.route.service() {
-		return now.Sub(r.arrived) <= r.route.firstBound()
+	if r.route.isService() {
+		return now.Sub(r.arrivedAt) <= r.route.firstTokenBound()
 	}
-	if r.firstAt.Sub(r.arrived) > r.route.firstBound() {
+	if r.firstTokenAt.Sub(r.arrivedAt) > r.route.firstTokenBound() {
 		return false
 	}
-	return float64(r.late) <= lateShare*float64(len(r.texts))
+	return float64(r.lateTokens) <= maxLateShare*float64(len(r.texts))
 }
 
-func (r Reason) callersFault() bool {
+func (r Reason) isClientError() bool {
 	switch r {
 	case ReasonBadRequest, ReasonUnauthorized, ReasonNoRoute, ReasonKeyReused:
 		return true
--- a/core/gossip.go
+++ b/core/gossip.go
@@ -6,39 +6,41 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// beat tells a few peers what this node knows.
-func (m *Model) beat() {
+// sendHeartbeats sends this node's view of the cluster to a few random peers, and to a seed address
+// while no other node is live.
+func (m *Model) sendHeartbeats() {
 	m.node.Beat++
 	for _, p := range m.members.GossipTargets(m.rng) {
-		m.beatTo(p.Record().GetAddress())
+		m.sendHeartbeat(p.Record().GetAddress())
 	}
-	if len(m.seeds) > 0 && m.members.LiveNodes(m.now) == 1 {
-		m.beatTo(m.seeds[m.rng.IntN(len(m.seeds))])
+	if len(m.seedPeers) > 0 && m.members.LiveNodes(m.now) == 1 {
+		m.sendHeartbeat(m.seedPeers[m.rng.IntN(len(m.seedPeers))])
 	}
 }
 
-func (m *Model) beatTo(address string) {
+func (m *Model) sendHeartbeat(address string) {
 	if address == "" || address == m.node.GetAddress() {
 		return
 	}
-	m.do(&HeartbeatCmd{Address: address, Beat: &wire.HeartbeatRequest{
+	m.addCmd(&HeartbeatCmd{Address: address, Beat: &wire.HeartbeatRequest{
 		From:    m.Self(),
 		Heard:   m.members.Digest(m.rng),
 		Leaving: m.members.Marks(),
 	}})
 }
 
-// heartbeat takes in what a peer knows. A peer with a newer version is asked
-// for the records, so that a node that cannot reach the store follows too.
-func (m *Model) heartbeat(msg HeartbeatMsg) {
-	m.learnNodes(NodesMsg{Nodes: append([]*wire.NodeRecord{msg.From}, msg.Heard...)})
-	m.hearMarks(msg.Leaving)
+// heartbeatReceived merges a peer's view of the cluster. If the peer has a newer configuration
+// version, the records are fetched from the peer, so that a node without access to the store stays
+// up to date.
+func (m *Model) heartbeatReceived(msg HeartbeatMsg) {
+	m.updateNodes(NodesMsg{Nodes: append([]*wire.NodeRecord{msg.From}, msg.Heard...)})
+	m.applyMarks(msg.Leaving)
 	if msg.From.GetVersion() > m.tracker.Version() {
 		m.fetchChanges(msg.From.GetAddress())
 	}
 }
 
-func (m *Model) learnNodes(msg NodesMsg) {
+func (m *Model) updateNodes(msg NodesMsg) {
 	for _, n := range msg.Nodes {
 		m.members.Update(m.now, n)
 	}
@@ -60,9 +62,8 @@
 	}
 }
 
-// HeartbeatReply returns what a peer that told this node something is told in
-// return. It is asked for outside Update, so it must not draw from the model's
-// random numbers: a replay would not draw with it.
+// HeartbeatReply returns the reply to a peer's heartbeat. It is called outside Update and must not
+// use the model's random source, because a replay does not repeat the call.
 func (m *Model) HeartbeatReply() *wire.HeartbeatReply {
 	return &wire.HeartbeatReply{From: m.Self(), Heard: m.members.Digest(m.replyRNG), Leaving: m.members.Marks()}
 }
--- a/core/handover.go
+++ b/core/handover.go
@@ -6,53 +6,53 @@
 	"github.com/hoistjunction/hoistjunction/once"
 )
 
-// HandoverCmd gives this node's keys to a peer.
+// HandoverCmd sends this node's ledgers to a peer.
 type HandoverCmd struct {
 	Address string          `json:"address"`
 	To      uint64          `json:"to"`
 	Ledgers []once.Snapshot `json:"ledgers"`
 }
 
-// HandedOverMsg says whether the peer has answered.
+// HandedOverMsg reports whether the peer has accepted the ledgers.
 type HandedOverMsg struct {
 	Done bool `json:"done"`
 }
 
-// HandoverMsg brings the keys of a peer that stops. It is meant for one
-// incarnation: the next one at the same address must not take the keys, for
-// the one before it may have begun some of them.
+// HandoverMsg carries the ledgers of a stopping peer. It is addressed to one incarnation: a later
+// incarnation at the same address must not accept the ledgers, because the earlier one may have
+// begun some of the keys.
 type HandoverMsg struct {
 	To      uint64          `json:"to"`
 	Ledgers []once.Snapshot `json:"ledgers"`
 }
 
-// mostInherited bounds the incarnations whose keys a node holds beside its
-// own. Those that were handed over first are let go: their keys may not begin
-// any more, and their callers are told that it is not known.
-const mostInherited = 32
+// maxInherited bounds the inherited ledgers that a node holds in addition to its own. Beyond it the
+// oldest inherited ledger is dropped: its keys may no longer begin, and clients that retry them get
+// the outcome Unknown.
+const maxInherited = 32
 
-// handOver sends the keys, again and again to the same peer until it answers.
+// handOver sends the ledgers to the successor, and is repeated until the successor answers.
 func (m *Model) handOver() {
-	if m.drain.out {
+	if m.drain.handoverInFlight {
 		return
 	}
-	m.drain.out = true
-	cmd := &HandoverCmd{Address: m.drain.to.GetAddress(), To: m.drain.to.GetIncarnation(), Ledgers: []once.Snapshot{m.ledger.Snapshot()}}
+	m.drain.handoverInFlight = true
+	cmd := &HandoverCmd{Address: m.drain.successor.GetAddress(), To: m.drain.successor.GetIncarnation(), Ledgers: []once.Snapshot{m.ledger.Snapshot()}}
 	for _, incarnation := range m.node.GetInherits() {
 		cmd.Ledgers = append(cmd.Ledgers, m.ledgers[incarnation].Snapshot())
 	}
-	m.do(cmd)
+	m.addCmd(cmd)
 }
 
-func (m *Model) handedOver(msg HandedOverMsg) {
-	m.drain.out = false
-	if msg.Done && m.drain.sealed && !m.drain.done {
+func (m *Model) handoverDone(msg HandedOverMsg) {
+	m.drain.handoverInFlight = false
+	if msg.Done && m.drain.sealed && !m.drain.exited {
 		m.exit()
 	}
 }
 
-// inherit takes over the keys of a peer that stops. A handover that comes
-// twice is taken once: what has begun here since must not be forgotten.
+// inherit adopts the ledgers of a stopping peer. A ledger that is received twice is adopted once,
+// because the second copy does not contain the keys that have begun at this node since.
 func (m *Model) inherit(msg HandoverMsg) {
 	if msg.To != m.node.GetIncarnation() || m.drain.sealed {
 		return
@@ -65,15 +65,15 @@
 		m.node.Inherits = append(m.node.GetInherits(), s.Incarnation)
 		m.stats.Inherited++
 	}
-	for len(m.node.GetInherits()) > mostInherited {
+	for len(m.node.GetInherits()) > maxInherited {
 		m.ledgers[m.node.GetInherits()[0]].Forget()
 		m.node.Inherits = slices.Clone(m.node.GetInherits()[1:])
 	}
-	m.beat()
+	m.sendHeartbeats()
 }
 
-// Holds reports whether the keys of a handover are held here.
-func (m *Model) Holds(msg HandoverMsg) bool {
+// HoldsLedgers reports whether this node holds all ledgers of a handover.
+func (m *Model) HoldsLedgers(msg HandoverMsg) bool {
 	if msg.To != m.node.GetIncarnation() {
 		return false
 	}
--- a/core/key_hash.go
+++ b/core/key_hash.go
@@ -7,23 +7,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrKeyHash means that a text is not a key's hash.
-var ErrKeyHash = errors.New("core: not the hash of a key")
+// ErrInvalidKeyHash is returned for a text that is not the hexadecimal hash of a key.
+var ErrInvalidKeyHash = errors.New("core: key hash is not 64 hexadecimal digits")
 
-// KeyHash is the SHA-256 of a client account's key.
+// KeyHash is the SHA-256 of a client account's access key.
 type KeyHash [sha256.Size]byte
 
-// HashKey returns what the configuration holds of a client account's key.
+// HashKey returns the hash under which the configuration stores a client account's access key.
 func HashKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
 
-// MarshalText implements encoding.TextMarshaler, in hexadecimal.
+// MarshalText implements encoding.TextMarshaler. The text is hexadecimal.
 func (h KeyHash) MarshalText() ([]byte, error) { return []byte(hex.EncodeToString(h[:])), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (h *KeyHash) UnmarshalText(text []byte) error {
 	raw, err := hex.DecodeString(string(text))
 	if err != nil || len(raw) != len(h) {
-		return errors.Wrapf(ErrKeyHash, "%q", text)
+		return errors.Wrapf(ErrInvalidKeyHash, "%q", text)
 	}
 	copy(h[:], raw)
 	return nil
--- a/core/lane.go
+++ b/core/lane.go
@@ -10,8 +10,8 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// lane is the line of requests before one pipeline or one plain service.
-// Lanes share nothing: what overloads one leaves the others alone.
+// lane queues and counts the requests for one pipeline or one plain service. Lanes share no state,
+// so that an overload of one does not affect the others.
 type lane struct {
 	name     string
 	pipeline *wire.Pipeline
@@ -21,25 +21,26 @@
 	budget   *budget.Budget
 	running  int
 
-	// perToken is the usual time that a request holds its place, for each
-	// token asked for; first is the usual time from dispatch to first token.
-	perToken smooth
-	first    smooth
-	affinity affinity
+	// slotMillisPerToken is the average time that a request holds its slots, for each requested
+	// token. firstTokenMillis is the average time from dispatch to the first token.
+	slotMillisPerToken movingAverage
+	firstTokenMillis   movingAverage
+	affinity           affinity
 }
 
-// smooth is a moving average with a first guess of zero.
-type smooth struct {
+// movingAverage is an exponential moving average that starts at zero.
+type movingAverage struct {
 	value float64
 	count int
 }
 
-// smoothShare is the weight of a new sample once there are enough.
-const smoothShare = 1.0 / 16
+// minSampleWeight is the weight of a new sample after the first 16. Until then the average is the
+// mean of the samples.
+const minSampleWeight = 1.0 / 16
 
-func (s *smooth) add(sample float64) {
+func (s *movingAverage) add(sample float64) {
 	s.count++
-	share := math.Max(smoothShare, 1/float64(s.count))
+	share := math.Max(minSampleWeight, 1/float64(s.count))
 	s.value += (sample - s.value) * share
 }
 
@@ -61,8 +62,8 @@
 	}
 }
 
-// slots is how many requests the lane can have running: as many as its
-// tightest stage.
+// slots returns how many requests the lane can execute at once, which is the limit of its smallest
+// stage.
 func (l *lane) slots() float64 {
 	least := math.Inf(1)
 	for _, g := range l.groups {
@@ -71,8 +72,8 @@
 	return least
 }
 
-// staffed reports whether every stage has upstreams at all.
-func (l *lane) staffed() bool {
+// hasUpstreams reports whether every stage has at least one upstream.
+func (l *lane) hasUpstreams() bool {
 	for _, g := range l.groups {
 		if g.Len() == 0 {
 			return false
@@ -81,16 +82,17 @@
 	return true
 }
 
-// wait predicts how long a request would wait in the queue.
-func (l *lane) wait(a *account, priority int, cost float64) clock.Millis {
+// predictedWait returns how long a new request is predicted to wait in the queue, from the requests
+// ahead of it and the average time that each holds its slots.
+func (l *lane) predictedWait(a *account, priority int, cost float64) clock.Millis {
 	slots := l.slots()
 	if l.queue.Len() == 0 && float64(l.running)+1 <= slots {
 		return 0
 	}
-	own := float64(l.queue.LenOf(priority, a.config.GetName())) + 1
+	ownQueued := float64(l.queue.LenOf(priority, a.config.GetName())) + 1
 	share := a.weight() / l.queue.Weight(priority, a.config.GetName(), a.weight())
-	behind := math.Min(own/share, float64(l.queue.Len())+1)
-	ahead := float64(l.queue.Ahead(priority)) + behind + float64(len(l.resuming))
-	hold := l.perToken.value * cost
-	return clock.Millis(ahead * hold / math.Max(slots, 1))
+	aheadByShare := math.Min(ownQueued/share, float64(l.queue.Len())+1)
+	ahead := float64(l.queue.Ahead(priority)) + aheadByShare + float64(len(l.resuming))
+	holdMillis := l.slotMillisPerToken.value * cost
+	return clock.Millis(ahead * holdMillis / math.Max(slots, 1))
 }
--- a/core/model.go
+++ b/core/model.go
@@ -12,9 +12,9 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// DefaultClaimWrites is the share of the platform's hundred writes a second
-// that goes to claims. The rest is for configuration, registrations and
-// orders, so that operators never wait behind callers.
+// DefaultClaimWrites is the default number of writes per second for claims, out of the platform's
+// limit of a hundred. The rest is reserved for configuration, registrations and orders, so that
+// operators do not wait behind clients.
 const DefaultClaimWrites = 60
 
 // Model is the state of an entry node. It is not safe for concurrent use.
@@ -22,26 +22,26 @@
 	node        *wire.NodeRecord
 	secret      []byte
 	seed        uint64
-	seeds       []string
+	seedPeers   []string
 	chooser     pool.Chooser
 	policy      Policy
-	grace       clock.Millis
+	drainGrace  clock.Millis
 	claimWrites float64
 
 	now  clock.Millis
 	rng  *rand.Rand
 	cmds []Cmd
-	// replyRNG is for what is asked for outside Update.
+	// replyRNG is the random source for calls outside Update, which a replay does not repeat.
 	replyRNG *rand.Rand
 
-	tracker  *config.Tracker
-	accounts map[KeyHash]*account
-	byName   map[string]*account
-	routes   map[string]*route
-	lanes    []*lane
-	pool     *pool.Pool
-	// ledger is this incarnation's own; ledgers holds it too, and those that
-	// have been handed over, by incarnation.
+	tracker        *config.Tracker
+	accounts       map[KeyHash]*account
+	accountsByName map[string]*account
+	routes         map[string]*route
+	lanes          []*lane
+	pool           *pool.Pool
+	// ledger belongs to this incarnation. ledgers holds it and the inherited ledgers, by
+	// incarnation.
 	ledger    *once.Ledger
 	ledgers   map[uint64]*once.Ledger
 	members   *member.Table
@@ -59,21 +59,21 @@
 	stats     Stats
 }
 
-// New returns the model of a node that has no configuration yet.
+// New returns the model of a node without a configuration.
 func New(opts ...Option) *Model {
 	m := &Model{
-		node:        &wire.NodeRecord{Name: "node", Incarnation: 1, DataCentre: "dc"},
-		policy:      DefaultPolicy(),
-		chooser:     pool.TwoChoices{},
-		claimWrites: DefaultClaimWrites,
-		accounts:    make(map[KeyHash]*account),
-		byName:      make(map[string]*account),
-		routes:      make(map[string]*route),
-		requests:    make(map[uint64]*request),
-		byCaller:    make(map[uint64]*request),
-		keys:        make(map[string]*keyRecord),
-		tracker:     config.NewTracker(),
-		answers:     answerStore{most: DefaultAnswers},
+		node:           &wire.NodeRecord{Name: "node", Incarnation: 1, DataCentre: "dc"},
+		policy:         DefaultPolicy(),
+		chooser:        pool.TwoChoices{},
+		claimWrites:    DefaultClaimWrites,
+		accounts:       make(map[KeyHash]*account),
+		accountsByName: make(map[string]*account),
+		routes:         make(map[string]*route),
+		requests:       make(map[uint64]*request),
+		byCaller:       make(map[uint64]*request),
+		keys:           make(map[string]*keyRecord),
+		tracker:        config.NewTracker(),
+		answers:        answerStore{maxBytes: DefaultAnswerBytes},
 	}
 	for _, opt := range opts {
 		opt(m)
@@ -87,8 +87,7 @@
 	return m
 }
 
-// poolLimits fixes the limits of upstreams when the policy does not adapt
-// them.
+// poolLimits returns the limits of the pool. They are fixed when the policy does not adapt them.
 func (m *Model) poolLimits() pool.Limits {
 	l := pool.DefaultLimits()
 	if !m.policy.Adapt {
@@ -97,8 +96,8 @@
 	return l
 }
 
-// Update takes in what happened at a time and returns what is to be done. The
-// returned slice is valid until the next Update.
+// Update handles a message at the given time and returns the commands to execute. The returned
+// slice is valid until the next Update.
 func (m *Model) Update(now clock.Millis, msg Msg) []Cmd {
 	m.now = max(now, m.now)
 	m.cmds = m.cmds[:0]
@@ -110,7 +109,7 @@
 	case CancelMsg:
 		m.cancel(msg)
 	case TicketsMsg:
-		m.tickets(msg)
+		m.issueTickets(msg)
 	case *StepDoneMsg:
 		m.stepDone(msg)
 	case StepFailedMsg:
@@ -132,30 +131,30 @@
 	case RelayFailedMsg:
 		m.relayFailed(msg)
 	case ListMsg:
-		m.list(msg)
+		m.listReceived(msg)
 	default:
-		m.updateFleet(msg)
+		m.updateCluster(msg)
 	}
 	return m.cmds
 }
 
-// updateFleet takes in what concerns the fleet and not a single request.
-func (m *Model) updateFleet(msg Msg) {
+// updateCluster handles messages about the cluster, as opposed to a single request.
+func (m *Model) updateCluster(msg Msg) {
 	switch msg := msg.(type) {
 	case HeadMsg:
-		m.head(msg)
+		m.headReceived(msg)
 	case ChangesMsg:
-		m.changes(msg)
+		m.changesReceived(msg)
 	case FetchFailedMsg:
 		m.fetching = false
 	case NodesMsg:
-		m.learnNodes(msg)
+		m.updateNodes(msg)
 	case HeartbeatMsg:
-		m.heartbeat(msg)
+		m.heartbeatReceived(msg)
 	case ProposeMsg:
 		m.propose(msg)
 	case CommitMsg:
-		m.committed(msg)
+		m.commitDone(msg)
 	case MarkLeavingMsg:
 		m.markLeaving(msg.Upstream)
 	case DrainMsg:
@@ -163,14 +162,14 @@
 	case HandoverMsg:
 		m.inherit(msg)
 	case HandedOverMsg:
-		m.handedOver(msg)
+		m.handoverDone(msg)
 	}
 }
 
-// do adds a command to what Update returns.
-func (m *Model) do(cmd Cmd) { m.cmds = append(m.cmds, cmd) }
+// addCmd appends a command to the result of Update.
+func (m *Model) addCmd(cmd Cmd) { m.cmds = append(m.cmds, cmd) }
 
-// jitter returns a span drawn evenly from 0 up to span.
+// jitter returns a random time, uniformly distributed from 0 up to span.
 func (m *Model) jitter(span clock.Millis) clock.Millis {
 	if span <= 0 {
 		return 0
@@ -178,7 +177,8 @@
 	return clock.Millis(m.rng.Int64N(int64(span)))
 }
 
-// newBudget returns the retry budget of a lane.
+// newBudget returns the retry budget of a lane. Without Policy.Budget it is large enough never to
+// limit retries.
 func (m *Model) newBudget() *budget.Budget {
 	if !m.policy.Budget {
 		return budget.New(budget.WithShare(float64(m.policy.MaxCalls)), budget.WithBurst(1<<20))
--- a/core/msg.go
+++ b/core/msg.go
@@ -1,12 +1,12 @@
 package core
 
-// Msg is something that happened. It is one of the types named ...Msg.
+// Msg is an event that the Model handles. Its types are named ...Msg.
 type Msg any
 
-// Cmd is something to be done. It is one of the types named ...Cmd, most of
-// them as pointers. A Cmd is valid until the next Update, but for a *StepCmd:
-// that one is valid until its step has been answered.
+// Cmd is an action that the caller of Update executes. Its types are named ...Cmd, and most are
+// passed as pointers. A Cmd is valid until the next Update, except a *StepCmd, which is valid until
+// its step has been answered.
 type Cmd any
 
-// TickMsg says that time has passed. It is due every TickEvery.
+// TickMsg reports that time has passed. It is due every TickInterval.
 type TickMsg struct{}
--- a/core/operator_msg.go
+++ b/core/operator_msg.go
@@ -6,20 +6,20 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// ProposeMsg says that an operator proposes changes.
+// ProposeMsg proposes an operator's configuration changes.
 type ProposeMsg struct {
-	// Call names the operator's call that waits for the answer.
+	// Call is the id of the operator's call that waits for the answer.
 	Call     uint64
 	ChangeID string
-	// Base is the version that the operator looked at; zero for the newest.
+	// Base is the version that the changes are based on; zero selects the active version.
 	Base     uint64
 	Operator string
-	// AtMillis is the wall time, in ms since 1970, for the record.
+	// AtMillis is the wall clock time for the change record, in ms since 1970.
 	AtMillis int64
 	Changes  []*wire.Change
 }
 
-// proposeJSON is how a ProposeMsg is recorded: as the change record that it
+// proposeJSON is the recorded form of a ProposeMsg. It contains the change record that the proposal
 // would become.
 type proposeJSON struct {
 	Call   uint64          `json:"call"`
@@ -55,54 +55,55 @@
 	return nil
 }
 
-// CommitCmd writes a change record into the platform's table, in one
-// transaction, if the newest version there is still the one before it.
+// CommitCmd writes a change record into the platform's table, in one transaction and only if the
+// newest version in the table is the one before the record's.
 type CommitCmd struct {
 	Call   uint64             `json:"call"`
 	Record *wire.ChangeRecord `json:"-"`
 }
 
-// CommitMsg brings what came of a CommitCmd.
+// CommitMsg reports the result of a CommitCmd.
 type CommitMsg struct {
 	Call   uint64       `json:"call"`
 	Result CommitResult `json:"result"`
-	// Version is the version that the change id has, when committed.
+	// Version is the version of the committed change; zero if it was not committed.
 	Version uint64 `json:"version,omitempty"`
-	// Head is the newest version in the table, after a conflict.
+	// Head is the newest version in the table after a conflict.
 	Head uint64 `json:"head,omitempty"`
-	// WinnerID, WinnerBy and WinnerAt tell of the change that was first.
+	// WinnerID, WinnerBy and WinnerAt are the change id, operator and time of the change that was
+	// committed first, after a conflict.
 	WinnerID string `json:"winner_id,omitempty"`
 	WinnerBy string `json:"winner_by,omitempty"`
 	WinnerAt int64  `json:"winner_at,omitempty"`
 }
 
-// CommitResult is what came of a CommitCmd.
+// CommitResult is the result of a CommitCmd.
 type CommitResult uint8
 
-// The results of a commit.
+// The commit results.
 const (
-	// Committed means that the change is in the table, now or from before.
+	// Committed means that the change is in the table, from this CommitCmd or an earlier one.
 	Committed CommitResult = iota
-	// Conflicted means that another change has the version.
+	// Conflicted means that another change has taken the version.
 	Conflicted
-	// CommitUnanswered means that the table gave no answer: the change may be
-	// in it or not, now or later.
+	// CommitUnanswered means that the table did not answer: the change may or may not be in the
+	// table, and may still be written later.
 	CommitUnanswered
 )
 
-// ProposedCmd answers an operator's proposal.
+// ProposedCmd sends the answer to an operator's proposal.
 type ProposedCmd struct {
 	Call  uint64             `json:"call"`
 	Reply *wire.ProposeReply `json:"reply"`
 }
 
-// MarkLeavingMsg says that an operator wants no more work at an upstream.
+// MarkLeavingMsg requests, for an operator, that an upstream get no new work.
 type MarkLeavingMsg struct {
 	Upstream string `json:"upstream"`
 }
 
-// DrainMsg says that this node is to stop.
+// DrainMsg starts a planned stop of this node.
 type DrainMsg struct{}
 
-// ExitCmd says that the node may stop now: nothing is in progress.
+// ExitCmd reports that the drain is complete and the process may exit.
 type ExitCmd struct{}
--- a/core/options.go
+++ b/core/options.go
@@ -6,39 +6,37 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// TickEvery is how often a TickMsg is due.
-const TickEvery clock.Millis = 20
+// TickInterval is the interval at which a TickMsg is due.
+const TickInterval clock.Millis = 20
 
-// Option sets up a Model.
+// Option configures a Model.
 type Option func(*Model)
 
-// WithNode sets the node's own record. Its incarnation must be new.
+// WithNode sets the node's own record. Its incarnation must not have been used before.
 func WithNode(n *wire.NodeRecord) Option { return func(m *Model) { m.node = n } }
 
-// WithSecret sets what the tags of tickets are made with.
+// WithSecret sets the secret that authenticates tickets.
 func WithSecret(secret []byte) Option { return func(m *Model) { m.secret = secret } }
 
-// WithSeed seeds all random choices.
+// WithSeed sets the seed of the random source.
 func WithSeed(seed uint64) Option { return func(m *Model) { m.seed = seed } }
 
-// WithSeeds sets addresses of peers to speak to before the platform's table
-// has named any.
-func WithSeeds(addresses []string) Option { return func(m *Model) { m.seeds = addresses } }
+// WithSeedPeers sets the addresses of peers that receive heartbeats while no other node is live in
+// this node's view.
+func WithSeedPeers(addresses []string) Option { return func(m *Model) { m.seedPeers = addresses } }
 
-// WithChooser sets how one upstream is chosen among those with room.
+// WithChooser sets the strategy that chooses among upstreams with free capacity.
 func WithChooser(c pool.Chooser) Option { return func(m *Model) { m.chooser = c } }
 
 // WithPolicy sets how requests are admitted, ordered and retried.
 func WithPolicy(p Policy) Option { return func(m *Model) { m.policy = p } }
 
-// WithGrace sets how long a node that stops goes on taking new requests,
-// until the balancer has noticed.
-func WithGrace(grace clock.Millis) Option { return func(m *Model) { m.grace = grace } }
+// WithDrainGrace sets how long a draining node accepts new requests, until the load balancer has
+// noticed the drain.
+func WithDrainGrace(grace clock.Millis) Option { return func(m *Model) { m.drainGrace = grace } }
 
-// WithStoreShare sets how many writes a second all nodes together may use for
-// claims.
-func WithStoreShare(claims float64) Option { return func(m *Model) { m.claimWrites = claims } }
+// WithClaimWrites sets how many writes per second all nodes together may use for claims.
+func WithClaimWrites(claims float64) Option { return func(m *Model) { m.claimWrites = claims } }
 
-// WithAnswers sets how many bytes of answers are kept for callers that ask
-// again with the same key.
-func WithAnswers(bytes int) Option { return func(m *Model) { m.answers.most = bytes } }
+// WithAnswerBytes sets how many bytes of answers are kept for client retries with the same key.
+func WithAnswerBytes(bytes int) Option { return func(m *Model) { m.answers.maxBytes = bytes } }
--- a/core/peer_msg.go
+++ b/core/peer_msg.go
@@ -2,14 +2,15 @@
 
 import "github.com/hoistjunction/hoistjunction/wire"
 
-// HeartbeatCmd tells a peer what this node knows. Its reply comes back as a
-// HeartbeatMsg.
+// HeartbeatCmd sends a heartbeat with this node's view of the cluster to a peer. The reply is
+// returned as a HeartbeatMsg.
 type HeartbeatCmd struct {
 	Address string                 `json:"address"`
 	Beat    *wire.HeartbeatRequest `json:"beat"`
 }
 
-// HeartbeatMsg brings what a peer knows, whether it asked or answered.
+// HeartbeatMsg carries a peer's view of the cluster, from its own heartbeat or from its reply to
+// one.
 type HeartbeatMsg struct {
 	From    *wire.NodeRecord    `json:"from"`
 	Heard   []*wire.NodeRecord  `json:"heard,omitempty"`
--- a/core/platform_msg.go
+++ b/core/platform_msg.go
@@ -10,15 +10,15 @@
 // PollListCmd reads the platform's list of VMs.
 type PollListCmd struct{}
 
-// ListMsg brings the platform's list of VMs, late as it is.
+// ListMsg carries the platform's list of VMs. The list lags behind the actual state.
 type ListMsg struct {
 	Upstreams []pool.Listing `json:"upstreams"`
 }
 
-// PollHeadCmd reads which version of the configuration is the newest.
+// PollHeadCmd reads the newest configuration version in the platform's table.
 type PollHeadCmd struct{}
 
-// HeadMsg brings the newest version in the platform's table.
+// HeadMsg carries the newest configuration version in the platform's table.
 type HeadMsg struct {
 	Version uint64 `json:"version"`
 }
@@ -31,41 +31,40 @@
 // PollNodesCmd reads the records of all nodes from the platform's table.
 type PollNodesCmd struct{}
 
-// NodesMsg brings the records of all nodes.
+// NodesMsg carries node records, usually those of all nodes in the platform's table.
 type NodesMsg struct {
 	Nodes []*wire.NodeRecord `json:"nodes"`
 }
 
-// FetchChangesCmd reads the change records after a version: from a peer where
-// Address is set, and else from the platform.
+// FetchChangesCmd reads the change records after a version, from the peer at Address if it is set
+// and from the platform otherwise.
 type FetchChangesCmd struct {
 	After   uint64 `json:"after"`
 	Address string `json:"address,omitempty"`
 }
 
-// ChangesMsg brings change records in order, or a whole configuration and the
-// records after it.
+// ChangesMsg carries change records in order of version. If Snapshot is set, it is a full
+// configuration and the records follow it.
 type ChangesMsg struct {
 	Snapshot *wire.Config         `json:"snapshot,omitempty"`
 	Records  []*wire.ChangeRecord `json:"records,omitempty"`
 }
 
-// FetchFailedMsg says that a FetchChangesCmd brought nothing.
+// FetchFailedMsg reports that a FetchChangesCmd failed.
 type FetchFailedMsg struct{}
 
-// SnapshotCmd writes a whole configuration into the object store.
+// SnapshotCmd writes a full configuration into the object store.
 type SnapshotCmd struct {
 	Config *wire.Config `json:"-"`
 }
 
-// changesJSON is how a ChangesMsg is recorded.
+// changesJSON is the recorded form of a ChangesMsg.
 type changesJSON struct {
 	Snapshot json.RawMessage   `json:"snapshot,omitempty"`
 	Records  []json.RawMessage `json:"records,omitempty"`
 }
 
-// MarshalJSON implements json.Marshaler: the schema's messages have a JSON
-// form of their own.
+// MarshalJSON implements json.Marshaler. Protobuf messages need the protobuf JSON encoding.
 func (m ChangesMsg) MarshalJSON() ([]byte, error) {
 	var out changesJSON
 	var err error
--- a/core/policy.go
+++ b/core/policy.go
@@ -2,38 +2,38 @@
 
 import "github.com/hoistjunction/hoistjunction/clock"
 
-// Policy is how requests are admitted, ordered and retried. The zero value is
-// what a plain proxy does; DefaultPolicy is what the measurements speak for.
+// Policy sets how requests are admitted, ordered and retried. The zero value behaves like a plain
+// proxy. DefaultPolicy returns the values that performed best in measurements.
 type Policy struct {
-	// Predict refuses at once what is not expected to meet its bound.
+	// Predict refuses a request at once when it is predicted to miss its bound.
 	Predict bool
-	// Fair orders by priority and weighted shares; without it, by arrival.
+	// Fair orders the queue by priority and by weighted shares of the accounts. Without it the
+	// order is by arrival.
 	Fair bool
-	// Adapt moves upstreams' limits so that steps meet their bound; without
-	// it they stay at FixedLimit.
+	// Adapt changes the limits of upstreams so that steps meet their bound. Without it they stay at
+	// FixedLimit.
 	Adapt bool
-	// FixedLimit is the limit of an upstream that is not adapted.
+	// FixedLimit is the limit of requests in flight at an upstream when Adapt is off.
 	FixedLimit float64
-	// Affinity prefers the upstreams that have a prompt's prefix cached.
+	// Affinity prefers upstreams that have a prompt's prefix cached.
 	Affinity bool
-	// Margin is the share of the bound that a prediction may fill.
+	// Margin is the fraction of the bound that a predicted time may use.
 	Margin float64
-	// MaxQueue bounds the requests that wait for one lane.
+	// MaxQueue bounds the number of requests in the queue of one lane.
 	MaxQueue int
-	// MaxGenerations bounds how often a pipeline's answer is resumed.
+	// MaxGenerations bounds how many times the answer of a pipeline request is started or resumed.
 	MaxGenerations uint32
-	// MaxCalls bounds how often a plain call is tried.
+	// MaxCalls bounds the attempts of a call to a plain service.
 	MaxCalls uint32
 	// Budget bounds retries to a share of the traffic.
 	Budget bool
-	// LeastStepLimit is the shortest time after which an unanswered step is
-	// taken for lost.
+	// LeastStepLimit is the shortest timeout of a step, in ms.
 	LeastStepLimit clock.Millis
-	// StepLimitFactor stretches a step's usual time to that limit.
+	// StepLimitFactor is the ratio of a step's timeout to its average time.
 	StepLimitFactor float64
 }
 
-// DefaultPolicy returns the policy that needs no tuning.
+// DefaultPolicy returns the policy for production use.
 func DefaultPolicy() Policy {
 	return Policy{
 		Predict:         true,
--- a/core/reason.go
+++ b/core/reason.go
@@ -2,11 +2,10 @@
 
 import "net/http"
 
-// Reason says why a request ended as it did.
+// Reason is the cause of a request's outcome.
 type Reason uint8
 
-// The reasons. Every way in which a request can be refused, lost or failed is
-// one of these.
+// The reasons. Every refusal and failure of a request has one of them.
 const (
 	ReasonNone Reason = iota
 	ReasonBadRequest
@@ -31,13 +30,13 @@
 	reasonCount
 )
 
-// reasonInfo describes a reason. NotRun says why a request refused for it has
-// not run; it is empty for reasons under which "not run" is never said. Only
-// refuse says it, and it looks here.
+// reasonInfo describes a reason. notExecuted states why a request refused for the reason has not
+// been executed. It is empty for reasons that must not lead to the outcome NotExecuted; refuse and
+// reject check this.
 type reasonInfo struct {
-	name   string
-	status int
-	notRun string
+	name        string
+	status      int
+	notExecuted string
 }
 
 var reasons = [reasonCount]reasonInfo{
@@ -46,30 +45,30 @@
 	ReasonUnauthorized:  {name: "unauthorized", status: http.StatusUnauthorized},
 	ReasonNoRoute:       {name: "no_route", status: http.StatusNotFound},
 	ReasonKeyReused:     {name: "key_reused", status: http.StatusUnprocessableEntity},
-	ReasonNotReady:      {name: "not_ready", status: http.StatusServiceUnavailable, notRun: "no configuration yet: it was not looked at"},
-	ReasonOverloaded:    {name: "overloaded", status: http.StatusServiceUnavailable, notRun: "refused before it was queued"},
-	ReasonAccountLimit:  {name: "account_limit", status: http.StatusTooManyRequests, notRun: "refused before it was queued"},
-	ReasonExpired:       {name: "expired", status: http.StatusServiceUnavailable, notRun: "taken from the queue before it was dispatched"},
-	ReasonNoUpstream:    {name: "no_upstream", status: http.StatusServiceUnavailable, notRun: "there was nowhere to send it"},
-	ReasonNotSent:       {name: "not_sent", status: http.StatusServiceUnavailable, notRun: "no byte of it left this node, or the engine refused before it began"},
-	ReasonStoreDown:     {name: "store_down", status: http.StatusServiceUnavailable, notRun: "its claim was not granted, so it was not dispatched"},
-	ReasonDraining:      {name: "draining", status: http.StatusServiceUnavailable, notRun: "the node is stopping: it was not looked at"},
-	ReasonShed:          {name: "shed", status: http.StatusServiceUnavailable, notRun: "it never reached the decisions: the ring before them was full"},
+	ReasonNotReady:      {name: "not_ready", status: http.StatusServiceUnavailable, notExecuted: "no configuration was loaded yet, so the request was not read"},
+	ReasonOverloaded:    {name: "overloaded", status: http.StatusServiceUnavailable, notExecuted: "the request was refused before it was queued"},
+	ReasonAccountLimit:  {name: "account_limit", status: http.StatusTooManyRequests, notExecuted: "the request was refused before it was queued"},
+	ReasonExpired:       {name: "expired", status: http.StatusServiceUnavailable, notExecuted: "the request was removed from the queue before it was dispatched"},
+	ReasonNoUpstream:    {name: "no_upstream", status: http.StatusServiceUnavailable, notExecuted: "no upstream existed for the route"},
+	ReasonNotSent:       {name: "not_sent", status: http.StatusServiceUnavailable, notExecuted: "no byte of the request left this node, or the engine refused it before executing it"},
+	ReasonStoreDown:     {name: "store_down", status: http.StatusServiceUnavailable, notExecuted: "no claim on its key was granted, so the request was not dispatched"},
+	ReasonDraining:      {name: "draining", status: http.StatusServiceUnavailable, notExecuted: "the node is stopping, so the request was not read"},
+	ReasonShed:          {name: "shed", status: http.StatusServiceUnavailable, notExecuted: "the ring buffer in front of the model was full, so the request never reached the model"},
 	ReasonCanceled:      {name: "canceled", status: 499},
 	ReasonDeadline:      {name: "deadline", status: http.StatusGatewayTimeout},
 	ReasonUpstreamLost:  {name: "upstream_lost", status: http.StatusBadGateway},
 	ReasonUpstreamError: {name: "upstream_error", status: http.StatusBadGateway},
-	ReasonOwnerGone:     {name: "owner_gone", status: http.StatusBadGateway, notRun: "the owner of its key could not be reached, and the caller had not tried before"},
+	ReasonOwnerGone:     {name: "owner_gone", status: http.StatusBadGateway, notExecuted: "the owner of its key could not be reached, and the client had not tried before"},
 	ReasonAnswerGone:    {name: "answer_gone", status: http.StatusConflict},
 }
 
-// String returns the name that callers see.
+// String returns the name that clients receive.
 func (r Reason) String() string { return reasons[r].name }
 
-// HTTPStatus returns the status code that goes with a refusal or failure.
+// HTTPStatus returns the HTTP status code of a refusal or failure with this reason.
 func (r Reason) HTTPStatus() int { return reasons[r].status }
 
-// ParseReason is the inverse of String. An unknown name gives ReasonNone.
+// ParseReason is the inverse of String. It returns ReasonNone for an unknown name.
 func ParseReason(name string) Reason {
 	for r, info := range reasons {
 		if info.name == name {
--- a/core/request.go
+++ b/core/request.go
@@ -5,25 +5,27 @@
 	"github.com/hoistjunction/hoistjunction/pool"
 )
 
-// phase is how far a request has come.
+// phase is the progress of a request.
 type phase uint8
 
 const (
-	// phaseClaiming waits for the platform's table to say whose key it is.
+	// phaseClaiming means that the request waits for the claim on its key from the platform's
+	// table.
 	phaseClaiming phase = iota
-	// phaseQueued waits for room at the upstreams.
+	// phaseQueued means that the request waits for free capacity at the upstreams.
 	phaseQueued
-	// phaseRunning has been sent to an upstream.
+	// phaseRunning means that the request has been sent to an upstream.
 	phaseRunning
-	// phaseResuming has lost an upstream and waits for room at others.
+	// phaseResuming means that an upstream failed and the request waits for free capacity at
+	// another.
 	phaseResuming
-	// phaseRelayed is in the hands of the node that owns its key.
+	// phaseRelayed means that the request has been relayed to the owner of its key.
 	phaseRelayed
-	// phaseEnded has its final word.
+	// phaseEnded means that the request has its result.
 	phaseEnded
 )
 
-// request is one request, from its arrival to its final word.
+// request is the state of a request from its arrival to its result.
 type request struct {
 	id       uint64
 	callers  []uint64
@@ -34,52 +36,53 @@
 	phase    phase
 	priority int
 
-	arrived    clock.Millis
-	deadline   clock.Millis
-	dispatched clock.Millis
+	arrivedAt    clock.Millis
+	deadline     clock.Millis
+	dispatchedAt clock.Millis
 
-	// slot is the request's place in Model.running.
-	slot int
-	// begun is set once an upstream may have started on the request.
+	// runningIndex is the request's index in Model.running.
+	runningIndex int
+	// begun is set when an upstream may have started to execute the request.
 	begun bool
-	// tried holds the upstreams that have failed this request.
-	tried []*pool.Upstream
+	// failed holds the upstreams that have failed this request.
+	failed []*pool.Upstream
 
-	// For a pipeline.
-	generation uint32
-	chain      []*pool.Upstream
-	stage      int
-	step       *StepCmd
-	span       int
-	sentAt     clock.Millis
-	limitAt    clock.Millis
-	tokens     []uint32
-	texts      []string
-	firstAt    clock.Millis
-	lastAt     clock.Millis
-	late       int
-	emit       EmitCmd
+	// The fields from generation to emit are used for a pipeline. A plain service also uses chain,
+	// sentAt, timeoutAt and firstTokenAt.
+	generation   uint32
+	chain        []*pool.Upstream
+	stage        int
+	step         *StepCmd
+	positions    int
+	sentAt       clock.Millis
+	timeoutAt    clock.Millis
+	tokens       []uint32
+	texts        []string
+	firstTokenAt clock.Millis
+	lastTokenAt  clock.Millis
+	lateTokens   int
+	emit         EmitCmd
 
-	// For a plain service.
+	// attempt counts the calls to a plain service.
 	attempt uint32
 
 	final FinishCmd
 }
 
-// marked reports whether the request may not be repeated.
-func (r *request) marked() bool { return r.spec.NoRepeat || r.key != nil }
+// noRepeat reports whether the request must not be executed twice.
+func (r *request) noRepeat() bool { return r.spec.NoRepeat || r.key != nil }
 
-// ambiguous reports whether an earlier try with the same key may have run
-// somewhere, for all that is known here.
-func (r *request) ambiguous() bool {
+// mayHaveExecuted reports whether an earlier try with the same key may have been executed at
+// another node.
+func (r *request) mayHaveExecuted() bool {
 	if r.key == nil || r.spec.FirstTry {
 		return false
 	}
 	return !r.key.owned
 }
 
-// cost is the work that the request asks for, in tokens.
+// cost returns the work of the request, in requested tokens.
 func (r *request) cost() float64 { return float64(max(r.spec.MaxTokens, 1)) }
 
-// holds reports whether the request counts in its lane as running.
-func (r *request) holds() bool { return len(r.chain) > 0 }
+// holdsSlots reports whether the request holds upstream slots and counts as running in its lane.
+func (r *request) holdsSlots() bool { return len(r.chain) > 0 }
--- a/core/resume.go
+++ b/core/resume.go
@@ -4,11 +4,11 @@
 	"slices"
 )
 
-// stepFailed deals with a stage that has not run a step.
+// stepFailed handles the report that a stage did not execute a step.
 func (m *Model) stepFailed(msg StepFailedMsg) {
 	u := m.pool.Get(msg.Upstream)
 	r := m.requests[msg.Request]
-	if u == nil || !r.expects(u, msg.Generation, msg.Position) {
+	if u == nil || !r.awaitsStep(u, msg.Generation, msg.Position) {
 		m.stats.Stale++
 		return
 	}
@@ -18,77 +18,78 @@
 	if msg.Fault == StepNotSent {
 		m.pool.Fail(m.now, u, false)
 	}
-	r.tried = append(r.tried, u)
-	provenIdle := msg.Fault == StepNotSent || msg.Fault == StepRefused
-	if provenIdle && r.stage == 0 && len(r.tokens) == 0 && (r.generation == 1 || r.marked()) {
-		m.unbegin(r)
+	r.failed = append(r.failed, u)
+	notExecuted := msg.Fault == StepNotSent || msg.Fault == StepRefused
+	if notExecuted && r.stage == 0 && len(r.tokens) == 0 && (r.generation == 1 || r.noRepeat()) {
+		m.undoBegun(r)
 	}
 	m.resume(r)
 }
 
-// upstreamDown resumes every request that has a stage at an engine whose
-// stream has broken.
+// upstreamDown handles the loss of the connection to an engine, and resumes every request with a
+// stage at that engine.
 func (m *Model) upstreamDown(msg UpstreamDownMsg) {
 	u := m.pool.Get(msg.Upstream)
 	if u == nil {
 		return
 	}
 	m.pool.Fail(m.now, u, false)
-	var hit []*request
+	var affected []*request
 	for _, r := range m.running {
-		if !r.route.service() && slices.Contains(r.chain, u) {
-			hit = append(hit, r)
+		if !r.route.isService() && slices.Contains(r.chain, u) {
+			affected = append(affected, r)
 		}
 	}
-	for _, r := range hit {
+	for _, r := range affected {
 		if r.phase == phaseRunning {
-			r.tried = append(r.tried, u)
+			r.failed = append(r.failed, u)
 			m.resume(r)
 		}
 	}
 }
 
-// mayResume reports whether a new generation is allowed. A marked request that
-// has begun, and has emitted nothing, is not started afresh: that would be a
-// repeat. Once it has emitted, going on is not.
+// mayResume reports whether a new generation is allowed. A request that must not be executed twice
+// may not restart after it has begun and before it has emitted a token, because that would be a
+// second execution. After the first token it may continue.
 func (m *Model) mayResume(r *request) bool {
 	if r.generation >= m.policy.MaxGenerations {
 		return false
 	}
-	return !r.marked() || !r.begun || len(r.tokens) > 0
+	return !r.noRepeat() || !r.begun || len(r.tokens) > 0
 }
 
-// resume puts a request that has lost a stage in line for a new generation.
+// resume queues a request for a new generation after a stage has failed, or ends it if no new
+// generation is allowed.
 func (m *Model) resume(r *request) {
 	if !m.mayResume(r) {
-		m.giveUp(r)
+		m.endWithoutUpstream(r)
 		return
 	}
-	m.goElsewhere(r)
+	m.redispatch(r)
 }
 
-// goElsewhere takes a request off its upstreams and puts it in line for others,
-// before the queue: it has had its turn there.
-func (m *Model) goElsewhere(r *request) {
+// redispatch releases a request's upstreams and queues it for others. It is placed ahead of the
+// lane's queue, because it has waited there before.
+func (m *Model) redispatch(r *request) {
 	l := r.route.lane
-	m.leaveLane(r)
+	m.releaseSlots(r)
 	r.phase = phaseResuming
 	l.resuming = append(l.resuming, r)
 	m.dispatch(l)
 }
 
-func (m *Model) giveUp(r *request) {
+func (m *Model) endWithoutUpstream(r *request) {
 	if r.begun {
-		m.lose(r, ReasonUpstreamLost)
+		m.endUnanswered(r, ReasonUpstreamLost)
 		return
 	}
-	m.refuse(r, ReasonNotSent, leastPause+m.jitter(leastPause))
+	m.refuse(r, ReasonNotSent, minRetryAfter+m.jitter(minRetryAfter))
 }
 
-// endGeneration frees the request's caches at its stages.
+// endGeneration ends the current generation at each stage, which frees the request's caches.
 func (m *Model) endGeneration(r *request) {
 	for _, u := range r.chain {
-		m.do(&EndCmd{
+		m.addCmd(&EndCmd{
 			Upstream:   u.Name(),
 			Address:    u.Listing().Address,
 			Request:    r.id,
--- a/core/stats.go
+++ b/core/stats.go
@@ -4,7 +4,7 @@
 	"github.com/hoistjunction/hoistjunction/outcome"
 )
 
-// Stats counts what the model has done since its start.
+// Stats holds the counters of a Model since its start.
 type Stats struct {
 	Submitted    uint64
 	Attached     uint64
@@ -31,10 +31,10 @@
 	s.reasons[r]++
 }
 
-// Outcome returns how many requests ended with an outcome.
+// Outcome returns the number of requests that ended with an outcome.
 func (s *Stats) Outcome(o outcome.Outcome) uint64 { return s.outcomes[o] }
 
-// Reason returns how many requests ended for a reason.
+// Reason returns the number of requests that ended for a reason.
 func (s *Stats) Reason(r Reason) uint64 { return s.reasons[r] }
 
 // Each calls f with the name and value of every counter.
--- a/core/status.go
+++ b/core/status.go
@@ -5,17 +5,18 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// Stats returns the counters. They are the model's own: copy them to keep.
+// Stats returns a pointer to the model's counters. Callers that keep the values must copy them.
 func (m *Model) Stats() *Stats { return &m.stats }
 
-// Config returns the configuration in force. It must not be changed.
+// Config returns the active configuration. It must not be modified.
 func (m *Model) Config() *wire.Config { return m.tracker.Current() }
 
-// History returns the newest change records, newest first.
+// History returns up to limit change records, newest first.
 func (m *Model) History(limit int) []*wire.ChangeRecord { return m.tracker.History(limit) }
 
-// Changes returns what a peer at a version is missing.
-func (m *Model) Changes(after uint64) *wire.ChangesReply {
+// ChangesAfter returns the change records after a version, or the full configuration if those
+// records are no longer held.
+func (m *Model) ChangesAfter(after uint64) *wire.ChangesReply {
 	records, ok := m.tracker.After(after)
 	if !ok {
 		return &wire.ChangesReply{Snapshot: m.tracker.Current()}
@@ -23,7 +24,7 @@
 	return &wire.ChangesReply{Records: records}
 }
 
-// Status tells operators of all nodes and upstreams, as this node sees them.
+// Status returns the state of all nodes and upstreams in this node's view, for operators.
 func (m *Model) Status() *wire.StatusReply {
 	reply := &wire.StatusReply{Nodes: []*wire.NodeStatus{m.selfStatus()}}
 	for _, p := range m.members.Peers() {
@@ -55,12 +56,12 @@
 	}
 }
 
-// Burn returns what hoistburn reads: the counts of every route and client
-// account that has had requests.
+// Burn returns the request counts that hoistburn reads, for every route and client account with
+// requests in the long window.
 func (m *Model) Burn() []burn.Line {
 	var lines []burn.Line
 	for _, c := range m.tracker.Current().GetAccounts() {
-		a := m.byName[c.GetName()]
+		a := m.accountsByName[c.GetName()]
 		for _, rc := range m.tracker.Current().GetRoutes() {
 			meter := a.meters[rc.GetName()]
 			if meter == nil {
@@ -75,16 +76,15 @@
 	return lines
 }
 
-// EachRoute calls f with every route's name and histograms, in the order of
-// their names.
-func (m *Model) EachRoute(f func(name string, t *Times)) {
+// EachRoute calls f with the name and latencies of every route, in the order of their names.
+func (m *Model) EachRoute(f func(name string, t *Latencies)) {
 	for _, rc := range m.tracker.Current().GetRoutes() {
-		f(rc.GetName(), &m.routes[rc.GetName()].times)
+		f(rc.GetName(), &m.routes[rc.GetName()].latencies)
 	}
 }
 
-// ConfigAt returns the configuration of a version: the one in force for zero,
-// or nil for one that is not held here.
+// ConfigAt returns the configuration of a version, or nil if this node does not hold it. Version
+// zero selects the active configuration.
 func (m *Model) ConfigAt(version uint64) *wire.Config {
 	if version == 0 || version == m.tracker.Version() {
 		return m.tracker.Current()
@@ -92,5 +92,5 @@
 	return m.tracker.At(version)
 }
 
-// Knows reports whether there is an upstream of a name.
-func (m *Model) Knows(upstream string) bool { return m.pool.Get(upstream) != nil }
+// HasUpstream reports whether an upstream with the given name is known.
+func (m *Model) HasUpstream(upstream string) bool { return m.pool.Get(upstream) != nil }
--- a/core/step.go
+++ b/core/step.go
@@ -8,21 +8,18 @@
 	"github.com/hoistjunction/hoistjunction/pool"
 )
 
-// A step is named by request, generation and position. An answer that does
-// not carry exactly the names of the step that is out is dropped and counted:
-// it is late, doubled, or somebody else's.
+// A step is identified by request, generation and position. An answer that does not match the step
+// in flight is dropped and counted as stale: it is late, a duplicate, or meant for another request.
 
-// bytesPerPosition is about how much prompt text makes one position. It only
-// serves to guess how long the first step takes.
+// bytesPerPosition is the approximate number of prompt bytes for each position. It is only used to
+// estimate the time of the first step.
 const bytesPerPosition = 3
 
-// unknownStep is how long a step may take at an upstream that has not yet
-// answered any.
-const unknownStep clock.Millis = 2000
+// defaultStepTimeout is the timeout of a step at an upstream that has not answered any step.
+const defaultStepTimeout clock.Millis = 2000
 
-// startGeneration runs the prompt, and what has been emitted of the answer,
-// through a fresh chain of stages. The stages fence out what may still be
-// under way of earlier generations, and nothing emitted is emitted again.
+// startGeneration sends the prompt and the tokens emitted so far through a new chain of stages. The
+// stages reject steps of earlier generations, and no token is emitted twice.
 func (m *Model) startGeneration(r *request) {
 	r.generation++
 	if r.generation > 1 {
@@ -35,13 +32,12 @@
 		Tokens:     slices.Clone(r.tokens),
 		Priority:   r.priority,
 	}
-	r.span = len(r.spec.Prompt)/bytesPerPosition + len(r.tokens) + 1
+	r.positions = len(r.spec.Prompt)/bytesPerPosition + len(r.tokens) + 1
 	r.stage = 0
 	m.sendStep(r)
 }
 
-// sendStep sends the step that r.step describes to the stage that r.stage
-// names.
+// sendStep sends the current step r.step to the current stage r.stage.
 func (m *Model) sendStep(r *request) {
 	u := r.chain[r.stage]
 	if u.Ejected() && m.mayResume(r) {
@@ -51,46 +47,45 @@
 	r.step.Upstream = u.Name()
 	r.step.Address = u.Listing().Address
 	r.sentAt = m.now
-	r.limitAt = m.now.Add(m.stepLimit(u, r.span))
-	m.do(r.step)
+	r.timeoutAt = m.now.Add(m.stepTimeout(u, r.positions))
+	m.addCmd(r.step)
 }
 
-// stepLimit is how long a step may go unanswered before its stage is taken
-// for lost.
-func (m *Model) stepLimit(u *pool.Upstream, positions int) clock.Millis {
+// stepTimeout returns how long a step may stay unanswered before its stage counts as failed.
+func (m *Model) stepTimeout(u *pool.Upstream, positions int) clock.Millis {
 	if u.StepMillis() == 0 {
-		return unknownStep
+		return defaultStepTimeout
 	}
-	usual := u.StepMillis() + u.PrefillMillis()*float64(positions)
-	return max(clock.Millis(usual*m.policy.StepLimitFactor), m.policy.LeastStepLimit)
+	expected := u.StepMillis() + u.PrefillMillis()*float64(positions)
+	return max(clock.Millis(expected*m.policy.StepLimitFactor), m.policy.LeastStepLimit)
 }
 
-// stepDone moves a request to its next stage, or emits its next token.
+// stepDone handles the result of a step: it sends the output to the next stage, or emits the token
+// of the last stage.
 func (m *Model) stepDone(msg *StepDoneMsg) {
 	u := m.pool.Get(msg.Upstream)
 	if u == nil {
 		m.stats.Stale++
 		return
 	}
-	m.hear(u, msg.Load, msg.Leaving)
+	m.recordEngineStatus(u, msg.Load, msg.Leaving)
 	r := m.requests[msg.Request]
-	if !r.expects(u, msg.Generation, msg.Position) {
+	if !r.awaitsStep(u, msg.Generation, msg.Position) {
 		m.stats.Stale++
 		return
 	}
 	m.stats.Steps++
 	m.pool.Observe(u, m.now.Sub(r.sentAt), msg.Positions)
-	r.span = msg.Positions
+	r.positions = msg.Positions
 	if r.stage+1 < len(r.chain) {
 		m.nextStage(r, msg)
 		return
 	}
-	m.token(r, msg)
+	m.emitToken(r, msg)
 }
 
-// expects reports whether an answer, good or bad, is the one that the request
-// waits for.
-func (r *request) expects(u *pool.Upstream, generation, position uint32) bool {
+// awaitsStep reports whether a result or failure belongs to the step that the request waits for.
+func (r *request) awaitsStep(u *pool.Upstream, generation, position uint32) bool {
 	return r != nil && r.phase == phaseRunning && r.step != nil &&
 		r.chain[r.stage] == u && r.generation == generation && r.step.Position == position
 }
@@ -103,15 +98,15 @@
 	m.sendStep(r)
 }
 
-// token emits the token that the last stage chose, and starts the next
-// position at the first stage.
-func (m *Model) token(r *request, msg *StepDoneMsg) {
-	m.judge(r)
+// emitToken emits the token that the last stage chose, and starts the next position at the first
+// stage.
+func (m *Model) emitToken(r *request, msg *StepDoneMsg) {
+	m.recordToken(r)
 	r.tokens = append(r.tokens, msg.Token)
 	r.texts = append(r.texts, msg.Text)
 	m.stats.Tokens++
 	r.emit = EmitCmd{Callers: r.callers, Texts: r.texts[len(r.texts)-1:]}
-	m.do(&r.emit)
+	m.addCmd(&r.emit)
 	if msg.Last || len(r.tokens) >= r.spec.MaxTokens {
 		m.finishPipeline(r)
 		return
@@ -120,38 +115,38 @@
 	r.step.Inputs = nil
 	r.step.Tokens = r.tokens[len(r.tokens)-1:]
 	r.stage = 0
-	r.span = 1
+	r.positions = 1
 	m.sendStep(r)
 }
 
 func (m *Model) finishPipeline(r *request) {
 	l := r.route.lane
-	held := m.now.Sub(r.dispatched)
-	l.perToken.add(float64(held) / r.cost())
+	held := m.now.Sub(r.dispatchedAt)
+	l.slotMillisPerToken.add(float64(held) / r.cost())
 	if m.policy.Affinity {
 		l.affinity.put(m.now, r.spec.Prompt, r.chain)
 	}
 	m.end(r, FinishCmd{Outcome: outcome.Done})
 }
 
-// judge compares a token's time with its bound and moves the limits of the
-// stages: up a little when it was met, and down at the slowest stage when it
-// was missed.
-func (m *Model) judge(r *request) {
-	times := &r.route.times
-	if r.firstAt == 0 {
-		r.firstAt = m.now
-		r.lastAt = m.now
-		r.route.lane.first.add(float64(m.now.Sub(r.dispatched)))
-		times.recordFirst(m.now.Sub(r.arrived))
+// recordToken compares the time of a token with its bound and adapts the limits of the stages: they
+// grow slightly when the bound was met, and the slowest stage's limit shrinks when the bound was
+// missed.
+func (m *Model) recordToken(r *request) {
+	times := &r.route.latencies
+	if r.firstTokenAt == 0 {
+		r.firstTokenAt = m.now
+		r.lastTokenAt = m.now
+		r.route.lane.firstTokenMillis.add(float64(m.now.Sub(r.dispatchedAt)))
+		times.recordFirstToken(m.now.Sub(r.arrivedAt))
 		return
 	}
-	gap := m.now.Sub(r.lastAt)
-	r.lastAt = m.now
-	times.recordGap(gap)
+	gap := m.now.Sub(r.lastTokenAt)
+	r.lastTokenAt = m.now
+	times.recordTokenGap(gap)
 	bound := r.route.tokenBound()
 	if gap > bound {
-		r.late++
+		r.lateTokens++
 	}
 	if m.policy.Adapt {
 		m.pool.Judge(m.now, r.chain, gap, bound)
--- a/core/step_cmd.go
+++ b/core/step_cmd.go
@@ -2,7 +2,7 @@
 
 import "github.com/hoistjunction/hoistjunction/clock"
 
-// StepCmd sends a step to a stage.
+// StepCmd sends a step to an engine that serves a stage.
 type StepCmd struct {
 	Upstream   string   `json:"upstream"`
 	Address    string   `json:"address"`
@@ -15,7 +15,7 @@
 	Priority   int      `json:"priority,omitempty"`
 }
 
-// EndCmd ends a generation at a stage, so that the engine frees its cache.
+// EndCmd ends a generation at an engine, so that the engine frees its cache.
 type EndCmd struct {
 	Upstream   string `json:"upstream"`
 	Address    string `json:"address"`
--- a/core/step_msg.go
+++ b/core/step_msg.go
@@ -1,41 +1,41 @@
 package core
 
-// StepDoneMsg says that a stage has run a step.
+// StepDoneMsg reports that an engine has executed a step.
 type StepDoneMsg struct {
 	Upstream   string   `json:"upstream"`
 	Request    uint64   `json:"request"`
 	Generation uint32   `json:"generation"`
 	Position   uint32   `json:"position"`
 	Outputs    []uint64 `json:"outputs,omitempty"`
-	// Positions is how many positions the step covered.
+	// Positions is the number of positions that the step covered.
 	Positions int    `json:"positions"`
 	Token     uint32 `json:"token,omitempty"`
 	Text      string `json:"text,omitempty"`
 	// Last is set on the last token of an answer.
 	Last bool `json:"last,omitempty"`
-	// Load is the number of generations that the engine holds for all nodes.
+	// Load is the number of generations that the engine holds for all entry nodes together.
 	Load    int  `json:"load,omitempty"`
 	Leaving bool `json:"leaving,omitempty"`
-	// Cached is how many prompt positions came from the prefix cache.
+	// Cached is the number of prompt positions that were found in the prefix cache.
 	Cached int `json:"cached,omitempty"`
 }
 
-// StepFault says why a step was not run, as far as is known.
+// StepFault is the reason why an engine did not execute a step.
 type StepFault uint8
 
-// The faults. Only the first two prove that the step did not begin.
+// The step faults. Only StepNotSent and StepRefused prove that the step did not begin.
 const (
 	// StepNotSent means that no byte of the step left this node.
 	StepNotSent StepFault = iota
-	// StepRefused means that the engine took nothing in: it is leaving or full.
+	// StepRefused means that the engine accepted no part of the step because it is leaving or full.
 	StepRefused
-	// StepFenced means that the engine has seen a higher generation.
+	// StepFenced means that the engine has received a higher generation of the request.
 	StepFenced
 	// StepGap means that the engine expects another position.
 	StepGap
 )
 
-// StepFailedMsg says that a stage has not run a step.
+// StepFailedMsg reports that an engine did not execute a step.
 type StepFailedMsg struct {
 	Upstream   string    `json:"upstream"`
 	Request    uint64    `json:"request"`
@@ -45,13 +45,13 @@
 	Leaving    bool      `json:"leaving,omitempty"`
 }
 
-// UpstreamDownMsg says that the stream to an engine has broken. What was
-// under way there may have run.
+// UpstreamDownMsg reports that the connection to an engine was lost. Steps in flight on it may have
+// been executed.
 type UpstreamDownMsg struct {
 	Upstream string `json:"upstream"`
 }
 
-// CallDoneMsg says that a plain service has answered in full.
+// CallDoneMsg carries the complete answer of a plain service.
 type CallDoneMsg struct {
 	Request     uint64 `json:"request"`
 	Attempt     uint32 `json:"attempt"`
@@ -60,10 +60,10 @@
 	Body        []byte `json:"body,omitempty"`
 }
 
-// CallFailedMsg says that a plain service gave no whole answer.
+// CallFailedMsg reports that a call to a plain service ended without a complete answer.
 type CallFailedMsg struct {
 	Request uint64 `json:"request"`
 	Attempt uint32 `json:"attempt"`
-	// NotSent is proof that no byte of the call left this node.
+	// NotSent is set when it is certain that no byte of the call left this node.
 	NotSent bool `json:"not_sent,omitempty"`
 }
--- a/core/tick.go
+++ b/core/tick.go
@@ -2,90 +2,90 @@
 
 import "github.com/hoistjunction/hoistjunction/clock"
 
-// How often the node does what it does from time to time. Each is stretched
-// by a random part, so that nodes do not fall into step.
+// Intervals of the periodic tasks. A random part is added to each, so that nodes do not act at the
+// same time.
 const (
-	listEvery     clock.Millis = 1000
-	headEvery     clock.Millis = 1000
-	beatEvery     clock.Millis = 500
-	nodesEvery    clock.Millis = 10_000
-	registerEvery clock.Millis = 30_000
+	pollListInterval  clock.Millis = 1000
+	pollHeadInterval  clock.Millis = 1000
+	heartbeatInterval clock.Millis = 500
+	pollNodesInterval clock.Millis = 10_000
+	registerInterval  clock.Millis = 30_000
 )
 
-// timer is due from time to time.
-type timer struct{ at clock.Millis }
+// timer schedules a periodic task.
+type timer struct{ nextAt clock.Millis }
 
-// due reports whether the timer is due, and sets it anew.
-func (t *timer) due(m *Model, every clock.Millis) bool {
-	if m.now < t.at {
+// due reports whether the task is due, and if so schedules the next time.
+func (t *timer) due(m *Model, interval clock.Millis) bool {
+	if m.now < t.nextAt {
 		return false
 	}
-	t.at = m.now.Add(every + m.jitter(every/4))
+	t.nextAt = m.now.Add(interval + m.jitter(interval/4))
 	return true
 }
 
-// timers are what a node does from time to time.
+// timers holds the timers of the node's periodic tasks.
 type timers struct {
-	list     timer
-	head     timer
-	beat     timer
-	nodes    timer
-	register timer
+	pollList       timer
+	pollHead       timer
+	sendHeartbeats timer
+	pollNodes      timer
+	register       timer
 }
 
 func (m *Model) tick() {
 	m.pool.Tick(m.now)
-	m.timeOutSteps()
+	m.expireRunning()
 	m.expireClaims()
 	m.expireRelays()
 	m.flushClaims()
 	for _, l := range m.lanes {
-		m.expire(l)
+		m.expireQueued(l)
 		m.expireResuming(l)
 		m.dispatch(l)
 	}
 	m.answerProposals()
-	m.tickTimers()
+	m.runTimers()
 	m.tickDrain()
 }
 
-func (m *Model) tickTimers() {
+func (m *Model) runTimers() {
 	t := &m.timers
-	if t.list.due(m, listEvery) {
-		m.do(&PollListCmd{})
+	if t.pollList.due(m, pollListInterval) {
+		m.addCmd(&PollListCmd{})
 	}
-	if t.head.due(m, headEvery) {
-		m.do(&PollHeadCmd{})
+	if t.pollHead.due(m, pollHeadInterval) {
+		m.addCmd(&PollHeadCmd{})
 	}
-	if t.nodes.due(m, nodesEvery) {
-		m.do(&PollNodesCmd{})
+	if t.pollNodes.due(m, pollNodesInterval) {
+		m.addCmd(&PollNodesCmd{})
 		m.members.Expire(m.now)
 	}
-	if t.register.due(m, registerEvery) {
-		m.do(&RegisterCmd{Node: m.Self()})
+	if t.register.due(m, registerInterval) {
+		m.addCmd(&RegisterCmd{Node: m.Self()})
 	}
-	if t.beat.due(m, beatEvery) {
-		m.beat()
+	if t.sendHeartbeats.due(m, heartbeatInterval) {
+		m.sendHeartbeats()
 	}
 }
 
-// expireResuming ends requests that found no other upstream in time.
+// expireResuming ends requests that found no other upstream before their deadline.
 func (m *Model) expireResuming(l *lane) {
-	var late []*request
+	var expired []*request
 	kept := l.resuming[:0]
 	for _, r := range l.resuming {
 		if r.phase != phaseResuming {
 			continue
 		}
 		if m.now >= r.deadline {
-			late = append(late, r)
+			expired = append(expired, r)
 			continue
 		}
 		kept = append(kept, r)
 	}
 	clear(l.resuming[len(kept):])
 	l.resuming = kept
-	for _, r := range late {
-		m.giveUp(r)
+	for _, r := range expired {
+		m.endWithoutUpstream(r)
 	}
 }
--- a/core/tickets.go
+++ b/core/tickets.go
@@ -4,18 +4,18 @@
 	"github.com/hoistjunction/hoistjunction/outcome"
 )
 
-// maxTickets is how many tickets a caller gets at once at the most.
+// maxTickets bounds the tickets of one answer.
 const maxTickets = 256
 
-// tickets issues tickets: keys that only this node will run.
-func (m *Model) tickets(msg TicketsMsg) {
+// issueTickets issues tickets, which are keys that this node's ledger owns.
+func (m *Model) issueTickets(msg TicketsMsg) {
 	a := m.accounts[msg.KeyHash]
 	if a == nil {
-		m.do(&FinishCmd{Caller: msg.Caller, Outcome: outcome.Failed, Reason: ReasonUnauthorized})
+		m.addCmd(&FinishCmd{Caller: msg.Caller, Outcome: outcome.Failed, Reason: ReasonUnauthorized})
 		return
 	}
 	if m.drain.started {
-		m.do(&FinishCmd{Caller: msg.Caller, Outcome: outcome.NotExecuted, Reason: ReasonDraining, RetryAfter: rejectPause})
+		m.addCmd(&FinishCmd{Caller: msg.Caller, Outcome: outcome.NotExecuted, Reason: ReasonDraining, RetryAfter: rejectRetryAfter})
 		return
 	}
 	n := min(max(msg.Count, 1), maxTickets)
@@ -23,5 +23,5 @@
 	for range n {
 		tickets = append(tickets, m.ledger.Issue(a.config.GetName()).String())
 	}
-	m.do(&TicketsCmd{Caller: msg.Caller, Tickets: tickets})
+	m.addCmd(&TicketsCmd{Caller: msg.Caller, Tickets: tickets})
 }
--- a/core/upstream.go
+++ b/core/upstream.go
@@ -5,24 +5,25 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// list takes in the platform's list of VMs.
-func (m *Model) list(msg ListMsg) {
+// listReceived applies the platform's list of VMs, and dispatches waiting requests to the upstreams
+// that are now available.
+func (m *Model) listReceived(msg ListMsg) {
 	m.pool.Update(m.now, msg.Upstreams)
 	for _, l := range m.lanes {
 		m.dispatch(l)
 	}
 }
 
-// hear takes in what an engine says of itself with an answer.
-func (m *Model) hear(u *pool.Upstream, load int, leaving bool) {
+// recordEngineStatus records the load and the leaving flag that an engine reports with an answer.
+func (m *Model) recordEngineStatus(u *pool.Upstream, load int, leaving bool) {
 	m.pool.Report(u, load)
 	if leaving && !u.Leaving() {
 		m.markLeaving(u.Name())
 	}
 }
 
-// markLeaving gives an upstream no more new work, here and, by way of the
-// heartbeats, at every other node. What it has in progress runs to its end.
+// markLeaving stops new work for an upstream at this node and, through the heartbeats, at all
+// others. Work in progress continues.
 func (m *Model) markLeaving(name string) {
 	u := m.pool.Get(name)
 	if u == nil || !m.pool.Leave(name, "") {
@@ -31,8 +32,8 @@
 	m.members.AddMark(m.now, &wire.LeavingMark{Upstream: name, Incarnation: u.Listing().Incarnation})
 }
 
-// hearMarks takes in leaving marks from a peer, and passes new ones on.
-func (m *Model) hearMarks(marks []*wire.LeavingMark) {
+// applyMarks applies leaving marks from a peer. The following heartbeats forward new marks.
+func (m *Model) applyMarks(marks []*wire.LeavingMark) {
 	for _, mark := range marks {
 		m.pool.Leave(mark.GetUpstream(), mark.GetIncarnation())
 		m.members.AddMark(m.now, mark)
--- a/entry/admin_server.go
+++ b/entry/admin_server.go
@@ -120,7 +120,7 @@
 // MarkLeaving implements the operators' protocol.
 func (s *adminServer) MarkLeaving(ctx context.Context, req *connect.Request[wire.MarkLeavingRequest]) (*connect.Response[wire.MarkLeavingReply], error) {
 	known := false
-	if !s.decider.ask(func(m *core.Model) { known = m.Knows(req.Msg.GetUpstream()) }) {
+	if !s.decider.ask(func(m *core.Model) { known = m.HasUpstream(req.Msg.GetUpstream()) }) {
 		return nil, errStopping()
 	}
 	if !known {
--- a/entry/decider.go
+++ b/entry/decider.go
@@ -48,7 +48,7 @@
 // what is in progress is worth more than what is new.
 func (d *decider) run(ctx context.Context) error {
 	defer close(d.done)
-	ticker := time.NewTicker(core.TickEvery.Duration())
+	ticker := time.NewTicker(core.TickInterval.Duration())
 	defer ticker.Stop()
 	for {
 		select {
--- a/entry/handover.go
+++ b/entry/handover.go
@@ -36,7 +36,7 @@
 	d := s.callers.decider
 	d.tell(msg)
 	held := false
-	d.ask(func(m *core.Model) { held = m.Holds(msg) })
+	d.ask(func(m *core.Model) { held = m.HoldsLedgers(msg) })
 	if !held {
 		return nil, errStopping()
 	}
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -28,15 +28,15 @@
 	setInt(node, "version", m.Config().GetVersion())
 	setInt(node, "in_progress", uint64(m.InProgress()))
 	routes := new(expvar.Map).Init()
-	m.EachRoute(func(name string, t *core.Times) { routes.Set(name, routeVars(t)) })
+	m.EachRoute(func(name string, t *core.Latencies) { routes.Set(name, routeVars(t)) })
 	node.Set("routes", routes)
 }
 
-func routeVars(t *core.Times) expvar.Var {
+func routeVars(t *core.Latencies) expvar.Var {
 	v := new(expvar.Map).Init()
 	for _, q := range quantiles {
-		setInt(v, fmt.Sprintf("first_ms_p%.0f", q), uint64(t.First(q)))
-		setInt(v, fmt.Sprintf("gap_ms_p%.0f", q), uint64(t.Gap(q)))
+		setInt(v, fmt.Sprintf("first_ms_p%.0f", q), uint64(t.FirstToken(q)))
+		setInt(v, fmt.Sprintf("gap_ms_p%.0f", q), uint64(t.TokenGap(q)))
 	}
 	return v
 }
--- a/entry/peer_server.go
+++ b/entry/peer_server.go
@@ -57,7 +57,7 @@
 // Changes implements the peers' protocol.
 func (s *peerServer) Changes(_ context.Context, req *connect.Request[wire.ChangesRequest]) (*connect.Response[wire.ChangesReply], error) {
 	var reply *wire.ChangesReply
-	if !s.callers.decider.ask(func(m *core.Model) { reply = m.Changes(req.Msg.GetAfterVersion()) }) {
+	if !s.callers.decider.ask(func(m *core.Model) { reply = m.ChangesAfter(req.Msg.GetAfterVersion()) }) {
 		return nil, errStopping()
 	}
 	return connect.NewResponse(reply), nil
