--- a/core/claim.go
+++ b/core/claim.go
@@ -28,7 +28,7 @@
 		return
 	}
 	r.phase = phaseClaiming
-	r.key.claim = m.ledger.Next()
+	r.key.claim = m.ledger.NewClaim()
 	m.claims.waiting = append(m.claims.waiting, r)
 	m.flushClaims()
 }
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -83,7 +83,7 @@
 func (m *Model) undoBegun(r *request) {
 	r.begun = false
 	if r.key != nil {
-		r.key.ledger.Undo(r.key.claim.Sequence)
+		r.key.ledger.UndoBegin(r.key.claim.Sequence)
 	}
 }
 
--- a/core/handover.go
+++ b/core/handover.go
@@ -66,7 +66,7 @@
 		m.stats.Inherited++
 	}
 	for len(m.node.GetInherits()) > maxInherited {
-		m.ledgers[m.node.GetInherits()[0]].Forget()
+		m.ledgers[m.node.GetInherits()[0]].EvictAll()
 		m.node.Inherits = slices.Clone(m.node.GetInherits()[1:])
 	}
 	m.sendHeartbeats()
--- a/core/key.go
+++ b/core/key.go
@@ -48,7 +48,7 @@
 	}
 	r.key.ledger = l
 	switch l.State(c.Sequence) {
-	case once.Fresh:
+	case once.NotBegun:
 		r.key.owned = true
 		m.admit(r)
 	case once.NeverIssued:
--- a/core/lane.go
+++ b/core/lane.go
@@ -89,8 +89,8 @@
 	if l.queue.Len() == 0 && float64(l.running)+1 <= slots {
 		return 0
 	}
-	ownQueued := float64(l.queue.LenOf(priority, a.config.GetName())) + 1
-	share := a.weight() / l.queue.Weight(priority, a.config.GetName(), a.weight())
+	ownQueued := float64(l.queue.AccountLen(priority, a.config.GetName())) + 1
+	share := a.weight() / l.queue.ActiveWeight(priority, a.config.GetName(), a.weight())
 	aheadByShare := math.Min(ownQueued/share, float64(l.queue.Len())+1)
 	ahead := float64(l.queue.Ahead(priority)) + aheadByShare + float64(len(l.resuming))
 	holdMillis := l.slotMillisPerToken.value * cost
--- a/core/tickets.go
+++ b/core/tickets.go
@@ -21,7 +21,7 @@
 	n := min(max(msg.Count, 1), maxTickets)
 	tickets := make([]string, 0, n)
 	for range n {
-		tickets = append(tickets, m.ledger.Issue(a.config.GetName()).String())
+		tickets = append(tickets, m.ledger.IssueTicket(a.config.GetName()).String())
 	}
 	m.addCmd(&TicketsCmd{Caller: msg.Caller, Tickets: tickets})
 }
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -51,18 +51,18 @@
 				if _, ok := cmds[0].(dispatch.SendCmd); !ok {
 					b.Fatalf("got %+v, want a request sent", cmds[0])
 				}
-				m.Update(clock.Millis(id/100), dispatch.GoneMsg{Request: id})
+				m.Update(clock.Millis(id/100), dispatch.RequestEndedMsg{Request: id})
 			}
 		})
 	}
 }
 
-// sizes are how many upstreams the users' sites have, and the size of two years from now.
-var sizes = []int{38, 218, 998, 7100}
+// fleetSizes are how many upstreams the users' sites have, and the size of two years from now.
+var fleetSizes = []int{38, 218, 998, 7100}
 
 // BenchmarkTick is what the decider costs ten times a second while nothing happens.
 func BenchmarkTick(b *testing.B) {
-	for _, engines := range sizes {
+	for _, engines := range fleetSizes {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			m := benchModel(engines)
 			for b.Loop() {
@@ -74,7 +74,7 @@
 
 // BenchmarkListChange is an engine that comes to hold other layers.
 func BenchmarkListChange(b *testing.B) {
-	for _, engines := range sizes {
+	for _, engines := range fleetSizes {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			m := benchModel(engines)
 			n := 0
@@ -91,7 +91,7 @@
 // 24 streams over nine engines.
 func BenchmarkHearUsage(b *testing.B) {
 	const told = 24 * 9
-	for _, engines := range sizes {
+	for _, engines := range fleetSizes {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			m := benchModel(engines)
 			used := make(map[fleet.Incarnation]fleet.EngineUsage)
--- a/lab/engine.go
+++ b/lab/engine.go
@@ -132,9 +132,9 @@
 
 // report is its word on itself.
 func (e *engine) report() dispatch.Report {
-	r := dispatch.Report{Pace: e.slow}
+	r := dispatch.Report{Slowdown: e.slow}
 	if !e.world.variant.NoReports {
-		r.Free, r.All = e.room()-e.used, e.room()
+		r.FreeMemory, r.TotalMemory = e.room()-e.used, e.room()
 	}
 	return r
 }
@@ -183,7 +183,7 @@
 	w.result.Ended++
 	for _, a := range slices.Clone(e.passing) {
 		if a.parts[0].engine == e {
-			a.fail(dispatch.Unknown, "")
+			a.fail(dispatch.CauseUnknown, "")
 		} else {
 			a.standStill(e)
 		}
--- a/lab/node_tell.go
+++ b/lab/node_tell.go
@@ -92,11 +92,11 @@
 	}
 	switch news := news.(type) {
 	case quarantine.LossNews:
-		n.others(func(o *node) { o.tell(dispatch.ToldLostMsg{Work: news.Work, Upstream: news.Upstream}) })
+		n.others(func(o *node) { o.tell(dispatch.PeerLossMsg{Work: news.Work, Upstream: news.Upstream}) })
 	case quarantine.ClearedNews:
 		delete(w.verdicts, news.Work)
 		if news.Local {
-			n.others(func(o *node) { o.tell(dispatch.ToldAnsweredMsg{Work: news.Work}) })
+			n.others(func(o *node) { o.tell(dispatch.PeerAnswerMsg{Work: news.Work}) })
 		}
 	case quarantine.QuarantinedNews:
 		w.keep(dispatch.Quarantined{Work: news.Work, Ended: news.Ended})
@@ -138,7 +138,7 @@
 // placed tells all nodes of an order that was taken or carried out.
 func (n *node) placed(cmd placement.OrderCmd, holds bool) {
 	take := func(o *node) {
-		o.tell(dispatch.PlacedMsg{Upstream: cmd.Upstream, Layers: cmd.Layers, Holds: holds})
+		o.tell(dispatch.PlacedMsg{Upstream: cmd.Upstream, Layers: cmd.Layers, Completed: holds})
 		o.plan(placement.PlacedMsg{Upstream: cmd.Upstream, Layers: cmd.Layers, Completed: holds})
 	}
 	take(n)
--- a/node/circle.go
+++ b/node/circle.go
@@ -48,7 +48,7 @@
 			last, seen = name, changes
 			n.setCircle(&circle, others, rank)
 		}
-		clock.Pause(ctx, circleEvery)
+		clock.Sleep(ctx, circleEvery)
 	}
 	return ctx.Err()
 }
@@ -76,7 +76,7 @@
 	n.usage.SetAddresses(usageAddressesByName(others))
 	if circle.FullMesh {
 		near, far := meshedPeers(others, here)
-		msg.Near = len(near)
+		msg.UsagePeers = len(near)
 		n.usage.SetPeers(usageAddresses(near), usageAddresses(far))
 		n.relay.SetPeers(msg)
 		n.placer.Send(placement.RankMsg{Delay: plannerDelay(rank)})
@@ -91,14 +91,14 @@
 // centre not all of its nodes are, and their number is told.
 func peersMsg(circle *reading.Topology, all []*wire.Member) dispatch.PeersMsg {
 	told := toldIn(all)
-	msg := dispatch.PeersMsg{Near: circle.PeerCount, Members: owners(told)}
+	msg := dispatch.PeersMsg{UsagePeers: circle.PeerCount, Members: owners(told)}
 	switch {
 	case !circle.FullMesh && !circle.IsHub:
-		msg.Summed = true
+		msg.Aggregated = true
 	case len(told) < len(inDataCentres(all)):
-		msg.Here = circle.PeerCount + 1
+		msg.LocalNodes = circle.PeerCount + 1
 	default:
-		msg.All = len(msg.Members)
+		msg.TotalNodes = len(msg.Members)
 	}
 	return msg
 }
--- a/node/circle_test.go
+++ b/node/circle_test.go
@@ -121,11 +121,11 @@
 	small, large := fleetOf([]string{"a"}, 10), fleetOf([]string{"b"}, 25)
 	all := slices.Concat(small, large)
 	circle := circleOf(small[0], small[1:])
-	if got := peersMsg(&circle, all); got.All != 0 || got.Here != 10 {
-		t.Errorf("got %d nodes, %d of them here, want what others tell and 10 of its own", got.All, got.Here)
+	if got := peersMsg(&circle, all); got.TotalNodes != 0 || got.LocalNodes != 10 {
+		t.Errorf("got %d nodes, %d of them here, want what others tell and 10 of its own", got.TotalNodes, got.LocalNodes)
 	}
 	circle = circleOf(small[0], small[1:])
-	if got := peersMsg(&circle, small); got.All != 10 || got.Here != 0 {
-		t.Errorf("got %d nodes, %d of them here, want all 10 by name", got.All, got.Here)
+	if got := peersMsg(&circle, small); got.TotalNodes != 10 || got.LocalNodes != 0 {
+		t.Errorf("got %d nodes, %d of them here, want all 10 by name", got.TotalNodes, got.LocalNodes)
 	}
 }
--- a/node/drain.go
+++ b/node/drain.go
@@ -25,11 +25,11 @@
 	n.log.Info("drain", zap.Int64("in_progress", n.relay.InProgress()), zap.Int64("grace_ms", int64(n.settings.grace())))
 	n.relay.Stop()
 	began := n.clock.Now()
-	n.clock.Until(n.life, began.Add(min(unlisted, n.settings.grace()-lastCut)))
+	n.clock.WaitUntil(n.life, began.Add(min(unlisted, n.settings.grace()-lastCut)))
 	ctx, cancel := context.WithCancel(n.life)
 	defer cancel()
 	go func() {
-		n.clock.Until(ctx, began.Add(n.settings.grace()-lastCut))
+		n.clock.WaitUntil(ctx, began.Add(n.settings.grace()-lastCut))
 		cancel()
 	}()
 	for _, server := range n.servers {
--- a/node/learn.go
+++ b/node/learn.go
@@ -67,10 +67,10 @@
 
 // setSilent tells the planner that an engine does not answer, or does again, and other
 // nodes of one that they have not told of.
-func (n *Node) setSilent(cmd dispatch.SilentCmd) {
-	n.log.Info("silent", zap.Stringer("upstream", cmd.Upstream), zap.Bool("silent", cmd.Silent), zap.Bool("agreed", cmd.Agreed))
-	n.placer.Send(placement.ResponsivenessMsg{Upstream: cmd.Upstream, Unresponsive: cmd.Silent, Confirmed: cmd.Agreed})
-	if cmd.Silent && !cmd.Agreed {
+func (n *Node) setSilent(cmd dispatch.ResponsivenessCmd) {
+	n.log.Info("silent", zap.Stringer("upstream", cmd.Upstream), zap.Bool("silent", cmd.Unresponsive), zap.Bool("agreed", cmd.Confirmed))
+	n.placer.Send(placement.ResponsivenessMsg{Upstream: cmd.Upstream, Unresponsive: cmd.Unresponsive, Confirmed: cmd.Confirmed})
+	if cmd.Unresponsive && !cmd.Confirmed {
 		n.usage.Silent(cmd.Upstream)
 	}
 }
@@ -78,16 +78,16 @@
 // share tells other nodes what this one has in use. A hub tells its leaves what all have,
 // and the node that leads, or that reads the store for its data centre, tells others what
 // all of that have.
-func (n *Node) share(cmd dispatch.ShareCmd) {
+func (n *Node) share(cmd dispatch.ShareUsageCmd) {
 	now := n.clock.Now()
 	circle := n.roster.Topology(now)
 	n.usage.SendUsage(cmd.Used, cmd.Limits)
 	if circle.FullMesh && n.roster.IsReader(now) || circle.IsFirstHub() {
-		n.usage.SendDataCentreTotal(cmd.Total, circle.PeerCount+1, cmd.Limits)
+		n.usage.SendDataCentreTotal(cmd.WholeDataCentre, circle.PeerCount+1, cmd.Limits)
 	}
 	switch {
 	case circle.IsFirstHub():
-		n.usage.SendAllNodes(cmd.Whole, cmd.HeardOf, cmd.Nodes, cmd.Limits)
+		n.usage.SendAllNodes(cmd.AllNodes, cmd.IncludedDataCentres, cmd.Nodes, cmd.Limits)
 	case circle.IsHub:
 		n.usage.SendHeartbeat()
 	}
@@ -109,7 +109,7 @@
 		n.roster.Heard(n.clock.Now(), from.GetName(), msg.Followable)
 	}
 	n.relay.SetUsage(dispatch.UsageMsg{
-		Node: from.GetName(), Used: msg.Used, Total: msg.Total, Whole: msg.Whole, HeardOf: msg.HeardOf, Nodes: msg.Nodes,
+		Node: from.GetName(), Used: msg.Used, WholeDataCentre: msg.Total, AllNodes: msg.Whole, IncludedDataCentres: msg.HeardOf, Nodes: msg.Nodes,
 		DataCentre: from.GetDataCentre(), Limits: msg.Limits,
 	})
 }
--- a/node/node.go
+++ b/node/node.go
@@ -73,7 +73,7 @@
 	quarantined *quarantined
 	keeper      *keeper.Keeper
 	// wakes tells when the VM goes on after it was suspended.
-	wakes   *clock.Wakes
+	wakes   *clock.Suspensions
 	outage  *follow.Outage
 	store   *platform.Store
 	engines *platform.Engines
@@ -107,17 +107,17 @@
 	n.store = platform.NewStore(s.Platform, n.log)
 	n.quarantined = newQuarantined(n.clock, s.quarantineLasts())
 	n.keeper = keeper.New(n.store, n.clock, n.log, s.FirstStart, n.learnQuarantined)
-	n.engines = platform.NewEngines(platform.WithLaterRuns(func(run fleet.Incarnation) { n.fleets.Supersede(run) }),
-		platform.WithWords(func(upstream fleet.Incarnation, word relay.Word) { n.relay.Said(upstream, word) }))
+	n.engines = platform.NewEngines(platform.WithIncarnationHandler(func(run fleet.Incarnation) { n.fleets.Supersede(run) }),
+		platform.WithStatusHandler(func(upstream fleet.Incarnation, word relay.Word) { n.relay.Said(upstream, word) }))
 	model := dispatch.New(
 		dispatch.WithDataCentre(s.DataCentre),
 		dispatch.WithSeed(hash(s.Name)),
 		dispatch.WithPolicy(dispatch.Policy{
-			RevokeWithin: s.keysWithin(), RetryWindow: clock.Millis(s.RetryWindowSeconds * msPerSecond),
+			MaxConfigAge: s.keysWithin(), RetryWindow: clock.Millis(s.RetryWindowSeconds * msPerSecond),
 			RetryShare: s.RetryShare, RetrySlack: s.RetrySlack,
-			QuarantineLasts: s.quarantineLasts(),
+			QuarantineDuration: s.quarantineLasts(),
 		}),
-		dispatch.WithKeptQuarantine(),
+		dispatch.WithStoredQuarantine(),
 		dispatch.WithLimits(limit.New(limit.WithSelf(s.Name), limit.WithBootID(uint64(time.Now().UnixNano())))),
 	)
 	self := &wire.Member{Name: s.Name, DataCentre: s.DataCentre, Address: n.peer.Addr().String(), Strength: s.strength()}
@@ -139,10 +139,10 @@
 	planner := placement.New(placement.WithDelay(plannerDelay(int(hash(s.Name)%unknownRanks))), placement.WithStart(n.clock.Now()))
 	n.placer = placer.New(planner, n.engines, n.clock, n.log, n.tellPlaced, placer.WithSeed(hash(s.Name)), placer.WithListAge(listAge),
 		placer.WithResults(n.orders))
-	n.wakes = n.clock.Wakes()
-	n.wakes.Tell(n.wake)
+	n.wakes = n.clock.Suspensions()
+	n.wakes.OnResume(n.wake)
 	n.follow(self, platform.NewPeerTransport(), n.setCatalog, n.setFleet)
-	n.peers = peering.New(self, s.PeerSeeds, n.store, n.known, n.known, n.clock, n.log, platform.NewQuestionTransport(), hash(s.Name),
+	n.peers = peering.New(self, s.PeerSeeds, n.store, n.known, n.known, n.clock, n.log, platform.NewOneShotTransport(), hash(s.Name),
 		peering.WithFirstStart(s.FirstStart))
 	return n, nil
 }
@@ -192,7 +192,7 @@
 func (n *Node) PeerAddress() string { return n.peer.Addr().String() }
 
 func (n *Node) listen() error {
-	config := net.ListenConfig{Control: platform.BoundSilence}
+	config := net.ListenConfig{Control: platform.SetAckTimeout}
 	for _, l := range []struct {
 		into    *net.Listener
 		address string
--- a/node/simsite_test.go
+++ b/node/simsite_test.go
@@ -284,12 +284,12 @@
 	n.Node = &Node{
 		settings: &Settings{Name: name, DataCentre: "z", ConfigWithin: clock.FromDuration(s.setting.within), LeavingWithin: clock.FromDuration(s.setting.within)},
 		log:      log, clock: c, life: life, silences: newSilences(),
-		store: platform.NewStore(simStore+":1", log, platform.WithDial(s.net.dial(name))),
+		store: platform.NewStore(simStore+":1", log, platform.WithDialer(s.net.dial(name))),
 		relay: relay.New(life, platform.Headers{}, dispatch.New(), c, log),
 	}
 	n.quarantined = newQuarantined(c, n.settings.quarantineLasts())
 	n.keeper = keeper.New(n.store, c, log, true, func([]dispatch.Quarantined) {})
-	peers := platform.NewPeerTransport(platform.WithDial(s.net.dial(name)))
+	peers := platform.NewPeerTransport(platform.WithDialer(s.net.dial(name)))
 	n.idle = peers.CloseIdleConnections
 	n.follow(&wire.Member{Name: name, DataCentre: "z"}, peers, n.tellCatalog, n.tellFleet)
 	n.peers = peering.New(&wire.Member{Name: name}, nil, n.store, n.known, n.known, c, log, peers, 1)
@@ -328,7 +328,7 @@
 
 // tellOthers tells other nodes of a node from time to time.
 func (s *simSite) tellOthers(ctx context.Context, n *simNode, offset time.Duration, lost *rand.Rand) {
-	clock.Pause(ctx, offset)
+	clock.Sleep(ctx, offset)
 	for ctx.Err() == nil {
 		told := n.told()
 		for _, other := range s.peersOf(n) {
@@ -337,7 +337,7 @@
 			}
 			other.roster.Heard(other.clock.Now(), n.settings.Name, n.followable())
 		}
-		clock.Pause(ctx, simWord)
+		clock.Sleep(ctx, simWord)
 	}
 }
 
--- a/node/wake.go
+++ b/node/wake.go
@@ -12,7 +12,7 @@
 // connections.
 func (n *Node) wake(slept clock.Millis) {
 	n.log.Warn("suspended", zap.Int64("for_ms", int64(slept)))
-	n.store.Renew()
+	n.store.ResetConnections()
 	n.engines.Close()
 	n.relay.Wake()
 }
--- a/relay/attempt_test.go
+++ b/relay/attempt_test.go
@@ -89,7 +89,7 @@
 	}
 	a := &attempt{
 		protocol: plainProtocol{}, barred: func() bool { return ta.pool.barred(ta.pool.get(ta.upstream)) }, said: func(fleet.Incarnation, Word) {}, unlimited: func(fleet.Incarnation, clock.Millis) {}, answeredBy: func(fleet.Incarnation, string, fleet.Presence) {}, conns: ta.pool.get(ta.upstream), gate: ta.gate, cancel: cancel,
-		cmd:    dispatch.SendCmd{Route: &catalog.Route{Kind: ta.kind}, Keyed: true, Config: catalog.New(1).Edition()},
+		cmd:    dispatch.SendCmd{Route: &catalog.Route{Kind: ta.kind}, RequiresKey: true, Config: catalog.New(1).Edition()},
 		pieces: make(chan piece, piecesWaiting),
 	}
 	a.req = outgoing(ctx, caller, address, nil)
@@ -115,7 +115,7 @@
 			if got, want := u.read.Load(), int64(2); got != want {
 				t.Errorf("got %d requests read, want %d", got, want)
 			}
-			if !second.failed || second.cause != dispatch.Unknown {
+			if !second.failed || second.cause != dispatch.CauseUnknown {
 				t.Errorf("got failed=%v cause=%v, want an unknown outcome", second.failed, second.cause)
 			}
 		})
@@ -137,7 +137,7 @@
 	t.Cleanup(pool.closeIdle)
 
 	got := testAttempt{upstream: fleet.IncarnationByID("u1"), pool: pool, gate: g, kind: catalog.Repeatable}.run(t, http.MethodPost, u.listener.Addr().String())
-	if !got.failed || got.cause != dispatch.HeldBack {
+	if !got.failed || got.cause != dispatch.CauseStaleConfig {
 		t.Errorf("got failed=%v cause=%v, want it held back", got.failed, got.cause)
 	}
 	if got, want := u.read.Load(), int64(0); got != want {
@@ -158,7 +158,7 @@
 		}, clocktest.NewClock())
 		t.Cleanup(pool.closeIdle)
 		got := testAttempt{upstream: id, pool: pool, gate: newGate(clocktest.NewClock(), 0), kind: catalog.Repeatable}.run(t, http.MethodPost, u.listener.Addr().String())
-		if !got.failed || got.cause != dispatch.HeldBack {
+		if !got.failed || got.cause != dispatch.CauseStaleConfig {
 			t.Errorf("%+v: got failed=%v cause=%v, want it held back", word, got.failed, got.cause)
 		}
 		if got, want := u.read.Load(), int64(0); got != want {
--- a/relay/fixture_test.go
+++ b/relay/fixture_test.go
@@ -52,8 +52,8 @@
 	return EngineReport{}, errTakenBack
 }
 
-func (noEngines) Move(context.Context, string, string, []chain.Stage) (result dispatch.MoveResult, at string) {
-	return dispatch.MoveUnanswered, ""
+func (noEngines) Move(context.Context, string, string, []chain.Stage) (result dispatch.MigrationResult, at string) {
+	return dispatch.MigrationUnanswered, ""
 }
 
 func (noEngines) Identify(context.Context, string, string, fleet.Incarnation) (fleet.Presence, error) {
@@ -252,7 +252,7 @@
 		<-ended
 	})
 	r.SetCatalog(testCatalog(), r.clock.Now())
-	r.SetPeers(dispatch.PeersMsg{All: 1, Members: []limit.Member{{}}})
+	r.SetPeers(dispatch.PeersMsg{TotalNodes: 1, Members: []limit.Member{{}}})
 	for i := range upstreamsOfTest {
 		server := httptest.NewServer(upstreams)
 		t.Cleanup(server.Close)
--- a/relay/protocol.go
+++ b/relay/protocol.go
@@ -88,7 +88,7 @@
 // at an upstream's address.
 type Engines interface {
 	Report(ctx context.Context, address string, upstream fleet.Incarnation) (EngineReport, error)
-	Move(ctx context.Context, address, callerID string, parts []chain.Stage) (result dispatch.MoveResult, at string)
+	Move(ctx context.Context, address, callerID string, parts []chain.Stage) (result dispatch.MigrationResult, at string)
 	Probe(ctx context.Context, address string, upstream fleet.Incarnation) error
 	Identify(ctx context.Context, address, path string, upstream fleet.Incarnation) (fleet.Presence, error)
 }
--- a/relay/silent_connections_test.go
+++ b/relay/silent_connections_test.go
@@ -62,7 +62,7 @@
 		<-ended
 		engines.Close()
 	})
-	s.relay.SetPeers(dispatch.PeersMsg{All: 1, Members: []limit.Member{{}}})
+	s.relay.SetPeers(dispatch.PeersMsg{TotalNodes: 1, Members: []limit.Member{{}}})
 	catalog, err := platform.DecodeCatalog(standin.SiteConfig(1, "k1"), moment.Moment{})
 	if err != nil {
 		t.Fatal(err)
