--- a/entry/admin_server.go
+++ b/entry/admin_server.go
@@ -122,7 +122,7 @@
 // MarkLeaving implements wireconnect.AdminHandler.
 func (s *adminServer) MarkLeaving(ctx context.Context, req *connect.Request[wire.MarkLeavingRequest]) (*connect.Response[wire.MarkLeavingReply], error) {
 	exists := false
-	if !s.loop.query(func(m *core.Model) { exists = m.Knows(req.Msg.GetUpstream()) }) {
+	if !s.loop.query(func(m *core.Model) { exists = m.HasUpstream(req.Msg.GetUpstream()) }) {
 		return nil, errStopping()
 	}
 	if !exists {
--- a/entry/handover.go
+++ b/entry/handover.go
@@ -36,7 +36,7 @@
 	loop := s.callers.loop
 	loop.post(msg)
 	accepted := false
-	loop.query(func(m *core.Model) { accepted = m.Holds(msg) })
+	loop.query(func(m *core.Model) { accepted = m.HoldsLedgers(msg) })
 	if !accepted {
 		return nil, errStopping()
 	}
--- a/entry/model_loop.go
+++ b/entry/model_loop.go
@@ -49,7 +49,7 @@
 // submissions: requests in progress matter more than new ones.
 func (l *modelLoop) run(ctx context.Context) error {
 	defer close(l.done)
-	ticker := time.NewTicker(core.TickEvery.Duration())
+	ticker := time.NewTicker(core.TickInterval.Duration())
 	defer ticker.Stop()
 	for {
 		select {
--- a/entry/peer_server.go
+++ b/entry/peer_server.go
@@ -58,7 +58,7 @@
 // Changes implements wireconnect.PeerHandler.
 func (s *peerServer) Changes(_ context.Context, req *connect.Request[wire.ChangesRequest]) (*connect.Response[wire.ChangesReply], error) {
 	var reply *wire.ChangesReply
-	if !s.callers.loop.query(func(m *core.Model) { reply = m.Changes(req.Msg.GetAfterVersion()) }) {
+	if !s.callers.loop.query(func(m *core.Model) { reply = m.ChangesAfter(req.Msg.GetAfterVersion()) }) {
 		return nil, errStopping()
 	}
 	return connect.NewResponse(reply), nil
