--- a/node/restarted_test.go
+++ b/node/restarted_test.go
@@ -9,13 +9,13 @@
 // has just had the store again, but one that has just started has not seen it be without.
 // Found among seeds of the followers' simulation; the log of the nodes shows the list of
 // the one that had started grow by what had ended.
-func TestStartedNodeIsNotToldOfWhatHasEnded(t *testing.T) {
+func TestStartedNodeDoesNotLearnRemovedUpstreams(t *testing.T) {
 	const seed = 1174
-	missed, events := playSeed(t, usualSetting(), seed)
+	missed, events := runSeed(t, defaultSetting(), seed)
 	for _, m := range missed {
 		t.Error(m)
 	}
 	if t.Failed() {
-		t.Log(eventsText(events))
+		t.Log(formatEvents(events))
 	}
 }
