--- a/node/backoff_test.go
+++ b/node/backoff_test.go
@@ -10,32 +10,33 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// An engine that refused a request asked in the same answer for three seconds of rest, and
-// got twenty requests from that node in the next second. What it asked for was not read: it
-// was taken as full for 150 ms, and not even that once its own report said that it had room,
-// after which each refused request went to it eight times in a row. The logs showed it by
-// eight lines `attempt_failed cause=full` of one id at one upstream within 24 ms, right after
-// a `probe` that found it all but empty. No day of ours had an upstream that asks for rest.
+// Guards against requests to an upstream during its back-off. An engine refused a request with
+// Retry-After of three seconds and got twenty requests from that node in the next second. The
+// header was not read: the engine was taken as full for 150 ms, and no longer after its own
+// report showed free capacity, so that each refused request went to it eight times in a row, as
+// eight log lines `attempt_failed cause=full` of one request id at one upstream within 24 ms,
+// right after a `probe` that found it all but empty. No simulated workload had an upstream that
+// requests back-off.
 //
-// Here upstreams turn all requests away for a while and ask for rest, and requests go on to
-// come one after the other.
+// The upstreams of the test reject all requests for a while and request back-off, while requests
+// continue to arrive one after the other.
 
 const (
-	// rejectDuration is for how long upstreams turn requests away, and requestedBackOff the rest
-	// that they ask for each time: their last one ends after that.
-	rejectDuration = 1500 * time.Millisecond
-	requestedBackOff     = "1.2"
-	// backOffTestDuration is for how long requests come.
+	// rejectDuration is how long upstreams reject requests, and requestedBackOff is the back-off
+	// in seconds that each rejection requests: the last back-off ends after rejectDuration.
+	rejectDuration   = 1500 * time.Millisecond
+	requestedBackOff = "1.2"
+	// backOffTestDuration is how long requests are sent.
 	backOffTestDuration = 3 * time.Second
 )
 
-// backOffRequester is a stand-in that can ask for rest.
+// backOffRequester is a stand-in that can request back-off.
 type backOffRequester interface {
 	SetRest(f standin.RestFaults)
 	Visits() []standin.Visit
 }
 
-// onlyNode is the node of all tries where there is one.
+// onlyNode returns the node of each attempt; there is one node.
 func onlyNode(string) string { return "n1" }
 
 func TestRequestedBackOffIsObserved(t *testing.T) {
@@ -44,10 +45,10 @@
 		pause                time.Duration
 	}{
 		{"stream", http.MethodPost, "/write/", 10 * time.Millisecond},
-		// Such that the second one comes late in the first rest.
-		{"stream that comes seldom", http.MethodPost, "/write/", 600 * time.Millisecond},
-		{"plain that may run once", http.MethodPost, "/once/", 10 * time.Millisecond},
-		{"plain that may be repeated", http.MethodGet, "/read/", 10 * time.Millisecond},
+		// With this pause the second request falls late in the first back-off.
+		{"infrequent stream", http.MethodPost, "/write/", 600 * time.Millisecond},
+		{"plain, not repeatable", http.MethodPost, "/once/", 10 * time.Millisecond},
+		{"plain, repeatable", http.MethodGet, "/read/", 10 * time.Millisecond},
 	} {
 		t.Run(kind.name, func(t *testing.T) {
 			t.Parallel()
@@ -66,17 +67,17 @@
 				}
 				time.Sleep(kind.pause)
 			}
-			turned := 0
+			rejected := 0
 			for _, u := range upstreams {
 				for _, b := range standin.RestBreaches(u.Visits(), onlyNode) {
-					t.Errorf("got %d requests at an upstream in the rest that it had asked for, want none", b.Count)
+					t.Errorf("got %d requests at an upstream during its requested back-off, want none", b.Count)
 				}
-				turned += len(u.Visits())
+				rejected += len(u.Visits())
 			}
-			if turned == 0 {
+			if rejected == 0 {
 				t.Error("got no request at any upstream, want some")
 			}
-			await(t, "request served after the rest", func() bool {
+			await(t, "request served after the back-off", func() bool {
 				i++
 				name := fmt.Sprintf("after%d", i)
 				return n.do(kind.method, kind.prefix+name, name, "k1").status == http.StatusOK
@@ -85,36 +86,36 @@
 	}
 }
 
-// An upstream that is leaving says so in its answers, also where its entry says nothing of
-// it yet, or where the node hears nothing of the list. Two desks serve; one of them says in
-// an answer that it leaves.
+// Guards against new requests to an upstream whose response headers report that it is leaving,
+// if the list does not show that yet or the node has lost the list. Of two plain services, one
+// reports in a response that it is leaving.
 func TestLeavingUpstreamGetsNoNewRequests(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 2)
 	other := s.addPlainService("desk2")
 	n := s.startNode("n1", s.storeAddress)
 	n.awaitServing(t)
-	tries := 0
-	try := func() {
-		tries++
-		name := fmt.Sprintf("try%d", tries)
+	attempts := 0
+	send := func() {
+		attempts++
+		name := fmt.Sprintf("try%d", attempts)
 		if got := n.do(http.MethodPost, "/once/"+name, name, "k1"); got.status != http.StatusOK {
-			t.Fatalf("got %d, %v at try %d, want %d", got.status, got.err, tries, http.StatusOK)
+			t.Fatalf("got %d, %v at attempt %d, want %d", got.status, got.err, attempts, http.StatusOK)
 		}
 	}
 	for len(other.Runs()) == 0 {
-		try()
+		send()
 	}
 	other.SayLeaving()
-	said := len(other.Runs())
-	for len(other.Runs()) == said {
-		try()
+	beforeReport := len(other.Runs())
+	for len(other.Runs()) == beforeReport {
+		send()
 	}
-	heard := len(other.Runs())
+	afterReport := len(other.Runs())
 	for range 40 {
-		try()
+		send()
 	}
-	if got := len(other.Runs()); got > heard {
-		t.Errorf("got %d requests at an upstream after its answer had said that it leaves, want none", got-heard)
+	if got := len(other.Runs()); got > afterReport {
+		t.Errorf("got %d requests at an upstream after its response reported that it is leaving, want none", got-afterReport)
 	}
 }
--- a/node/crashing_request_test.go
+++ b/node/crashing_request_test.go
@@ -15,45 +15,46 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// One request ended 22 upstreams within eleven seconds. It came again and again, as its
-// caller's repeats do, with the same path, caller and body, at all nodes; each upstream
-// that began to run it ended, and others that were served there lost their streams. What
-// had ended under it was known to the node that had sent it, for as long as that one try
-// lasted: the next try, there or elsewhere, began with nothing. The logs showed it by one
-// path under 40 ids, refused with an answer lost by five nodes in turn.
+// Guards against a request that crashes every upstream that executes it. One request crashed 22
+// upstreams within eleven seconds: its client retried it at all nodes with the same path,
+// account and body, each upstream that began to execute it crashed, and the other streams of
+// these upstreams broke. Only the node of an attempt knew of its crash, and only during that
+// attempt, so that the next attempt at this or another node started without that information.
+// The logs had one path under 40 request ids, rejected for a lost answer by five nodes in turn.
 //
-// Here such a request comes to all nodes in turn. Upstreams come back after each end,
-// under a new id or under the one that they had, and nodes are started anew on the way.
+// The test sends such a request to all nodes in turn. Upstreams restart after each crash, under
+// a new id or under their old one, and the nodes are restarted in between.
 
-// maxCrashes is how many upstreams a request may end before it is sent to none: three, and
-// as many again that were sent to before all nodes knew, or since nodes were started anew.
+// maxCrashes bounds the upstreams that the request may crash before it is in quarantine: three,
+// and three more for attempts that began before all nodes knew of the quarantine or after the
+// nodes were restarted.
 const maxCrashes = 6
 
-// crashingTries is how often it comes.
+// crashingTries is how often the request is sent.
 const crashingTries = 10
 
-// crashSite is a site whose upstreams come back when a request has ended them.
+// crashSite is a site whose upstreams restart after a request has crashed them.
 type crashSite struct {
 	*site
-	// crashes counts the upstreams that have ended.
-	crashes    atomic.Int64
-	mode restartMode
+	// crashes counts the upstreams that have crashed.
+	crashes atomic.Int64
+	mode    restartMode
 }
 
-// restartMode is how upstreams come back after their end.
+// restartMode is the way in which upstreams restart after a crash.
 type restartMode string
 
 const (
-	// newIDNewAddress: under another id and at another address.
-	newIDNewAddress restartMode = "elsewhere, anew"
-	// sameIDNewAddress: under the id that they had, at another address.
-	sameIDNewAddress restartMode = "elsewhere, reborn"
-	// newIDSameAddress: under another id at the same address, while the list shows the entry of the
-	// one that has ended. Nobody tells when it started.
-	newIDSameAddress restartMode = "in place"
+	// newIDNewAddress restarts an upstream under another id at another address.
+	newIDNewAddress restartMode = "new id, new address"
+	// sameIDNewAddress restarts an upstream under its old id at another address.
+	sameIDNewAddress restartMode = "same id, new address"
+	// newIDSameAddress restarts an upstream under another id at its old address, while the list
+	// still has the entry of the crashed one. Entries have no start times in this mode.
+	newIDSameAddress restartMode = "new id, same address"
 )
 
-// newCrashSite starts a site of four engines and three desks.
+// newCrashSite starts a site of four engines and three plain services.
 func newCrashSite(t *testing.T, r restartMode) *crashSite {
 	s := &crashSite{site: &site{t: t, store: standin.NewRowStore(), engines: make(map[string]*engineProcess)}, mode: r}
 	server := httptest.NewServer(s.store.Handler())
@@ -69,7 +70,7 @@
 	return s
 }
 
-// upstreamServer is a stand-in that is listed.
+// upstreamServer is a stand-in with an entry in the list.
 type upstreamServer interface {
 	Handler() http.Handler
 	Entry(centre string) *platformpb.Server
@@ -83,31 +84,31 @@
 	return standin.NewDesk(id, at, time.Millisecond, opts...)
 }
 
-// staleEntryLifetime is for how long the list shows an upstream that has ended, where another one
-// has its address.
+// staleEntryLifetime is how long the list shows a crashed upstream after another one has taken
+// its address.
 const staleEntryLifetime = 4 * time.Second
 
-// startUpstream starts an upstream which comes back when a request has ended it.
-func (s *crashSite) startUpstream(id, at string, make func(id, at string, opts ...standin.ServerOption) upstreamServer) {
+// startUpstream starts an upstream that restarts after a request has crashed it.
+func (s *crashSite) startUpstream(id, at string, newServer func(id, at string, opts ...standin.ServerOption) upstreamServer) {
 	listener := httptest.NewUnstartedServer(nil)
 	_ = listener.Listener.Close()
 	var err error
 	if listener.Listener, err = net.Listen("tcp", at); err != nil {
-		s.t.Errorf("got %v at %s, want it free", err, at)
+		s.t.Errorf("got error %v at %s, want a free address", err, at)
 		return
 	}
 	var stop func()
-	var ended atomic.Bool
-	end := standin.WithEnd(func(string) {
-		if ended.Swap(true) {
+	var crashed atomic.Bool
+	onCrash := standin.WithEnd(func(string) {
+		if crashed.Swap(true) {
 			return
 		}
 		s.crashes.Add(1)
 		_ = listener.Listener.Close()
 		go listener.CloseClientConnections()
-		next, address := id, anyPort
+		nextID, address := id, anyPort
 		if s.mode != sameIDNewAddress {
-			next += "'"
+			nextID += "'"
 		}
 		if s.mode == newIDSameAddress {
 			address = listener.Listener.Addr().String()
@@ -115,23 +116,23 @@
 		} else {
 			stop()
 		}
-		time.AfterFunc(300*time.Millisecond, func() { s.startUpstream(next, address, make) })
+		time.AfterFunc(300*time.Millisecond, func() { s.startUpstream(nextID, address, newServer) })
 	})
-	opts := []standin.ServerOption{end}
+	opts := []standin.ServerOption{onCrash}
 	if s.mode == newIDSameAddress {
 		opts = append(opts, standin.WithoutStart())
 	}
-	v := make(id, listener.Listener.Addr().String(), opts...)
+	v := newServer(id, listener.Listener.Addr().String(), opts...)
 	listener.Config.Handler = v.Handler()
 	stop = s.startHeartbeat(id, func() *platformpb.Server { return v.Entry("dc") })
 	listener.Start()
 	s.t.Cleanup(func() { _ = listener.Listener.Close(); listener.CloseClientConnections() })
 }
 
-// awaitHarmless waits until a request of the same caller, of the same kind, is served.
+// awaitHarmless waits until another request of the same account and kind is served.
 func (s *crashSite) awaitHarmless(n *testNode, method, prefix, name string) {
 	i := 0
-	await(s.t, "innocent request served", func() bool {
+	await(s.t, "harmless request served", func() bool {
 		i++
 		got := n.do(method, fmt.Sprintf("%s%s-%d", prefix, name, i), fmt.Sprintf("innocent%s%s-%d", prefix, name, i), "k1")
 		return got.status == http.StatusOK
@@ -141,8 +142,8 @@
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	kinds := []struct{ name, method, prefix string }{
 		{"stream", http.MethodPost, "/write/"},
-		{"plain that may run once", http.MethodPost, "/once/"},
-		{"plain that may be repeated", http.MethodGet, "/read/"},
+		{"plain, not repeatable", http.MethodPost, "/once/"},
+		{"plain, repeatable", http.MethodGet, "/read/"},
 	}
 	for _, kind := range kinds {
 		for _, r := range []restartMode{newIDNewAddress, sameIDNewAddress} {
@@ -150,14 +151,15 @@
 				t.Parallel()
 				s := newCrashSite(t, r)
 				nodes := s.startNodes(3)
-				// Nodes that start know each other after 2.5 s; until then each learns alone.
+				// Started nodes have discovered each other after 2.5 s; until then each detects
+				// crashes on its own.
 				for _, n := range nodes {
-					await(t, "nodes that know each other", func() bool { return n.PeerCount() == len(nodes)-1 })
+					await(t, "discovery of all nodes", func() bool { return n.PeerCount() == len(nodes)-1 })
 				}
 				for i := range crashingTries {
 					if i == crashingTries/2 {
-						// All nodes are started anew: what they knew must outlast them.
-						await(t, "verdict in the store", s.quarantineStored)
+						// All nodes are restarted: the quarantine must survive that.
+						await(t, "quarantine entry in the store", s.quarantineStored)
 						for _, n := range nodes {
 							n.stop()
 						}
@@ -168,7 +170,7 @@
 					n.do(kind.method, kind.prefix+standin.DeadlyPath, fmt.Sprint("try-", i), "k1")
 				}
 				if got := s.crashes.Load(); got > maxCrashes {
-					t.Errorf("got %d upstreams that one request has ended, want %d at the most", got, maxCrashes)
+					t.Errorf("got %d upstreams crashed by one request, want at most %d", got, maxCrashes)
 				}
 				for i, n := range nodes {
 					s.awaitHarmless(n, kind.method, kind.prefix, fmt.Sprint("after", i))
@@ -178,43 +180,43 @@
 	}
 }
 
-// A verdict was lifted three seconds after it, at all nodes at once, and the request ended
-// two engines more. What the logs showed just before was `probe` at the address of one of
-// the engines that it had ended, answered, and then `cleared quarantined=true`: another
-// process had the address by then, under another id, and its answer was taken for a sign of
-// life of the one that had ended. Nothing in such an answer says who gives it.
+// Guards against a quarantine that ends because another process answers at a crashed upstream's
+// address. A request left quarantine at all nodes after three seconds and crashed two more
+// engines. The logs had an answered `probe` at the address of an engine that it had crashed, and
+// then `cleared quarantined=true`: a process with another id had taken the address, and its
+// answer counted as the crashed engine's. Nothing in such an answer identifies the sender.
 //
-// Here the upstreams that a request ends are followed by others at their addresses, while
-// their entries are still in the list.
+// In this test, other upstreams start at the addresses of crashed ones while the list still has
+// the old entries.
 func TestQuarantineOutlastsReplacedProcess(t *testing.T) {
 	for _, kind := range []struct{ name, method, prefix string }{
 		{"stream", http.MethodPost, "/write/"},
-		{"plain that may be repeated", http.MethodGet, "/read/"},
+		{"plain, repeatable", http.MethodGet, "/read/"},
 	} {
 		t.Run(kind.name, func(t *testing.T) {
 			t.Parallel()
 			s := newCrashSite(t, newIDSameAddress)
 			nodes := s.startNodes(2)
 			for _, n := range nodes {
-				await(t, "nodes that know each other", func() bool { return n.PeerCount() == len(nodes)-1 })
+				await(t, "discovery of all nodes", func() bool { return n.PeerCount() == len(nodes)-1 })
 				s.awaitHarmless(n, kind.method, kind.prefix, "before")
 			}
-			tries := 0
-			ask := func() response {
-				tries++
-				return nodes[tries%len(nodes)].do(kind.method, kind.prefix+standin.DeadlyPath, fmt.Sprint("try-", tries), "k1")
+			attempts := 0
+			send := func() response {
+				attempts++
+				return nodes[attempts%len(nodes)].do(kind.method, kind.prefix+standin.DeadlyPath, fmt.Sprint("try-", attempts), "k1")
 			}
-			await(t, "verdict", func() bool {
-				return strings.Contains(ask().body, string(dispatch.ReasonQuarantined))
+			await(t, "quarantine", func() bool {
+				return strings.Contains(send().body, string(dispatch.ReasonQuarantined))
 			})
-			ended := s.crashes.Load()
+			crashed := s.crashes.Load()
 			for until := time.Now().Add(staleEntryLifetime); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
-				ask()
+				send()
 			}
-			t.Logf("%d upstreams had ended at the verdict, %d after it", ended, s.crashes.Load()-ended)
-			// One more may have been under way at the other node.
-			if got, want := s.crashes.Load(), ended+1; got > want {
-				t.Errorf("got %d upstreams that one request has ended, want %d at the most: %d at the verdict", got, want, ended)
+			t.Logf("%d upstreams had crashed when the quarantine began, %d later", crashed, s.crashes.Load()-crashed)
+			// One more attempt may have been in progress at the other node.
+			if got, want := s.crashes.Load(), crashed+1; got > want {
+				t.Errorf("got %d upstreams crashed by one request, want at most %d: %d before its quarantine", got, want, crashed)
 			}
 			for i, n := range nodes {
 				s.awaitHarmless(n, kind.method, kind.prefix, fmt.Sprint("after", i))
@@ -223,10 +225,10 @@
 	}
 }
 
-// quarantineStored tells whether the store keeps a request that ends upstreams.
+// quarantineStored reports whether the store has an entry of a quarantined request.
 func (s *crashSite) quarantineStored() bool { return s.storeContains("relay_quarantine", "") }
 
-// startNodes starts nodes that know each other.
+// startNodes starts nodes; each has the addresses of the earlier ones as seeds.
 func (s *crashSite) startNodes(count int) []*testNode {
 	var nodes []*testNode
 	var seeds []string
--- a/node/disconnect_test.go
+++ b/node/disconnect_test.go
@@ -7,25 +7,25 @@
 	"testing"
 )
 
-// A caller that leaves is heard of at the upstream that works for it: the connection
-// there is closed, and the request is not sent anywhere else.
+// Guards against upstreams that go on working for a client that has disconnected: the node must
+// close the connection to the upstream and must not retry the request.
 func TestClientDisconnectCancelsRequest(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 0)
-	ended := make(chan struct{})
-	desk := s.replacePlainService(func(_ http.ResponseWriter, r *http.Request) {
-		// Only once the body is read does the server look whether the connection ends.
+	cancelled := make(chan struct{})
+	service := s.replacePlainService(func(_ http.ResponseWriter, r *http.Request) {
+		// The server notices a closed connection only after the body is read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
-		close(ended)
+		close(cancelled)
 	})
 	n := s.startNode("n1", s.storeAddress)
 	await(t, "readiness", n.ready)
 	await(t, "upstream", func() bool { return s.hasEntry("bad1") })
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
-	for desk.requests.Load() == 0 {
-		ctx, leave := context.WithCancel(context.Background())
+	for service.requests.Load() == 0 {
+		ctx, disconnect := context.WithCancel(context.Background())
 		answered := make(chan struct{})
 		go func() {
 			defer close(answered)
@@ -36,14 +36,14 @@
 		}()
 		select {
 		case <-answered:
-			// The node does not know the upstream yet, and has refused.
-		case <-desk.firstRequest:
+			// The node has not read the entry of the upstream yet and has refused the request.
+		case <-service.firstRequest:
 		}
-		leave()
+		disconnect()
 		<-answered
 	}
-	<-ended
-	if got, want := desk.requests.Load(), int64(1); got != want {
-		t.Errorf("got %d askings, want %d", got, want)
+	<-cancelled
+	if got, want := service.requests.Load(), int64(1); got != want {
+		t.Errorf("got %d requests, want %d", got, want)
 	}
 }
--- a/node/drain.go
+++ b/node/drain.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// deregistrationDelay is how long a stopping node still takes connections. The
-	// platform asks each second and takes a node off at the second miss.
+	// deregistrationDelay is how long a stopping node still accepts connections. The platform
+	// checks readiness each second and deregisters a node at the second failed check.
 	deregistrationDelay clock.Millis = 3000
-	// cutoffMargin is how long before the end of its grace a node cuts off what is
-	// still in progress, so that it ends by itself.
+	// cutoffMargin is how long before the end of the grace period a node cuts off requests in
+	// progress, so that its process exits by itself.
 	cutoffMargin clock.Millis = 500
 )
 
-// Drain begins a planned stop. The node is not ready from now on; once the
-// platform has taken it off, it takes no more connections and closes idle
-// ones; it ends when its requests are done, or when its grace is over.
+// Drain begins a planned stop. The node reports that it is not ready at once. After the platform
+// has deregistered it, the node closes its listeners and idle connections. It stops when its
+// requests are done or when its grace period is over.
 func (n *Node) Drain() {
 	n.log.Info("drain", zap.Int64("in_progress", n.relay.InProgress()), zap.Int64("grace_ms", int64(n.settings.grace())))
 	n.relay.Stop()
@@ -33,8 +33,7 @@
 		cancel()
 	}()
 	for _, server := range n.servers {
-		// Shutdown closes the listener and idle connections, and waits for
-		// requests in progress.
+		// Shutdown closes the listener and idle connections, and waits for requests in progress.
 		if err := server.Shutdown(ctx); err != nil {
 			n.log.Info("drain_cut_short", zap.Int64("in_progress", n.relay.InProgress()), logging.Err(err))
 		}
--- a/node/engine_restart_test.go
+++ b/node/engine_restart_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// An engine crashes in the middle of a stream and starts again under its id, at another
-// address, before the list has shown that it was gone. It holds nothing until it is ordered
-// to. The caller gets every event once, and the node serves on over the new run.
+// Guards against lost or repeated events if an engine crashes during a stream and restarts under
+// its id at another address before the list shows the crash. The restarted engine holds no
+// layers until it gets an order. The node must continue to serve with the new incarnation.
 func TestEngineRestartsWithSameID(t *testing.T) {
 	for _, victim := range []string{"e1", "e2", "e3", "e4"} {
 		t.Run(victim, func(t *testing.T) {
@@ -17,16 +17,16 @@
 			s := newSite(t, 4)
 			n := s.startNode("n1", s.storeAddress)
 			n.awaitServing(t)
-			rest, begun := startStream(t, n, "s1", 3)
+			body, first := startStream(t, n, "s1", 3)
 			for range 2 {
 				s.killEngine(victim)
 				s.startEngine(victim)
 			}
-			ended, err := io.ReadAll(rest)
+			rest, err := io.ReadAll(body)
 			if err != nil {
-				t.Fatalf("got error %v after %q", err, ended)
+				t.Fatalf("got error %v after %q", err, rest)
 			}
-			if got, want := begun+string(ended), wholeStream(longPath); got != want {
+			if got, want := first+string(rest), wholeStream(longPath); got != want {
 				t.Errorf("got %q, want %q", got, want)
 			}
 			others := []string{"e1", "e2", "e3", "e4"}
--- a/node/faults_test.go
+++ b/node/faults_test.go
@@ -10,11 +10,11 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// faultyService is a desk that does one thing wrong, and says how often it was asked.
+// faultyService is a plain service with a faulty response; it counts its requests.
 type faultyService struct {
 	requests atomic.Int64
-	respond func(w http.ResponseWriter, r *http.Request)
-	// firstRequest is closed when it is asked for the first time.
+	respond  func(w http.ResponseWriter, r *http.Request)
+	// firstRequest is closed at the first request.
 	firstRequest chan struct{}
 }
 
@@ -38,18 +38,18 @@
 	_ = conn.Close()
 }
 
-// What an upstream may do to an answer, and what the caller gets for a request
-// that may run only once.
+// Checks the client's response for each fault in an upstream's response to a request that must
+// not be executed twice.
 func TestFaultyResponses(t *testing.T) {
 	tests := []struct {
-		name   string
-		wrong  func(w http.ResponseWriter, r *http.Request)
-		status int
-		asked  int64
+		name     string
+		respond  func(w http.ResponseWriter, r *http.Request)
+		status   int
+		requests int64
 	}{
 		{"closes without an answer", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, http.StatusBadGateway, 1},
-		{"no HTTP", func(w http.ResponseWriter, _ *http.Request) { writeRaw(w, "hello\r\n\r\n") }, http.StatusBadGateway, 1},
-		{"another request's answer", func(w http.ResponseWriter, _ *http.Request) {
+		{"not HTTP", func(w http.ResponseWriter, _ *http.Request) { writeRaw(w, "hello\r\n\r\n") }, http.StatusBadGateway, 1},
+		{"an answer with another request's id", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Attempt-Id", "somebody-else")
 			w.Header().Set("Response-Seal", "s")
 		}, http.StatusBadGateway, 1},
@@ -57,7 +57,7 @@
 		{"an answer that is cut off", func(w http.ResponseWriter, r *http.Request) {
 			writeRaw(w, "HTTP/1.1 200 OK\r\nResponse-Seal: s\r\nAttempt-Id: "+r.Header.Get("Attempt-Id")+"\r\nContent-Length: 100\r\n\r\nonly some")
 		}, http.StatusBadGateway, 1},
-		{"a failure of its own", func(w http.ResponseWriter, r *http.Request) {
+		{"a server error", func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Attempt-Id", r.Header.Get("Attempt-Id"))
 			w.Header().Set("Response-Seal", "s")
 			w.WriteHeader(http.StatusInternalServerError)
@@ -70,12 +70,12 @@
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			s := newSite(t, 0)
-			desk := s.replacePlainService(tt.wrong)
+			service := s.replacePlainService(tt.respond)
 			n := s.startNode("n1", s.storeAddress)
 			await(t, "configuration", func() bool { return n.do(http.MethodPost, "/nowhere/a", "x", "k1").status == http.StatusNotFound })
 			await(t, "upstream", func() bool {
 				got := n.do(http.MethodPost, "/once/a", "o1", "k1")
-				if desk.requests.Load() == 0 {
+				if service.requests.Load() == 0 {
 					return false
 				}
 				if got.status != tt.status {
@@ -83,22 +83,22 @@
 				}
 				return true
 			})
-			if got := desk.requests.Load(); got != tt.asked {
-				t.Errorf("got %d askings, want %d", got, tt.asked)
+			if got := service.requests.Load(); got != tt.requests {
+				t.Errorf("got %d requests, want %d", got, tt.requests)
 			}
 		})
 	}
 }
 
-// replacePlainService starts a desk that does one thing wrong, as the only one.
-func (s *site) replacePlainService(wrong func(http.ResponseWriter, *http.Request)) *faultyService {
+// replacePlainService replaces the site's plain service by one with a faulty response.
+func (s *site) replacePlainService(respond func(http.ResponseWriter, *http.Request)) *faultyService {
 	s.stopPlainService()
-	desk := &faultyService{respond: wrong, firstRequest: make(chan struct{})}
-	server := httptest.NewServer(desk)
+	service := &faultyService{respond: respond, firstRequest: make(chan struct{})}
+	server := httptest.NewServer(service)
 	s.t.Cleanup(server.Close)
 	address := server.Listener.Addr().String()
 	s.startHeartbeat("bad1", func() *platformpb.Server {
 		return &platformpb.Server{Service: standin.SiteDesk, Address: address, Zone: "dc", State: "ready", Slots: 6}
 	})
-	return desk
+	return service
 }
--- a/node/follow_restore_test.go
+++ b/node/follow_restore_test.go
@@ -2,6 +2,6 @@
 
 import "testing"
 
-// Guards against a confirmed configuration that nodes which follow another one never get, and
-// hold theirs to be the newest meanwhile, after the store has come back from a copy.
+// Guards against nodes that follow a reader, never get a configuration that was confirmed after
+// a store restore, and take their old one as the newest.
 func TestChangesReachNodesAfterStoreRestore(t *testing.T) { runScripts(t, "testdata/follow_copy") }
--- a/node/follow_sim_test.go
+++ b/node/follow_sim_test.go
@@ -14,28 +14,27 @@
 	"github.com/hoistjunction/hoistjunction/internal/script"
 )
 
-// A list of upstreams stood still for 8.7 s at some nodes while others knew within
-// 0.1 s that upstreams left, and requests went on to those. Connections had gone silent
-// without a reset, twice within 1.3 s: the nodes had just lost the node that read the
-// store for them, nobody else could vouch, and nobody followed them, so each awaited the
-// list for as long as a lone node did, 8 s and a margin, on a connection that was silent.
-// The logs of all nodes show the wait begin and end to 10 ms. Limits of waits and pauses
-// were each chosen by themselves, and no one summed them.
+// Guards against nodes that see changes late after a series of faults. The list of upstreams was
+// stale for 8.7 s at some nodes while others saw within 0.1 s that upstreams left, and the stale
+// nodes sent them requests. Connections had gone silent without a reset twice within 1.3 s: the
+// nodes had just lost their reader, no other node could supply a proof, and nobody followed
+// them. So each waited for the list as long as a node without followers does, 8 s and a margin,
+// on a silent connection. The bounds of waits and pauses had been chosen separately, and their
+// sum was too large.
 //
-// Here the followers of whole sites run in virtual time, with connections that go silent,
-// nodes that are frozen, killed or cut off and stores that fail, in series: whoever has
-// been without disruption for 3 s knows each change 2 s after the store has taken it.
+// The scripts run the followers of whole sites in virtual time, with series of silent
+// connections, frozen, killed and isolated nodes, and store faults: a node without a fault for 3
+// s must have each change 2 s after the store has accepted it.
 func TestChangesReachNodesInTime(t *testing.T) { runScripts(t, "testdata/follow") }
 
-// A node that reads for others is refused the list while it goes on to prove the
-// configuration fresh. The others must know changes in time all the same, and not turn to
-// the store one after the other. Which of them do hangs on the order in which goroutines
-// run, which is not drawn from the seed.
+// Guards against late changes and a rush to the store if the reader's requests for the list are
+// rejected while it can still prove that the configuration is fresh. Which nodes turn to the
+// store depends on the order of goroutines, which does not follow from the seed.
 func TestChangesReachNodesWhenListIsRejected(t *testing.T) { runScripts(t, "testdata/follow_alone") }
 
-// Three seeds of 3,000 that were played by hand were late: each has faults in series at
-// the node that was late, and upstreams that end without a word. The script names the cause
-// of each.
+// Guards against late changes at nodes with several outages of their own and upstreams that
+// crash without notice. Three seeds of 3,000 that were run manually failed; the script states
+// the cause of each.
 func TestChangesReachNodesAfterOwnOutages(t *testing.T) { runScripts(t, "testdata/follow_open") }
 
 func runScripts(t *testing.T, folder string) {
@@ -55,16 +54,16 @@
 	case "run":
 		result := runSim(t, parseSetting(s), uint64(s.Int("seed", 1)), s.Int("nodes", 0), millis(s.Int("until", 0)), p.events)
 		p.events = nil
-		said := summarize(result.failures)
-		if most := s.Int("calls", 0); most > 0 && result.calls > most {
-			said = append(said, fmt.Sprintf("%d calls, want %d at most", result.calls, most))
+		lines := summarize(result.failures)
+		if maxCalls := s.Int("calls", 0); maxCalls > 0 && result.calls > maxCalls {
+			lines = append(lines, fmt.Sprintf("%d calls, want %d at most", result.calls, maxCalls))
 		}
-		return said
+		return lines
 	case "seeds":
 		return runSeeds(t, parseSetting(s), s.Int("from", 1), s.Int("to", 1))
 	case "seed":
-		missed, _ := runSeed(t, parseSetting(s), uint64(s.Int("of", 0)))
-		return summarize(missed)
+		failures, _ := runSeed(t, parseSetting(s), uint64(s.Int("of", 0)))
+		return summarize(failures)
 	}
 	share, err := strconv.ParseFloat(s.Named["share"], 64)
 	if err != nil {
@@ -76,47 +75,47 @@
 	}
 	times := s.Int("times", 1)
 	for i := range times {
-		again := e
-		again.at += millis(i * s.Int("every", 0))
-		p.events = append(p.events, again)
+		repeated := e
+		repeated.at += millis(i * s.Int("every", 0))
+		p.events = append(p.events, repeated)
 	}
 	return nil
 }
 
-// parseSetting is what a step says of its site.
+// parseSetting returns the setting of a script's step.
 func parseSetting(s script.Step) simSetting {
 	const hundred = 100
-	is := defaultSetting()
-	is.deadline = millis(s.Int("within", int(is.deadline.Milliseconds())))
-	is.loss = float64(s.Int("loss_percent", 0)) / hundred
-	is.jitter = millis(s.Int("jitter", 0))
-	is.restores = s.Int("returns", 0) > 0
-	return is
+	site := defaultSetting()
+	site.deadline = millis(s.Int("within", int(site.deadline.Milliseconds())))
+	site.loss = float64(s.Int("loss_percent", 0)) / hundred
+	site.jitter = millis(s.Int("jitter", 0))
+	site.restores = s.Int("returns", 0) > 0
+	return site
 }
 
 func millis(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// maxReported is how many misses are told of.
+// maxReported bounds the failures that are reported of a run.
 const maxReported = 5
 
-func summarize(missed []string) []string {
-	if len(missed) == 0 {
+func summarize(failures []string) []string {
+	if len(failures) == 0 {
 		return []string{"all know in time"}
 	}
-	return append(missed[:min(len(missed), maxReported)], fmt.Sprintf("%d missed in all", len(missed)))
+	return append(failures[:min(len(failures), maxReported)], fmt.Sprintf("%d failures in total", len(failures)))
 }
 
-// runSeeds plays seeds, and tells of those in which a change was not known in time.
+// runSeeds runs seeds, and returns the failure of each seed in which a change was late.
 func runSeeds(t *testing.T, setting simSetting, from, to int) []string {
 	var failed []string
 	for seed := from; seed <= to; seed++ {
-		missed, events := runSeed(t, setting, uint64(seed))
-		if len(missed) == 0 {
+		failures, events := runSeed(t, setting, uint64(seed))
+		if len(failures) == 0 {
 			continue
 		}
-		failed = append(failed, fmt.Sprintf("seed %d: %s; %d missed in all", seed, missed[0], len(missed)))
+		failed = append(failed, fmt.Sprintf("seed %d: %s; %d failures in total", seed, failures[0], len(failures)))
 		if os.Getenv("SIM_EVENTS") != "" {
-			t.Logf("seed %d: %s\n%s", seed, strings.Join(missed, "; "), formatEvents(events))
+			t.Logf("seed %d: %s\n%s", seed, strings.Join(failures, "; "), formatEvents(events))
 		}
 	}
 	if len(failed) == 0 {
@@ -135,16 +134,16 @@
 	return strings.Join(lines, "\n")
 }
 
-// The events of a seed begin after seedEventsStart and end before seedEventsEnd; seedRunEnd is
-// when all must be known.
+// The events of a seed are between seedEventsStart and seedEventsEnd; at seedRunEnd all nodes
+// must be up to date.
 const (
 	seedEventsStart = 4 * time.Second
 	seedEventsEnd   = 14 * time.Second
-	seedRunEnd  = 22 * time.Second
+	seedRunEnd      = 22 * time.Second
 )
 
-// runSeed plays what a seed says.
-func runSeed(t *testing.T, setting simSetting, seed uint64) (missed []string, events []simEvent) {
+// runSeed runs the events of a seed.
+func runSeed(t *testing.T, setting simSetting, seed uint64) (failures []string, events []simEvent) {
 	random := rand.New(rand.NewPCG(seed, 0))
 	sizes := []int{1, 3, 5, 6, 9, 9, 12}
 	nodes := sizes[random.IntN(len(sizes))]
@@ -155,7 +154,7 @@
 	return runSim(t, setting, seed, nodes, seedRunEnd, slices.Clone(events)).failures, events
 }
 
-// seedEvents draws faults, in series, and changes throughout.
+// seedEvents draws a series of faults, and changes throughout the run.
 func seedEvents(random *rand.Rand, nodes int) []simEvent {
 	var events []simEvent
 	at := seedEventsStart
@@ -167,8 +166,8 @@
 			events = append(events, seedFault(random, at, nodes))
 		}
 	}
-	every := []time.Duration{150 * time.Millisecond, 500 * time.Millisecond, 1500 * time.Millisecond}
-	pause := every[random.IntN(len(every))]
+	intervals := []time.Duration{150 * time.Millisecond, 500 * time.Millisecond, 1500 * time.Millisecond}
+	pause := intervals[random.IntN(len(intervals))]
 	for at := seedEventsStart; at < seedRunEnd-simDeadline; at += time.Duration(random.ExpFloat64() * float64(pause)) {
 		events = append(events, simEvent{at: at, kind: []string{"leaves", "leaves", "ends", "config"}[random.IntN(4)]})
 	}
@@ -176,7 +175,8 @@
 }
 
 func seedFault(random *rand.Rand, at time.Duration, nodes int) simEvent {
-	// The first by name reads for the others, and most depends on it.
+	// The first nodes by name are drawn more often: the first one is the reader, on which the
+	// others depend.
 	node := fmt.Sprintf("n%02d", 1+random.IntN(min(nodes, 1+random.IntN(nodes))))
 	lasts := time.Duration(200+random.IntN(5000)) * time.Millisecond
 	e := simEvent{at: at, duration: lasts, node: node, share: 1}
@@ -204,10 +204,10 @@
 	return e
 }
 
-// seedsEnv names the seeds that a long run is to play, as "FROM-TO", and
-// settingEnv what their sites are like, as "within=2000 loss_percent=3 jitter=30".
+// seedsEnv is the variable with the seeds of a manual run, as "FROM-TO"; settingEnv is the
+// variable with the setting of their sites, as "within=2000 loss_percent=3 jitter=30".
 const (
-	seedsEnv    = "SIM_SEEDS"
+	seedsEnv   = "SIM_SEEDS"
 	settingEnv = "SIM_SETTING"
 )
 
@@ -221,20 +221,20 @@
 	return parseSetting(step)
 }
 
-// Many seeds, by hand.
+// Runs many seeds; it is started manually.
 func TestChangesReachNodesManualSeeds(t *testing.T) {
 	first, last, ok := strings.Cut(os.Getenv(seedsEnv), "-")
 	if !ok {
-		t.Skip(seedsEnv + " names no seeds")
+		t.Skip(seedsEnv + " is not set to a range")
 	}
 	from, errFrom := strconv.Atoi(first)
 	to, errTo := strconv.Atoi(last)
 	if err := errors.Join(errFrom, errTo); err != nil {
 		t.Fatal(err)
 	}
-	const each = 50
-	for at := from; at <= to; at += each {
-		begin, end := at, min(at+each-1, to)
+	const batch = 50
+	for at := from; at <= to; at += batch {
+		begin, end := at, min(at+batch-1, to)
 		t.Run(fmt.Sprintf("%d-%d", begin, end), func(t *testing.T) {
 			t.Parallel()
 			if got, want := runSeeds(t, settingFromEnv(t), begin, end), []string{"all know in time"}; !slices.Equal(got, want) {
--- a/node/foreign_entries_test.go
+++ b/node/foreign_entries_test.go
@@ -8,8 +8,8 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// Thousands of entries of other writers lie beside those of a few upstreams, and come and go
-// with them: the node serves as if they were not there.
+// Guards against disruption by thousands of entries that other writers add and remove beside
+// those of a few upstreams.
 func TestServesBesideEntriesOfOtherWriters(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 4)
@@ -27,7 +27,7 @@
 			t.Errorf("got status %d, %v, want a whole stream", got.status, got.err)
 		}
 		if got := n.do(http.MethodPost, "/once/a", "o"+id, "k2"); got.status != http.StatusOK || got.body != standin.DeskAnswer("/once/a") {
-			t.Errorf("got status %d, %v, want the desk's answer", got.status, got.err)
+			t.Errorf("got status %d, %v, want the plain service's answer", got.status, got.err)
 		}
 	}
 }
--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -11,41 +11,41 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// An upstream in need that had named 4.5 requests a second for all nodes together got 42 in
-// 4 s from the two nodes that it had told, and another that had named 4.2 got 49. Each was
-// the only one at its data centre that could begin a stream. No line of any node told of the
-// limit, and each of them went on as before.
+// Guards against nodes that exceed an upstream's advertised limit together. An upstream that had
+// advertised 4.5 requests a second for all nodes got 42 in 4 s from the two nodes that had
+// received the limit, and another that had advertised 4.2 got 49. Each was the only upstream of
+// its data centre that could start a stream.
 //
-// What upstreams say of themselves was read for rest and leaving alone, and nothing kept a sum
-// over nodes: they told each other what they had in use, not what they sent. Reading the limit
-// changed nothing in this test (28 streams and 409 plain requests in 4 s, as before); keeping
-// it by permits of one owner for each upstream did.
+// The upstream status was read for back-off and leaving only, and no node knew the rate of all
+// nodes: nodes exchanged their usage, not their rates. Reading the limit alone changed nothing
+// in this test (28 streams and 409 plain requests in 4 s, as before); permits from one owner for
+// each upstream kept it.
 //
-// Here all upstreams of a service name a limit that is far below what three nodes have for
-// them.
+// In this test all upstreams of a service advertise a limit far below the request rate of three
+// nodes.
 
 const (
-	// advertisedLimit is what each upstream takes, in requests a second from all nodes.
+	// advertisedLimit is the limit of each upstream in requests a second from all nodes.
 	advertisedLimit = 3.0
-	// limitGrace is how long after it was named first a limit binds, and limitTestDuration for
-	// how long requests come.
-	limitGrace = 3 * time.Second
+	// limitGrace is how long after it is first advertised a limit must be kept;
+	// limitTestDuration is how long requests are sent.
+	limitGrace        = 3 * time.Second
 	limitTestDuration = 8 * time.Second
 )
 
-// limitAdvertiser is a stand-in that can name a limit.
+// limitAdvertiser is a stand-in that can advertise a limit.
 type limitAdvertiser interface {
 	SetLimit(f standin.LimitFaults)
 	Visits() []standin.Visit
 }
 
-// nodeOfAttempt is the node that a try was sent to: its name begins with it.
+// nodeOfAttempt returns the node of an attempt, which is the first part of the attempt's id.
 func nodeOfAttempt(id string) string {
 	node, _, _ := strings.Cut(id, "-")
 	return node
 }
 
-// noExemption is excused.
+// noExemption exempts no node from the limit.
 func noExemption(string, int64, int64) bool { return false }
 
 func TestNodesShareAdvertisedLimit(t *testing.T) {
@@ -53,18 +53,18 @@
 		name, method, prefix string
 	}{
 		{"stream", http.MethodPost, "/write/"},
-		{"plain that may run once", http.MethodPost, "/once/"},
-		{"plain that may be repeated", http.MethodGet, "/read/"},
+		{"plain, not repeatable", http.MethodPost, "/once/"},
+		{"plain, repeatable", http.MethodGet, "/read/"},
 	} {
 		t.Run(kind.name, func(t *testing.T) {
 			t.Parallel()
 			s := newSite(t, 2)
-			desk := s.addPlainService("desk2")
+			service := s.addPlainService("desk2")
 			nodes := []*testNode{s.startNode("n1", s.storeAddress), s.startNode("n2", s.storeAddress), s.startNode("n3", s.storeAddress)}
 			for _, n := range nodes {
 				n.awaitServing(t)
 			}
-			upstreams := []limitAdvertiser{s.plainService, desk, s.engines["e1"].engine, s.engines["e2"].engine}
+			upstreams := []limitAdvertiser{s.plainService, service, s.engines["e1"].engine, s.engines["e2"].engine}
 			for _, u := range upstreams {
 				u.SetLimit(standin.LimitFaults{Name: fmt.Sprint(advertisedLimit)})
 			}
@@ -73,7 +73,7 @@
 			for _, u := range upstreams {
 				visits += len(u.Visits())
 				for _, b := range standin.LimitBreaches(u.Visits(), nodeOfAttempt, limitGrace, noExemption) {
-					t.Errorf("got %d requests in 4 s at an upstream that takes %v a second, %v, want %d at most", b.Count, b.Limit, b.Nodes, b.Allowed)
+					t.Errorf("got %d requests in 4 s at an upstream that advertises %v a second, nodes %v, want at most %d", b.Count, b.Limit, b.Nodes, b.Allowed)
 				}
 			}
 			if visits == 0 {
@@ -83,7 +83,7 @@
 	}
 }
 
-// sendRequests sends requests to nodes, one after the other at each, for limitTestDuration.
+// sendRequests sends requests to the nodes for limitTestDuration, one at a time at each node.
 func sendRequests(t *testing.T, nodes []*testNode, method, prefix string) {
 	t.Helper()
 	var group sync.WaitGroup
--- a/node/list_age.go
+++ b/node/list_age.go
@@ -9,32 +9,33 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// listWatchInterval is how often a node looks how old its list of upstreams is.
+// listWatchInterval is how often a node checks the age of its list of upstreams.
 const listWatchInterval = 100 * time.Millisecond
 
-// listWatch notices a list of upstreams that stands still for longer than a change of
-// it may take to be known.
+// listWatch detects that the list of upstreams has not been confirmed for longer than a change
+// to the list may take to reach a node.
 type listWatch struct {
 	maxAge clock.Millis
-	// staleAge is how old the list was when last looked at, while it is too old.
+	// staleAge is the age of the list at the last check; zero while the list is not too old.
 	staleAge clock.Millis
 }
 
-// observe takes the list's age. News tells that it has become too old, or is no longer:
-// then stood is how old it was.
-func (w *listWatch) observe(age clock.Millis) (news, old bool, stood clock.Millis) {
-	was := w.staleAge > 0
-	old = age > w.maxAge
-	stood = max(age, w.staleAge)
+// observe records the list's age. It reports whether the list has become stale or stopped being
+// stale since the last check, whether it is stale now, and the largest of the present and the
+// last stale age.
+func (w *listWatch) observe(age clock.Millis) (changed, stale bool, peakAge clock.Millis) {
+	wasStale := w.staleAge > 0
+	stale = age > w.maxAge
+	peakAge = max(age, w.staleAge)
 	w.staleAge = 0
-	if old {
+	if stale {
 		w.staleAge = age
 	}
-	return old != was, old, stood
+	return stale != wasStale, stale, peakAge
 }
 
-// watchList logs when the list stands still for too long, and when it is confirmed
-// again: until then a request may go to an upstream that has long said that it leaves.
+// watchList logs when the list becomes too old and when it is confirmed again. In between, the
+// node may send requests to an upstream that has long announced that it leaves.
 func (n *Node) watchList(ctx context.Context) error {
 	tick := time.NewTicker(listWatchInterval)
 	defer tick.Stop()
@@ -45,11 +46,11 @@
 			return ctx.Err()
 		case <-tick.C:
 		}
-		switch news, old, stood := w.observe(n.fleetFollower.ListAge()); {
-		case news && old:
-			n.log.Warn("list_old", zap.Int64("list_age_ms", int64(stood)), zap.Int64("within_ms", int64(w.maxAge)))
-		case news:
-			n.log.Info("list_confirmed", zap.Int64("stood_ms", int64(stood)))
+		switch changed, stale, peakAge := w.observe(n.fleetFollower.ListAge()); {
+		case changed && stale:
+			n.log.Warn("list_old", zap.Int64("list_age_ms", int64(peakAge)), zap.Int64("within_ms", int64(w.maxAge)))
+		case changed:
+			n.log.Info("list_confirmed", zap.Int64("stood_ms", int64(peakAge)))
 		}
 	}
 }
--- a/node/list_age_test.go
+++ b/node/list_age_test.go
@@ -6,13 +6,14 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// A list that stands still for longer than its bound is told of once, and so is its end.
+// The age of the list must be reported once when it exceeds its bound, and once when the list is
+// confirmed again.
 func TestListWatchReportsStaleness(t *testing.T) {
 	w := listWatch{maxAge: 2000}
 	for _, step := range []struct {
-		age       clock.Millis
-		news, old bool
-		stood     clock.Millis
+		age            clock.Millis
+		changed, stale bool
+		peakAge        clock.Millis
 	}{
 		{-1, false, false, 0},
 		{2000, false, false, 2000},
@@ -21,10 +22,10 @@
 		{30, true, false, 8700},
 		{130, false, false, 130},
 	} {
-		news, old, stood := w.observe(step.age)
-		if news != step.news || old != step.old || stood != step.stood {
-			t.Errorf("age %d: got news %v, old %v, stood %d, want %v, %v, %d",
-				step.age, news, old, stood, step.news, step.old, step.stood)
+		changed, stale, peakAge := w.observe(step.age)
+		if changed != step.changed || stale != step.stale || peakAge != step.peakAge {
+			t.Errorf("age %d: got changed %v, stale %v, peak age %d, want %v, %v, %d",
+				step.age, changed, stale, peakAge, step.changed, step.stale, step.peakAge)
 		}
 	}
 }
--- a/node/local_state.go
+++ b/node/local_state.go
@@ -12,61 +12,62 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// localState is what the node tells its peers, and where it takes in what they
-// tell. It is safe for concurrent use.
+// localState is the state that the node shares with its peers; it also applies the state that
+// peers send. It is safe for concurrent use.
 type localState struct {
-	node    *Node
-	mu      sync.Mutex
+	node   *Node
+	mu     sync.Mutex
 	active follow.ActiveConfig
 }
 
-// apply takes in what was shown of the configuration, and returns what is in force then.
-func (k *localState) apply(p follow.Proof) (follow.ProofResult, follow.ActiveConfig) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	taken := k.active.Apply(p)
-	return taken, k.active
+// apply applies a proof of the store's configuration, and returns its result and the active
+// configuration.
+func (s *localState) apply(p follow.Proof) (follow.ProofResult, follow.ActiveConfig) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	result := s.active.Apply(p)
+	return result, s.active
 }
 
 // Config implements peering.Knowledge.
-func (k *localState) Config() follow.ActiveConfig {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.active
+func (s *localState) Config() follow.ActiveConfig {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.active
 }
 
 // Fleet implements peering.Knowledge.
-func (k *localState) Fleet() ([]fleet.Upstream, bool) { return k.node.fleetFollower.ConfirmedList() }
+func (s *localState) Fleet() ([]fleet.Upstream, bool) { return s.node.fleetFollower.ConfirmedList() }
 
 // Listed implements peering.Knowledge.
-func (k *localState) Listed() bool { return k.node.fleetFollower.HasList() }
+func (s *localState) Listed() bool { return s.node.fleetFollower.HasList() }
 
 // LearnConfig implements peering.Learner.
-func (k *localState) LearnConfig(edition catalog.Edition, raw []byte, confirmed clock.Millis) {
+func (s *localState) LearnConfig(edition catalog.Edition, raw []byte, confirmed clock.Millis) {
 	proof := follow.Proof{Edition: edition, Confirmed: confirmed}
 	if len(raw) > 0 {
 		c, err := platform.DecodeCatalog(raw, edition.Written())
 		if err != nil {
-			k.node.log.Error("config_unreadable", logging.Err(err))
+			s.node.log.Error("config_unreadable", logging.Err(err))
 			return
 		}
 		proof.Edition, proof.Catalog, proof.Raw = c.Edition(), c, raw
 	}
-	k.node.applyConfig(proof)
+	s.node.applyConfig(proof)
 }
 
 // LearnFleet implements peering.Learner.
-func (k *localState) LearnFleet(list []fleet.Upstream) { k.node.fleetFollower.AddPeerList(list) }
+func (s *localState) LearnFleet(list []fleet.Upstream) { s.node.fleetFollower.AddPeerList(list) }
 
-// maxMeshUsageNodes is up to how many nodes tell each other what they have in use across
-// data centres too, where chains go when an engine is lost. In larger systems
-// each tells its own data centre only, and one node adds up what its data centre
-// has in use and tells the others: the datagrams would grow with the square of
-// the nodes, and bytes between data centres are dear.
+// maxMeshUsageNodes bounds the systems in which all nodes send their usage to each other across
+// data centres too, since chains use engines of other data centres when a local one crashes. In
+// larger systems a node sends its usage within its own data centre, and one node sends the sum
+// of its data centre to the others: otherwise datagrams would grow with the square of the number
+// of nodes, and traffic between data centres is expensive.
 const maxMeshUsageNodes = 24
 
 // LearnMembers implements peering.Learner.
-func (k *localState) LearnMembers(others []*wire.Member, rank int) {
-	k.node.roster.SetGroup(readingGroup(others, k.node.settings.DataCentre))
-	k.node.members.set(others, rank)
+func (s *localState) LearnMembers(others []*wire.Member, rank int) {
+	s.node.roster.SetGroup(readingGroup(others, s.node.settings.DataCentre))
+	s.node.members.set(others, rank)
 }
--- a/node/members.go
+++ b/node/members.go
@@ -6,14 +6,15 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// members are the other nodes that are known. It is safe for concurrent use.
+// members holds the other known nodes. It is safe for concurrent use.
 type members struct {
 	mu     sync.Mutex
 	others []*wire.Member
-	// rank is this node's by name among all, and changes counts what was set.
+	// rank is the position of this node among all nodes sorted by name; changes counts the calls
+	// of set.
 	rank    int
 	changes int
-	// ready is closed once something was set.
+	// ready is closed by the first call of set.
 	ready chan struct{}
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -32,14 +32,14 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// Bounds of the listeners.
+// Limits of the HTTP listeners.
 const (
-	// readHeaderTimeout bounds the reading of a request's head.
+	// readHeaderTimeout bounds the time for reading a request's header.
 	readHeaderTimeout = 5 * time.Second
-	// idleTimeout is how long an idle connection of a caller is kept. It must
-	// exceed what the operator grants callers, 15 s on the users' sites.
+	// idleTimeout is how long an idle client connection is kept. It must exceed the idle time
+	// that the operator promises to clients, 15 s on the users' sites.
 	idleTimeout = 60 * time.Second
-	// maxHeaderBytes bounds a request's head; the operator grants 16 KB.
+	// maxHeaderBytes bounds a request's header; the operator allows 16 KB.
 	maxHeaderBytes = 32 << 10
 )
 
@@ -50,51 +50,51 @@
 	clock    *clock.Clock
 	relay    *relay.Relay
 	placer   *placer.Placer
-	// orderResults counts the orders to engines, by what came of them.
-	orderResults   *expvar.Map
+	// orderResults counts the orders to engines by result.
+	orderResults    *expvar.Map
 	fleetFollower   *follow.Fleet
 	catalogFollower *follow.Catalog
-	peers    *peering.Peering
-	usage    *usage.Sharing
-	local    *localState
-	// configMu has the node take one proof of the configuration after the other. Outdated is
-	// the last edition that was shown and is not obeyed, and asking tells that another node
-	// is being asked for a newer one.
-	configMu  sync.Mutex
-	lastOutdated catalog.Edition
-	queryingConfig   atomic.Bool
-	roster   *reading.Roster
-	readers  *readers
-	readLog   *reading.Log
-	members  *members
-	unresponsive *unresponsiveReports
-	// quarantined is what is told others of requests that end upstreams, and keeper
-	// keeps them in the store.
+	peers           *peering.Peering
+	usage           *usage.Sharing
+	local           *localState
+	// configMu serialises the proofs of the configuration. lastOutdated is the last edition that
+	// was rejected as outdated; queryingConfig is set while another node is queried for a newer
+	// configuration.
+	configMu       sync.Mutex
+	lastOutdated   catalog.Edition
+	queryingConfig atomic.Bool
+	roster         *reading.Roster
+	readers        *readers
+	readLog        *reading.Log
+	members        *members
+	unresponsive   *unresponsiveReports
+	// quarantined holds the quarantined requests that are shared with peers; keeper stores them
+	// in the store.
 	quarantined *quarantineSet
 	keeper      *keeper.Keeper
-	// wakes tells when the VM goes on after it was suspended.
+	// wakes calls its handlers when the VM resumes from a suspension.
 	wakes   *clock.Wakes
 	outage  *follow.Outage
 	store   *platform.Store
 	engines *platform.Engines
-	ctx    context.Context
-	cancel     context.CancelFunc
+	ctx     context.Context
+	cancel  context.CancelFunc
 
 	callerListener    net.Listener
 	readinessListener net.Listener
 	metricsListener   net.Listener
 	peerListener      net.Listener
-	servers   []*http.Server
-	drained   chan struct{}
+	servers           []*http.Server
+	drained           chan struct{}
 }
 
-// Option sets up a Node.
+// Option configures a Node.
 type Option func(*Node)
 
-// WithClock sets the node's clock, for tests.
+// WithClock sets the node's clock; it is meant for tests.
 func WithClock(c *clock.Clock) Option { return func(n *Node) { n.clock = c } }
 
-// New binds a node's ports and builds it. Run makes it work.
+// New binds the ports of a node and builds the node. Run starts it.
 func New(s *Settings, log *logging.Log, opts ...Option) (*Node, error) {
 	n := &Node{settings: s, log: log.Logger, clock: clock.New(), drained: make(chan struct{}), members: newMembers(), unresponsive: newUnresponsiveReports(), orderResults: new(expvar.Map)}
 	for _, opt := range opts {
@@ -107,8 +107,8 @@
 	n.store = platform.NewStore(s.PlatformAddress, n.log)
 	n.quarantined = newQuarantineSet(n.clock, s.quarantineDuration())
 	n.keeper = keeper.New(n.store, n.clock, n.log, s.FirstStart, n.applyQuarantined)
-	n.engines = platform.NewEngines(platform.WithLaterRuns(func(run fleet.Incarnation) { n.fleetFollower.Supersede(run) }),
-		platform.WithWords(func(upstream fleet.Incarnation, word relay.Word) { n.relay.Said(upstream, word) }))
+	n.engines = platform.NewEngines(platform.WithLaterRuns(func(upstream fleet.Incarnation) { n.fleetFollower.Supersede(upstream) }),
+		platform.WithWords(func(upstream fleet.Incarnation, status relay.Word) { n.relay.Said(upstream, status) }))
 	model := dispatch.New(
 		dispatch.WithDataCentre(s.DataCentre),
 		dispatch.WithSeed(hash(s.Name)),
@@ -141,14 +141,14 @@
 		placer.WithResults(n.orderResults))
 	n.wakes = n.clock.Wakes()
 	n.wakes.Tell(n.handleWake)
-	n.newFollowers(self, platform.NewPeerTransport(), n.applyConfig, n.applyFleet)
+	n.follow(self, platform.NewPeerTransport(), n.applyConfig, n.applyFleet)
 	n.peers = peering.New(self, s.PeerSeeds, n.store, n.local, n.local, n.clock, n.log, platform.NewQuestionTransport(), hash(s.Name),
 		peering.WithFirstStart(s.FirstStart))
 	return n, nil
 }
 
-// newFollowers builds the followers of the store, and what they know of other nodes.
-func (n *Node) newFollowers(self *wire.Member, peerTransport http.RoundTripper, setCatalog func(follow.Proof) follow.ActiveConfig, setFleet func([]fleet.Change)) {
+// follow builds the followers of the store and the state that they use about other nodes.
+func (n *Node) follow(self *wire.Member, peerTransport http.RoundTripper, setCatalog func(follow.Proof) follow.ActiveConfig, setFleet func([]fleet.Change)) {
 	within := n.settings.changeDeadline()
 	n.roster = reading.NewRoster(self, n.clock.Now(), follow.FailoverWait(within), reading.WithStartWait(n.settings.startWait()))
 	n.readLog = reading.NewLog(n.clock, follow.ProofLifetime, follow.FirstRequestWait(within))
@@ -161,12 +161,12 @@
 	n.fleetFollower = follow.NewFleet(n.store, n.clock, n.log, n.outage, setFleet, share, bound)
 }
 
-// Nodes leave orders to each other for different times, by their rank among
-// the names (by a hash of the own name while others are unknown), so that they
-// seldom give the same order. An order shows in an engine's report at once.
+// Nodes wait for different times before they order an engine to load layers, so that two nodes
+// seldom give the same order: an order shows in the engine's report at once. A node's wait
+// follows from its rank by name, or from a hash of its own name while other nodes are unknown.
 const (
 	provisionalRanks              = 32
-	plannerDelayStep  clock.Millis = 300
+	plannerDelayStep clock.Millis = 300
 )
 
 func plannerDelay(rank int) clock.Millis { return clock.Millis(rank) * plannerDelayStep }
@@ -178,23 +178,23 @@
 	return h.Sum64()
 }
 
-// CallerAddress returns where the node takes callers' requests. Settings may leave the
+// CallerAddress returns the address that accepts client requests. The settings may leave the
 // port to the kernel.
 func (n *Node) CallerAddress() string { return n.callerListener.Addr().String() }
 
-// ReadinessAddress returns where the platform asks whether the node is ready.
+// ReadinessAddress returns the address where the platform checks readiness.
 func (n *Node) ReadinessAddress() string { return n.readinessListener.Addr().String() }
 
-// PeerCount returns how many other nodes are known.
+// PeerCount returns the number of other known nodes.
 func (n *Node) PeerCount() int { return n.peers.Others() }
 
-// PeerAddress returns where other nodes ask this one.
+// PeerAddress returns the address that accepts queries of other nodes.
 func (n *Node) PeerAddress() string { return n.peerListener.Addr().String() }
 
 func (n *Node) listen() error {
 	config := net.ListenConfig{Control: platform.BoundSilence}
 	for _, l := range []struct {
-		into    *net.Listener
+		target  *net.Listener
 		address string
 	}{
 		{&n.callerListener, n.settings.CallerListen},
@@ -204,14 +204,14 @@
 	} {
 		listener, err := config.Listen(n.ctx, "tcp", l.address)
 		if err != nil {
-			return errors.Wrapf(err, "node: cannot listen at %s", l.address)
+			return errors.Wrapf(err, "node: listen at %s", l.address)
 		}
-		*l.into = listener
+		*l.target = listener
 	}
 	return nil
 }
 
-// Run serves until the context ends, or until a planned stop is through.
+// Run serves until the context ends or a planned stop completes.
 func (n *Node) Run(ctx context.Context) error {
 	defer n.cancel()
 	n.log.Info("start", zap.String("node", n.settings.Name), zap.String("data_centre", n.settings.DataCentre),
@@ -245,7 +245,7 @@
 	return err
 }
 
-// errDrained ends the node after a planned stop.
+// errDrained stops the node after a planned stop.
 var errDrained = errors.New("node: drained")
 
 func (n *Node) waitDrained(ctx, loop context.Context) error {
@@ -270,24 +270,24 @@
 		ErrorLog: zap.NewStdLog(n.log),
 	}
 	n.servers = append(n.servers, server)
-	ended, end := context.WithCancel(context.Background())
+	stopped, stop := context.WithCancel(context.Background())
 	g.Add(func() error {
 		err := server.Serve(l)
 		if errors.Is(err, http.ErrServerClosed) {
-			// A planned stop closes the listeners first; the node goes on until
-			// its requests are done.
-			<-ended.Done()
+			// Drain closes the listeners first; the server must not end before the requests in
+			// progress are done.
+			<-stopped.Done()
 		}
 		return err
 	}, func(error) {
-		end()
+		stop()
 		if err := server.Close(); err != nil {
 			n.log.Info("listener_not_closed", logging.Err(err))
 		}
 	})
 }
 
-// peerHandler serves what other nodes ask.
+// peerHandler serves the queries of other nodes.
 func (n *Node) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(n.peers.Handler())
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -42,11 +42,11 @@
 		})
 	}
 	if got, want := s.plainService.Runs()["once"].Account, standin.SiteAccount; got != want {
-		t.Errorf("got account %q at the desk, want %q", got, want)
+		t.Errorf("got account %q at the plain service, want %q", got, want)
 	}
 }
 
-// startStream begins a stream and reads some events of it.
+// startStream starts a stream and reads its first events.
 func startStream(t *testing.T, n *testNode, id string, events int) (*bufio.Reader, string) {
 	t.Helper()
 	transport := &http.Transport{}
@@ -57,19 +57,19 @@
 	}
 	t.Cleanup(func() { _ = resp.Body.Close() })
 	r := bufio.NewReader(resp.Body)
-	var begun strings.Builder
+	var first strings.Builder
 	for range 3 * events {
 		line, err := r.ReadString('\n')
 		if err != nil {
 			t.Fatal(err)
 		}
-		begun.WriteString(line)
+		first.WriteString(line)
 	}
-	return r, begun.String()
+	return r, first.String()
 }
 
-// Whichever engine dies in the middle of a stream, the caller gets every event
-// once, in one answer.
+// Whichever engine crashes during a stream, the client must get every event once, in one
+// response.
 func TestStreamSurvivesEngineCrash(t *testing.T) {
 	for _, victim := range []string{"e1", "e2", "e3", "e4"} {
 		t.Run(victim, func(t *testing.T) {
@@ -77,33 +77,34 @@
 			s := newSite(t, 4)
 			n := s.startNode("n1", s.storeAddress)
 			n.awaitServing(t)
-			rest, begun := startStream(t, n, "s1", 3)
+			body, first := startStream(t, n, "s1", 3)
 			s.killEngine(victim)
-			ended, err := io.ReadAll(rest)
+			rest, err := io.ReadAll(body)
 			if err != nil {
-				t.Fatalf("got error %v after %q", err, ended)
+				t.Fatalf("got error %v after %q", err, rest)
 			}
-			if got, want := begun+string(ended), wholeStream(longPath); got != want {
+			if got, want := first+string(rest), wholeStream(longPath); got != want {
 				t.Errorf("got %q, want %q", got, want)
 			}
 		})
 	}
 }
 
-// A planned stop says that the node is not ready, and finishes what it has.
+// During a planned stop the node must report that it is not ready, and finish the streams in
+// progress.
 func TestPlannedStopFinishesStreams(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 4)
 	n := s.startNode("n1", s.storeAddress)
 	n.awaitServing(t)
-	rest, begun := startStream(t, n, "s1", 2)
+	body, first := startStream(t, n, "s1", 2)
 	go n.Drain()
-	await(t, "refusal to be ready", func() bool { return !n.ready() })
-	ended, err := io.ReadAll(rest)
+	await(t, "unready status", func() bool { return !n.ready() })
+	rest, err := io.ReadAll(body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := begun+string(ended), wholeStream(longPath); got != want {
+	if got, want := first+string(rest), wholeStream(longPath); got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
 	if err := <-n.done; err != nil {
@@ -111,8 +112,8 @@
 	}
 }
 
-// Without the store and without peers, requests with keys are refused, and
-// have not run.
+// Without the store and without peers, requests with keys must be refused and must not be
+// executed.
 func TestKeysFailClosedWithoutTheStore(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 2)
@@ -125,22 +126,22 @@
 		return n.do(http.MethodPost, "/once/a", refused, "k1").status == http.StatusServiceUnavailable
 	})
 	if got := s.plainService.Runs()[refused].Runs; got != 0 {
-		t.Errorf("got %d runs of a refused request, want 0", got)
+		t.Errorf("got %d executions of a refused request, want 0", got)
 	}
-	await(t, "refusal to be ready", func() bool { return !n.ready() })
+	await(t, "unready status", func() bool { return !n.ready() })
 	s.store.SetFaults(standin.RowStoreFaults{})
 	await(t, "answer", func() bool { return n.do(http.MethodPost, "/once/a", "after"+refused, "k1").status == http.StatusOK })
 }
 
-// A node that has lost the store goes on with what a peer vouches for, and
-// takes newer configurations from there.
+// A node that has lost the store must use the configuration that a peer confirms, and take newer
+// configurations from the peer.
 func TestPeerSuppliesConfig(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 2)
-	lost := standin.NewRowStore()
-	lost.SetFaults(standin.RowStoreFaults{Down: true})
+	unavailable := standin.NewRowStore()
+	unavailable.SetFaults(standin.RowStoreFaults{Down: true})
 	n1 := s.startNode("n1", s.storeAddress)
-	n2 := s.startNode("n2", s.serve(lost), n1.peerAddress)
+	n2 := s.startNode("n2", s.serve(unavailable), n1.peerAddress)
 	await(t, "answer", func() bool { return n2.do(http.MethodPost, "/once/a", "warm", "k1").status == http.StatusOK })
 	s.store.Put("op", "config", standin.SiteConfig(2, "k1"))
 	await(t, "refusal of a revoked key", func() bool {
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -17,67 +17,69 @@
 )
 
 const (
-	// minQueryPause is after how long a node whose peer knows of other requests in
-	// quarantine asks one again, and maxQueryPause bounds that: it doubles while answers
-	// bring nothing new. An answer takes up to 100 KB, when all that is bounded is full.
-	minQueryPause   clock.Millis = 300
+	// minQueryPause is the first pause between two queries for a peer's quarantined requests.
+	// The pause doubles while the digests still differ, up to maxQueryPause: an answer takes up
+	// to 100 KB when all bounded lists are full.
+	minQueryPause clock.Millis = 300
 	maxQueryPause clock.Millis = 30_000
-	// digestTTL is for how long a digest counts while nothing changes but ages. It is
-	// asked for with each word of a peer, 200 times a second where 60 nodes are near.
+	// digestTTL is how long a cached digest is used if only the ages of entries change. The
+	// digest is needed for each usage report of a peer, 200 times a second with 60 peers in the
+	// data centre.
 	digestTTL clock.Millis = 1000
 )
 
-// quarantineSet is what the node tells others of requests in quarantine. It is safe for
+// quarantineSet holds the quarantined requests that the node shares with peers. It is safe for
 // concurrent use.
 type quarantineSet struct {
-	clock *clock.Clock
+	clock    *clock.Clock
 	duration clock.Millis
-	mu    sync.Mutex
-	entries *simplelru.LRU[work.ID, quarantineEntry]
-	// lastQuery is when a peer was last asked for what it knows, and pause the time until the
-	// next question.
-	lastQuery clock.Millis
+	mu       sync.Mutex
+	entries  *simplelru.LRU[work.ID, quarantineEntry]
+	// lastQuery is the time of the last query to a peer; queryPause is the pause until the next
+	// one.
+	lastQuery  clock.Millis
 	queryPause clock.Millis
-	// cachedDigest is the digest as of summed. It is asked for with each word of a peer.
-	cachedDigest    uint64
-	digestAt clock.Millis
+	// cachedDigest is the digest at digestAt; the digest is needed for each usage report of a
+	// peer.
+	cachedDigest uint64
+	digestAt     clock.Millis
 }
 
-// quarantineEntry is a request in quarantine.
+// quarantineEntry is a quarantined request.
 type quarantineEntry struct {
 	since clock.Millis
-	// crashed are the upstreams that are thought to have ended under it; none where that is
-	// certain.
+	// crashed lists the upstreams that are suspected to have crashed under the request; it is
+	// empty once the suspicion is confirmed.
 	crashed []fleet.Incarnation
 }
 
 func newQuarantineSet(c *clock.Clock, lasts clock.Millis) *quarantineSet {
 	works, err := simplelru.NewLRU[work.ID, quarantineEntry](quarantine.MaxQuarantined, nil)
 	if err != nil {
-		// Only a size below one is refused.
+		// NewLRU rejects only sizes below one.
 		panic(err)
 	}
 	return &quarantineSet{clock: c, duration: lasts, entries: works, lastQuery: clock.Never, queryPause: minQueryPause, digestAt: clock.Never}
 }
 
-// add notes a request, and that peers are worth asking again. It returns what is known of
-// it now.
+// add stores a request and resets the pause between queries. It returns the request with its
+// age.
 func (q *quarantineSet) add(w dispatch.Quarantined) dispatch.Quarantined {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.clock.Now()
-	known, ok := q.entries.Peek(w.Work)
+	entry, ok := q.entries.Peek(w.Work)
 	if !ok {
-		known = quarantineEntry{since: now.Sub(w.Age)}
+		entry = quarantineEntry{since: now.Sub(w.Age)}
 	}
-	known.crashed = w.Ended
-	q.entries.Add(w.Work, known)
+	entry.crashed = w.Ended
+	q.entries.Add(w.Work, entry)
 	q.queryPause, q.digestAt = minQueryPause, clock.Never
-	return dispatch.Quarantined{Work: w.Work, Age: now.Sub(known.since), Ended: known.crashed}
+	return dispatch.Quarantined{Work: w.Work, Age: now.Sub(entry.since), Ended: entry.crashed}
 }
 
-// addConfirmed notes requests of which others know for certain, where that is news. Of what is not
-// certain the relay decides.
+// addConfirmed stores those confirmed requests of a list that are not known as confirmed yet.
+// The relay decides about unconfirmed requests.
 func (q *quarantineSet) addConfirmed(list []dispatch.Quarantined) {
 	for _, w := range list {
 		if len(w.Ended) == 0 && !q.isConfirmed(w.Work) {
@@ -86,12 +88,12 @@
 	}
 }
 
-// isConfirmed tells whether a request is known for certain.
+// isConfirmed reports whether a request is in quarantine and confirmed.
 func (q *quarantineSet) isConfirmed(id work.ID) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	known, ok := q.entries.Peek(id)
-	return ok && len(known.crashed) == 0
+	entry, ok := q.entries.Peek(id)
+	return ok && len(entry.crashed) == 0
 }
 
 func (q *quarantineSet) remove(id work.ID) {
@@ -101,14 +103,14 @@
 	q.digestAt = clock.Never
 }
 
-// list returns all, with how long they have been in quarantine.
+// list returns all quarantined requests with their ages.
 func (q *quarantineSet) list() []dispatch.Quarantined {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.listAt(q.clock.Now())
 }
 
-// listAt is list at a time. The caller holds the lock.
+// listAt is list at a given time. The caller holds the lock.
 func (q *quarantineSet) listAt(now clock.Millis) []dispatch.Quarantined {
 	var list []dispatch.Quarantined
 	for _, id := range q.entries.Keys() {
@@ -120,10 +122,10 @@
 	return list
 }
 
-// count is how many there are, for the metrics.
+// count returns the number of quarantined requests, for the metrics.
 func (q *quarantineSet) count() any { return len(q.list()) }
 
-// digest stands for all in one number, in whatever order they came.
+// digest returns a hash of all quarantined requests that does not depend on their order.
 func (q *quarantineSet) digest() uint64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -133,17 +135,18 @@
 	}
 	q.cachedDigest, q.digestAt = 0, now
 	for _, w := range q.listAt(now) {
-		one := binary.LittleEndian.Uint64(w.Work.Bytes())
+		sum := binary.LittleEndian.Uint64(w.Work.Bytes())
 		if len(w.Ended) > 0 {
-			// What is not certain yet counts as something else.
-			one = bits.RotateLeft64(one, 1)
+			// An unconfirmed request must differ from the same request once it is confirmed.
+			sum = bits.RotateLeft64(sum, 1)
 		}
-		q.cachedDigest ^= one
+		q.cachedDigest ^= sum
 	}
 	return q.cachedDigest
 }
 
-// shouldQuery tells whether a peer with a digest is to be asked for what it knows now.
+// shouldQuery reports whether a peer must be queried now because its digest differs from the
+// local one.
 func (q *quarantineSet) shouldQuery(digest uint64) bool {
 	if digest == 0 || digest == q.digest() {
 		return false
@@ -158,7 +161,8 @@
 	return true
 }
 
-// handleQuarantineNews acts on what the relay has found out of requests that end upstreams.
+// handleQuarantineNews shares, stores or removes requests after the relay has decided about
+// them.
 func (n *Node) handleQuarantineNews(news quarantine.News) {
 	switch news := news.(type) {
 	case quarantine.LossNews:
@@ -176,16 +180,17 @@
 	}
 }
 
-// addQuarantined notes a request in quarantine for peers, and has it kept in the store by the nodes
-// that have lost it: others would write the same hundreds of times.
-func (n *Node) addQuarantined(w dispatch.Quarantined, own bool) {
+// addQuarantined adds a request to the set that is shared with peers. Only a node on which the
+// request has lost an upstream writes the request to the store; otherwise hundreds of nodes
+// would write the same entry.
+func (n *Node) addQuarantined(w dispatch.Quarantined, local bool) {
 	w = n.quarantined.add(w)
-	if own {
+	if local {
 		n.keeper.Keep(w)
 	}
 }
 
-// releaseQuarantined takes a request out of quarantine that an upstream has answered.
+// releaseQuarantined removes a request that an upstream has answered from quarantine.
 func (n *Node) releaseQuarantined(news quarantine.ClearedNews) {
 	n.quarantined.remove(news.Work)
 	if news.Local {
@@ -196,15 +201,16 @@
 	}
 }
 
-// applyQuarantined takes requests in quarantine from the store or a peer.
+// applyQuarantined adds quarantined requests that were read from the store or received from a
+// peer.
 func (n *Node) applyQuarantined(list []dispatch.Quarantined) {
 	n.quarantined.addConfirmed(list)
 	n.relay.SetQuarantined(list)
 }
 
-// compareQuarantine asks a peer for the requests that it knows to be in quarantine, where
-// it has told that these are not those that this node knows. Nodes that were cut off, or
-// have missed datagrams, know the same within a second or two.
+// compareQuarantine queries a peer for its quarantined requests if its digest differs from the
+// local one. Nodes that were cut off or have missed datagrams have the same set within a second
+// or two.
 func (n *Node) compareQuarantine(from *wire.Member, digest uint64) {
 	if n.quarantined.shouldQuery(digest) {
 		go n.peers.AskQuarantined(n.ctx, from)
@@ -221,7 +227,7 @@
 func (l usageListener) HearAnswered(id work.ID) { l.node.relay.SetAnswered(id) }
 
 // Quarantined implements peering.Knowledge.
-func (k *localState) Quarantined() []dispatch.Quarantined { return k.node.quarantined.list() }
+func (s *localState) Quarantined() []dispatch.Quarantined { return s.node.quarantined.list() }
 
 // LearnQuarantined implements peering.Learner.
-func (k *localState) LearnQuarantined(list []dispatch.Quarantined) { k.node.applyQuarantined(list) }
+func (s *localState) LearnQuarantined(list []dispatch.Quarantined) { s.node.applyQuarantined(list) }
--- a/node/reader_test.go
+++ b/node/reader_test.go
@@ -13,7 +13,7 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// storeProxy passes one node's calls on to the store, and counts them.
+// storeProxy forwards one node's calls to the store and counts them.
 type storeProxy struct {
 	store http.Handler
 	calls atomic.Int64
@@ -24,7 +24,7 @@
 	f.store.ServeHTTP(w, r)
 }
 
-// startStoreProxy starts a front of the site's store, and returns its address.
+// startStoreProxy starts a proxy of the site's store, and returns its address.
 func (s *site) startStoreProxy() (*storeProxy, string) {
 	f := &storeProxy{store: s.store.Handler()}
 	server := httptest.NewServer(f)
@@ -32,34 +32,34 @@
 	return f, server.Listener.Addr().String()
 }
 
-// isIdle tells whether a node leaves the store alone for longer than it would
-// wait there itself.
+// isIdle reports whether a node makes no store call for longer than the store holds a call of
+// its own reader.
 func (f *storeProxy) isIdle() bool {
 	before := f.calls.Load()
 	time.Sleep(2500 * time.Millisecond)
 	return f.calls.Load() == before
 }
 
-// Of six nodes of a data centre one reads the store for the others. When it ends
-// they go on, and a key that is taken away then is refused everywhere.
+// One of six nodes of a data centre reads the store for the others. After it stops, the others
+// must continue to serve and refuse a key that is revoked then.
 func TestReaderStops(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 2)
 	var nodes []*testNode
-	var last *storeProxy
+	var lastProxy *storeProxy
 	for i := range 6 {
-		front, address := s.startStoreProxy()
+		proxy, address := s.startStoreProxy()
 		nodes = append(nodes, s.startNode(fmt.Sprintf("n%d", i+1), address))
-		last = front
+		lastProxy = proxy
 	}
 	for _, n := range nodes {
 		n.awaitServing(t)
 	}
-	await(t, "node that leaves the store to another", last.isIdle)
+	await(t, "node without store calls", lastProxy.isIdle)
 
 	nodes[0].stop()
 	if err := <-nodes[0].done; !errors.Is(err, context.Canceled) {
-		t.Errorf("got error %v from the reader's end, want %v", err, context.Canceled)
+		t.Errorf("got error %v from the stopped reader, want %v", err, context.Canceled)
 	}
 	s.store.Put("op", "config", standin.SiteConfig(2, "k1"))
 	for i, n := range nodes[1:] {
--- a/node/readers.go
+++ b/node/readers.go
@@ -16,25 +16,24 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// maxFollowableAge is how long ago the store may have answered for others to follow
-// this node. For a node that reads for others that gets
-// 1.2 s old, and a little more where the store is slow.
+// maxFollowableAge is the largest age of the store's last answer at which other nodes may follow
+// this one. On a node that reads for others the age reaches 1.2 s, and slightly more if the
+// store is slow.
 const maxFollowableAge clock.Millis = 2000
 
-// readers says which node reads the store for this one. It implements
-// follow.Readers and is safe for concurrent use.
+// readers selects the node that reads the store for this one. It implements follow.Readers and
+// is safe for concurrent use.
 type readers struct {
 	node   *Node
 	client *http.Client
 
 	mu sync.Mutex
-	// address is the address of the node that is followed, empty for none, and source
-	// follows it.
-	address     string
-	source *namedSource
+	// address is the address of the followed node, empty for none; source reads from that node.
+	address string
+	source  *namedSource
 }
 
-// namedSource follows a node of a name.
+// namedSource reads from a node and holds the node's name.
 type namedSource struct {
 	*reading.Source
 	name string
@@ -51,13 +50,13 @@
 		r.node.log.Info("reader", zap.String("follows", m.GetName()), zap.String("address", r.address))
 	}
 	if m == nil {
-		// Not r.source: a nil pointer in an interface is not nil.
+		// Returning r.source here would give a non-nil interface that holds a nil pointer.
 		return nil
 	}
 	return r.source
 }
 
-// sourceName is the name of the node that is followed, empty for the store.
+// sourceName returns the name of the followed node, empty if the node reads the store itself.
 func (r *readers) sourceName() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,12 +66,12 @@
 	return r.source.name
 }
 
-// initialReadTimeout is how long another node may take to tell this one the first that it knows.
-// Where all start together it reads the store meanwhile.
+// initialReadTimeout bounds the first read from another node. If all nodes start together, the
+// other node is still reading the store at that time.
 const initialReadTimeout clock.Millis = 800
 
-// initialReader reads from another node first. It may never have been heard of by this one, so
-// what fails is not asked twice.
+// initialReader reads from another node at the start. The other node may not have discovered
+// this one yet, so a failed read is not retried.
 type initialReader struct{ *namedSource }
 
 // AwaitCatalog implements follow.Reader.
@@ -91,10 +90,11 @@
 	return reading, initialReadError(err)
 }
 
-// errInitialRead is why a node has not read from another one first.
-var errInitialRead = errors.New("node: another node has not told the first that it knows")
+// errInitialRead is the reason why the first read from another node failed.
+var errInitialRead = errors.New("node: initial read from another node failed")
 
-// initialReadError leaves out of an error what would have the node asked once more.
+// initialReadError hides the cause of a failed first read, so that the caller does not retry
+// because of its type.
 func initialReadError(err error) error {
 	if err == nil {
 		return nil
@@ -104,17 +104,17 @@
 
 // First implements follow.Readers.
 func (r *readers) First() (follow.Reader, bool) {
-	m, waits := r.node.roster.InitialReader(r.node.clock.Now())
+	m, wait := r.node.roster.InitialReader(r.node.clock.Now())
 	if m == nil {
-		return nil, waits
+		return nil, wait
 	}
 	return initialReader{r.newSource(m)}, false
 }
 
-// newSource returns what follows a node.
+// newSource returns a source that reads from a node.
 func (r *readers) newSource(m *wire.Member) *namedSource {
-	vouchSoon := follow.FirstRequestWait(r.node.settings.changeDeadline())
-	return &namedSource{Source: reading.NewSource(r.client, m.GetAddress(), r.node.roster.Self().GetAddress(), vouchSoon), name: m.GetName()}
+	requestWait := follow.FirstRequestWait(r.node.settings.changeDeadline())
+	return &namedSource{Source: reading.NewSource(r.client, m.GetAddress(), r.node.roster.Self().GetAddress(), requestWait), name: m.GetName()}
 }
 
 // Failed implements follow.Readers.
@@ -144,22 +144,21 @@
 // StoreReturned implements follow.Readers.
 func (r *readers) StoreReturned() { r.node.restoreEntries() }
 
-// Followed implements follow.Readers. A node whose turn it is to read for others
-// is ready before they ask.
+// Followed implements follow.Readers. A node that is selected as reader is ready before the
+// first request of a follower.
 func (r *readers) Followed() bool {
 	return r.node.roster.IsReader(r.node.clock.Now()) || r.node.readLog.HasFollowers()
 }
 
-// isFollowable tells whether other nodes may follow this one in place of the
-// store.
+// isFollowable reports whether other nodes may follow this node instead of the store.
 func (n *Node) isFollowable() bool {
 	return !n.relay.Stopping() && !n.outage.Ongoing() && !n.local.Config().Edition.IsZero() &&
 		n.clock.Now().Sub(n.readLog.AnsweredAt()) <= maxFollowableAge
 }
 
-// readingGroup returns the nodes of which one reads the store for all: those of the
-// data centre or, where it has too few and the system is so small that all nodes
-// tell each other of themselves, all.
+// readingGroup returns the other nodes that share a reader with this one: those of its data
+// centre or, if the data centre has too few nodes and the system is so small that all nodes
+// exchange usage, all nodes.
 func readingGroup(others []*wire.Member, dataCentre string) []*wire.Member {
 	here := membersIn(others, dataCentre)
 	if len(here)+1 < reading.MinNodes && len(others) < maxMeshUsageNodes {
--- a/node/readers_test.go
+++ b/node/readers_test.go
@@ -7,8 +7,8 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// Where data centres have too few nodes each, one reads the store for all; larger
-// systems do that by data centre.
+// If data centres have too few nodes each, one node reads the store for all data centres; in
+// larger systems, each data centre has its own reader.
 func TestReadingGroup(t *testing.T) {
 	tests := []struct {
 		name        string
@@ -18,7 +18,7 @@
 		{"three data centres of two", 1, 4, 5},
 		{"three data centres of three", 2, 6, 8},
 		{"enough nodes here", 4, 8, 4},
-		{"too many elsewhere to know them all", 2, 40, 2},
+		{"too many in the other data centre", 2, 40, 2},
 		{"alone", 0, 0, 0},
 	}
 	for _, tt := range tests {
--- a/node/restarted_test.go
+++ b/node/restarted_test.go
@@ -2,17 +2,17 @@
 
 import "testing"
 
-// Upstreams had ended while the node that reads the store for others was frozen. It held
-// their entries back when it went on, since they might have lapsed in an outage, and told
-// them to a node that had started meanwhile and had read the store without them: that one
-// sent requests to upstreams that had been gone for 4 s. Others do not follow a node that
-// has just had the store again, but one that has just started has not seen it be without.
-// Found among seeds of the followers' simulation; the log of the nodes shows the list of
-// the one that had started grow by what had ended.
+// Guards against a started node that learns removed upstreams from its reader. Upstreams crashed
+// while the reader was frozen. After the reader resumed, it kept their entries for a while,
+// since they might have been removed falsely in an outage. A node that had started in the
+// meantime and had read the store without these entries got them from the reader, and sent
+// requests to upstreams that had been gone for 4 s. Nodes do not follow a reader that has just
+// had an outage, but a started node has not seen the outage. A seed of the followers' simulation
+// showed the fault.
 func TestStartedNodeDoesNotLearnRemovedUpstreams(t *testing.T) {
 	const seed = 1174
-	missed, events := runSeed(t, defaultSetting(), seed)
-	for _, m := range missed {
+	failures, events := runSeed(t, defaultSetting(), seed)
+	for _, m := range failures {
 		t.Error(m)
 	}
 	if t.Failed() {
--- a/node/restore.go
+++ b/node/restore.go
@@ -6,9 +6,9 @@
 	"github.com/hoistjunction/hoistjunction/moment"
 )
 
-// restoreEntries writes again what the store may have lost with its return from a copy. Each node
-// does so with what it has written itself; the one that reads the store for its data centre
-// knows all that was quarantined, and stands in for nodes that have ended since.
+// restoreEntries rewrites entries that a store restore may have lost. Each node rewrites its own
+// entries. The reader of a data centre has all quarantined requests, and also rewrites those of
+// nodes that have stopped since.
 func (n *Node) restoreEntries() {
 	n.log.Info("put_back")
 	n.peers.StoreReturned()
@@ -16,12 +16,12 @@
 	if !n.roster.IsReader(n.clock.Now()) {
 		return
 	}
-	kept := 0
+	count := 0
 	for _, w := range n.quarantined.list() {
 		if w.Age < moment.MaxBackupAge {
 			n.keeper.Keep(w)
-			kept++
+			count++
 		}
 	}
-	n.log.Info("quarantine_put_back", zap.Int("requests", kept))
+	n.log.Info("quarantine_put_back", zap.Int("requests", count))
 }
--- a/node/restores_property_test.go
+++ b/node/restores_property_test.go
@@ -13,16 +13,17 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m, map[string]string{"rapid.checks": "60"}) }
 
-// Whatever the order of copies, returns, writes, outages and ends of nodes, a node in touch knows
-// what was confirmed in time, forgets nothing of it, and takes no upstream as gone that lives.
+// In any order of backups, restores, writes, outages and crashes, a node without a fault must
+// have each confirmed change in time, must not lose it again, and must not take a running
+// upstream as gone.
 func TestStoreRestoresInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		nodes := rapid.SampledFrom([]int{1, 2, 5, 7, 30}).Draw(draw, "nodes")
 		seed := rapid.Uint64Range(1, 1000).Draw(draw, "seed")
 		events := rapid.SliceOfN(rapid.Custom(drawRestoreEvent), 1, 40).Draw(draw, "events")
-		missed := runSim(t, defaultSetting(), seed, nodes, restoreEventsEnd+simDeadline+simStablePeriod+simExpiry, slices.Clone(events)).failures
-		if len(missed) > 0 {
-			draw.Fatalf("%d nodes: %s\n%s", nodes, strings.Join(missed[:min(len(missed), maxReported)], "; "), formatEvents(events))
+		failures := runSim(t, defaultSetting(), seed, nodes, restoreEventsEnd+simDeadline+simStablePeriod+simExpiry, slices.Clone(events)).failures
+		if len(failures) > 0 {
+			draw.Fatalf("%d nodes: %s\n%s", nodes, strings.Join(failures[:min(len(failures), maxReported)], "; "), formatEvents(events))
 		}
 	})
 }
--- a/node/settings.go
+++ b/node/settings.go
@@ -1,5 +1,5 @@
-// Package node puts a relay node together: listeners, the followers of the
-// store, the planner of layers, and a planned stop.
+// Package node builds a relay node from its parts: the listeners, the followers of the store,
+// the planner of layers and the planned stop.
 package node
 
 import (
@@ -8,17 +8,17 @@
 	"github.com/hoistjunction/hoistjunction/settings"
 )
 
-// Settings are a node's settings.
+// Settings are the settings of a node.
 type Settings struct {
 	Name       string
 	DataCentre string
-	// FirstStart tells that the whole system starts for the first time.
+	// FirstStart reports whether the whole system starts for the first time.
 	FirstStart bool
 	LogLevel   string
 	// GraceSeconds is how long a planned stop may take.
 	GraceSeconds float64
-	// Cores and MemoryMB are what the VM has, CoreShare the part of each core, and LinkMbps
-	// what its link carries; 0 where that is not known.
+	// Cores and MemoryMB describe the VM, CoreShare is the usable part of each core, and
+	// LinkMbps is the bandwidth of the VM's link; zero means unknown.
 	Cores     int
 	MemoryMB  int
 	CoreShare float64
@@ -27,36 +27,36 @@
 	CallerListen    string
 	ReadinessListen string
 	PeerListen      string
-	// UsageListen is the UDP address for word of what others have in use.
+	// UsageListen is the UDP address that receives the usage reports of other nodes.
 	UsageListen string
-	// PeerSeeds are addresses where other nodes may be.
-	PeerSeeds     []string
-	MetricsListen string
-	PlatformAddress      string
+	// PeerSeeds are addresses at which other nodes may listen.
+	PeerSeeds       []string
+	MetricsListen   string
+	PlatformAddress string
 
-	// KeysFailClosed tells whether requests with keys are refused once the
-	// configuration may be older than KeysMaxAge.
+	// KeysFailClosed reports whether requests with keys are refused once the configuration may
+	// be older than KeysMaxAge.
 	KeysFailClosed bool
 	KeysMaxAge     clock.Millis
-	// ConfigDeadline is within what time a change of the configuration must be in force
-	// everywhere, and LeavingDeadline within what time an upstream that leaves must get
-	// no more work.
+	// ConfigDeadline is the time within which a change of the configuration must be active on
+	// all nodes. LeavingDeadline is the time within which all nodes must stop sending work to an
+	// upstream that leaves.
 	ConfigDeadline  clock.Millis
 	LeavingDeadline clock.Millis
-	// RetryShare, as a part of the requests, and RetrySlack, as a number,
-	// bound the repeats of all nodes together in each window.
+	// RetryShare, as a share of the requests, and RetrySlack, as a number of requests, bound the
+	// retries of all nodes together in each window.
 	RetryWindowSeconds float64
 	RetryShare         float64
 	RetrySlack         float64
-	// QuarantineSeconds is for how long a request that ends the upstreams that run it is
-	// sent to none.
+	// QuarantineSeconds is how long a request that crashes the upstreams that execute it stays
+	// in quarantine.
 	QuarantineSeconds float64
 }
 
 const (
-	maxNumber = 1 << 30
-	maxShare  = 1000.0
-	msPerSecond   = 1000
+	maxNumber   = 1 << 30
+	maxShare    = 1000.0
+	msPerSecond = 1000
 )
 
 // Set declares every setting.
@@ -99,14 +99,14 @@
 	return s, set, nil
 }
 
-// Steps in which VMs are compared for what they can do for others.
+// Units of the capacity of a VM.
 const (
 	capacityPerCore = 20
-	mbpsPerCapacity    = 10
+	mbpsPerCapacity = 10
 )
 
-// capacity is how much the VM can do for other nodes, in steps of a part of a core or of the
-// link, whichever it has fewer of. VMs that differ by less count as alike.
+// capacity returns the capacity of the VM for other nodes: units of core time or of link
+// bandwidth, whichever is smaller. VMs that differ by less than a unit have the same capacity.
 func (s *Settings) capacity() uint32 {
 	steps := s.CoreShare * float64(s.Cores) * capacityPerCore
 	if s.LinkMbps > 0 {
@@ -115,11 +115,12 @@
 	return uint32(max(steps, 1))
 }
 
-// maxPeerWait is how long a node that starts alone may wait to know of others.
+// maxPeerWait bounds how long a node that starts in a running system waits until it has
+// discovered other nodes.
 const maxPeerWait clock.Millis = 250
 
-// startWait is how long a node that has just started may wait to know of others before it
-// turns to the store.
+// startWait returns how long a node that has just started may wait for other nodes before it
+// reads the store itself.
 func (s *Settings) startWait() clock.Millis {
 	wait := peering.StartWait(s.capacity())
 	if s.FirstStart {
@@ -128,18 +129,19 @@
 	return min(wait, maxPeerWait)
 }
 
-// grace is how long a planned stop may take.
+// grace returns how long a planned stop may take.
 func (s *Settings) grace() clock.Millis { return clock.Millis(s.GraceSeconds * msPerSecond) }
 
-// quarantineDuration is for how long a request that ends upstreams is sent to none.
+// quarantineDuration returns how long a request that crashes upstreams stays in quarantine.
 func (s *Settings) quarantineDuration() clock.Millis {
 	return clock.Millis(s.QuarantineSeconds * msPerSecond)
 }
 
-// changeDeadline is within what time any change that the store has taken must be known.
+// changeDeadline returns the time within which any change in the store must reach this node.
 func (s *Settings) changeDeadline() clock.Millis { return min(s.ConfigDeadline, s.LeavingDeadline) }
 
-// keysMaxAge returns the bound in force; zero for none.
+// keysMaxAge returns the largest age of the configuration at which keys are accepted; zero for
+// no bound.
 func (s *Settings) keysMaxAge() clock.Millis {
 	if !s.KeysFailClosed {
 		return 0
--- a/node/silent_connections_test.go
+++ b/node/silent_connections_test.go
@@ -11,13 +11,13 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// mutableProxy passes connections on to an address until they are muted: then those that are
-// open say nothing any more, without a reset, while new ones work.
+// mutableProxy forwards connections to an address. Muting it makes the open connections silent
+// without a reset, while new connections work.
 type mutableProxy struct {
 	listener net.Listener
-	target       string
+	target   string
 	mu       sync.Mutex
-	// muted is closed when the connections of the present generation are muted.
+	// muted is closed when the connections that share it are muted.
 	muted chan struct{}
 }
 
@@ -56,7 +56,8 @@
 	copyUntil(near, far, muted)
 }
 
-// copyUntil copies until either side ends; once muted it swallows what comes.
+// copyUntil copies data until either side closes; after the connection is muted it discards the
+// data.
 func copyUntil(to, from net.Conn, muted <-chan struct{}) {
 	buffer := make([]byte, 4096)
 	for {
@@ -83,7 +84,7 @@
 	}
 }
 
-// mute mutes the connections that are open now.
+// mute makes the open connections silent.
 func (m *mutableProxy) mute() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -91,15 +92,15 @@
 	m.muted = make(chan struct{})
 }
 
-// The connections to the store go silent for good, and new ones work: a node notices
-// that by itself, and what changes from then on is in force.
+// Guards against a node that keeps waiting on silent connections to the store while new
+// connections work: a change must become active anyway.
 func TestSilentConnectionsToTheStore(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 2)
-	front := newMutableProxy(t, s.storeAddress)
-	n := s.startNode("n1", front.listener.Addr().String())
+	proxy := newMutableProxy(t, s.storeAddress)
+	n := s.startNode("n1", proxy.listener.Addr().String())
 	await(t, "answer", func() bool { return n.do(http.MethodPost, "/once/a", "warm", "k1").status == http.StatusOK })
-	front.mute()
+	proxy.mute()
 	s.store.Put("op", "config", standin.SiteConfig(2, "k1"))
 	await(t, "refusal of a revoked key", func() bool {
 		return n.do(http.MethodPost, "/once/a", "revoked", "k2").status == http.StatusUnauthorized
--- a/node/simnet_test.go
+++ b/node/simnet_test.go
@@ -12,25 +12,25 @@
 	"time"
 )
 
-// simConnectTimeout bounds a new connection, as platform.Dialer does.
+// simConnectTimeout bounds the time for a new connection, as platform.Dialer does.
 const simConnectTimeout = 400 * time.Millisecond
 
 var errRefused = errors.New("connection refused")
 
-// simNet is a network in memory. Its connections may go silent for good, and hosts
-// may be frozen, be dead or be cut off from each other.
+// simNet is a network in memory. Its connections may go silent permanently, and its hosts may be
+// frozen, killed or cut off from each other.
 type simNet struct {
 	mu        sync.Mutex
 	listeners map[string]*simListener
-	// links are the open connections, in the order in which they were opened.
-	links  []*simLink
+	// links holds the open connections in the order in which they were opened.
+	links      []*simLink
 	linkCounts map[[2]string]int
-	frozen map[string]bool
-	// cut holds pairs of hosts between which nothing passes.
+	frozen     map[string]bool
+	// cut holds the pairs of hosts that cannot reach each other.
 	cut map[[2]string]bool
-	// changed is closed, and replaced, when frozen or cut changes.
+	// changed is closed and replaced when frozen or cut changes.
 	changed chan struct{}
-	// sendDelay draws how long a host's processor makes what it sends wait.
+	// sendDelay draws the delay of a write by a busy processor.
 	sendDelay func() time.Duration
 }
 
@@ -42,16 +42,17 @@
 	}
 }
 
-// setJitter makes hosts wait for their processors, up to a time whenever they send.
-func (n *simNet) setJitter(seed uint64, most time.Duration) {
-	if most <= 0 {
+// jitter delays each write by a random time below a maximum, as on a host with a busy
+// processor.
+func (n *simNet) jitter(seed uint64, maxDelay time.Duration) {
+	if maxDelay <= 0 {
 		return
 	}
 	random := rand.New(rand.NewPCG(seed, 1))
 	n.sendDelay = func() time.Duration {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		return time.Duration(random.Int64N(int64(most)))
+		return time.Duration(random.Int64N(int64(maxDelay)))
 	}
 }
 
@@ -59,14 +60,14 @@
 type simLink struct {
 	net      *simNet
 	from, to string
-	// number is how many connections the one has opened to the other.
-	number    int
+	// number is the count of connections from one host to the other, this one included.
+	number int
 	silent chan struct{}
 	once   sync.Once
 }
 
-// mute makes the connection silent: what is sent on it from now on is lost, and neither
-// end learns that the other one closes it.
+// mute makes the connection silent: data that is written later is lost, and neither end notices
+// when the other end closes the connection.
 func (l *simLink) mute() { l.once.Do(func() { close(l.silent) }) }
 
 func (l *simLink) muted() bool {
@@ -78,13 +79,13 @@
 	}
 }
 
-// simConn is an end of a link.
+// simConn is one end of a link.
 type simConn struct {
 	net.Conn
-	link         *simLink
-	local        string
-	remote       string
-	closed       chan struct{}
+	link      *simLink
+	local     string
+	remote    string
+	closed    chan struct{}
 	closeOnce sync.Once
 }
 
@@ -96,17 +97,17 @@
 func (c *simConn) LocalAddr() net.Addr  { return simAddr(c.local + ":1") }
 func (c *simConn) RemoteAddr() net.Addr { return simAddr(c.remote + ":1") }
 
-// Write passes on what is written once the way is free.
+// Write writes the data once both hosts can reach each other.
 func (c *simConn) Write(p []byte) (int, error) {
 	if wait := c.link.net.sendDelay(); wait > 0 {
 		time.Sleep(wait)
 	}
 	for {
-		free, changed := c.link.net.canPass(c.local, c.remote)
+		passable, changed := c.link.net.canPass(c.local, c.remote)
 		switch {
 		case c.link.muted():
 			return len(p), nil
-		case free:
+		case passable:
 			return c.Conn.Write(p)
 		}
 		select {
@@ -118,7 +119,7 @@
 	}
 }
 
-// Close closes the connection. Of a silent one the other end learns nothing.
+// Close closes the connection. If it is silent, the other end does not notice.
 func (c *simConn) Close() error {
 	c.closeOnce.Do(func() { close(c.closed) })
 	if c.link.muted() {
@@ -127,7 +128,8 @@
 	return c.Conn.Close()
 }
 
-// canPass tells whether anything passes between two hosts, and when to look again.
+// canPass reports whether two hosts can reach each other, and returns a channel that is closed
+// when that may change.
 func (n *simNet) canPass(a, b string) (bool, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -136,18 +138,18 @@
 
 func pair(a, b string) [2]string { return [2]string{min(a, b), max(a, b)} }
 
-// update changes what is frozen or cut.
-func (n *simNet) update(do func()) {
+// update changes the sets of frozen hosts and cut pairs.
+func (n *simNet) update(change func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	do()
+	change()
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// muteLinks makes open connections go silent: each with a chance, and of one host alone
-// if it is named. The chance hangs on the two hosts and on how many connections they
-// have opened, not on the order in which goroutines run at one moment.
+// muteLinks mutes each open connection with a probability, or only those of a host if one is
+// given. The random choice depends on the two hosts and on the number of connections between
+// them, not on the order of goroutines.
 func (n *simNet) muteLinks(seed uint64, share float64, host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -206,7 +208,7 @@
 	return dialed, nil
 }
 
-// listen returns where a host takes connections.
+// listen returns the listener of a host.
 func (n *simNet) listen(host string) *simListener {
 	l := &simListener{host: host, net: n, accepted: make(chan net.Conn, 64), closed: make(chan struct{})}
 	n.mu.Lock()
@@ -215,7 +217,8 @@
 	return l
 }
 
-// simListener takes connections. It keeps the pipes, to close them for good.
+// simListener accepts connections. It keeps the pipes so that it can close them even if they are
+// silent.
 type simListener struct {
 	host     string
 	net      *simNet
@@ -251,7 +254,7 @@
 	}
 }
 
-// Close implements net.Listener. Open connections end too, as with their process.
+// Close implements net.Listener. It also closes open connections, as the end of a process does.
 func (l *simListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	l.net.mu.Lock()
--- a/node/simrestore_test.go
+++ b/node/simrestore_test.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// simHeartbeat is within what time an upstream writes its entry again that a store has lost,
-	// and simExpiry after what time one that has ended has lapsed again.
-	simHeartbeat  = 1200 * time.Millisecond
-	simExpiry = 3600 * time.Millisecond
+	// simHeartbeat is the time within which an upstream rewrites its entry after the store has
+	// lost it; simExpiry is the time after which the entry of a crashed upstream is removed
+	// again.
+	simHeartbeat = 1200 * time.Millisecond
+	simExpiry    = 3600 * time.Millisecond
 )
 
-// restoreStore has the store be away and come back from its copy. The operator and the upstreams
-// write again what it has lost.
-func (s *simSite) restoreStore(e simEvent, away bool) {
-	if away {
+// restoreStore makes the store unavailable and restores it from its backup. The operator and the
+// upstreams rewrite the lost entries.
+func (s *simSite) restoreStore(e simEvent, unavailable bool) {
+	if unavailable {
 		if e.mode != "" {
 			s.setStoreFault(e.mode, true)
 		}
@@ -35,9 +36,9 @@
 	time.AfterFunc(simExpiry, s.removeCrashedEntries)
 }
 
-// ignoreRestoredCrashes leaves upstreams out of account that have ended without a word and are listed
-// again: who has not seen them go cannot know it before their entries have lapsed. Who has must
-// not forget. The caller holds the lock.
+// ignoreRestoredCrashes ignores crashed upstreams whose entries the restore has brought back: a
+// node that has not seen the removal cannot detect it before the entry expires. A node that has
+// seen it must not lose it. The caller holds the lock.
 func (s *simSite) ignoreRestoredCrashes() {
 	for _, c := range s.changes {
 		if c.crash && s.store.Value("servers", c.upstream) != nil {
@@ -46,7 +47,7 @@
 	}
 }
 
-// rewriteConfig writes the newest configuration, as an operator does that finds an older one.
+// rewriteConfig writes the newest configuration, as an operator does after finding an older one.
 func (s *simSite) rewriteConfig() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,7 +57,7 @@
 	}
 }
 
-// rewriteEntries has each upstream write its entry, which is a change only where it differs.
+// rewriteEntries writes the entry of each upstream whose entry in the store differs.
 func (s *simSite) rewriteEntries() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,21 +68,21 @@
 	}
 }
 
-// removeCrashedEntries has the entries lapse of upstreams that have ended.
+// removeCrashedEntries removes the entries of crashed upstreams, which have expired.
 func (s *simSite) removeCrashedEntries() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range simUpstreams {
 		id := fmt.Sprintf("u%d", i)
-		if _, lives := s.states[id]; !lives {
+		if _, running := s.states[id]; !running {
 			s.store.Remove("servers", id)
 		}
 	}
 }
 
-// checkLostState notes what a node has known and does not know any more, whatever happens:
-// within the life of a process nothing that was confirmed is taken back, and no upstream is
-// taken as gone that lives. The caller holds the lock.
+// checkLostState records a failure for each change that a node has lost: a process must never
+// undo a confirmed change or take a running upstream as gone, whatever faults there are. The
+// caller holds the lock.
 func (s *simSite) checkLostState(name string, n *simNode) {
 	at := time.Since(s.startedAt).Milliseconds()
 	for _, c := range s.changes {
@@ -90,7 +91,7 @@
 			c.appliedBy[name] = n
 		case c.appliedBy[name] == n:
 			delete(c.appliedBy, name)
-			s.failures = append(s.failures, fmt.Sprintf("at %d %s has forgotten %s%s of %d", at, name, c.upstream, versionText(c.version), c.at.Sub(s.startedAt).Milliseconds()))
+			s.failures = append(s.failures, fmt.Sprintf("at %d %s has lost %s%s of %d", at, name, c.upstream, versionText(c.version), c.at.Sub(s.startedAt).Milliseconds()))
 		}
 	}
 	if s.restoredAt.IsZero() {
@@ -106,7 +107,7 @@
 	}
 }
 
-// hasApplied tells whether the node has been told a change and goes by it.
+// hasApplied reports whether the node has received and applied a change.
 func (n *simNode) hasApplied(c *simChange) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -116,21 +117,21 @@
 	return n.unavailable[c.upstream]
 }
 
-// seedRestores draws returns of the store from copies, beside rows that others write: the
-// revisions that are given out again stop short of, at and past those that nodes know.
+// seedRestores draws store restores and writes of other rows, such that the revisions which the
+// store assigns again end below, at or above the revisions that nodes have read.
 func seedRestores(random *rand.Rand) []simEvent {
-	const longestCopy, longestAway, longestRewrite = 6 * time.Second, 3 * time.Second, 400 * time.Millisecond
+	const maxBackupAge, maxUnavailable, maxRewriteDelay = 6 * time.Second, 3 * time.Second, 400 * time.Millisecond
 	var events []simEvent
 	for range 1 + random.IntN(3) {
 		at := seedEventsStart + time.Duration(random.Int64N(int64(seedEventsEnd-seedEventsStart)))
 		e := simEvent{at: at, kind: "returns", mode: []string{"", "down", "hang"}[random.IntN(3)]}
 		if e.mode != "" {
-			e.duration = time.Duration(random.Int64N(int64(longestAway)))
+			e.duration = time.Duration(random.Int64N(int64(maxUnavailable)))
 		}
 		if random.IntN(2) == 0 {
-			e.rewriteDelay = time.Duration(random.Int64N(int64(longestRewrite)))
+			e.rewriteDelay = time.Duration(random.Int64N(int64(maxRewriteDelay)))
 		}
-		events = append(events, e, simEvent{at: at - time.Duration(random.Int64N(int64(longestCopy))), kind: "copy"})
+		events = append(events, e, simEvent{at: at - time.Duration(random.Int64N(int64(maxBackupAge))), kind: "copy"})
 		if random.IntN(2) == 0 {
 			events = append(events, simEvent{at: at + 10*time.Millisecond, kind: "config"})
 		}
--- a/node/simsite_test.go
+++ b/node/simsite_test.go
@@ -33,36 +33,39 @@
 )
 
 const (
-	// simStablePeriod is for how long a node must have had no disruption to be judged, and
-	// simDeadline within what time it must know a change: the users' bounds.
+	// simStablePeriod is how long a node must have had no fault before it is checked, and
+	// simDeadline is the time within which it must have a change: both bounds are the users'.
 	simStablePeriod = 3 * time.Second
-	simDeadline  = 2 * time.Second
-	// simMargin is what is left of a bound for the work on what a change brings.
+	simDeadline     = 2 * time.Second
+	// simMargin is the part of the deadline that is reserved for the work after a change has
+	// reached a node.
 	simMargin = 50 * time.Millisecond
-	// simStatusInterval is how often nodes tell each other of themselves.
+	// simStatusInterval is how often nodes send their status to each other.
 	simStatusInterval = 300 * time.Millisecond
-	// simStoreLatency is what the store takes for an answer.
+	// simStoreLatency is how long the store takes to answer.
 	simStoreLatency clock.Millis = 4
-	// simCheckInterval is how often what nodes know is looked at.
-	simCheckInterval  = 10 * time.Millisecond
-	simStoreHost = "store"
+	// simCheckInterval is how often the state of the nodes is checked.
+	simCheckInterval = 10 * time.Millisecond
+	simStoreHost     = "store"
 )
 
-// simEvent is something that happens at a time of a play.
+// simEvent is an event at a time of a run.
 type simEvent struct {
 	at time.Duration
-	// kind is the verb: silent, freeze, kill, cut_store, cut_nodes, refuse, refuse_list,
-	// down, slow, leaves, ends, joins, config, rows, copy or returns.
+	// kind is one of silent, freeze, kill, cut_store, cut_nodes, refuse, refuse_list, down,
+	// slow, leaves, ends, joins, config, rows, copy or returns.
 	kind string
-	// node is the node that it strikes; empty for all, or for the store.
+	// node is the affected node; empty for all nodes, or for the store.
 	node string
-	// duration is how long it lasts, share how many connections it strikes.
+	// duration is how long the fault lasts; share is the share of the connections that it
+	// affects.
 	duration time.Duration
-	share float64
-	// mode is what a store answers that refuses: 503, 429, or silence; or how one is away that
-	// comes back from a copy: down, hang, or not at all.
+	share    float64
+	// mode is how a store refuses a call (503, 429 or silence), or how it is unavailable before
+	// a restore (down, hang, or empty for available).
 	mode string
-	// rewriteDelay is how long after its return the operator writes what the store has lost.
+	// rewriteDelay is the time between a store restore and the rewrite of the configuration by
+	// the operator.
 	rewriteDelay time.Duration
 }
 
@@ -86,89 +89,89 @@
 	return text
 }
 
-// simChange is a change that the store has taken.
+// simChange is a change that the store has accepted.
 type simChange struct {
 	at time.Time
-	// upstream has said that it leaves, or has no entry any more; empty for a
-	// configuration, of a version.
+	// upstream is the upstream that leaves or has crashed; it is empty for a change of the
+	// configuration, which has a version.
 	upstream string
 	version  uint64
-	// crash tells that the upstream has ended without a word.
+	// crash reports whether the upstream crashed without notice.
 	crash bool
-	// restoredEntry tells that the store has come back from a copy that shows it still.
+	// restoredEntry reports whether a store restore has brought back the entry of the crashed
+	// upstream.
 	restoredEntry bool
-	// missedBy are the nodes that are known to have missed it, and known those that know it,
-	// by name.
-	missedBy map[string]bool
-	appliedBy    map[string]*simNode
+	// missedBy holds the names of the nodes whose failure to apply the change in time is
+	// recorded; appliedBy holds the nodes that have applied it, by name.
+	missedBy  map[string]bool
+	appliedBy map[string]*simNode
 }
 
-// simSetting is what a site is like throughout a play.
+// simSetting holds the properties of a site that do not change during a run.
 type simSetting struct {
-	// deadline is within what time changes must be known.
+	// deadline is the time within which changes must reach all nodes.
 	deadline time.Duration
-	// loss is the share of the nodes' word of themselves that is lost.
+	// loss is the share of lost status messages between nodes.
 	loss float64
-	// jitter bounds how long a node's processor makes what it sends wait, each time.
+	// jitter bounds the delay of each write of a node by its busy processor.
 	jitter time.Duration
-	// restores tells that the store of a seed comes back from copies.
+	// restores reports whether the events of a seed include store restores.
 	restores bool
 }
 
-// defaultSetting is that of the users' sites.
+// defaultSetting returns the setting of the users' sites.
 func defaultSetting() simSetting { return simSetting{deadline: simDeadline} }
 
 // simSite is a store and the nodes that follow it, in virtual time.
 type simSite struct {
-	t       *testing.T
-	setting simSetting
-	net     *simNet
-	store   *standin.RowStore
-	random  *rand.Rand
-	startedAt   time.Time
-	names   []string
-	mu      sync.Mutex
-	nodes   map[string]*simNode
+	t          *testing.T
+	setting    simSetting
+	net        *simNet
+	store      *standin.RowStore
+	random     *rand.Rand
+	startedAt  time.Time
+	names      []string
+	mu         sync.Mutex
+	nodes      map[string]*simNode
 	rejections map[string]string
-	// listRejections is what the store answers some nodes that ask for the list alone.
+	// listRejections holds the store's answer to a node's requests for the list, by name of the
+	// node.
 	listRejections map[string]string
-	calls       int
-	// disturbedUntil is until when something lasts that disturbs a node, by name, or the
-	// store.
+	calls          int
+	// disturbedUntil holds the end of the last fault of each node and of the store, by name.
 	disturbedUntil map[string]time.Time
-	changes   []*simChange
-	next      int
-	version   uint64
-	failures    []string
-	closed    bool
-	// states are what upstreams say of themselves, without those that have ended.
+	changes        []*simChange
+	next           int
+	version        uint64
+	failures       []string
+	closed         bool
+	// states holds the state in the entry of each upstream that has not crashed.
 	states map[string]string
-	// restoredAt is when the store has come back from a copy last, and rows counts what others
-	// have written.
+	// restoredAt is the time of the last store restore; rows counts the rows of other writers.
 	restoredAt time.Time
-	rows     int
+	rows       int
 }
 
-// simNode is a node's followers.
+// simNode holds the followers of a node.
 type simNode struct {
 	*Node
-	cancel     context.CancelFunc
-	wg   sync.WaitGroup
-	closeIdle    func()
-	mu      sync.Mutex
-	unavailable    map[string]bool
-	listed  map[string]bool
-	version uint64
+	stop        context.CancelFunc
+	wg          sync.WaitGroup
+	closeIdle   func()
+	mu          sync.Mutex
+	unavailable map[string]bool
+	listed      map[string]bool
+	version     uint64
 }
 
-// simResult is what has come of a play: which nodes in touch did not know a change in
-// time, and how often the store was called.
+// simResult is the result of a run: the failures of nodes without a fault to apply changes in
+// time, and the number of store calls.
 type simResult struct {
 	failures []string
-	calls  int
+	calls    int
 }
 
-// runSim plays events on a site of some nodes.
+// runSim runs events on a site with some nodes.
 func runSim(t *testing.T, setting simSetting, seed uint64, nodes int, until time.Duration, events []simEvent) (result simResult) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -188,7 +191,7 @@
 	return result
 }
 
-// simUpstreams is how many upstreams there are at the start.
+// simUpstreams is the number of upstreams at the start.
 const simUpstreams = 40
 
 func newSimSite(t *testing.T, setting simSetting, seed uint64, nodes int) *simSite {
@@ -197,7 +200,7 @@
 		nodes: make(map[string]*simNode), rejections: make(map[string]string), listRejections: make(map[string]string), disturbedUntil: make(map[string]time.Time), version: 1,
 		states: make(map[string]string),
 	}
-	s.net.setJitter(seed, setting.jitter)
+	s.net.jitter(seed, setting.jitter)
 	s.store.Put("op", "config", standin.SiteConfig(s.version, "k1"))
 	for i := range simUpstreams {
 		s.putUpstream(fmt.Sprintf("u%d", i), "ready")
@@ -220,7 +223,7 @@
 	return standin.RowStoreFaults{SlowMS: int64(simStoreLatency)}
 }
 
-// rejectingHandler turns nodes away, and counts calls.
+// rejectingHandler rejects the calls of some nodes, and counts all calls.
 func (s *simSite) rejectingHandler(store http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		host, _, _ := net.SplitHostPort(r.RemoteAddr)
@@ -249,7 +252,7 @@
 	s.store.Put("servers", id, s.entry(id, state))
 }
 
-// setState notes what an upstream says of itself, empty for one that has ended.
+// setState sets the state of an upstream; empty for a crashed one.
 func (s *simSite) setState(id, state string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -259,7 +262,7 @@
 	}
 }
 
-// entry is what an upstream says of itself.
+// entry returns the entry of an upstream.
 func (s *simSite) entry(id, state string) []byte {
 	entry, err := standin.EntryBytes(&platformpb.Server{Service: "writer", Address: id + ":1", Zone: "z", State: state})
 	if err != nil {
@@ -278,20 +281,20 @@
 		}
 		log = to.With(zap.String("node", name))
 	}
-	life, end := context.WithCancel(context.Background())
-	n := &simNode{cancel: end, unavailable: make(map[string]bool), listed: make(map[string]bool)}
+	ctx, cancel := context.WithCancel(context.Background())
+	n := &simNode{stop: cancel, unavailable: make(map[string]bool), listed: make(map[string]bool)}
 	c := clocktest.NewClock()
 	n.Node = &Node{
 		settings: &Settings{Name: name, DataCentre: "z", ConfigDeadline: clock.FromDuration(s.setting.deadline), LeavingDeadline: clock.FromDuration(s.setting.deadline)},
-		log:      log, clock: c, ctx: life, unresponsive: newUnresponsiveReports(),
+		log:      log, clock: c, ctx: ctx, unresponsive: newUnresponsiveReports(),
 		store: platform.NewStore(simStoreHost+":1", log, platform.WithDial(s.net.dial(name))),
-		relay: relay.New(life, platform.Headers{}, dispatch.New(), c, log),
+		relay: relay.New(ctx, platform.Headers{}, dispatch.New(), c, log),
 	}
 	n.quarantined = newQuarantineSet(c, n.settings.quarantineDuration())
 	n.keeper = keeper.New(n.store, c, log, true, func([]dispatch.Quarantined) {})
 	peers := platform.NewPeerTransport(platform.WithDial(s.net.dial(name)))
 	n.closeIdle = peers.CloseIdleConnections
-	n.newFollowers(&wire.Member{Name: name, DataCentre: "z"}, peers, n.recordCatalog, n.recordFleet)
+	n.follow(&wire.Member{Name: name, DataCentre: "z"}, peers, n.recordCatalog, n.recordFleet)
 	n.peers = peering.New(&wire.Member{Name: name}, nil, n.store, n.local, n.local, c, log, peers, 1)
 	n.roster.SetGroup(s.otherMembers(name))
 	mux := http.NewServeMux()
@@ -299,13 +302,13 @@
 	server := &http.Server{Handler: mux}
 	listener := s.net.listen(name)
 	n.wg.Go(func() { _ = server.Serve(listener) })
-	n.wg.Go(func() { _ = n.catalogFollower.Run(life) })
-	n.wg.Go(func() { _ = n.fleetFollower.Run(life) })
+	n.wg.Go(func() { _ = n.catalogFollower.Run(ctx) })
+	n.wg.Go(func() { _ = n.fleetFollower.Run(ctx) })
 	offset := time.Duration(s.random.Int64N(int64(simStatusInterval)))
-	lost := rand.New(rand.NewPCG(s.random.Uint64(), 0))
-	n.wg.Go(func() { s.sendStatus(life, n, offset, lost) })
+	loss := rand.New(rand.NewPCG(s.random.Uint64(), 0))
+	n.wg.Go(func() { s.sendStatus(ctx, n, offset, loss) })
 	n.wg.Go(func() {
-		<-life.Done()
+		<-ctx.Done()
 		_ = server.Close()
 	})
 	s.mu.Lock()
@@ -326,13 +329,13 @@
 	return others
 }
 
-// sendStatus tells other nodes of a node from time to time.
-func (s *simSite) sendStatus(ctx context.Context, n *simNode, offset time.Duration, lost *rand.Rand) {
+// sendStatus sends a node's status to the other nodes periodically.
+func (s *simSite) sendStatus(ctx context.Context, n *simNode, offset time.Duration, loss *rand.Rand) {
 	clock.Pause(ctx, offset)
 	for ctx.Err() == nil {
-		told := n.statusRecipients()
+		recipients := n.statusRecipients()
 		for _, other := range s.reachablePeers(n) {
-			if told != nil && !told[other.settings.Name] || lost.Float64() < s.setting.loss {
+			if recipients != nil && !recipients[other.settings.Name] || loss.Float64() < s.setting.loss {
 				continue
 			}
 			other.roster.Heard(other.clock.Now(), n.settings.Name, n.isFollowable())
@@ -341,20 +344,20 @@
 	}
 }
 
-// statusRecipients are the names of the nodes that a node tells of itself; nil for all.
+// statusRecipients returns the names of the nodes that receive a node's status; nil for all.
 func (n *simNode) statusRecipients() map[string]bool {
 	circle := n.roster.Topology(n.clock.Now())
 	if circle.FullMesh {
 		return nil
 	}
-	told := make(map[string]bool)
+	recipients := make(map[string]bool)
 	for _, m := range slices.Concat(circle.Hubs, circle.Leaves, circle.Absent) {
-		told[m.GetName()] = true
+		recipients[m.GetName()] = true
 	}
-	return told
+	return recipients
 }
 
-// reachablePeers returns the nodes that a node's word reaches.
+// reachablePeers returns the nodes that a status message of a node can reach.
 func (s *simSite) reachablePeers(n *simNode) []*simNode {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -368,18 +371,18 @@
 	return peers
 }
 
-// recordCatalog takes what the follower of the configuration tells.
+// recordCatalog applies a proof of the configuration from the follower, and records the version.
 func (n *simNode) recordCatalog(p follow.Proof) follow.ActiveConfig {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	taken, inForce := n.local.apply(p)
-	if taken == follow.Replaced {
+	result, active := n.local.apply(p)
+	if result == follow.Replaced {
 		n.version, _, _ = p.Edition.Parts()
 	}
-	return inForce
+	return active
 }
 
-// recordFleet takes what the follower of the list tells.
+// recordFleet records changes of the list from the follower.
 func (n *simNode) recordFleet(changes []fleet.Change) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -388,7 +391,8 @@
 	}
 }
 
-// isUpToDate tells whether the node knows a change. One that has started since needs not.
+// isUpToDate reports whether the node has applied a change. A node that has started after an
+// upstream was removed never had it.
 func (n *simNode) isUpToDate(c *simChange) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -399,19 +403,19 @@
 	return left || !listed
 }
 
-// apply lets an event happen.
+// apply applies an event to the site.
 func (s *simSite) apply(e simEvent) {
-	ends := time.Now().Add(e.duration)
+	until := time.Now().Add(e.duration)
 	switch e.kind {
 	case "silent":
 		s.net.muteLinks(s.random.Uint64(), e.share, e.node)
-		s.markDisturbed(ends, s.names...)
+		s.markDisturbed(until, s.names...)
 	case "freeze":
-		s.runFault(e, ends, func(on bool) { s.net.update(func() { s.net.frozen[e.node] = on }) }, e.node)
+		s.runFault(e, until, func(on bool) { s.net.update(func() { s.net.frozen[e.node] = on }) }, e.node)
 	case "cut_store":
-		s.runFault(e, ends, func(on bool) { s.net.update(func() { s.net.cut[pair(e.node, simStoreHost)] = on }) }, e.node)
+		s.runFault(e, until, func(on bool) { s.net.update(func() { s.net.cut[pair(e.node, simStoreHost)] = on }) }, e.node)
 	case "cut_nodes":
-		s.runFault(e, ends, func(on bool) {
+		s.runFault(e, until, func(on bool) {
 			s.net.update(func() {
 				for _, other := range s.names {
 					s.net.cut[pair(e.node, other)] = on && other != e.node
@@ -419,13 +423,13 @@
 			})
 		}, e.node)
 	case "refuse":
-		s.runFault(e, ends, func(on bool) { s.setRejection(s.rejections, e, on) }, simStoreHost)
+		s.runFault(e, until, func(on bool) { s.setRejection(s.rejections, e, on) }, simStoreHost)
 	case "refuse_list":
-		s.runFault(e, ends, func(on bool) { s.setRejection(s.listRejections, e, on) }, simStoreHost)
+		s.runFault(e, until, func(on bool) { s.setRejection(s.listRejections, e, on) }, simStoreHost)
 	case "down", "hang", "slow":
-		s.runFault(e, ends, func(on bool) { s.setStoreFault(e.kind, on) }, simStoreHost)
+		s.runFault(e, until, func(on bool) { s.setStoreFault(e.kind, on) }, simStoreHost)
 	case "kill":
-		s.runFault(e, ends, func(on bool) { s.setKilled(e.node, on) }, e.node)
+		s.runFault(e, until, func(on bool) { s.setKilled(e.node, on) }, e.node)
 	case "leaves", "ends", "joins", "config":
 		s.changeStore(e.kind)
 	case "rows":
@@ -434,13 +438,13 @@
 	case "copy":
 		s.store.Copy()
 	case "returns":
-		s.runFault(e, ends, func(on bool) { s.restoreStore(e, on) }, simStoreHost)
+		s.runFault(e, until, func(on bool) { s.restoreStore(e, on) }, simStoreHost)
 	default:
-		s.t.Fatalf("no event %q", e.kind)
+		s.t.Fatalf("unknown event %q", e.kind)
 	}
 }
 
-// markDisturbed notes that hosts are disturbed until a time.
+// markDisturbed records that hosts are affected by a fault until a time.
 func (s *simSite) markDisturbed(until time.Time, hosts ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -451,59 +455,60 @@
 	}
 }
 
-// runFault turns a fault on, and off when its time is over.
-func (s *simSite) runFault(e simEvent, ends time.Time, turn func(on bool), host string) {
+// runFault starts a fault, and ends it after its duration.
+func (s *simSite) runFault(e simEvent, until time.Time, set func(on bool), host string) {
 	if host == simStoreHost {
 		s.ignoreRecentCrashes()
 	}
-	s.markDisturbed(ends, host)
-	turn(true)
+	s.markDisturbed(until, host)
+	set(true)
 	go func() {
 		time.Sleep(e.duration)
-		turn(false)
+		set(false)
 	}()
 }
 
-// simPollPause is for how long a node may not have asked for changes: its pause after one,
-// and some more.
+// simPollPause is the longest time between two requests of a node for changes: the pause after a
+// change and a margin.
 const simPollPause = 1200 * time.Millisecond
 
-// ignoreRecentCrashes leaves upstreams out of account that have ended right before an outage of
-// the store: who has not seen that yet cannot tell it from an entry that lapsed in it.
+// ignoreRecentCrashes ignores upstreams that have crashed right before an outage of the store: a
+// node that has not seen the removal yet cannot distinguish it from a false removal during the
+// outage.
 func (s *simSite) ignoreRecentCrashes() {
 	s.changes = slices.DeleteFunc(s.changes, func(c *simChange) bool {
 		return c.crash && time.Since(c.at) < simPollPause
 	})
 }
 
-func (s *simSite) setRejection(in map[string]string, e simEvent, on bool) {
+func (s *simSite) setRejection(rejections map[string]string, e simEvent, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, name := range s.names {
 		if e.node == name || e.node == "" && float64(i) < e.share*float64(len(s.names)) {
-			in[name] = ""
+			rejections[name] = ""
 			if on {
-				in[name] = e.mode
+				rejections[name] = e.mode
 			}
 		}
 	}
 }
 
-// simSlowLatency is what a slow store takes for an answer: sixty times the usual.
+// simSlowLatency is how long a slow store takes to answer: sixty times the usual latency.
 const simSlowLatency = 60 * simStoreLatency
 
-func (s *simSite) setStoreFault(what string, on bool) {
+func (s *simSite) setStoreFault(kind string, on bool) {
 	f := s.faults()
 	if on {
-		f.Down, f.Silent = what == "down", what == "hang"
-		if what == "slow" {
+		f.Down, f.Silent = kind == "down", kind == "hang"
+		if kind == "slow" {
 			f.SlowMS = int64(simSlowLatency)
 		}
 	}
 	s.store.SetFaults(f)
 }
 
-// setKilled ends a node's process, or starts it anew unless it runs.
+// setKilled kills a node's process, or starts it unless it runs.
 func (s *simSite) setKilled(name string, on bool) {
 	s.mu.Lock()
 	n, closed := s.nodes[name], s.closed
@@ -513,14 +518,14 @@
 	s.mu.Unlock()
 	switch {
 	case on && n != nil:
-		s.stopNode(n)
+		s.stop(n)
 	case !on && n == nil && !closed:
 		s.startNode(name)
 	}
 }
 
-func (s *simSite) stopNode(n *simNode) {
-	n.cancel()
+func (s *simSite) stop(n *simNode) {
+	n.stop()
 	s.net.mu.Lock()
 	listener := s.net.listeners[n.settings.Name]
 	s.net.mu.Unlock()
@@ -532,16 +537,16 @@
 	n.wg.Wait()
 }
 
-// changeStore lets an upstream leave, or end without a word, or changes the
+// changeStore makes an upstream leave or crash without notice, adds an upstream, or changes the
 // configuration.
-func (s *simSite) changeStore(what string) {
+func (s *simSite) changeStore(kind string) {
 	c := &simChange{at: time.Now(), missedBy: make(map[string]bool), appliedBy: make(map[string]*simNode)}
 	switch {
-	case what == "config":
+	case kind == "config":
 		s.version++
 		c.version = s.version
 		s.store.Put("op", "config", standin.SiteConfig(s.version, "k1"))
-	case what == "joins":
+	case kind == "joins":
 		s.putUpstream(fmt.Sprintf("j%d", len(s.states)), "ready")
 		return
 	case s.next >= simUpstreams:
@@ -549,53 +554,53 @@
 	default:
 		c.upstream = fmt.Sprintf("u%d", s.next)
 		s.next++
-		if what == "leaves" {
+		if kind == "leaves" {
 			s.putUpstream(c.upstream, "draining")
 		} else {
 			s.setState(c.upstream, "")
 			s.store.Remove("servers", c.upstream)
 		}
 	}
-	c.crash = what == "ends"
-	// Around an outage an entry may vanish whose upstream lives, and counts on for a
-	// while. The users count only what a store has taken that was well.
+	c.crash = kind == "ends"
+	// Around an outage the entry of a running upstream may be removed falsely, so nodes keep
+	// using it for a while. The users' bound is for changes that a stable store has accepted.
 	if c.crash && !s.storeStable() {
 		return
 	}
 	s.changes = append(s.changes, c)
 }
 
-// storeStable tells whether the store has had no disruption for a while.
+// storeStable reports whether the store has had no fault for simStablePeriod.
 func (s *simSite) storeStable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Since(s.disturbedUntil[simStoreHost]) >= simStablePeriod
 }
 
-// check notes what nodes in touch should know and do not. Only what the store has
-// taken while it was well counts.
+// check records a failure for each node without a recent fault that lacks a change that is past
+// its deadline. Only changes accepted by a stable store count.
 func (s *simSite) check() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	for name, n := range s.nodes {
-		since := now.Add(simMargin)
+		checkAt := now.Add(simMargin)
 		s.checkLostState(name, n)
-		if since.Before(s.disturbedUntil[name].Add(simStablePeriod)) {
+		if checkAt.Before(s.disturbedUntil[name].Add(simStablePeriod)) {
 			continue
 		}
-		storeWell := !since.Before(s.disturbedUntil[simStoreHost].Add(simStablePeriod))
-		onlyReturned := !s.restoredAt.IsZero() && !s.disturbedUntil[simStoreHost].After(s.restoredAt)
+		storeStable := !checkAt.Before(s.disturbedUntil[simStoreHost].Add(simStablePeriod))
+		onlyRestored := !s.restoredAt.IsZero() && !s.disturbedUntil[simStoreHost].After(s.restoredAt)
 		for _, c := range s.changes {
-			// What is confirmed right after a return counts from then.
-			if !storeWell && (!onlyReturned || c.version == 0 || c.at.Before(s.restoredAt)) {
+			// A configuration that is written right after a restore counts from the restore on.
+			if !storeStable && (!onlyRestored || c.version == 0 || c.at.Before(s.restoredAt)) {
 				continue
 			}
-			if c.restoredEntry || c.missedBy[name] || since.Before(c.at.Add(s.setting.deadline)) || n.isUpToDate(c) {
+			if c.restoredEntry || c.missedBy[name] || checkAt.Before(c.at.Add(s.setting.deadline)) || n.isUpToDate(c) {
 				continue
 			}
 			c.missedBy[name] = true
-			s.failures = append(s.failures, fmt.Sprintf("at %d %s does not know %s%s of %d",
+			s.failures = append(s.failures, fmt.Sprintf("at %d %s lacks %s%s of %d",
 				now.Sub(s.startedAt).Milliseconds(), name, c.upstream, versionText(c.version), c.at.Sub(s.startedAt).Milliseconds()))
 		}
 	}
@@ -608,7 +613,7 @@
 	return fmt.Sprintf("version %d", version)
 }
 
-// close ends all, silent connections too.
+// close stops all nodes, also those with silent connections.
 func (s *simSite) close() {
 	s.net.update(func() {
 		clear(s.net.frozen)
@@ -619,7 +624,7 @@
 	s.nodes, s.closed = make(map[string]*simNode), true
 	s.mu.Unlock()
 	for _, n := range nodes {
-		n.cancel()
+		n.stop()
 	}
 	s.net.mu.Lock()
 	var listeners []*simListener
@@ -631,10 +636,10 @@
 		_ = l.Close()
 	}
 	for _, n := range nodes {
-		s.stopNode(n)
+		s.stop(n)
 	}
 	time.Sleep(maxFaultDuration)
 }
 
-// maxFaultDuration bounds how long an event lasts, and a call without an answer.
+// maxFaultDuration bounds the duration of an event, and of a call without an answer.
 const maxFaultDuration = 30 * time.Second
--- a/node/site_test.go
+++ b/node/site_test.go
@@ -16,28 +16,28 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// awaitTimeout bounds every wait of these tests. Nothing is measured against it.
+// awaitTimeout bounds every wait of these tests. No measurement depends on it.
 const awaitTimeout = 60 * time.Second
 
-// site is the outside world of a test, in this process.
+// site holds the stand-ins of a test, which run in the test's process.
 type site struct {
-	t       *testing.T
-	store   *standin.RowStore
+	t            *testing.T
+	store        *standin.RowStore
 	storeAddress string
-	engines map[string]*engineProcess
-	plainService    *standin.Desk
-	// stopPlainService ends the desk, and waits until its entry has lapsed.
+	engines      map[string]*engineProcess
+	plainService *standin.Desk
+	// stopPlainService stops the plain service, and waits until its entry is removed.
 	stopPlainService func()
 }
 
 // engineProcess is an engine that can be killed.
 type engineProcess struct {
-	engine *standin.ChainEngine
-	server *httptest.Server
-	stopHeartbeat   context.CancelFunc
+	engine        *standin.ChainEngine
+	server        *httptest.Server
+	stopHeartbeat context.CancelFunc
 }
 
-// newSite starts a store, a desk, and engines in one data centre.
+// newSite starts a store, a plain service and engines in one data centre.
 func newSite(t *testing.T, engines int) *site {
 	s := &site{t: t, store: standin.NewRowStore(), engines: make(map[string]*engineProcess)}
 	server := httptest.NewServer(s.store.Handler())
@@ -76,26 +76,26 @@
 	s.stopPlainService = func() {
 		stop()
 		server.Close()
-		await(s.t, "end of the desk's entry", func() bool { return !s.hasEntry("desk1") })
+		await(s.t, "removal of the plain service's entry", func() bool { return !s.hasEntry("desk1") })
 	}
 	s.t.Cleanup(server.Close)
 }
 
-// addPlainService starts a further desk.
+// addPlainService starts another plain service.
 func (s *site) addPlainService(id string) *standin.Desk {
 	server := httptest.NewUnstartedServer(nil)
-	desk := standin.NewDesk(id, server.Listener.Addr().String(), time.Millisecond)
-	server.Config.Handler = desk.Handler()
+	service := standin.NewDesk(id, server.Listener.Addr().String(), time.Millisecond)
+	server.Config.Handler = service.Handler()
 	server.Start()
-	s.startHeartbeat(id, func() *platformpb.Server { return desk.Entry("dc") })
+	s.startHeartbeat(id, func() *platformpb.Server { return service.Entry("dc") })
 	s.t.Cleanup(server.Close)
-	return desk
+	return service
 }
 
-// hasEntry tells whether the store shows a server's entry.
+// hasEntry reports whether the store has an upstream's entry.
 func (s *site) hasEntry(id string) bool { return s.storeContains("servers", id) }
 
-// storeContains tells whether a table of the store has a row with a text in it.
+// storeContains reports whether a table of the store has a row that contains a text.
 func (s *site) storeContains(table, text string) bool {
 	resp, err := http.Get("http://" + s.storeAddress + "/rows-get?table=" + table)
 	if err != nil {
@@ -116,7 +116,7 @@
 	return cancel
 }
 
-// killEngine ends an engine at once, with its connections.
+// killEngine stops an engine at once, and closes its connections.
 func (s *site) killEngine(id string) {
 	e := s.engines[id]
 	if e == nil {
@@ -129,33 +129,33 @@
 	go e.server.Close()
 }
 
-// testNode is a node and where it listens.
+// testNode is a running node and its addresses.
 type testNode struct {
 	*node.Node
 	callerAddress    string
 	readinessAddress string
 	peerAddress      string
-	done     chan error
-	// stop ends it at once.
+	done             chan error
+	// stop stops the node at once.
 	stop context.CancelFunc
 }
 
-// anyPort leaves the port to the kernel when the node listens: one that is chosen
-// before may be taken by then.
+// anyPort makes the kernel choose the port when the node listens: a port that is chosen earlier
+// may be in use by then.
 const anyPort = "127.0.0.1:0"
 
-func (s *site) startNode(name, storeAt string, seeds ...string) *testNode {
+func (s *site) startNode(name, storeAddress string, seeds ...string) *testNode {
 	s.t.Helper()
-	return s.startNodeWith(name, storeAt, nil, seeds...)
+	return s.startNodeWith(name, storeAddress, nil, seeds...)
 }
 
 // startNodeWith starts a node with options.
-func (s *site) startNodeWith(name, storeAt string, opts []node.Option, seeds ...string) *testNode {
+func (s *site) startNodeWith(name, storeAddress string, opts []node.Option, seeds ...string) *testNode {
 	s.t.Helper()
 	settings := &node.Settings{
 		Name: name, DataCentre: "dc", LogLevel: "info", GraceSeconds: 8, Cores: 1, MemoryMB: 256,
 		CallerListen: anyPort, ReadinessListen: anyPort, PeerListen: anyPort,
-		MetricsListen: anyPort, UsageListen: anyPort, PeerSeeds: seeds, PlatformAddress: storeAt,
+		MetricsListen: anyPort, UsageListen: anyPort, PeerSeeds: seeds, PlatformAddress: storeAddress,
 		KeysFailClosed: true, KeysMaxAge: 5000, ConfigDeadline: 2000, LeavingDeadline: 2000, RetryWindowSeconds: 10, RetryShare: 0.2, RetrySlack: 200,
 	}
 	n, err := node.New(settings, logging.Nop(), opts...)
@@ -179,7 +179,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// response is what a caller got.
+// response is the response to a client.
 type response struct {
 	status int
 	body   string
@@ -214,11 +214,11 @@
 	return response{status: resp.StatusCode, body: string(body), header: resp.Header, err: err}
 }
 
-// await waits until something holds.
-func await(t *testing.T, what string, holds func() bool) {
+// await waits until a condition holds.
+func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for until := time.Now().Add(awaitTimeout); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
-		if holds() {
+		if condition() {
 			return
 		}
 	}
@@ -235,7 +235,7 @@
 	})
 }
 
-// wholeStream is the answer to a path.
+// wholeStream returns the complete response to a path.
 func wholeStream(path string) string {
 	var b strings.Builder
 	for n := 1; n <= standin.SiteEvents(path); n++ {
--- a/node/store_calls.go
+++ b/node/store_calls.go
@@ -7,12 +7,12 @@
 	"go.uber.org/zap"
 )
 
-// storeCallsLogInterval is how often a node logs how often it has called the store. It
-// bounds what is lost of the account with a node that is killed.
+// storeCallsLogInterval is how often a node logs its store calls. It bounds the calls that are
+// missing from the log if a node is killed.
 const storeCallsLogInterval = 10 * time.Second
 
-// logStoreCalls logs from time to time how often the node has called the store,
-// by what for, where that has changed: each call is priced.
+// logStoreCalls periodically logs the number of store calls by purpose if it has changed. Each
+// store call is charged for.
 func (n *Node) logStoreCalls(ctx context.Context) error {
 	tick := time.NewTicker(storeCallsLogInterval)
 	defer tick.Stop()
--- a/node/suspended_test.go
+++ b/node/suspended_test.go
@@ -12,10 +12,10 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// A VM was suspended for some seconds, and the store could not be reached when it went on.
-// The clock that ages were counted in does not go on while a VM is suspended, so all that
-// the node knew looked younger by that time: it sent requests with keys that had been taken
-// away meanwhile.
+// Guards against stale keys after a suspension. A VM was suspended for some seconds, and the
+// store was unreachable when it resumed. The clock for ages stood still during the suspension,
+// so the node's configuration seemed fresh, and the node accepted keys that had been revoked in
+// the meantime.
 func TestSuspendedNodeRejectsStaleKeys(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 2)
@@ -29,9 +29,9 @@
 	s.store.SetFaults(standin.RowStoreFaults{Silent: true})
 	vm.Suspend(6 * time.Second)
 	if got, want := n.do(http.MethodPost, "/once/a", "suspended", "k1").status, http.StatusServiceUnavailable; got != want {
-		t.Errorf("got %d for a request with a key that may have been taken away, want %d", got, want)
+		t.Errorf("got %d for a request with a key that may have been revoked, want %d", got, want)
 	}
 	if got := s.plainService.Runs()["suspended"].Runs; got != 0 {
-		t.Errorf("got %d runs of a refused request, want 0", got)
+		t.Errorf("got %d executions of a refused request, want 0", got)
 	}
 }
--- a/node/topology.go
+++ b/node/topology.go
@@ -19,41 +19,42 @@
 )
 
 const (
-	// topologyInterval is how often it is looked whether the hubs have changed, and the least
-	// pause between two changes of whom this node tells: where all nodes start together
-	// others become known one by one.
+	// topologyInterval is how often the topology is checked, and the minimum pause between two
+	// changes of this node's recipients: if all nodes start together, they discover each other
+	// one by one.
 	topologyInterval = 150 * time.Millisecond
-	// forwardingHubs is how many hubs pass on what a node tells all: each may be lost meanwhile.
+	// forwardingHubs is the number of hubs that forward broadcasts. Two are used since one of
+	// them may crash.
 	forwardingHubs = 2
 )
 
-// followTopology has this node tell those whom it is to tell, as nodes become known and hubs
-// change, until the context ends.
+// followTopology sets the recipients of this node's messages whenever the known nodes or the
+// hubs change, until the context ends.
 func (n *Node) followTopology(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-n.members.ready:
 	}
-	last, seen := "", 0
+	lastKey, lastChanges := "", 0
 	for ctx.Err() == nil {
-		circle := n.roster.Topology(n.clock.Now())
+		topology := n.roster.Topology(n.clock.Now())
 		others, rank, changes := n.members.get()
-		name := topologyKey(&circle)
-		if name != last {
-			n.log.Info("circle", zap.Bool("meshed", circle.FullMesh), zap.Bool("hub", circle.IsHub), zap.Int("place", circle.HubIndex),
-				zap.String("hubs", joinNames(circle.Hubs)), zap.Int("others", circle.PeerCount))
+		key := topologyKey(&topology)
+		if key != lastKey {
+			n.log.Info("circle", zap.Bool("meshed", topology.FullMesh), zap.Bool("hub", topology.IsHub), zap.Int("place", topology.HubIndex),
+				zap.String("hubs", joinNames(topology.Hubs)), zap.Int("others", topology.PeerCount))
 		}
-		if changes > seen || name != last {
-			last, seen = name, changes
-			n.applyTopology(&circle, others, rank)
+		if changes > lastChanges || key != lastKey {
+			lastKey, lastChanges = key, changes
+			n.applyTopology(&topology, others, rank)
 		}
 		clock.Pause(ctx, topologyInterval)
 	}
 	return ctx.Err()
 }
 
-// topologyKey tells circles apart.
+// topologyKey returns a string that differs between different topologies.
 func topologyKey(c *reading.Topology) string {
 	if c.FullMesh {
 		return "meshed"
@@ -69,12 +70,13 @@
 	return strings.Join(names, ",")
 }
 
-// applyTopology takes whom this node tells, and what others leave to it.
-func (n *Node) applyTopology(circle *reading.Topology, others []*wire.Member, rank int) {
+// applyTopology sets the recipients of this node's usage messages, the peers of the relay and
+// the rank of the planner.
+func (n *Node) applyTopology(topology *reading.Topology, others []*wire.Member, rank int) {
 	here := n.settings.DataCentre
-	msg := peersMsg(circle, append(others[:len(others):len(others)], n.roster.Self()))
+	msg := peersMsg(topology, append(others[:len(others):len(others)], n.roster.Self()))
 	n.usage.SetAddresses(usageAddressesByName(others))
-	if circle.FullMesh {
+	if topology.FullMesh {
 		near, far := meshRecipients(others, here)
 		msg.Near = len(near)
 		n.usage.SetPeers(usageAddresses(near), usageAddresses(far))
@@ -82,33 +84,33 @@
 		n.placer.Tell(placement.RankMsg{Delay: plannerDelay(rank)})
 		return
 	}
-	n.usage.SetRoutes(hubRecipients(circle, others, here))
+	n.usage.SetRoutes(hubRecipients(topology, others, here))
 	n.relay.SetPeers(msg)
-	n.placer.Tell(placement.RankMsg{Delay: plannerDelay(circle.HubIndex), Rests: !circle.IsHub, Elsewhere: otherDataCentres(others, here)})
+	n.placer.Tell(placement.RankMsg{Delay: plannerDelay(topology.HubIndex), Rests: !topology.IsHub, Elsewhere: otherDataCentres(others, here)})
 }
 
-// peersMsg tells the relay of all nodes that are known. Where others stand in a large data
-// centre not all of its nodes are, and their number is told.
-func peersMsg(circle *reading.Topology, all []*wire.Member) dispatch.PeersMsg {
-	told := broadcastTargets(all)
-	msg := dispatch.PeersMsg{Near: circle.PeerCount, Members: limitOwnerCandidates(told)}
+// peersMsg returns the known nodes for the relay. If a data centre is so large that some of its
+// nodes are unknown, the message has a count in place of their names.
+func peersMsg(topology *reading.Topology, all []*wire.Member) dispatch.PeersMsg {
+	targets := broadcastTargets(all)
+	msg := dispatch.PeersMsg{Near: topology.PeerCount, Members: limitOwnerCandidates(targets)}
 	switch {
-	case !circle.FullMesh && !circle.IsHub:
+	case !topology.FullMesh && !topology.IsHub:
 		msg.Summed = true
-	case len(told) < len(withDataCentre(all)):
-		msg.Here = circle.PeerCount + 1
+	case len(targets) < len(withDataCentre(all)):
+		msg.Here = topology.PeerCount + 1
 	default:
 		msg.All = len(msg.Members)
 	}
 	return msg
 }
 
-// withDataCentre are the nodes whose data centre is known.
+// withDataCentre returns the nodes whose data centre is known.
 func withDataCentre(members []*wire.Member) []*wire.Member {
 	return slices.DeleteFunc(slices.Clone(members), func(m *wire.Member) bool { return m.GetDataCentre() == "" })
 }
 
-// limitOwnerCandidates are the nodes of which some own the limits of upstreams.
+// limitOwnerCandidates returns the nodes that may own the limits of upstreams.
 func limitOwnerCandidates(members []*wire.Member) []limit.Member {
 	var list []limit.Member
 	for _, m := range members {
@@ -119,8 +121,8 @@
 	return list
 }
 
-// meshRecipients returns the nodes that are told what this one has in use, and those that are
-// told what its data centre has.
+// meshRecipients returns the nodes that receive this node's usage, and those that receive the
+// total of its data centre.
 func meshRecipients(others []*wire.Member, here string) (near, far []*wire.Member) {
 	if len(others) < maxMeshUsageNodes {
 		return others, nil
@@ -128,38 +130,39 @@
 	return membersIn(others, here), remoteBroadcastTargets(others, here)
 }
 
-// hubRecipients are the routes of a node of a data centre with hubs.
-func hubRecipients(circle *reading.Topology, others []*wire.Member, here string) usage.Routes {
-	hubs, leaves, far := usageAddresses(circle.Hubs), usageAddresses(circle.Leaves), usageAddresses(remoteBroadcastTargets(others, here))
-	absent := usageAddresses(circle.Absent)
-	if !circle.IsHub {
+// hubRecipients returns the recipients for a node in a data centre with hubs.
+func hubRecipients(topology *reading.Topology, others []*wire.Member, here string) usage.Routes {
+	hubs, leaves, far := usageAddresses(topology.Hubs), usageAddresses(topology.Leaves), usageAddresses(remoteBroadcastTargets(others, here))
+	absent := usageAddresses(topology.Absent)
+	if !topology.IsHub {
 		return usage.Routes{Use: hubs, Absent: absent, Orders: hubs, Silences: hubs, Works: slices.Concat(hubs, far)}
 	}
 	near := slices.Concat(hubs, leaves)
-	r := usage.Routes{Use: hubs, Absent: absent, Hubs: circle.Hubs, Total: far, Leaves: leaves, Orders: near, Silences: near, Works: slices.Concat(near, far)}
-	if circle.HubIndex < forwardingHubs {
+	r := usage.Routes{Use: hubs, Absent: absent, Hubs: topology.Hubs, Total: far, Leaves: leaves, Orders: near, Silences: near, Works: slices.Concat(near, far)}
+	if topology.HubIndex < forwardingHubs {
 		r.PassOn = near
 	}
 	return r
 }
 
-// remoteBroadcastTargets returns the nodes of other data centres that are told what concerns all.
+// remoteBroadcastTargets returns the nodes of other data centres that receive broadcasts
+// directly.
 func remoteBroadcastTargets(others []*wire.Member, here string) []*wire.Member {
 	return broadcastTargets(slices.DeleteFunc(slices.Clone(others), func(m *wire.Member) bool { return m.GetDataCentre() == here }))
 }
 
-// broadcastTargets returns the nodes among some that are told what concerns all: of a large data centre
-// the first by rank, which are its hubs unless they are lost.
+// broadcastTargets returns the nodes that receive broadcasts directly. In a large data centre
+// these are the first nodes by rank, which are its hubs unless hubs have crashed.
 func broadcastTargets(members []*wire.Member) []*wire.Member {
-	var told []*wire.Member
+	var targets []*wire.Member
 	for _, centre := range otherDataCentres(members, "") {
 		ranked := slices.SortedFunc(slices.Values(membersIn(members, centre)), reading.CompareRank)
-		told = append(told, ranked[:reading.BroadcastFanout(len(ranked))]...)
+		targets = append(targets, ranked[:reading.BroadcastFanout(len(ranked))]...)
 	}
-	return told
+	return targets
 }
 
-// otherDataCentres are the data centres in which other nodes stand.
+// otherDataCentres returns the data centres of other nodes.
 func otherDataCentres(others []*wire.Member, here string) []string {
 	var centres []string
 	for _, m := range others {
--- a/node/topology_test.go
+++ b/node/topology_test.go
@@ -9,7 +9,7 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// testMembers returns nodes in data centres, one in twenty of which can do more than the others.
+// testMembers returns nodes in some data centres; one in twenty has a higher capacity.
 func testMembers(centres []string, each int) []*wire.Member {
 	var members []*wire.Member
 	for _, centre := range centres {
@@ -25,28 +25,28 @@
 	return members
 }
 
-// topologyOf returns the place of a node among others, all of which are there.
+// topologyOf returns the topology that a node sees when all other nodes are responsive.
 func topologyOf(self *wire.Member, others []*wire.Member) reading.Topology {
 	r := reading.NewRoster(self, 0, 2000)
 	r.SetGroup(membersIn(others, self.GetDataCentre()))
 	return r.Topology(0)
 }
 
-// What a node sends must not grow with the nodes: with 986 of them each told two hundred
-// others, and an order or a lost request was told to all, three times.
+// Guards against a number of recipients that grows with the number of nodes: with 986 nodes each
+// sent its usage to two hundred others, and each order and each crash to all, three times.
 func TestRecipientsAreBounded(t *testing.T) {
 	centres := []string{"a", "b", "c", "d", "e"}
 	for _, each := range []int{30, 100, 200, 400} {
 		others := testMembers(centres, each)
 		self := others[each-1]
 		others = slices.Delete(others, each-1, each)
-		circle := topologyOf(self, others)
-		r := hubRecipients(&circle, others, "a")
-		if circle.FullMesh || circle.IsHub {
-			t.Fatalf("%d nodes a data centre: got %+v, want a leaf", each, circle)
+		topology := topologyOf(self, others)
+		r := hubRecipients(&topology, others, "a")
+		if topology.FullMesh || topology.IsHub {
+			t.Fatalf("%d nodes a data centre: got %+v, want a leaf", each, topology)
 		}
-		told := map[string]int{"use": len(r.Use), "orders": len(r.Orders), "silences": len(r.Silences), "works": len(r.Works), "leaves": len(r.Leaves)}
-		for what, got := range told {
+		counts := map[string]int{"use": len(r.Use), "orders": len(r.Orders), "silences": len(r.Silences), "works": len(r.Works), "leaves": len(r.Leaves)}
+		for what, got := range counts {
 			if want := 40; got > want {
 				t.Errorf("%d nodes a data centre: got %d addresses for %s, want %d at most", each, got, what, want)
 			}
@@ -54,24 +54,24 @@
 	}
 }
 
-// What any node tells all must reach all: its hubs pass it on, and so do those of other data
-// centres.
+// A broadcast of any node must reach all nodes, forwarded by the hubs of its own and of other
+// data centres.
 func TestHubsForwardToAllNodes(t *testing.T) {
 	members := testMembers([]string{"a", "b"}, 60)
 	routes := make(map[string]func() []string)
-	passes := make(map[string][]string)
+	forwards := make(map[string][]string)
 	for i, m := range members {
 		others := slices.Delete(slices.Clone(members), i, i+1)
-		circle := topologyOf(m, others)
-		r := hubRecipients(&circle, others, m.GetDataCentre())
+		topology := topologyOf(m, others)
+		r := hubRecipients(&topology, others, m.GetDataCentre())
 		routes[m.GetUsageAddress()] = func() []string { return r.Works }
-		passes[m.GetUsageAddress()] = r.PassOn
+		forwards[m.GetUsageAddress()] = r.PassOn
 	}
 	for _, m := range members {
 		reached := make(map[string]bool)
 		for _, first := range routes[m.GetUsageAddress()]() {
 			reached[first] = true
-			for _, second := range passes[first] {
+			for _, second := range forwards[first] {
 				reached[second] = true
 			}
 		}
@@ -82,11 +82,12 @@
 	}
 }
 
-// Nodes agree on who may own a limit, whatever else they know.
+// All nodes must agree on the candidates for limit owners, however many other nodes they have
+// discovered.
 func TestNodesAgreeOnLimitOwners(t *testing.T) {
 	members := testMembers([]string{"a", "b"}, 60)
 	want := limitOwnerCandidates(broadcastTargets(members))
-	// A leaf knows some of its own data centre, and a hub all.
+	// A leaf has discovered only some nodes of its own data centre, and a hub all of them.
 	some := slices.DeleteFunc(slices.Clone(members), func(m *wire.Member) bool {
 		return m.GetStrength() < 32 && m.GetName()[2:] > "030"
 	})
@@ -115,17 +116,17 @@
 	}
 }
 
-// A node of a small data centre beside a large one knows only those that have registered
-// there, and owns no larger part of what all may do for that.
+// Guards against a node of a small data centre that takes too large a share of the limits of all
+// nodes, because it has discovered only the registered nodes of a large data centre.
 func TestPeersMsgCountsUnlistedNodes(t *testing.T) {
 	small, large := testMembers([]string{"a"}, 10), testMembers([]string{"b"}, 25)
 	all := slices.Concat(small, large)
-	circle := topologyOf(small[0], small[1:])
-	if got := peersMsg(&circle, all); got.All != 0 || got.Here != 10 {
-		t.Errorf("got %d nodes, %d of them here, want what others tell and 10 of its own", got.All, got.Here)
+	topology := topologyOf(small[0], small[1:])
+	if got := peersMsg(&topology, all); got.All != 0 || got.Here != 10 {
+		t.Errorf("got %d nodes in all, %d in the data centre, want 0 and 10", got.All, got.Here)
 	}
-	circle = topologyOf(small[0], small[1:])
-	if got := peersMsg(&circle, small); got.All != 10 || got.Here != 0 {
-		t.Errorf("got %d nodes, %d of them here, want all 10 by name", got.All, got.Here)
+	topology = topologyOf(small[0], small[1:])
+	if got := peersMsg(&topology, small); got.All != 10 || got.Here != 0 {
+		t.Errorf("got %d nodes in all, %d in the data centre, want 10 and 0", got.All, got.Here)
 	}
 }
--- a/node/unresponsive_test.go
+++ b/node/unresponsive_test.go
@@ -22,7 +22,7 @@
 	}
 	for _, step := range steps {
 		if got := s.isNew(step.at, fleet.Undated(step.upstream)); got != step.want {
-			t.Errorf("%s at %d: got news %v, want %v", step.upstream, step.at, got, step.want)
+			t.Errorf("%s at %d: got new %v, want %v", step.upstream, step.at, got, step.want)
 		}
 	}
 }
--- a/node/updates.go
+++ b/node/updates.go
@@ -14,32 +14,33 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// applyConfig takes what was shown of the configuration, and returns what is in force then. The
-// follower of the store and peers both show some: all that hangs on it is told in one order.
+// applyConfig applies a proof of the configuration and returns the active configuration. Both
+// the follower of the store and peers supply proofs; configMu gives all parts of the node the
+// same order.
 func (n *Node) applyConfig(p follow.Proof) follow.ActiveConfig {
 	n.configMu.Lock()
 	defer n.configMu.Unlock()
-	taken, inForce := n.local.apply(p)
+	result, active := n.local.apply(p)
 	age := zap.Int64("age_ms", int64(clock.AgeOf(p.Confirmed, n.clock.Now())))
-	switch taken {
+	switch result {
 	case follow.Outdated:
 		if n.lastOutdated != p.Edition {
 			n.lastOutdated = p.Edition
-			n.log.Warn("config_outdated", zap.Stringer("version", p.Edition), zap.Stringer("in_force", inForce.Edition), age)
+			n.log.Warn("config_outdated", zap.Stringer("version", p.Edition), zap.Stringer("in_force", active.Edition), age)
 		}
 	case follow.Renewed:
-		n.relay.SetCatalog(nil, inForce.Confirmed)
+		n.relay.SetCatalog(nil, active.Confirmed)
 	case follow.Replaced:
 		n.log.Info("config", zap.Stringer("version", p.Edition), zap.Stringer("written", p.Edition.Written()), age)
 		n.relay.SetCatalog(p.Catalog, p.Confirmed)
 		n.placer.Tell(placement.CatalogMsg{Catalog: p.Catalog})
 		n.fleetFollower.SetServices(serviceNames(p.Catalog))
 	}
-	return inForce
+	return active
 }
 
-// queryNewerConfig asks a node for its configuration that has shown that it knows a newer one: it has
-// outlasted a return of the store from a copy that this node has not. One is asked at a time.
+// queryNewerConfig queries a node that has a newer configuration because it has seen a store
+// restore that this node has missed. One query runs at a time.
 func (n *Node) queryNewerConfig(address string) {
 	if n.queryingConfig.Swap(true) {
 		return
@@ -50,23 +51,23 @@
 	}()
 }
 
-// markLeaving takes in that an upstream has said that it is leaving.
+// markLeaving records that an upstream has reported that it is leaving.
 func (n *Node) markLeaving(upstream fleet.Incarnation) { n.fleetFollower.MarkLeaving(upstream) }
 
-// markReplaced takes in that another upstream has answered at the address of one.
+// markReplaced records that another upstream has answered at the address of an upstream.
 func (n *Node) markReplaced(upstream fleet.Incarnation, address string) {
 	n.fleetFollower.MarkReplaced(upstream, address)
 }
 
-// serviceNames returns the services of a configuration.
+// serviceNames returns the names of the services of a configuration.
 func serviceNames(c *catalog.Catalog) []string {
 	var names []string
 	c.Services(func(s *catalog.Service) { names = append(names, s.Name) })
 	return names
 }
 
-// reportUnresponsive tells the planner that an engine does not answer, or does again, and other
-// nodes of one that they have not told of.
+// reportUnresponsive notifies the planner that an engine has stopped or resumed answering. It
+// notifies other nodes too if none of them has reported the engine yet.
 func (n *Node) reportUnresponsive(cmd dispatch.SilentCmd) {
 	n.log.Info("silent", zap.Stringer("upstream", cmd.Upstream), zap.Bool("silent", cmd.Silent), zap.Bool("agreed", cmd.Agreed))
 	n.placer.Tell(placement.SilentMsg{Upstream: cmd.Upstream, Silent: cmd.Silent, Agreed: cmd.Agreed})
@@ -75,25 +76,25 @@
 	}
 }
 
-// sendUsage tells other nodes what this one has in use. A hub tells its leaves what all have,
-// and the node that leads, or that reads the store for its data centre, tells others what
-// all of that have.
+// sendUsage sends this node's usage to other nodes. The first hub also sends the total of all
+// nodes to its leaves; other hubs send a heartbeat to theirs. The first hub, or the reader of a
+// data centre without hubs, sends the total of its data centre to other data centres.
 func (n *Node) sendUsage(cmd dispatch.ShareCmd) {
 	now := n.clock.Now()
-	circle := n.roster.Topology(now)
+	topology := n.roster.Topology(now)
 	n.usage.Share(cmd.Used, cmd.Limits)
-	if circle.FullMesh && n.roster.IsReader(now) || circle.IsFirstHub() {
-		n.usage.ShareTotal(cmd.Total, circle.PeerCount+1, cmd.Limits)
+	if topology.FullMesh && n.roster.IsReader(now) || topology.IsFirstHub() {
+		n.usage.ShareTotal(cmd.Total, topology.PeerCount+1, cmd.Limits)
 	}
 	switch {
-	case circle.IsFirstHub():
+	case topology.IsFirstHub():
 		n.usage.ShareWhole(cmd.Whole, cmd.HeardOf, cmd.Nodes, cmd.Limits)
-	case circle.IsHub:
+	case topology.IsHub:
 		n.usage.ShareLife()
 	}
 }
 
-// usageListener takes what other nodes tell. It implements usage.Listener.
+// usageListener applies messages of other nodes. It implements usage.Listener.
 type usageListener struct{ node *Node }
 
 // HearUse implements usage.Listener.
@@ -141,21 +142,21 @@
 	l.node.relay.SetSilent(upstream)
 }
 
-// observeIncarnation takes in that another node speaks of a run of an upstream, which may be a later one
-// than the one that this node knows.
+// observeIncarnation records the incarnation of an upstream in a message of another node, since
+// it may be newer than the one in this node's list.
 func (n *Node) observeIncarnation(upstream fleet.Incarnation) {
 	if upstream.Born() != 0 {
 		n.fleetFollower.Supersede(upstream)
 	}
 }
 
-// publishPlacement tells the own relay and other nodes of an order of this node's.
+// publishPlacement sends an order of this node to its relay and to other nodes.
 func (n *Node) publishPlacement(upstream fleet.Incarnation, layers fleet.Range, holds bool) {
 	n.applyPlacement(upstream, layers, holds)
 	n.usage.Placed(upstream, layers, holds)
 }
 
-// applyPlacement takes an order that this node or another one has given.
+// applyPlacement applies an order that this node or another node has given.
 func (n *Node) applyPlacement(upstream fleet.Incarnation, layers fleet.Range, holds bool) {
 	n.relay.SetPlaced(upstream, layers, holds)
 	n.placer.Tell(placement.PlacedMsg{Upstream: upstream, Layers: layers, Holds: holds})
--- a/node/wake.go
+++ b/node/wake.go
@@ -6,12 +6,11 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// handleWake takes in that the VM goes on after it was suspended for a time. What the node knows
-// is older by that, which the clock tells; what counts in timers is set anew: calls to the
-// store that were under way, which may never be answered, requests' deadlines, and kept
-// connections.
-func (n *Node) handleWake(slept clock.Millis) {
-	n.log.Warn("suspended", zap.Int64("for_ms", int64(slept)))
+// handleWake runs after the VM was suspended. The clock already adds the suspension to the age
+// of the node's data. Everything that relies on timers is reset: store calls in progress, which
+// may never be answered, the deadlines of requests, and kept connections.
+func (n *Node) handleWake(suspension clock.Millis) {
+	n.log.Warn("suspended", zap.Int64("for_ms", int64(suspension)))
 	n.store.Renew()
 	n.engines.Close()
 	n.relay.Wake()
