--- a/node/local_state.go
+++ b/node/local_state.go
@@ -29,20 +29,20 @@
 	return result, s.active
 }
 
-// Config implements peering.Knowledge.
+// Config implements peering.LocalState.
 func (s *localState) Config() follow.ActiveConfig {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.active
 }
 
-// Fleet implements peering.Knowledge.
+// Fleet implements peering.LocalState.
 func (s *localState) Fleet() ([]fleet.Upstream, bool) { return s.node.fleetFollower.ConfirmedList() }
 
-// Listed implements peering.Knowledge.
+// Listed implements peering.LocalState.
 func (s *localState) Listed() bool { return s.node.fleetFollower.HasList() }
 
-// LearnConfig implements peering.Learner.
+// LearnConfig implements peering.Receiver.
 func (s *localState) LearnConfig(edition catalog.Edition, raw []byte, confirmed clock.Millis) {
 	proof := follow.Proof{Edition: edition, Confirmed: confirmed}
 	if len(raw) > 0 {
@@ -56,7 +56,7 @@
 	s.node.applyConfig(proof)
 }
 
-// LearnFleet implements peering.Learner.
+// LearnFleet implements peering.Receiver.
 func (s *localState) LearnFleet(list []fleet.Upstream) { s.node.fleetFollower.AddPeerList(list) }
 
 // maxMeshUsageNodes bounds the systems in which all nodes send their usage to each other across
@@ -66,7 +66,7 @@
 // of nodes, and traffic between data centres is expensive.
 const maxMeshUsageNodes = 24
 
-// LearnMembers implements peering.Learner.
+// LearnMembers implements peering.Receiver.
 func (s *localState) LearnMembers(others []*wire.Member, rank int) {
 	s.node.roster.SetGroup(readingGroup(others, s.node.settings.DataCentre))
 	s.node.members.set(others, rank)
--- a/node/node.go
+++ b/node/node.go
@@ -55,7 +55,7 @@
 	fleetFollower   *follow.Fleet
 	catalogFollower *follow.Catalog
 	peers           *peering.Peering
-	usage           *usage.Sharing
+	usage           *usage.Exchange
 	local           *localState
 	// configMu serialises the proofs of the configuration. lastOutdated is the last edition that
 	// was rejected as outdated; queryingConfig is set while another node is queried for a newer
@@ -73,7 +73,7 @@
 	quarantined *quarantineSet
 	keeper      *keeper.Keeper
 	// wakes calls its handlers when the VM resumes from a suspension.
-	wakes   *clock.Wakes
+	wakes   *clock.Suspensions
 	outage  *follow.Outage
 	store   *platform.Store
 	engines *platform.Engines
@@ -107,17 +107,17 @@
 	n.store = platform.NewStore(s.PlatformAddress, n.log)
 	n.quarantined = newQuarantineSet(n.clock, s.quarantineDuration())
 	n.keeper = keeper.New(n.store, n.clock, n.log, s.FirstStart, n.applyQuarantined)
-	n.engines = platform.NewEngines(platform.WithLaterRuns(func(upstream fleet.Incarnation) { n.fleetFollower.Supersede(upstream) }),
-		platform.WithWords(func(upstream fleet.Incarnation, status relay.Word) { n.relay.Said(upstream, status) }))
+	n.engines = platform.NewEngines(platform.WithIncarnationHandler(func(upstream fleet.Incarnation) { n.fleetFollower.Supersede(upstream) }),
+		platform.WithStatusHandler(func(upstream fleet.Incarnation, status relay.Word) { n.relay.Said(upstream, status) }))
 	model := dispatch.New(
 		dispatch.WithDataCentre(s.DataCentre),
 		dispatch.WithSeed(hash(s.Name)),
 		dispatch.WithPolicy(dispatch.Policy{
-			RevokeWithin: s.keysMaxAge(), RetryWindow: clock.Millis(s.RetryWindowSeconds * msPerSecond),
+			MaxConfigAge: s.keysMaxAge(), RetryWindow: clock.Millis(s.RetryWindowSeconds * msPerSecond),
 			RetryShare: s.RetryShare, RetrySlack: s.RetrySlack,
-			QuarantineLasts: s.quarantineDuration(),
+			QuarantineDuration: s.quarantineDuration(),
 		}),
-		dispatch.WithKeptQuarantine(),
+		dispatch.WithStoredQuarantine(),
 		dispatch.WithLimits(limit.New(limit.WithSelf(s.Name), limit.WithBootID(uint64(time.Now().UnixNano())))),
 	)
 	self := &wire.Member{Name: s.Name, DataCentre: s.DataCentre, Address: n.peerListener.Addr().String(), Strength: s.capacity()}
@@ -135,14 +135,14 @@
 		relay.WithCounters("quarantined", expvar.Func(n.quarantined.count)),
 		relay.WithCounters("peers", expvar.Func(func() any { return n.PeerCount() })),
 		relay.WithListAge(listAge), relay.WithSilence(n.reportUnresponsive), relay.WithSharing(n.sendUsage), relay.WithLeaving(n.markLeaving), relay.WithReplaced(n.markReplaced), relay.WithQuarantine(n.handleQuarantineNews),
-		relay.WithPermits(n.usage.Ask, n.usage.Give))
+		relay.WithPermits(n.usage.Ask, n.usage.SendPermitGrant))
 	planner := placement.New(placement.WithDelay(plannerDelay(int(hash(s.Name)%provisionalRanks))), placement.WithStart(n.clock.Now()))
 	n.placer = placer.New(planner, n.engines, n.clock, n.log, n.publishPlacement, placer.WithSeed(hash(s.Name)), placer.WithListAge(listAge),
 		placer.WithResults(n.orderResults))
-	n.wakes = n.clock.Wakes()
-	n.wakes.Tell(n.handleWake)
+	n.wakes = n.clock.Suspensions()
+	n.wakes.OnResume(n.handleWake)
 	n.follow(self, platform.NewPeerTransport(), n.applyConfig, n.applyFleet)
-	n.peers = peering.New(self, s.PeerSeeds, n.store, n.local, n.local, n.clock, n.log, platform.NewQuestionTransport(), hash(s.Name),
+	n.peers = peering.New(self, s.PeerSeeds, n.store, n.local, n.local, n.clock, n.log, platform.NewOneShotTransport(), hash(s.Name),
 		peering.WithFirstStart(s.FirstStart))
 	return n, nil
 }
@@ -186,13 +186,13 @@
 func (n *Node) ReadinessAddress() string { return n.readinessListener.Addr().String() }
 
 // PeerCount returns the number of other known nodes.
-func (n *Node) PeerCount() int { return n.peers.Others() }
+func (n *Node) PeerCount() int { return n.peers.NamedPeers() }
 
 // PeerAddress returns the address that accepts queries of other nodes.
 func (n *Node) PeerAddress() string { return n.peerListener.Addr().String() }
 
 func (n *Node) listen() error {
-	config := net.ListenConfig{Control: platform.BoundSilence}
+	config := net.ListenConfig{Control: platform.SetAckTimeout}
 	for _, l := range []struct {
 		target  *net.Listener
 		address string
@@ -222,8 +222,8 @@
 	n.addLoop(&g, n.placer.Run)
 	n.addLoop(&g, n.catalogFollower.Run)
 	n.addLoop(&g, n.fleetFollower.Run)
-	n.addLoop(&g, n.peers.Register)
-	n.addLoop(&g, n.peers.PutBack)
+	n.addLoop(&g, n.peers.MaintainRegistration)
+	n.addLoop(&g, n.peers.RestoreRegistration)
 	n.addLoop(&g, n.peers.Run)
 	n.addLoop(&g, n.followTopology)
 	n.addLoop(&g, n.usage.Run)
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -167,7 +167,7 @@
 	switch news := news.(type) {
 	case quarantine.LossNews:
 		n.log.Info("lost", zap.Stringer("work", news.Work), zap.Stringer("upstream", news.Upstream))
-		n.usage.Lost(news.Work, news.Upstream)
+		n.usage.SendCrash(news.Work, news.Upstream)
 	case quarantine.QuarantinedNews:
 		n.log.Warn("quarantined", zap.Stringer("work", news.Work), zap.Stringers("ended", news.Ended), zap.Bool("own", news.Local))
 		n.addQuarantined(dispatch.Quarantined{Work: news.Work, Ended: news.Ended}, news.Local)
@@ -194,7 +194,7 @@
 func (n *Node) releaseQuarantined(news quarantine.ClearedNews) {
 	n.quarantined.remove(news.Work)
 	if news.Local {
-		n.usage.Answered(news.Work)
+		n.usage.SendAnswered(news.Work)
 	}
 	if news.WasQuarantined && (news.Local || news.LostLocally) {
 		n.keeper.Release(news.Work)
@@ -213,7 +213,7 @@
 // or two.
 func (n *Node) compareQuarantine(from *wire.Member, digest uint64) {
 	if n.quarantined.shouldQuery(digest) {
-		go n.peers.AskQuarantined(n.ctx, from)
+		go n.peers.QueryQuarantined(n.ctx, from)
 	}
 }
 
@@ -226,8 +226,8 @@
 // HearAnswered implements usage.Listener.
 func (l usageListener) HearAnswered(id work.ID) { l.node.relay.SetAnswered(id) }
 
-// Quarantined implements peering.Knowledge.
+// Quarantined implements peering.LocalState.
 func (s *localState) Quarantined() []dispatch.Quarantined { return s.node.quarantined.list() }
 
-// LearnQuarantined implements peering.Learner.
+// LearnQuarantined implements peering.Receiver.
 func (s *localState) LearnQuarantined(list []dispatch.Quarantined) { s.node.applyQuarantined(list) }
--- a/node/quarantine_test.go
+++ b/node/quarantine_test.go
@@ -30,7 +30,7 @@
 		return q
 	}
 	a, b := dispatch.Quarantined{Work: work.ID{}.ForAccount("a")}, dispatch.Quarantined{Work: work.ID{}.ForAccount("b")}
-	unconfirmed := dispatch.Quarantined{Work: b.Work, Ended: []fleet.Incarnation{fleet.Undated("e1")}}
+	unconfirmed := dispatch.Quarantined{Work: b.Work, Ended: []fleet.Incarnation{fleet.IncarnationByID("e1")}}
 	tests := []struct {
 		name string
 		one  *quarantineSet
--- a/node/settings.go
+++ b/node/settings.go
@@ -122,7 +122,7 @@
 // startWait returns how long a node that has just started may wait for other nodes before it
 // reads the store itself.
 func (s *Settings) startWait() clock.Millis {
-	wait := peering.StartWait(s.capacity())
+	wait := peering.MaxStartWait(s.capacity())
 	if s.FirstStart {
 		return wait
 	}
--- a/node/simsite_test.go
+++ b/node/simsite_test.go
@@ -287,12 +287,12 @@
 	n.Node = &Node{
 		settings: &Settings{Name: name, DataCentre: "z", ConfigDeadline: clock.FromDuration(s.setting.deadline), LeavingDeadline: clock.FromDuration(s.setting.deadline)},
 		log:      log, clock: c, ctx: ctx, unresponsive: newUnresponsiveReports(),
-		store: platform.NewStore(simStoreHost+":1", log, platform.WithDial(s.net.dial(name))),
+		store: platform.NewStore(simStoreHost+":1", log, platform.WithDialer(s.net.dial(name))),
 		relay: relay.New(ctx, platform.Headers{}, dispatch.New(), c, log),
 	}
 	n.quarantined = newQuarantineSet(c, n.settings.quarantineDuration())
 	n.keeper = keeper.New(n.store, c, log, true, func([]dispatch.Quarantined) {})
-	peers := platform.NewPeerTransport(platform.WithDial(s.net.dial(name)))
+	peers := platform.NewPeerTransport(platform.WithDialer(s.net.dial(name)))
 	n.closeIdle = peers.CloseIdleConnections
 	n.follow(&wire.Member{Name: name, DataCentre: "z"}, peers, n.recordCatalog, n.recordFleet)
 	n.peers = peering.New(&wire.Member{Name: name}, nil, n.store, n.local, n.local, c, log, peers, 1)
@@ -331,7 +331,7 @@
 
 // sendStatus sends a node's status to the other nodes periodically.
 func (s *simSite) sendStatus(ctx context.Context, n *simNode, offset time.Duration, loss *rand.Rand) {
-	clock.Pause(ctx, offset)
+	clock.Sleep(ctx, offset)
 	for ctx.Err() == nil {
 		recipients := n.statusRecipients()
 		for _, other := range s.reachablePeers(n) {
@@ -340,7 +340,7 @@
 			}
 			other.roster.Heard(other.clock.Now(), n.settings.Name, n.isFollowable())
 		}
-		clock.Pause(ctx, simStatusInterval)
+		clock.Sleep(ctx, simStatusInterval)
 	}
 }
 
--- a/node/topology.go
+++ b/node/topology.go
@@ -49,7 +49,7 @@
 			lastKey, lastChanges = key, changes
 			n.applyTopology(&topology, others, rank)
 		}
-		clock.Pause(ctx, topologyInterval)
+		clock.Sleep(ctx, topologyInterval)
 	}
 	return ctx.Err()
 }
@@ -78,29 +78,29 @@
 	n.usage.SetAddresses(usageAddressesByName(others))
 	if topology.FullMesh {
 		near, far := meshRecipients(others, here)
-		msg.Near = len(near)
+		msg.UsagePeers = len(near)
 		n.usage.SetPeers(usageAddresses(near), usageAddresses(far))
 		n.relay.SetPeers(msg)
-		n.placer.Tell(placement.RankMsg{Delay: plannerDelay(rank)})
+		n.placer.Send(placement.RankMsg{Delay: plannerDelay(rank)})
 		return
 	}
-	n.usage.SetRoutes(hubRecipients(topology, others, here))
+	n.usage.SetRecipients(hubRecipients(topology, others, here))
 	n.relay.SetPeers(msg)
-	n.placer.Tell(placement.RankMsg{Delay: plannerDelay(topology.HubIndex), Rests: !topology.IsHub, Elsewhere: otherDataCentres(others, here)})
+	n.placer.Send(placement.RankMsg{Delay: plannerDelay(topology.HubIndex), Standby: !topology.IsHub, ExcludedDataCentres: otherDataCentres(others, here)})
 }
 
 // peersMsg returns the known nodes for the relay. If a data centre is so large that some of its
 // nodes are unknown, the message has a count in place of their names.
 func peersMsg(topology *reading.Topology, all []*wire.Member) dispatch.PeersMsg {
 	targets := broadcastTargets(all)
-	msg := dispatch.PeersMsg{Near: topology.PeerCount, Members: limitOwnerCandidates(targets)}
+	msg := dispatch.PeersMsg{UsagePeers: topology.PeerCount, Members: limitOwnerCandidates(targets)}
 	switch {
 	case !topology.FullMesh && !topology.IsHub:
-		msg.Summed = true
+		msg.Aggregated = true
 	case len(targets) < len(withDataCentre(all)):
-		msg.Here = topology.PeerCount + 1
+		msg.LocalNodes = topology.PeerCount + 1
 	default:
-		msg.All = len(msg.Members)
+		msg.TotalNodes = len(msg.Members)
 	}
 	return msg
 }
@@ -131,16 +131,16 @@
 }
 
 // hubRecipients returns the recipients for a node in a data centre with hubs.
-func hubRecipients(topology *reading.Topology, others []*wire.Member, here string) usage.Routes {
+func hubRecipients(topology *reading.Topology, others []*wire.Member, here string) usage.Recipients {
 	hubs, leaves, far := usageAddresses(topology.Hubs), usageAddresses(topology.Leaves), usageAddresses(remoteBroadcastTargets(others, here))
 	absent := usageAddresses(topology.Absent)
 	if !topology.IsHub {
-		return usage.Routes{Use: hubs, Absent: absent, Orders: hubs, Silences: hubs, Works: slices.Concat(hubs, far)}
+		return usage.Recipients{Usage: hubs, Absent: absent, Placements: hubs, Unresponsive: hubs, Outcomes: slices.Concat(hubs, far)}
 	}
 	near := slices.Concat(hubs, leaves)
-	r := usage.Routes{Use: hubs, Absent: absent, Hubs: topology.Hubs, Total: far, Leaves: leaves, Orders: near, Silences: near, Works: slices.Concat(near, far)}
+	r := usage.Recipients{Usage: hubs, Absent: absent, Hubs: topology.Hubs, DataCentreTotal: far, Leaves: leaves, Placements: near, Unresponsive: near, Outcomes: slices.Concat(near, far)}
 	if topology.HubIndex < forwardingHubs {
-		r.PassOn = near
+		r.Forward = near
 	}
 	return r
 }
--- a/node/topology_test.go
+++ b/node/topology_test.go
@@ -45,7 +45,7 @@
 		if topology.FullMesh || topology.IsHub {
 			t.Fatalf("%d nodes a data centre: got %+v, want a leaf", each, topology)
 		}
-		counts := map[string]int{"use": len(r.Use), "orders": len(r.Orders), "silences": len(r.Silences), "works": len(r.Works), "leaves": len(r.Leaves)}
+		counts := map[string]int{"use": len(r.Usage), "orders": len(r.Placements), "silences": len(r.Unresponsive), "works": len(r.Outcomes), "leaves": len(r.Leaves)}
 		for what, got := range counts {
 			if want := 40; got > want {
 				t.Errorf("%d nodes a data centre: got %d addresses for %s, want %d at most", each, got, what, want)
@@ -64,8 +64,8 @@
 		others := slices.Delete(slices.Clone(members), i, i+1)
 		topology := topologyOf(m, others)
 		r := hubRecipients(&topology, others, m.GetDataCentre())
-		routes[m.GetUsageAddress()] = func() []string { return r.Works }
-		forwards[m.GetUsageAddress()] = r.PassOn
+		routes[m.GetUsageAddress()] = func() []string { return r.Outcomes }
+		forwards[m.GetUsageAddress()] = r.Forward
 	}
 	for _, m := range members {
 		reached := make(map[string]bool)
@@ -122,11 +122,11 @@
 	small, large := testMembers([]string{"a"}, 10), testMembers([]string{"b"}, 25)
 	all := slices.Concat(small, large)
 	topology := topologyOf(small[0], small[1:])
-	if got := peersMsg(&topology, all); got.All != 0 || got.Here != 10 {
-		t.Errorf("got %d nodes in all, %d in the data centre, want 0 and 10", got.All, got.Here)
+	if got := peersMsg(&topology, all); got.TotalNodes != 0 || got.LocalNodes != 10 {
+		t.Errorf("got %d nodes in all, %d in the data centre, want 0 and 10", got.TotalNodes, got.LocalNodes)
 	}
 	topology = topologyOf(small[0], small[1:])
-	if got := peersMsg(&topology, small); got.All != 10 || got.Here != 0 {
-		t.Errorf("got %d nodes in all, %d in the data centre, want 10 and 0", got.All, got.Here)
+	if got := peersMsg(&topology, small); got.TotalNodes != 10 || got.LocalNodes != 0 {
+		t.Errorf("got %d nodes in all, %d in the data centre, want 10 and 0", got.TotalNodes, got.LocalNodes)
 	}
 }
--- a/node/unresponsive_test.go
+++ b/node/unresponsive_test.go
@@ -21,7 +21,7 @@
 		{"e1", 600, true},
 	}
 	for _, step := range steps {
-		if got := s.isNew(step.at, fleet.Undated(step.upstream)); got != step.want {
+		if got := s.isNew(step.at, fleet.IncarnationByID(step.upstream)); got != step.want {
 			t.Errorf("%s at %d: got new %v, want %v", step.upstream, step.at, got, step.want)
 		}
 	}
--- a/node/updates.go
+++ b/node/updates.go
@@ -33,7 +33,7 @@
 	case follow.Replaced:
 		n.log.Info("config", zap.Stringer("version", p.Edition), zap.Stringer("written", p.Edition.Written()), age)
 		n.relay.SetCatalog(p.Catalog, p.Confirmed)
-		n.placer.Tell(placement.CatalogMsg{Catalog: p.Catalog})
+		n.placer.Send(placement.CatalogMsg{Catalog: p.Catalog})
 		n.fleetFollower.SetServices(serviceNames(p.Catalog))
 	}
 	return active
@@ -47,7 +47,7 @@
 	}
 	go func() {
 		defer n.queryingConfig.Store(false)
-		n.peers.AskAt(n.ctx, address)
+		n.peers.QueryAddress(n.ctx, address)
 	}()
 }
 
@@ -62,16 +62,16 @@
 // serviceNames returns the names of the services of a configuration.
 func serviceNames(c *catalog.Catalog) []string {
 	var names []string
-	c.Services(func(s *catalog.Service) { names = append(names, s.Name) })
+	c.EachService(func(s *catalog.Service) { names = append(names, s.Name) })
 	return names
 }
 
 // reportUnresponsive notifies the planner that an engine has stopped or resumed answering. It
 // notifies other nodes too if none of them has reported the engine yet.
-func (n *Node) reportUnresponsive(cmd dispatch.SilentCmd) {
-	n.log.Info("silent", zap.Stringer("upstream", cmd.Upstream), zap.Bool("silent", cmd.Silent), zap.Bool("agreed", cmd.Agreed))
-	n.placer.Tell(placement.SilentMsg{Upstream: cmd.Upstream, Silent: cmd.Silent, Agreed: cmd.Agreed})
-	if cmd.Silent && !cmd.Agreed {
+func (n *Node) reportUnresponsive(cmd dispatch.ResponsivenessCmd) {
+	n.log.Info("silent", zap.Stringer("upstream", cmd.Upstream), zap.Bool("silent", cmd.Unresponsive), zap.Bool("agreed", cmd.Confirmed))
+	n.placer.Send(placement.ResponsivenessMsg{Upstream: cmd.Upstream, Unresponsive: cmd.Unresponsive, Confirmed: cmd.Confirmed})
+	if cmd.Unresponsive && !cmd.Confirmed {
 		n.usage.Silent(cmd.Upstream)
 	}
 }
@@ -79,18 +79,18 @@
 // sendUsage sends this node's usage to other nodes. The first hub also sends the total of all
 // nodes to its leaves; other hubs send a heartbeat to theirs. The first hub, or the reader of a
 // data centre without hubs, sends the total of its data centre to other data centres.
-func (n *Node) sendUsage(cmd dispatch.ShareCmd) {
+func (n *Node) sendUsage(cmd dispatch.ShareUsageCmd) {
 	now := n.clock.Now()
 	topology := n.roster.Topology(now)
-	n.usage.Share(cmd.Used, cmd.Limits)
+	n.usage.SendUsage(cmd.Used, cmd.Limits)
 	if topology.FullMesh && n.roster.IsReader(now) || topology.IsFirstHub() {
-		n.usage.ShareTotal(cmd.Total, topology.PeerCount+1, cmd.Limits)
+		n.usage.SendDataCentreTotal(cmd.WholeDataCentre, topology.PeerCount+1, cmd.Limits)
 	}
 	switch {
 	case topology.IsFirstHub():
-		n.usage.ShareWhole(cmd.Whole, cmd.HeardOf, cmd.Nodes, cmd.Limits)
+		n.usage.SendAllNodes(cmd.AllNodes, cmd.IncludedDataCentres, cmd.Nodes, cmd.Limits)
 	case topology.IsHub:
-		n.usage.ShareLife()
+		n.usage.SendHeartbeat()
 	}
 }
 
@@ -98,11 +98,11 @@
 type usageListener struct{ node *Node }
 
 // HearUse implements usage.Listener.
-func (l usageListener) HearUse(from *wire.Member, msg usage.Msg) {
+func (l usageListener) HearUse(from *wire.Member, msg usage.Report) {
 	n := l.node
 	n.peers.Heard(from)
-	n.peers.Told(msg.Hubs)
-	n.compareQuarantine(from, msg.Quarantine)
+	n.peers.AddReported(msg.Hubs)
+	n.compareQuarantine(from, msg.QuarantineDigest)
 	for engine := range msg.Used {
 		n.observeIncarnation(engine)
 	}
@@ -110,7 +110,7 @@
 		n.roster.Heard(n.clock.Now(), from.GetName(), msg.Followable)
 	}
 	n.relay.SetUsage(dispatch.UsageMsg{
-		Node: from.GetName(), Used: msg.Used, Total: msg.Total, Whole: msg.Whole, HeardOf: msg.HeardOf, Nodes: msg.Nodes,
+		Node: from.GetName(), Used: msg.Used, WholeDataCentre: msg.Total, AllNodes: msg.Whole, IncludedDataCentres: msg.HeardOf, Nodes: msg.Nodes,
 		DataCentre: from.GetDataCentre(), Limits: msg.Limits,
 	})
 }
@@ -127,7 +127,7 @@
 }
 
 // HearPlaced implements usage.Listener.
-func (l usageListener) HearPlaced(upstream fleet.Incarnation, layers fleet.Range, holds bool) {
+func (l usageListener) HearPlaced(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool) {
 	l.node.observeIncarnation(upstream)
 	l.node.applyPlacement(upstream, layers, holds)
 }
@@ -145,24 +145,24 @@
 // observeIncarnation records the incarnation of an upstream in a message of another node, since
 // it may be newer than the one in this node's list.
 func (n *Node) observeIncarnation(upstream fleet.Incarnation) {
-	if upstream.Born() != 0 {
+	if upstream.StartedAt() != 0 {
 		n.fleetFollower.Supersede(upstream)
 	}
 }
 
 // publishPlacement sends an order of this node to its relay and to other nodes.
-func (n *Node) publishPlacement(upstream fleet.Incarnation, layers fleet.Range, holds bool) {
+func (n *Node) publishPlacement(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool) {
 	n.applyPlacement(upstream, layers, holds)
-	n.usage.Placed(upstream, layers, holds)
+	n.usage.SendPlacement(upstream, layers, holds)
 }
 
 // applyPlacement applies an order that this node or another node has given.
-func (n *Node) applyPlacement(upstream fleet.Incarnation, layers fleet.Range, holds bool) {
+func (n *Node) applyPlacement(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool) {
 	n.relay.SetPlaced(upstream, layers, holds)
-	n.placer.Tell(placement.PlacedMsg{Upstream: upstream, Layers: layers, Holds: holds})
+	n.placer.Send(placement.PlacedMsg{Upstream: upstream, Layers: layers, Completed: holds})
 }
 
 func (n *Node) applyFleet(changes []fleet.Change) {
 	n.relay.SetFleet(changes)
-	n.placer.Tell(placement.FleetMsg{Changes: changes})
+	n.placer.Send(placement.FleetMsg{Changes: changes})
 }
--- a/node/wake.go
+++ b/node/wake.go
@@ -11,7 +11,7 @@
 // may never be answered, the deadlines of requests, and kept connections.
 func (n *Node) handleWake(suspension clock.Millis) {
 	n.log.Warn("suspended", zap.Int64("for_ms", int64(suspension)))
-	n.store.Renew()
+	n.store.ResetConnections()
 	n.engines.Close()
 	n.relay.Wake()
 }
--- a/record/replay.go
+++ b/record/replay.go
@@ -128,8 +128,8 @@
 }
 
 func (r *Replay) tickUntil(until clock.Millis) {
-	for r.now+core.TickEvery <= until {
-		r.play(r.now+core.TickEvery, core.TickMsg{})
+	for r.now+core.TickInterval <= until {
+		r.play(r.now+core.TickInterval, core.TickMsg{})
 	}
 }
 
--- a/record/start.go
+++ b/record/start.go
@@ -24,7 +24,7 @@
 		Address: s.Node.GetAddress(), StartedMs: s.Node.GetStartedMs(),
 	}
 	all := []core.Option{
-		core.WithNode(node), core.WithSeed(s.Seed), core.WithSeeds(s.Seeds), core.WithGrace(s.Grace),
+		core.WithNode(node), core.WithSeed(s.Seed), core.WithSeedPeers(s.Seeds), core.WithDrainGrace(s.Grace),
 		core.WithPolicy(s.Policy), core.WithSecret([]byte("replay")),
 	}
 	return core.New(append(all, opts...)...)
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -129,7 +129,7 @@
 // mayWrite implements sendGuard. An attempt is written once: whether it is
 // repeated is the decider's to say.
 func (a *attempt) mayWrite() error {
-	if a.cmd.Keyed && !a.gate.open(a.cmd.Config) {
+	if a.cmd.RequiresKey && !a.gate.open(a.cmd.Config) {
 		a.cancel(errGateShut)
 		return errGateShut
 	}
@@ -151,11 +151,11 @@
 func (a *attempt) causeOf(ctx context.Context) dispatch.Cause {
 	switch {
 	case a.wrote.Load():
-		return dispatch.Unknown
+		return dispatch.CauseUnknown
 	case errors.IsAny(context.Cause(ctx), errGateShut, errBarred):
-		return dispatch.HeldBack
+		return dispatch.CauseStaleConfig
 	default:
-		return dispatch.NotSent
+		return dispatch.CauseNotSent
 	}
 }
 
@@ -165,29 +165,29 @@
 	a.hear(head)
 	switch {
 	case head.ID != "" && head.ID != a.callerID:
-		a.fail(ctx, dispatch.Unknown, "", errOtherAnswer)
+		a.fail(ctx, dispatch.CauseUnknown, "", errOtherAnswer)
 		return
 	case head.Misdirected:
 		if head.At == "" || head.At == a.cmd.Address {
 			a.answeredBy(a.cmd.Upstream, a.cmd.Address, a.cmd.Upstream.Presence(head.Answerer))
 		}
-		a.fail(ctx, dispatch.NotRunElsewhere, head.At, errors.Newf("status %d", resp.StatusCode))
+		a.fail(ctx, dispatch.CauseMisdirected, head.At, errors.Newf("status %d", resp.StatusCode))
 		return
 	case head.NotRun:
-		a.fail(ctx, dispatch.NotRunFull, head.At, errors.Newf("status %d", resp.StatusCode))
+		a.fail(ctx, dispatch.CauseFull, head.At, errors.Newf("status %d", resp.StatusCode))
 		return
 	case !head.Sealed:
-		a.fail(ctx, dispatch.Unknown, "", errNotSealed)
+		a.fail(ctx, dispatch.CauseUnknown, "", errNotSealed)
 		return
 	case resp.Header.Get("Content-Encoding") != "":
-		a.fail(ctx, dispatch.Unknown, "", errEncoded)
+		a.fail(ctx, dispatch.CauseUnknown, "", errEncoded)
 		return
 	}
 	switch {
 	case isEvents(resp) && a.cmd.Route.Kind == catalog.Streaming:
 		a.readEvents(ctx, resp)
 	case a.resumes:
-		a.fail(ctx, dispatch.Failed, "", errors.Wrapf(errNoStream, "status %d", resp.StatusCode))
+		a.fail(ctx, dispatch.CauseUpstreamFailed, "", errors.Wrapf(errNoStream, "status %d", resp.StatusCode))
 	default:
 		a.readWhole(ctx, resp)
 	}
@@ -237,7 +237,7 @@
 			return
 		}
 		if err != nil {
-			a.fail(ctx, dispatch.Unknown, "", err)
+			a.fail(ctx, dispatch.CauseUnknown, "", err)
 			return
 		}
 		if !a.send(ctx, piece{head: head, event: ev}) {
@@ -251,7 +251,7 @@
 func (a *attempt) readWhole(ctx context.Context, resp *http.Response) {
 	data, err := io.ReadAll(io.LimitReader(resp.Body, bufferedAnswer))
 	if err != nil {
-		a.fail(ctx, dispatch.Unknown, "", err)
+		a.fail(ctx, dispatch.CauseUnknown, "", err)
 		return
 	}
 	if len(data) < bufferedAnswer {
@@ -270,7 +270,7 @@
 		n, err := body.Read(data)
 		end := errors.Is(err, io.EOF)
 		if err != nil && !end {
-			a.fail(ctx, dispatch.Unknown, "", err)
+			a.fail(ctx, dispatch.CauseUnknown, "", err)
 			return
 		}
 		if !a.send(ctx, piece{data: data[:n], end: end}) || end {
--- a/relay/attempt_test.go
+++ b/relay/attempt_test.go
@@ -89,7 +89,7 @@
 	}
 	a := &attempt{
 		protocol: plainProtocol{}, barred: func() bool { return ta.pool.barred(ta.pool.get(ta.upstream)) }, said: func(fleet.Incarnation, Word) {}, unlimited: func(fleet.Incarnation, clock.Millis) {}, answeredBy: func(fleet.Incarnation, string, fleet.Presence) {}, conns: ta.pool.get(ta.upstream), gate: ta.gate, cancel: cancel,
-		cmd:    dispatch.SendCmd{Route: &catalog.Route{Kind: ta.kind}, Keyed: true, Config: catalog.New(1).Edition()},
+		cmd:    dispatch.SendCmd{Route: &catalog.Route{Kind: ta.kind}, RequiresKey: true, Config: catalog.New(1).Edition()},
 		pieces: make(chan piece, piecesWaiting),
 	}
 	a.req = outgoing(ctx, caller, address, nil)
@@ -106,7 +106,7 @@
 			address := u.listener.Addr().String()
 			pool := newUpstreamPool((&net.Dialer{}).DialContext, clocktest.NewClock())
 			t.Cleanup(pool.closeIdle)
-			ta := testAttempt{upstream: fleet.Undated("u1"), pool: pool, gate: newGate(clocktest.NewClock(), 0), kind: catalog.Once}
+			ta := testAttempt{upstream: fleet.IncarnationByID("u1"), pool: pool, gate: newGate(clocktest.NewClock(), 0), kind: catalog.AtMostOnce}
 
 			if first := ta.run(t, method, address); first.failed {
 				t.Fatalf("got %v at the first request, want an answer", first.err)
@@ -115,7 +115,7 @@
 			if got, want := u.read.Load(), int64(2); got != want {
 				t.Errorf("got %d requests read, want %d", got, want)
 			}
-			if !second.failed || second.cause != dispatch.Unknown {
+			if !second.failed || second.cause != dispatch.CauseUnknown {
 				t.Errorf("got failed=%v cause=%v, want an unknown outcome", second.failed, second.cause)
 			}
 		})
@@ -136,8 +136,8 @@
 	}, clocktest.NewClock())
 	t.Cleanup(pool.closeIdle)
 
-	got := testAttempt{upstream: fleet.Undated("u1"), pool: pool, gate: g, kind: catalog.Repeatable}.run(t, http.MethodPost, u.listener.Addr().String())
-	if !got.failed || got.cause != dispatch.HeldBack {
+	got := testAttempt{upstream: fleet.IncarnationByID("u1"), pool: pool, gate: g, kind: catalog.Repeatable}.run(t, http.MethodPost, u.listener.Addr().String())
+	if !got.failed || got.cause != dispatch.CauseStaleConfig {
 		t.Errorf("got failed=%v cause=%v, want it held back", got.failed, got.cause)
 	}
 	if got, want := u.read.Load(), int64(0); got != want {
@@ -149,7 +149,7 @@
 // rest, or says that it is leaving. It is not written, and decided anew.
 func TestAttemptIsHeldBackFromWhoRestsOrLeaves(t *testing.T) {
 	for _, word := range []Word{{Rest: 3000}, {Leaving: true}} {
-		u, id := newFickleUpstream(t), fleet.Undated("u1")
+		u, id := newFickleUpstream(t), fleet.IncarnationByID("u1")
 		var pool *upstreamPool
 		pool = newUpstreamPool(func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
@@ -158,7 +158,7 @@
 		}, clocktest.NewClock())
 		t.Cleanup(pool.closeIdle)
 		got := testAttempt{upstream: id, pool: pool, gate: newGate(clocktest.NewClock(), 0), kind: catalog.Repeatable}.run(t, http.MethodPost, u.listener.Addr().String())
-		if !got.failed || got.cause != dispatch.HeldBack {
+		if !got.failed || got.cause != dispatch.CauseStaleConfig {
 			t.Errorf("%+v: got failed=%v cause=%v, want it held back", word, got.failed, got.cause)
 		}
 		if got, want := u.read.Load(), int64(0); got != want {
@@ -171,14 +171,14 @@
 // for none, and a rest goes on while the VM is suspended.
 func TestLongestRestCounts(t *testing.T) {
 	vm := clocktest.NewVM()
-	pool, id := newUpstreamPool((&net.Dialer{}).DialContext, clock.New(clock.WithVM(vm))), fleet.Undated("u1")
+	pool, id := newUpstreamPool((&net.Dialer{}).DialContext, clock.New(clock.WithVM(vm))), fleet.IncarnationByID("u1")
 	pool.bar(id, Word{Rest: 3_600_000})
 	pool.bar(id, Word{Rest: 10})
 	vm.Suspend(time.Hour / 2)
 	if !pool.barred(pool.get(id)) {
 		t.Error("got no rest after half an hour, want one of an hour")
 	}
-	if pool.barred(pool.get(fleet.Undated("u2"))) {
+	if pool.barred(pool.get(fleet.IncarnationByID("u2"))) {
 		t.Error("got a rest of an upstream that has asked for none")
 	}
 	vm.Suspend(time.Hour / 2)
@@ -190,8 +190,8 @@
 // An answer speaks for who has given it, and a refusal also for the engine of the chain that
 // it names. In a late answer to another request only the leaving is still so.
 func TestWhoseWordItIs(t *testing.T) {
-	first, second := fleet.Undated("e1"), fleet.Undated("e2")
-	parts := []chain.Part{{ID: first, Address: "a1"}, {ID: second, Address: "a2"}}
+	first, second := fleet.IncarnationByID("e1"), fleet.IncarnationByID("e2")
+	parts := []chain.Stage{{ID: first, Address: "a1"}, {ID: second, Address: "a2"}}
 	rest := Word{Rest: 3000}
 	tests := []struct {
 		name string
--- a/relay/body.go
+++ b/relay/body.go
@@ -26,8 +26,8 @@
 		return nil, 0
 	}
 	most := int64(defaultBody)
-	if limits := r.limits.Load(); limits != nil && limits.BodyBytes > 0 {
-		most = limits.BodyBytes
+	if limits := r.limits.Load(); limits != nil && limits.MaxBodyBytes > 0 {
+		most = limits.MaxBodyBytes
 	}
 	control := http.NewResponseController(w)
 	if err := control.SetReadDeadline(time.Now().Add(bodyTime)); err != nil {
--- a/relay/decider.go
+++ b/relay/decider.go
@@ -46,10 +46,10 @@
 	// identify asks who is at an address.
 	identify func(dispatch.IdentifyCmd)
 	// silent tells the planner of layers of engines that do not answer.
-	silent func(dispatch.SilentCmd)
+	silent func(dispatch.ResponsivenessCmd)
 	// share tells other nodes what this one has in use, and what all do that
 	// tell each other.
-	share func(dispatch.ShareCmd)
+	share func(dispatch.ShareUsageCmd)
 	// ask sends other nodes questions for permits, and give answers theirs.
 	ask  func(limit.AskCmd)
 	give func(to string, grant limit.Grant)
@@ -68,8 +68,8 @@
 
 func newDecider(model *dispatch.Model, c *clock.Clock, log *zap.Logger, probe func(dispatch.ProbeCmd), identify func(dispatch.IdentifyCmd)) *decider {
 	return &decider{
-		model: model, clock: c, log: log, probe: probe, identify: identify, silent: func(dispatch.SilentCmd) {},
-		share:      func(dispatch.ShareCmd) {},
+		model: model, clock: c, log: log, probe: probe, identify: identify, silent: func(dispatch.ResponsivenessCmd) {},
+		share:      func(dispatch.ShareUsageCmd) {},
 		ask:        func(limit.AskCmd) {},
 		give:       func(string, limit.Grant) {},
 		limited:    func(fleet.Incarnation, bool) {},
@@ -115,7 +115,7 @@
 	for _, cmd := range d.model.Update(d.clock.Now(), e.msg) {
 		d.carry(cmd)
 	}
-	if gone, ok := e.msg.(dispatch.GoneMsg); ok {
+	if gone, ok := e.msg.(dispatch.RequestEndedMsg); ok {
 		delete(d.mail, gone.Request)
 	}
 }
@@ -125,23 +125,23 @@
 	switch cmd := cmd.(type) {
 	case dispatch.SendCmd:
 		d.post(cmd.Request, cmd)
-	case dispatch.PlaceCmd:
+	case dispatch.SlotWaitCmd:
 		d.post(cmd.Request, cmd)
-	case dispatch.FinishCmd:
+	case dispatch.RespondCmd:
 		d.post(cmd.Request, cmd)
-	case dispatch.RelayCmd:
+	case dispatch.RelayFailureCmd:
 		d.post(cmd.Request, cmd)
-	case dispatch.CutCmd:
+	case dispatch.AbortResponseCmd:
 		d.post(cmd.Request, cmd)
-	case dispatch.MoveCmd:
+	case dispatch.MigrateCmd:
 		d.post(cmd.Request, cmd)
-	case dispatch.ReconsiderCmd:
+	case dispatch.RecheckAttemptCmd:
 		d.post(cmd.Request, cmd)
-	case dispatch.WakeCmd:
+	case dispatch.RecheckDeadlineCmd:
 		d.post(cmd.Request, cmd)
-	case dispatch.ShareCmd:
+	case dispatch.ShareUsageCmd:
 		d.share(cmd)
-	case dispatch.SilentCmd:
+	case dispatch.ResponsivenessCmd:
 		d.silent(cmd)
 	case dispatch.ProbeCmd:
 		d.probe(cmd)
@@ -149,25 +149,25 @@
 		d.identify(cmd)
 	case dispatch.QuarantineCmd:
 		d.quarantine(cmd.News)
-	case dispatch.AskPermitsCmd:
+	case dispatch.RequestPermitsCmd:
 		d.ask(cmd.AskCmd)
-	case dispatch.GivePermitsCmd:
+	case dispatch.GrantPermitsCmd:
 		d.give(cmd.To, cmd.Grant)
-	case dispatch.LimitCmd:
+	case dispatch.LimitChangedCmd:
 		d.limited(cmd.Upstream, cmd.Rate > 0)
 		d.logLimit(cmd)
-	case dispatch.RestCmd:
-		d.log.Info("rest", zap.Stringer("upstream", cmd.Upstream), zap.Int64("asked_ms", int64(cmd.Asked)),
+	case dispatch.BackOffCmd:
+		d.log.Info("rest", zap.Stringer("upstream", cmd.Upstream), zap.Int64("asked_ms", int64(cmd.Requested)),
 			zap.Int64("for_ms", int64(cmd.Until.Sub(d.clock.Now()))))
 	case dispatch.SuspectCmd:
-		d.log.Info("suspect", zap.Stringer("upstream", cmd.Upstream), zap.Int("strikes", cmd.Strikes),
+		d.log.Info("suspect", zap.Stringer("upstream", cmd.Upstream), zap.Int("strikes", cmd.Failures),
 			zap.Stringer("cause", cmd.Cause), zap.Int64("for_ms", int64(cmd.Until.Sub(d.clock.Now()))))
 	}
 }
 
 // logLimit tells of a limit that has begun, changed or ended. An upstream that names another
 // in each answer has a line a second.
-func (d *decider) logLimit(cmd dispatch.LimitCmd) {
+func (d *decider) logLimit(cmd dispatch.LimitChangedCmd) {
 	now := d.clock.Now()
 	if last, known := d.limitLogged[cmd.Upstream]; known && now < last.Add(limitLoggedEvery) && cmd.Rate > 0 {
 		d.limitsUnlogged++
--- a/relay/fixture_test.go
+++ b/relay/fixture_test.go
@@ -52,12 +52,12 @@
 	return EngineReport{}, errTakenBack
 }
 
-func (noEngines) Move(context.Context, string, string, []chain.Part) (result dispatch.MoveResult, at string) {
-	return dispatch.MoveUnanswered, ""
+func (noEngines) Move(context.Context, string, string, []chain.Stage) (result dispatch.MigrationResult, at string) {
+	return dispatch.MigrationUnanswered, ""
 }
 
 func (noEngines) Identify(context.Context, string, string, fleet.Incarnation) (fleet.Presence, error) {
-	return fleet.Unnamed, errTakenBack
+	return fleet.PresenceUnknown, errTakenBack
 }
 
 func (noEngines) Probe(context.Context, string, fleet.Incarnation) error { return nil }
@@ -252,11 +252,11 @@
 		<-ended
 	})
 	r.SetCatalog(testCatalog(), r.clock.Now())
-	r.SetPeers(dispatch.PeersMsg{All: 1, Members: []limit.Member{{}}})
+	r.SetPeers(dispatch.PeersMsg{TotalNodes: 1, Members: []limit.Member{{}}})
 	for i := range upstreamsOfTest {
 		server := httptest.NewServer(upstreams)
 		t.Cleanup(server.Close)
-		id := fleet.Undated(fleet.ID("u" + strconv.Itoa(i)))
+		id := fleet.IncarnationByID(fleet.ID("u" + strconv.Itoa(i)))
 		r.SetFleet([]fleet.Change{{ID: id, Upstream: fleet.Upstream{
 			ID: id, Service: "desk", Address: server.Listener.Addr().String(),
 		}}})
@@ -272,7 +272,7 @@
 		return &catalog.Route{
 			Name: name, Host: "h", Prefix: "/" + name + "/", Kind: kind, Resumable: resumable, Anonymous: true,
 			Targets: []catalog.Target{{Service: "desk", Weight: 1}}, MaxAttempts: upstreamsOfTest,
-			Timeout: 10_000, Aim: 10_000,
+			Timeout: 10_000, LatencyTarget: 10_000,
 		}
 	}
 	few := route("few", catalog.Streaming, true)
@@ -280,7 +280,7 @@
 	return catalog.New(1,
 		catalog.WithRoutes(few,
 			route("write", catalog.Streaming, true), route("tell", catalog.Streaming, false),
-			route("read", catalog.Repeatable, false), route("once", catalog.Once, false),
+			route("read", catalog.Repeatable, false), route("once", catalog.AtMostOnce, false),
 		),
 		catalog.WithServices(&catalog.Service{Name: "desk"}),
 	)
--- a/relay/log.go
+++ b/relay/log.go
@@ -38,7 +38,7 @@
 		zap.String("chain", chainText(cmd.Chain)), zap.Int("in_flight", cmd.InFlight), zap.Int("priority", cmd.Priority),
 		zap.Stringer("config", cmd.Config), zap.Int64("config_age_ms", int64(cmd.ConfigAge)),
 		zap.Int64("list_age_ms", int64(s.relay.listAge())),
-		zap.Int64("remaining_ms", int64(remaining)), zap.String("resume_after", s.lastEvent), zap.Bool("suspected", cmd.Suspected), limitField(cmd.Limit))
+		zap.Int64("remaining_ms", int64(remaining)), zap.String("resume_after", s.lastEvent), zap.Bool("suspected", cmd.WorkSuspected), limitField(cmd.Limit))
 }
 
 func (s *session) logAnswer(status int) {
@@ -76,11 +76,11 @@
 	switch {
 	case s.route == nil:
 		return ""
-	case s.route.Kind == catalog.Streaming && s.route.Aim > 0 && s.first > s.route.Aim:
+	case s.route.Kind == catalog.Streaming && s.route.LatencyTarget > 0 && s.first > s.route.LatencyTarget:
 		return lateFirst
-	case s.route.Kind == catalog.Streaming && s.route.GapAim > 0 && s.pause > s.route.GapAim:
+	case s.route.Kind == catalog.Streaming && s.route.EventGapTarget > 0 && s.pause > s.route.EventGapTarget:
 		return latePause
-	case s.route.Kind != catalog.Streaming && s.route.Aim > 0 && s.age() > s.route.Aim:
+	case s.route.Kind != catalog.Streaming && s.route.LatencyTarget > 0 && s.age() > s.route.LatencyTarget:
 		return lateWhole
 	}
 	return ""
@@ -92,18 +92,18 @@
 	s.log.Info("caller_left", s.fields()...)
 }
 
-func (s *session) logAwait(cmd dispatch.PlaceCmd) {
+func (s *session) logAwait(cmd dispatch.SlotWaitCmd) {
 	s.relay.stats.count("awaited_places")
 	s.log.Info("awaits_place", zap.String("id", s.head.ID), zap.String("service", cmd.Service), zap.Int("waiting", cmd.Waiting),
 		zap.Int64("for_ms", int64(cmd.Until.Sub(s.relay.clock.Now()))), zap.Int64("after_ms", int64(s.age())))
 }
 
-func (s *session) logFinish(cmd dispatch.FinishCmd) {
+func (s *session) logFinish(cmd dispatch.RespondCmd) {
 	s.log.Info("refused", zap.String("id", s.head.ID), zap.Stringer("work", cmd.Work), zap.String("host", s.r.Host), zap.String("path", s.r.URL.Path),
 		zap.Int("status", cmd.Status), zap.String("reason", string(cmd.Reason)),
 		zap.Int64("retry_after_ms", int64(cmd.RetryAfter)), zap.Int("attempts", s.attempts),
 		zap.Stringer("config", cmd.Config), zap.Int64("config_age_ms", int64(cmd.ConfigAge)),
-		zap.Int64("after_ms", int64(s.age())), lackField(cmd.Lack), limitedField(cmd.Limited))
+		zap.Int64("after_ms", int64(s.age())), lackField(cmd.Missing), limitedField(cmd.RateLimit))
 }
 
 // limitField is what the upstream of an attempt takes from all nodes together.
@@ -115,21 +115,21 @@
 }
 
 // limitedField says whose limit has had a request refused.
-func limitedField(limited *dispatch.Limited) zap.Field {
+func limitedField(limited *dispatch.LimitRefusal) zap.Field {
 	if limited == nil {
 		return zap.Skip()
 	}
 	return zap.Inline(zapcore.ObjectMarshalerFunc(func(e zapcore.ObjectEncoder) error {
 		e.AddString("at", limited.Upstream.String())
 		e.AddFloat64("limit", limited.Rate)
-		e.AddInt("limited", limited.Upstreams)
-		e.AddInt("queue", limited.Queue)
+		e.AddInt("limited", limited.LimitedUpstreams)
+		e.AddInt("queue", limited.RecentDenials)
 		return nil
 	}))
 }
 
 // lackField says what ran short, and by whose word.
-func lackField(lack *dispatch.Lack) zap.Field {
+func lackField(lack *dispatch.MissingResource) zap.Field {
 	if lack == nil {
 		return zap.Skip()
 	}
@@ -137,10 +137,10 @@
 		e.AddString("lacks", string(appendRange(nil, lack.Layers.From, lack.Layers.To)))
 		e.AddInt("holders", lack.Holders)
 		e.AddString("at", lack.ID.String())
-		e.AddInt64("left", int64(lack.Room))
-		e.AddInt64("asked", int64(lack.Need))
-		e.AddString("word_of", string(lack.Word))
-		e.AddInt64("word_age_ms", int64(lack.Age))
+		e.AddInt64("left", int64(lack.FreeMemory))
+		e.AddInt64("asked", int64(lack.RequiredMemory))
+		e.AddString("word_of", string(lack.Source))
+		e.AddInt64("word_age_ms", int64(lack.SourceAge))
 		return nil
 	}))
 }
--- a/relay/protocol.go
+++ b/relay/protocol.go
@@ -35,7 +35,7 @@
 	Priority int
 	// Remaining is how long the upstream may work on it.
 	Remaining clock.Millis
-	Chain     []chain.Part
+	Chain     []chain.Stage
 	// LastEvent is the last event that the caller has; empty for none.
 	LastEvent string
 }
@@ -88,7 +88,7 @@
 // at an upstream's address.
 type Engines interface {
 	Report(ctx context.Context, address string, upstream fleet.Incarnation) (EngineReport, error)
-	Move(ctx context.Context, address, callerID string, parts []chain.Part) (result dispatch.MoveResult, at string)
+	Move(ctx context.Context, address, callerID string, parts []chain.Stage) (result dispatch.MigrationResult, at string)
 	Probe(ctx context.Context, address string, upstream fleet.Incarnation) error
 	Identify(ctx context.Context, address, path string, upstream fleet.Incarnation) (fleet.Presence, error)
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -61,13 +61,13 @@
 func WithListAge(age func() clock.Millis) Option { return func(r *Relay) { r.listAge = age } }
 
 // WithSilence sets who is told of engines that do not answer, or do again.
-func WithSilence(tell func(dispatch.SilentCmd)) Option {
+func WithSilence(tell func(dispatch.ResponsivenessCmd)) Option {
 	return func(r *Relay) { r.decider.silent = tell }
 }
 
 // WithSharing sets who tells other nodes what this one has in use, and what all
 // do that tell each other.
-func WithSharing(share func(dispatch.ShareCmd)) Option {
+func WithSharing(share func(dispatch.ShareUsageCmd)) Option {
 	return func(r *Relay) { r.decider.share = share }
 }
 
@@ -125,7 +125,7 @@
 	}
 	// The decider is told first: what the gate holds back is decided anew, and
 	// must not be by the old version.
-	r.decider.tell(r.life, dispatch.CatalogMsg{Catalog: c, Confirmed: confirmed})
+	r.decider.tell(r.life, dispatch.CatalogMsg{Catalog: c, ConfirmedAt: confirmed})
 	r.gate.confirm(edition, confirmed)
 }
 
@@ -147,7 +147,7 @@
 // have ended meanwhile without a word.
 func (r *Relay) Wake() {
 	r.upstreams.closeIdle()
-	r.decider.tell(r.life, dispatch.WokeMsg{})
+	r.decider.tell(r.life, dispatch.VMResumedMsg{})
 }
 
 // SetPeers tells which nodes there are, and by whom this one is told what they have in use.
@@ -155,18 +155,18 @@
 
 // SetAsked takes another node's question for permits.
 func (r *Relay) SetAsked(from string, ask limit.Ask) {
-	r.decider.tell(r.life, dispatch.PermitAskMsg{From: from, Ask: ask})
+	r.decider.tell(r.life, dispatch.PermitRequestMsg{From: from, Ask: ask})
 }
 
 // SetPermits takes the answer to a question for permits.
 func (r *Relay) SetPermits(from string, grant limit.Grant) {
-	r.decider.tell(r.life, dispatch.PermitsMsg{From: from, Grant: grant})
+	r.decider.tell(r.life, dispatch.PermitGrantMsg{From: from, Grant: grant})
 }
 
 // SetUsage takes what another node has in use or, with total, all nodes of another data
 // centre or, with whole, all, and what it knows of limits.
 func (r *Relay) SetUsage(msg dispatch.UsageMsg) {
-	if msg.Total {
+	if msg.WholeDataCentre {
 		msg.Node = "all of " + msg.DataCentre
 	}
 	r.decider.tell(r.life, msg)
@@ -174,17 +174,17 @@
 
 // SetSilent takes an engine that another node has found silent.
 func (r *Relay) SetSilent(upstream fleet.Incarnation) {
-	r.decider.tell(r.life, dispatch.ToldSilentMsg{Upstream: upstream})
+	r.decider.tell(r.life, dispatch.PeerUnresponsiveMsg{Upstream: upstream})
 }
 
 // SetLost takes a request that another node has lost at an upstream that has ended.
 func (r *Relay) SetLost(id work.ID, upstream fleet.Incarnation) {
-	r.decider.tell(r.life, dispatch.ToldLostMsg{Work: id, Upstream: upstream})
+	r.decider.tell(r.life, dispatch.PeerLossMsg{Work: id, Upstream: upstream})
 }
 
 // SetAnswered takes a request under suspicion to which another node has brought an answer.
 func (r *Relay) SetAnswered(id work.ID) {
-	r.decider.tell(r.life, dispatch.ToldAnsweredMsg{Work: id})
+	r.decider.tell(r.life, dispatch.PeerAnswerMsg{Work: id})
 }
 
 // SetQuarantined takes requests that are quarantined.
@@ -193,8 +193,8 @@
 }
 
 // SetPlaced takes an order that an engine has taken or, with holds, carried out.
-func (r *Relay) SetPlaced(upstream fleet.Incarnation, layers fleet.Range, holds bool) {
-	r.decider.tell(r.life, dispatch.PlacedMsg{Upstream: upstream, Layers: layers, Holds: holds})
+func (r *Relay) SetPlaced(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool) {
+	r.decider.tell(r.life, dispatch.PlacedMsg{Upstream: upstream, Layers: layers, Completed: holds})
 }
 
 // Stop makes the relay say that it is not ready and end connections with
--- a/relay/runs_test.go
+++ b/relay/runs_test.go
@@ -43,7 +43,7 @@
 func startAgain(r *Relay, address string) {
 	var changes []fleet.Change
 	for i := range upstreamsOfTest {
-		changes = append(changes, fleet.Change{ID: fleet.Undated(fleet.ID("u" + strconv.Itoa(i))), Gone: true, Ended: true})
+		changes = append(changes, fleet.Change{ID: fleet.IncarnationByID(fleet.ID("u" + strconv.Itoa(i))), Gone: true, Ended: true})
 	}
 	run := fleet.NewIncarnation("u0", 200)
 	r.SetFleet(append(changes, fleet.Change{ID: run, Upstream: fleet.Upstream{ID: run, Service: "desk", Address: address}}))
--- a/relay/session.go
+++ b/relay/session.go
@@ -63,7 +63,7 @@
 	doubt  *time.Timer
 	stall  *time.Timer
 	asked  chan stallAnswer
-	moves  chan dispatch.MovedMsg
+	moves  chan dispatch.MigratedMsg
 	asking bool
 	rhythm rhythm
 	// asks counts the questions since the last event.
@@ -80,10 +80,10 @@
 // run lives the request from its arrival to its end.
 func (s *session) run() {
 	s.giveUp, s.try, s.doubt, s.stall = stopped(), stopped(), stopped(), stopped()
-	s.asked, s.moves = make(chan stallAnswer, 1), make(chan dispatch.MovedMsg, mailboxSize)
+	s.asked, s.moves = make(chan stallAnswer, 1), make(chan dispatch.MigratedMsg, mailboxSize)
 	defer s.end()
 	if !s.relay.decider.arrive(s.arrival(), s.mail) {
-		s.answer(http.StatusServiceUnavailable, dispatch.ReasonNoRoom, overloadBack)
+		s.answer(http.StatusServiceUnavailable, dispatch.ReasonNoMemory, overloadBack)
 		return
 	}
 	for {
@@ -98,7 +98,7 @@
 
 func (s *session) arrival() dispatch.ArriveMsg {
 	return dispatch.ArriveMsg{
-		Request: s.id, CallerID: s.head.ID, Asked: work.FromRequest(s.r, s.body), Host: hostName(s.r.Host), Path: s.r.URL.Path,
+		Request: s.id, CallerID: s.head.ID, Work: work.FromRequest(s.r, s.body), Host: hostName(s.r.Host), Path: s.r.URL.Path,
 		Key: s.head.Key, HasKey: s.head.HasKey, Remaining: s.head.Remaining,
 		PromptTokens: s.head.PromptTokens, AnswerTokens: s.head.AnswerTokens, HintTokens: s.head.HintTokens,
 	}
@@ -141,22 +141,22 @@
 	switch cmd := cmd.(type) {
 	case dispatch.SendCmd:
 		s.send(cmd)
-	case dispatch.PlaceCmd:
+	case dispatch.SlotWaitCmd:
 		s.logAwait(cmd)
-	case dispatch.FinishCmd:
+	case dispatch.RespondCmd:
 		s.logFinish(cmd)
 		s.answer(cmd.Status, cmd.Reason, cmd.RetryAfter)
 		return true
-	case dispatch.RelayCmd:
+	case dispatch.RelayFailureCmd:
 		return s.relayHeld()
-	case dispatch.CutCmd:
+	case dispatch.AbortResponseCmd:
 		s.cut(cmd.Reason)
 		return true
-	case dispatch.MoveCmd:
+	case dispatch.MigrateCmd:
 		s.move(cmd)
-	case dispatch.ReconsiderCmd:
+	case dispatch.RecheckAttemptCmd:
 		s.reconsider(cmd)
-	case dispatch.WakeCmd:
+	case dispatch.RecheckDeadlineCmd:
 		s.wake(cmd)
 	}
 	return false
@@ -165,7 +165,7 @@
 // relayHeld passes on the failure that an upstream has answered with.
 func (s *session) relayHeld() bool {
 	if s.held == nil {
-		s.answer(http.StatusBadGateway, dispatch.ReasonUnknown, 0)
+		s.answer(http.StatusBadGateway, dispatch.ReasonAnswerLost, 0)
 		return true
 	}
 	if err := s.w.whole(s.held.head, s.held.data); err != nil {
@@ -185,6 +185,6 @@
 	case s.events > 0 && !s.unnamed:
 		return dispatch.DeliveredEvents
 	default:
-		return dispatch.DeliveredPart
+		return dispatch.DeliveredPartial
 	}
 }
--- a/relay/session_attempt.go
+++ b/relay/session_attempt.go
@@ -18,15 +18,15 @@
 // send begins an attempt.
 func (s *session) send(cmd dispatch.SendCmd) {
 	now := s.relay.clock.Now()
-	remaining := min(cmd.Deadline, cmd.GiveUp).Sub(now)
+	remaining := min(cmd.ClientDeadline, cmd.RouteDeadline).Sub(now)
 	s.attempts++
 	s.route = cmd.Route
 	s.logSend(cmd, remaining)
 	if s.attempts == 1 {
 		s.giveUp.Reset(max(remaining, 1).Duration())
 	}
-	if cmd.TryFor > 0 && cmd.TryFor < remaining {
-		s.try.Reset(cmd.TryFor.Duration())
+	if cmd.AttemptTimeout > 0 && cmd.AttemptTimeout < remaining {
+		s.try.Reset(cmd.AttemptTimeout.Duration())
 	}
 	s.doubt.Reset(doubtAfter.Duration())
 	conns := s.relay.upstreams.get(cmd.Upstream)
@@ -48,8 +48,8 @@
 
 // wake sets the timers anew after a suspension of the VM, for which they have stood still.
 // A stream may have stood still too, and its kept connections may be dead.
-func (s *session) wake(cmd dispatch.WakeCmd) {
-	s.giveUp.Reset(max(cmd.GiveUp.Sub(s.relay.clock.Now()), 0).Duration())
+func (s *session) wake(cmd dispatch.RecheckDeadlineCmd) {
+	s.giveUp.Reset(max(cmd.Deadline.Sub(s.relay.clock.Now()), 0).Duration())
 	if s.attempt == nil {
 		return
 	}
@@ -73,7 +73,7 @@
 // attemptFailed ends the attempt and asks what comes next.
 func (s *session) attemptFailed(cause dispatch.Cause, at string, word Word, err error) {
 	s.logFailure(cause, at, word, err)
-	msg := dispatch.AttemptFailedMsg{Request: s.id, Attempt: s.attempt.cmd.Attempt, Cause: cause, At: at, Events: s.events, Delivered: s.delivered()}
+	msg := dispatch.AttemptFailedMsg{Request: s.id, Attempt: s.attempt.cmd.Attempt, Cause: cause, FaultyAddress: at, Events: s.events, Delivered: s.delivered()}
 	s.drop()
 	s.relay.decider.tell(s.relay.life, msg)
 }
@@ -82,12 +82,12 @@
 // that no further upstream may go on with is left as it is: it may still go on, and
 // taking it back would cut it for sure.
 func (s *session) abandon(at, why string) {
-	if s.attempt == nil || s.w.begun() && (s.attempt.cmd.Last || s.delivered() == dispatch.DeliveredPart) {
+	if s.attempt == nil || s.w.begun() && (s.attempt.cmd.LastUpstream || s.delivered() == dispatch.DeliveredPartial) {
 		return
 	}
 	s.inVain = true
 	s.doubtConnections()
-	s.attemptFailed(dispatch.Slow, at, Word{}, errors.Wrap(errTakenBack, why))
+	s.attemptFailed(dispatch.CauseNoProgress, at, Word{}, errors.Wrap(errTakenBack, why))
 }
 
 // doubtConnections keeps other requests off the connections that are kept from before
--- a/relay/session_end.go
+++ b/relay/session_end.go
@@ -19,7 +19,7 @@
 	if s.attempt == nil && s.attempts == 0 {
 		status, back = http.StatusServiceUnavailable, overloadBack
 	}
-	s.logFinish(dispatch.FinishCmd{Request: s.id, Status: status, Reason: dispatch.ReasonTimeout, RetryAfter: back})
+	s.logFinish(dispatch.RespondCmd{Request: s.id, Status: status, Reason: dispatch.ReasonTimeout, RetryAfter: back})
 	s.answer(status, dispatch.ReasonTimeout, back)
 	return true
 }
@@ -44,5 +44,5 @@
 func (s *session) end() {
 	s.drop()
 	s.giveUp.Stop()
-	s.relay.decider.tell(s.relay.life, dispatch.GoneMsg{Request: s.id})
+	s.relay.decider.tell(s.relay.life, dispatch.RequestEndedMsg{Request: s.id})
 }
--- a/relay/session_pass.go
+++ b/relay/session_pass.go
@@ -39,7 +39,7 @@
 // whether another may try.
 func (s *session) upstreamFailed(p piece) bool {
 	s.held = &p
-	s.attemptFailed(dispatch.Failed, "", p.word, nil)
+	s.attemptFailed(dispatch.CauseUpstreamFailed, "", p.word, nil)
 	return false
 }
 
@@ -99,7 +99,7 @@
 	}
 	s.relay.decider.tell(s.relay.life, dispatch.AttemptDoneMsg{
 		Request: s.id, Attempt: s.attempt.cmd.Attempt, Took: s.relay.clock.Now().Sub(s.sent),
-		Failed: status >= http.StatusInternalServerError,
+		UpstreamFailed: status >= http.StatusInternalServerError,
 	})
 	s.logAnswer(status)
 }
--- a/relay/silent_connections_test.go
+++ b/relay/silent_connections_test.go
@@ -62,7 +62,7 @@
 		<-ended
 		engines.Close()
 	})
-	s.relay.SetPeers(dispatch.PeersMsg{All: 1, Members: []limit.Member{{}}})
+	s.relay.SetPeers(dispatch.PeersMsg{TotalNodes: 1, Members: []limit.Member{{}}})
 	catalog, err := platform.DecodeCatalog(standin.SiteConfig(1, "k1"), moment.Moment{})
 	if err != nil {
 		t.Fatal(err)
@@ -80,7 +80,7 @@
 	listener := s.network.Listen(address)
 	go func() { _ = server.Serve(listener) }()
 	s.t.Cleanup(func() { _ = server.Close() })
-	s.relay.SetFleet([]fleet.Change{{ID: fleet.Undated(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.Undated(fleet.ID(id)), Service: standin.SiteDesk, Address: address, Slots: 6}}})
+	s.relay.SetFleet([]fleet.Change{{ID: fleet.IncarnationByID(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.IncarnationByID(fleet.ID(id)), Service: standin.SiteDesk, Address: address, Slots: 6}}})
 }
 
 // ask asks for a path in the background, and hands over the status.
--- a/relay/silent_streams_test.go
+++ b/relay/silent_streams_test.go
@@ -88,15 +88,15 @@
 func eventText(n int) string { return fmt.Sprintf("id: %d\ndata: x\n\n", n) }
 
 // startEngine starts an engine that holds some layers.
-func (s *silentSite) startEngine(id string, held fleet.Range) *streamEngine {
+func (s *silentSite) startEngine(id string, held fleet.LayerRange) *streamEngine {
 	address := id + ":80"
 	engine := &streamEngine{}
 	server := &http.Server{Handler: engine}
 	listener := s.network.Listen(address)
 	go func() { _ = server.Serve(listener) }()
 	s.t.Cleanup(func() { _ = server.Close() })
-	s.relay.SetFleet([]fleet.Change{{ID: fleet.Undated(fleet.ID(id)), Upstream: fleet.Upstream{
-		ID: fleet.Undated(fleet.ID(id)), Service: standin.SiteWriter, Address: address, Slots: 64, Accelerator: standin.SiteKind, Held: held,
+	s.relay.SetFleet([]fleet.Change{{ID: fleet.IncarnationByID(fleet.ID(id)), Upstream: fleet.Upstream{
+		ID: fleet.IncarnationByID(fleet.ID(id)), Service: standin.SiteWriter, Address: address, Slots: 64, Accelerator: standin.SiteKind, Held: held,
 	}}})
 	return engine
 }
@@ -138,8 +138,8 @@
 func TestStreamsOnSilentConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSilentSite(t, 0)
-		s.startEngine("e1", fleet.Range{From: 0, To: 6})
-		s.startEngine("e2", fleet.Range{From: 6, To: 12})
+		s.startEngine("e1", fleet.LayerRange{From: 0, To: 6})
+		s.startEngine("e2", fleet.LayerRange{From: 6, To: 12})
 		const atOnce = 4
 		var warm []<-chan *pausedRecorder
 		for i := range atOnce {
@@ -178,11 +178,11 @@
 func TestStreamThatStandsStillAfterItsMove(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSilentSite(t, 0)
-		first := s.startEngine("e1", fleet.Range{From: 0, To: 6})
-		s.startEngine("e2", fleet.Range{From: 6, To: 12})
+		first := s.startEngine("e1", fleet.LayerRange{From: 0, To: 6})
+		s.startEngine("e2", fleet.LayerRange{From: 6, To: 12})
 		running := s.stream("running")
 		time.Sleep(10 * eventEvery)
-		s.startEngine("e3", fleet.Range{From: 6, To: 12})
+		s.startEngine("e3", fleet.LayerRange{From: 6, To: 12})
 		s.network.Mute()
 		// The engines' reports are some hundred ms behind.
 		time.Sleep(600 * time.Millisecond)
--- a/relay/stall.go
+++ b/relay/stall.go
@@ -54,8 +54,8 @@
 	streams []StalledStream
 	// silent are the parts whose engines did not answer, and slow the one that
 	// is slowest, with its pace.
-	silent []chain.Part
-	slow   chain.Part
+	silent []chain.Stage
+	slow   chain.Stage
 	pace   float64
 }
 
@@ -109,8 +109,8 @@
 			continue
 		}
 		r.decider.tell(r.life, dispatch.ReportMsg{Upstream: part.ID, Report: got[i].report.Report})
-		if got[i].report.Pace > answer.pace {
-			answer.slow, answer.pace = part, got[i].report.Pace
+		if got[i].report.Slowdown > answer.pace {
+			answer.slow, answer.pace = part, got[i].report.Slowdown
 		}
 	}
 	return answer
@@ -134,7 +134,7 @@
 	case quiet >= slowAfter && answer.pace >= slowPace && s.events > 0 && answer.slow.Address != s.firstAddress():
 		s.logStall("slow", answer.slow.Address, quiet, answer)
 		s.relay.decider.tell(s.relay.life, dispatch.StalledMsg{
-			Request: s.id, Attempt: s.attempt.cmd.Attempt, At: answer.slow.Address, Slow: true,
+			Request: s.id, Attempt: s.attempt.cmd.Attempt, FaultyAddress: answer.slow.Address, Slow: true,
 		})
 	case now.Sub(s.lastPiece) >= abandonAfter:
 		// Also after a move: the caller has waited since the last piece.
@@ -167,15 +167,15 @@
 
 // reconsider acts on the suspicion that others have of an engine on the way. A
 // stream that still flows is left alone; if it stops, its own check follows.
-func (s *session) reconsider(cmd dispatch.ReconsiderCmd) {
+func (s *session) reconsider(cmd dispatch.RecheckAttemptCmd) {
 	if s.attempt == nil || s.attempt.cmd.Attempt != cmd.Attempt {
 		return
 	}
 	switch {
-	case cmd.Ended && cmd.At == s.attempt.cmd.Address:
+	case cmd.Crashed && cmd.SuspectedAddress == s.attempt.cmd.Address:
 		s.upstreamEnded()
-	case cmd.Ended || s.relay.clock.Now().Sub(s.since) >= flowing:
-		s.stalledAt(cmd.At)
+	case cmd.Crashed || s.relay.clock.Now().Sub(s.since) >= flowing:
+		s.stalledAt(cmd.SuspectedAddress)
 	}
 }
 
@@ -183,7 +183,7 @@
 // will come, and none that has begun goes on.
 func (s *session) upstreamEnded() {
 	s.inVain = true
-	s.attemptFailed(dispatch.Slow, "", Word{}, errUpstreamEnded)
+	s.attemptFailed(dispatch.CauseNoProgress, "", Word{}, errUpstreamEnded)
 }
 
 // stalledAt moves the stream away from an engine, or takes it up elsewhere if
@@ -193,11 +193,11 @@
 		s.abandon(at, "engine_holds_it_up")
 		return
 	}
-	s.relay.decider.tell(s.relay.life, dispatch.StalledMsg{Request: s.id, Attempt: s.attempt.cmd.Attempt, At: at})
+	s.relay.decider.tell(s.relay.life, dispatch.StalledMsg{Request: s.id, Attempt: s.attempt.cmd.Attempt, FaultyAddress: at})
 }
 
 // move orders the first engine to send the stream over other engines.
-func (s *session) move(cmd dispatch.MoveCmd) {
+func (s *session) move(cmd dispatch.MigrateCmd) {
 	if s.attempt == nil || s.attempt.cmd.Attempt != cmd.Attempt {
 		return
 	}
@@ -205,15 +205,15 @@
 	address := s.attempt.cmd.Address
 	go func() {
 		result, at := s.relay.engines.Move(s.relay.life, address, s.head.ID, cmd.Chain)
-		s.log.Info("move", zap.String("id", s.head.ID), zap.Stringer("away_from", cmd.Away),
+		s.log.Info("move", zap.String("id", s.head.ID), zap.Stringer("away_from", cmd.FromEngine),
 			zap.String("chain", chainText(cmd.Chain)), zap.Int("result", int(result)), zap.String("at", at))
-		s.moves <- dispatch.MovedMsg{Request: s.id, Attempt: cmd.Attempt, Result: result, At: at}
+		s.moves <- dispatch.MigratedMsg{Request: s.id, Attempt: cmd.Attempt, Result: result, FaultyAddress: at}
 	}()
 }
 
 // moveEnded passes on what came of a move. A stream whose first engine does not
 // know it, or does not answer, is taken up elsewhere.
-func (s *session) moveEnded(msg dispatch.MovedMsg) {
+func (s *session) moveEnded(msg dispatch.MigratedMsg) {
 	s.moved++
 	s.relay.stats.count("moved")
 	s.relay.decider.tell(s.relay.life, msg)
@@ -221,15 +221,15 @@
 		return
 	}
 	switch msg.Result {
-	case dispatch.MoveUnknownStream:
+	case dispatch.MigrationUnknownStream:
 		s.abandon("", "stream_is_unknown_there")
-	case dispatch.MoveUnanswered:
+	case dispatch.MigrationUnanswered:
 		s.abandon(s.firstAddress(), "first_engine_is_silent")
-	case dispatch.Moved:
+	case dispatch.MigrationDone:
 		// The new engines read all tokens first; until then silence is no sign.
 		s.since = s.relay.clock.Now()
 		s.stall.Reset(rereadStall.Duration())
-	case dispatch.MoveRefused:
+	case dispatch.MigrationRefused:
 		// The decider tries another way.
 	}
 }
@@ -248,7 +248,7 @@
 		}
 		msg.Answered = err == nil
 		r.log.Info("probe", zap.Stringer("upstream", cmd.Upstream), zap.String("address", cmd.Address),
-			zap.Float64("pace", msg.Report.Pace), zap.Float64("free", msg.Report.Free), zap.Float64("all", msg.Report.All), logging.Err(err))
+			zap.Float64("pace", msg.Report.Slowdown), zap.Float64("free", msg.Report.FreeMemory), zap.Float64("all", msg.Report.TotalMemory), logging.Err(err))
 		r.decider.tell(r.life, msg)
 	}()
 }
@@ -267,12 +267,12 @@
 // answeredBy takes in who has answered at an upstream's address. Another one there proves that
 // the upstream has ended, or was never there.
 func (r *Relay) answeredBy(upstream fleet.Incarnation, address string, presence fleet.Presence) {
-	if presence == fleet.Another {
+	if presence == fleet.Replaced {
 		r.replaced(upstream, address)
 	}
 }
 
-func chainText(parts []chain.Part) string {
+func chainText(parts []chain.Stage) string {
 	text := make([]byte, 0, len(parts)*bytesEachPart)
 	for i, p := range parts {
 		if i > 0 {
--- a/relay/word.go
+++ b/relay/word.go
@@ -52,11 +52,11 @@
 	}
 	if word.Limited {
 		r.stats.count("limits_named")
-		r.decider.tell(r.life, dispatch.LimitMsg{Upstream: upstream, Rate: word.Limit})
+		r.decider.tell(r.life, dispatch.AdvertisedLimitMsg{Upstream: upstream, Rate: word.Limit})
 	}
 	if word.Rest > 0 {
 		r.stats.count("rests_asked")
-		r.decider.tell(r.life, dispatch.RestMsg{Upstream: upstream, For: word.Rest})
+		r.decider.tell(r.life, dispatch.BackOffMsg{Upstream: upstream, For: word.Rest})
 	}
 	if word.Leaving {
 		r.leaving(upstream)
@@ -68,6 +68,6 @@
 // upstream that has named one.
 func (r *Relay) unlimited(upstream fleet.Incarnation, sent clock.Millis) {
 	if r.upstreams.get(upstream).limitEnds(sent) {
-		r.decider.tell(r.life, dispatch.NoLimitMsg{Upstream: upstream, Sent: sent})
+		r.decider.tell(r.life, dispatch.NoAdvertisedLimitMsg{Upstream: upstream, SentAt: sent})
 	}
 }
