--- /dev/null
+++ b/node/local_state.go
@@ -0,0 +1,73 @@
+package node
+
+import (
+	"sync"
+
+	"github.com/hoistjunction/hoistjunction/catalog"
+	"github.com/hoistjunction/hoistjunction/clock"
+	"github.com/hoistjunction/hoistjunction/fleet"
+	"github.com/hoistjunction/hoistjunction/follow"
+	"github.com/hoistjunction/hoistjunction/logging"
+	"github.com/hoistjunction/hoistjunction/platform"
+	"github.com/hoistjunction/hoistjunction/wire"
+)
+
+// localState is the state that the node shares with its peers; it also applies the state that
+// peers send. It is safe for concurrent use.
+type localState struct {
+	node   *Node
+	mu     sync.Mutex
+	active follow.ActiveConfig
+}
+
+// apply applies a proof of the store's configuration, and returns its result and the active
+// configuration.
+func (s *localState) apply(p follow.Proof) (follow.ProofResult, follow.ActiveConfig) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	result := s.active.Apply(p)
+	return result, s.active
+}
+
+// Config implements peering.LocalState.
+func (s *localState) Config() follow.ActiveConfig {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.active
+}
+
+// Fleet implements peering.LocalState.
+func (s *localState) Fleet() ([]fleet.Upstream, bool) { return s.node.fleetFollower.ConfirmedList() }
+
+// Listed implements peering.LocalState.
+func (s *localState) Listed() bool { return s.node.fleetFollower.HasList() }
+
+// LearnConfig implements peering.Receiver.
+func (s *localState) LearnConfig(edition catalog.Edition, raw []byte, confirmed clock.Millis) {
+	proof := follow.Proof{Edition: edition, Confirmed: confirmed}
+	if len(raw) > 0 {
+		c, err := platform.DecodeCatalog(raw, edition.Written())
+		if err != nil {
+			s.node.log.Error("config_unreadable", logging.Err(err))
+			return
+		}
+		proof.Edition, proof.Catalog, proof.Raw = c.Edition(), c, raw
+	}
+	s.node.applyConfig(proof)
+}
+
+// LearnFleet implements peering.Receiver.
+func (s *localState) LearnFleet(list []fleet.Upstream) { s.node.fleetFollower.AddPeerList(list) }
+
+// maxMeshUsageNodes bounds the systems in which all nodes send their usage to each other across
+// data centres too, since chains use engines of other data centres when a local one crashes. In
+// larger systems a node sends its usage within its own data centre, and one node sends the sum
+// of its data centre to the others: otherwise datagrams would grow with the square of the number
+// of nodes, and traffic between data centres is expensive.
+const maxMeshUsageNodes = 24
+
+// LearnMembers implements peering.Receiver.
+func (s *localState) LearnMembers(others []*wire.Member, rank int) {
+	s.node.roster.SetGroup(readingGroup(others, s.node.settings.DataCentre))
+	s.node.members.set(others, rank)
+}
--- a/node/members.go
+++ b/node/members.go
@@ -6,24 +6,25 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// members are the other nodes that are known. It is safe for concurrent use.
+// members holds the other known nodes. It is safe for concurrent use.
 type members struct {
 	mu     sync.Mutex
 	others []*wire.Member
-	// rank is this node's by name among all, and changes counts what was set.
+	// rank is the position of this node among all nodes sorted by name; changes counts the calls
+	// of set.
 	rank    int
 	changes int
-	// known is closed once something was set.
-	known chan struct{}
+	// ready is closed by the first call of set.
+	ready chan struct{}
 }
 
-func newMembers() *members { return &members{known: make(chan struct{})} }
+func newMembers() *members { return &members{ready: make(chan struct{})} }
 
 func (m *members) set(others []*wire.Member, rank int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.changes == 0 {
-		close(m.known)
+		close(m.ready)
 	}
 	m.others, m.rank = others, rank
 	m.changes++
--- a/node/readers.go
+++ b/node/readers.go
@@ -16,25 +16,24 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// followableWithin is how long ago the store may have answered for others to follow
-// this node. For a node that reads for others that gets
-// 1.2 s old, and a little more where the store is slow.
-const followableWithin clock.Millis = 2000
+// maxFollowableAge is the largest age of the store's last answer at which other nodes may follow
+// this one. On a node that reads for others the age reaches 1.2 s, and slightly more if the
+// store is slow.
+const maxFollowableAge clock.Millis = 2000
 
-// readers says which node reads the store for this one. It implements
-// follow.Readers and is safe for concurrent use.
+// readers selects the node that reads the store for this one. It implements follow.Readers and
+// is safe for concurrent use.
 type readers struct {
 	node   *Node
 	client *http.Client
 
 	mu sync.Mutex
-	// at is the address of the node that is followed, empty for none, and source
-	// follows it.
-	at     string
-	source *namedSource
+	// address is the address of the followed node, empty for none; source reads from that node.
+	address string
+	source  *namedSource
 }
 
-// namedSource follows a node of a name.
+// namedSource reads from a node and holds the node's name.
 type namedSource struct {
 	*reading.Source
 	name string
@@ -45,76 +44,77 @@
 	m := r.node.roster.Reader(r.node.clock.Now())
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if m.GetAddress() != r.at {
-		r.at = m.GetAddress()
-		r.source = r.sourceAt(m)
-		r.node.log.Info("reader", zap.String("follows", m.GetName()), zap.String("address", r.at))
+	if m.GetAddress() != r.address {
+		r.address = m.GetAddress()
+		r.source = r.newSource(m)
+		r.node.log.Info("reader", zap.String("follows", m.GetName()), zap.String("address", r.address))
 	}
 	if m == nil {
-		// Not r.source: a nil pointer in an interface is not nil.
+		// Returning r.source here would give a non-nil interface that holds a nil pointer.
 		return nil
 	}
 	return r.source
 }
 
-// following is the name of the node that is followed, empty for the store.
-func (r *readers) following() string {
+// sourceName returns the name of the followed node, empty if the node reads the store itself.
+func (r *readers) sourceName() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.at == "" {
+	if r.address == "" {
 		return ""
 	}
 	return r.source.name
 }
 
-// firstWithin is how long another node may take to tell this one the first that it knows.
-// Where all start together it reads the store meanwhile.
-const firstWithin clock.Millis = 800
+// initialReadTimeout bounds the first read from another node. If all nodes start together, the
+// other node is still reading the store at that time.
+const initialReadTimeout clock.Millis = 800
 
-// firstReader reads from another node first. It may never have been heard of by this one, so
-// what fails is not asked twice.
-type firstReader struct{ *namedSource }
+// initialReader reads from another node at the start. The other node may not have discovered
+// this one yet, so a failed read is not retried.
+type initialReader struct{ *namedSource }
 
 // AwaitCatalog implements follow.Reader.
-func (r firstReader) AwaitCatalog(ctx context.Context, have catalog.Edition, wait clock.Millis) (follow.CatalogReading, error) {
-	ctx, cancel := context.WithTimeout(ctx, firstWithin.Duration())
+func (r initialReader) AwaitCatalog(ctx context.Context, have catalog.Edition, wait clock.Millis) (follow.CatalogReading, error) {
+	ctx, cancel := context.WithTimeout(ctx, initialReadTimeout.Duration())
 	defer cancel()
 	reading, err := r.namedSource.AwaitCatalog(ctx, have, wait)
-	return reading, failedFirst(err)
+	return reading, initialReadError(err)
 }
 
 // AwaitUpstreams implements follow.Reader.
-func (r firstReader) AwaitUpstreams(ctx context.Context, after moment.Moment, wait clock.Millis) (follow.FleetReading, error) {
-	ctx, cancel := context.WithTimeout(ctx, firstWithin.Duration())
+func (r initialReader) AwaitUpstreams(ctx context.Context, after moment.Moment, wait clock.Millis) (follow.FleetReading, error) {
+	ctx, cancel := context.WithTimeout(ctx, initialReadTimeout.Duration())
 	defer cancel()
 	reading, err := r.namedSource.AwaitUpstreams(ctx, after, wait)
-	return reading, failedFirst(err)
+	return reading, initialReadError(err)
 }
 
-// errFirst is why a node has not read from another one first.
-var errFirst = errors.New("node: another node has not told the first that it knows")
+// errInitialRead is the reason why the first read from another node failed.
+var errInitialRead = errors.New("node: initial read from another node failed")
 
-// failedFirst leaves out of an error what would have the node asked once more.
-func failedFirst(err error) error {
+// initialReadError hides the cause of a failed first read, so that the caller does not retry
+// because of its type.
+func initialReadError(err error) error {
 	if err == nil {
 		return nil
 	}
-	return errors.Newf("%v: %v", errFirst, err)
+	return errors.Newf("%v: %v", errInitialRead, err)
 }
 
 // First implements follow.Readers.
 func (r *readers) First() (follow.Reader, bool) {
-	m, waits := r.node.roster.InitialReader(r.node.clock.Now())
+	m, wait := r.node.roster.InitialReader(r.node.clock.Now())
 	if m == nil {
-		return nil, waits
+		return nil, wait
 	}
-	return firstReader{r.sourceAt(m)}, false
+	return initialReader{r.newSource(m)}, false
 }
 
-// sourceAt returns what follows a node.
-func (r *readers) sourceAt(m *wire.Member) *namedSource {
-	vouchSoon := follow.FirstRequestWait(r.node.settings.changesWithin())
-	return &namedSource{Source: reading.NewSource(r.client, m.GetAddress(), r.node.roster.Self().GetAddress(), vouchSoon), name: m.GetName()}
+// newSource returns a source that reads from a node.
+func (r *readers) newSource(m *wire.Member) *namedSource {
+	requestWait := follow.FirstRequestWait(r.node.settings.changeDeadline())
+	return &namedSource{Source: reading.NewSource(r.client, m.GetAddress(), r.node.roster.Self().GetAddress(), requestWait), name: m.GetName()}
 }
 
 // Failed implements follow.Readers.
@@ -122,17 +122,17 @@
 	switch source := reader.(type) {
 	case *namedSource:
 		r.node.roster.ReaderFailed(r.node.clock.Now(), source.name)
-	case firstReader:
+	case initialReader:
 		r.node.roster.ReaderFailed(r.node.clock.Now(), source.name)
 	}
 }
 
 // Overdue implements follow.Readers.
-func (r *readers) Overdue() bool { return r.node.shared.NeedsProof() }
+func (r *readers) Overdue() bool { return r.node.readLog.NeedsProof() }
 
 // Waits implements follow.Readers.
 func (r *readers) Waits() bool {
-	return r.node.roster.ShouldWait(r.node.clock.Now(), r.node.shared.HasFollowers())
+	return r.node.roster.ShouldWait(r.node.clock.Now(), r.node.readLog.HasFollowers())
 }
 
 // StoreLost implements follow.Readers.
@@ -142,34 +142,33 @@
 func (r *readers) StoreBack() { r.node.roster.StoreRecovered(r.node.clock.Now()) }
 
 // StoreReturned implements follow.Readers.
-func (r *readers) StoreReturned() { r.node.putBack() }
+func (r *readers) StoreReturned() { r.node.restoreEntries() }
 
-// Followed implements follow.Readers. A node whose turn it is to read for others
-// is ready before they ask.
+// Followed implements follow.Readers. A node that is selected as reader is ready before the
+// first request of a follower.
 func (r *readers) Followed() bool {
-	return r.node.roster.IsReader(r.node.clock.Now()) || r.node.shared.HasFollowers()
+	return r.node.roster.IsReader(r.node.clock.Now()) || r.node.readLog.HasFollowers()
 }
 
-// followable tells whether other nodes may follow this one in place of the
-// store.
-func (n *Node) followable() bool {
-	return !n.relay.Stopping() && !n.outage.Ongoing() && !n.known.Config().Edition.IsZero() &&
-		n.clock.Now().Sub(n.shared.AnsweredAt()) <= followableWithin
+// isFollowable reports whether other nodes may follow this node instead of the store.
+func (n *Node) isFollowable() bool {
+	return !n.relay.Stopping() && !n.outage.Ongoing() && !n.local.Config().Edition.IsZero() &&
+		n.clock.Now().Sub(n.readLog.AnsweredAt()) <= maxFollowableAge
 }
 
-// readingGroup returns the nodes of which one reads the store for all: those of the
-// data centre or, where it has too few and the system is so small that all nodes
-// tell each other of themselves, all.
+// readingGroup returns the other nodes that share a reader with this one: those of its data
+// centre or, if the data centre has too few nodes and the system is so small that all nodes
+// exchange usage, all nodes.
 func readingGroup(others []*wire.Member, dataCentre string) []*wire.Member {
-	here := membersOf(others, dataCentre)
-	if len(here)+1 < reading.MinNodes && len(others) < nearAll {
+	here := membersIn(others, dataCentre)
+	if len(here)+1 < reading.MinNodes && len(others) < maxMeshUsageNodes {
 		return others
 	}
 	return here
 }
 
-// membersOf returns the nodes of a data centre.
-func membersOf(members []*wire.Member, dataCentre string) []*wire.Member {
+// membersIn returns the nodes of a data centre.
+func membersIn(members []*wire.Member, dataCentre string) []*wire.Member {
 	var near []*wire.Member
 	for _, m := range members {
 		if m.GetDataCentre() == dataCentre {
--- a/node/simnet_test.go
+++ b/node/simnet_test.go
@@ -12,46 +12,47 @@
 	"time"
 )
 
-// simConnectTimeout bounds a new connection, as platform.Dialer does.
+// simConnectTimeout bounds the time for a new connection, as platform.Dialer does.
 const simConnectTimeout = 400 * time.Millisecond
 
 var errRefused = errors.New("connection refused")
 
-// simNet is a network in memory. Its connections may go silent for good, and hosts
-// may be frozen, be dead or be cut off from each other.
+// simNet is a network in memory. Its connections may go silent permanently, and its hosts may be
+// frozen, killed or cut off from each other.
 type simNet struct {
 	mu        sync.Mutex
 	listeners map[string]*simListener
-	// links are the open connections, in the order in which they were opened.
-	links  []*simLink
-	opened map[[2]string]int
-	frozen map[string]bool
-	// cut holds pairs of hosts between which nothing passes.
+	// links holds the open connections in the order in which they were opened.
+	links      []*simLink
+	linkCounts map[[2]string]int
+	frozen     map[string]bool
+	// cut holds the pairs of hosts that cannot reach each other.
 	cut map[[2]string]bool
-	// changed is closed, and replaced, when frozen or cut changes.
+	// changed is closed and replaced when frozen or cut changes.
 	changed chan struct{}
-	// wait draws how long a host's processor makes what it sends wait.
-	wait func() time.Duration
+	// sendDelay draws the delay of a write by a busy processor.
+	sendDelay func() time.Duration
 }
 
 func newSimNet() *simNet {
 	return &simNet{
 		listeners: make(map[string]*simListener), frozen: make(map[string]bool),
-		cut: make(map[[2]string]bool), opened: make(map[[2]string]int), changed: make(chan struct{}),
-		wait: func() time.Duration { return 0 },
+		cut: make(map[[2]string]bool), linkCounts: make(map[[2]string]int), changed: make(chan struct{}),
+		sendDelay: func() time.Duration { return 0 },
 	}
 }
 
-// jitter makes hosts wait for their processors, up to a time whenever they send.
-func (n *simNet) jitter(seed uint64, most time.Duration) {
-	if most <= 0 {
+// jitter delays each write by a random time below a maximum, as on a host with a busy
+// processor.
+func (n *simNet) jitter(seed uint64, maxDelay time.Duration) {
+	if maxDelay <= 0 {
 		return
 	}
 	random := rand.New(rand.NewPCG(seed, 1))
-	n.wait = func() time.Duration {
+	n.sendDelay = func() time.Duration {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		return time.Duration(random.Int64N(int64(most)))
+		return time.Duration(random.Int64N(int64(maxDelay)))
 	}
 }
 
@@ -59,14 +60,14 @@
 type simLink struct {
 	net      *simNet
 	from, to string
-	// nth is how many connections the one has opened to the other.
-	nth    int
+	// number is the count of connections from one host to the other, this one included.
+	number int
 	silent chan struct{}
 	once   sync.Once
 }
 
-// mute makes the connection silent: what is sent on it from now on is lost, and neither
-// end learns that the other one closes it.
+// mute makes the connection silent: data that is written later is lost, and neither end notices
+// when the other end closes the connection.
 func (l *simLink) mute() { l.once.Do(func() { close(l.silent) }) }
 
 func (l *simLink) muted() bool {
@@ -78,14 +79,14 @@
 	}
 }
 
-// simConn is an end of a link.
+// simConn is one end of a link.
 type simConn struct {
 	net.Conn
-	link         *simLink
-	local        string
-	remote       string
-	closed       chan struct{}
-	closedByOnce sync.Once
+	link      *simLink
+	local     string
+	remote    string
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
 type simAddr string
@@ -96,17 +97,17 @@
 func (c *simConn) LocalAddr() net.Addr  { return simAddr(c.local + ":1") }
 func (c *simConn) RemoteAddr() net.Addr { return simAddr(c.remote + ":1") }
 
-// Write passes on what is written once the way is free.
+// Write writes the data once both hosts can reach each other.
 func (c *simConn) Write(p []byte) (int, error) {
-	if wait := c.link.net.wait(); wait > 0 {
+	if wait := c.link.net.sendDelay(); wait > 0 {
 		time.Sleep(wait)
 	}
 	for {
-		free, changed := c.link.net.free(c.local, c.remote)
+		passable, changed := c.link.net.canPass(c.local, c.remote)
 		switch {
 		case c.link.muted():
 			return len(p), nil
-		case free:
+		case passable:
 			return c.Conn.Write(p)
 		}
 		select {
@@ -118,17 +119,18 @@
 	}
 }
 
-// Close closes the connection. Of a silent one the other end learns nothing.
+// Close closes the connection. If it is silent, the other end does not notice.
 func (c *simConn) Close() error {
-	c.closedByOnce.Do(func() { close(c.closed) })
+	c.closeOnce.Do(func() { close(c.closed) })
 	if c.link.muted() {
 		return c.SetDeadline(time.Unix(1, 0))
 	}
 	return c.Conn.Close()
 }
 
-// free tells whether anything passes between two hosts, and when to look again.
-func (n *simNet) free(a, b string) (bool, <-chan struct{}) {
+// canPass reports whether two hosts can reach each other, and returns a channel that is closed
+// when that may change.
+func (n *simNet) canPass(a, b string) (bool, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.frozen[a] && !n.frozen[b] && !n.cut[pair(a, b)], n.changed
@@ -136,23 +138,23 @@
 
 func pair(a, b string) [2]string { return [2]string{min(a, b), max(a, b)} }
 
-// change changes what is frozen or cut.
-func (n *simNet) change(do func()) {
+// update changes the sets of frozen hosts and cut pairs.
+func (n *simNet) update(change func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	do()
+	change()
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// silence makes open connections go silent: each with a chance, and of one host alone
-// if it is named. The chance hangs on the two hosts and on how many connections they
-// have opened, not on the order in which goroutines run at one moment.
-func (n *simNet) silence(seed uint64, share float64, host string) {
+// muteLinks mutes each open connection with a probability, or only those of a host if one is
+// given. The random choice depends on the two hosts and on the number of connections between
+// them, not on the order of goroutines.
+func (n *simNet) muteLinks(seed uint64, share float64, host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.links = slices.DeleteFunc(n.links, func(l *simLink) bool {
-		random := rand.New(rand.NewPCG(seed, hash(fmt.Sprint(l.from, l.to, l.nth))))
+		random := rand.New(rand.NewPCG(seed, hash(fmt.Sprint(l.from, l.to, l.number))))
 		if host != "" && l.from != host && l.to != host || random.Float64() >= share {
 			return false
 		}
@@ -198,15 +200,15 @@
 		return nil, errRefused
 	}
 	n.mu.Lock()
-	n.opened[[2]string{from, to}]++
-	link.nth = n.opened[[2]string{from, to}]
+	n.linkCounts[[2]string{from, to}]++
+	link.number = n.linkCounts[[2]string{from, to}]
 	n.links = append(n.links, link)
 	n.mu.Unlock()
-	listener.note(near, far)
+	listener.addPipes(near, far)
 	return dialed, nil
 }
 
-// listen returns where a host takes connections.
+// listen returns the listener of a host.
 func (n *simNet) listen(host string) *simListener {
 	l := &simListener{host: host, net: n, accepted: make(chan net.Conn, 64), closed: make(chan struct{})}
 	n.mu.Lock()
@@ -215,7 +217,8 @@
 	return l
 }
 
-// simListener takes connections. It keeps the pipes, to close them for good.
+// simListener accepts connections. It keeps the pipes so that it can close them even if they are
+// silent.
 type simListener struct {
 	host     string
 	net      *simNet
@@ -235,7 +238,7 @@
 	}
 }
 
-func (l *simListener) note(pipes ...net.Conn) {
+func (l *simListener) addPipes(pipes ...net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.pipes = append(l.pipes, pipes...)
@@ -251,7 +254,7 @@
 	}
 }
 
-// Close implements net.Listener. Open connections end too, as with their process.
+// Close implements net.Listener. It also closes open connections, as the end of a process does.
 func (l *simListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	l.net.mu.Lock()
--- a/node/simsite_test.go
+++ b/node/simsite_test.go
@@ -33,202 +33,205 @@
 )
 
 const (
-	// simContact is for how long a node must have had no disruption to be judged, and
-	// simWithin within what time it must know a change: the users' bounds.
-	simContact = 3 * time.Second
-	simWithin  = 2 * time.Second
-	// simReserve is what is left of a bound for the work on what a change brings.
-	simReserve = 50 * time.Millisecond
-	// simWord is how often nodes tell each other of themselves.
-	simWord = 300 * time.Millisecond
-	// simAnswer is what the store takes for an answer.
-	simAnswer clock.Millis = 4
-	// simLook is how often what nodes know is looked at.
-	simLook  = 10 * time.Millisecond
-	simStore = "store"
+	// simStablePeriod is how long a node must have had no fault before it is checked, and
+	// simDeadline is the time within which it must have a change: both bounds are the users'.
+	simStablePeriod = 3 * time.Second
+	simDeadline     = 2 * time.Second
+	// simMargin is the part of the deadline that is reserved for the work after a change has
+	// reached a node.
+	simMargin = 50 * time.Millisecond
+	// simStatusInterval is how often nodes send their status to each other.
+	simStatusInterval = 300 * time.Millisecond
+	// simStoreLatency is how long the store takes to answer.
+	simStoreLatency clock.Millis = 4
+	// simCheckInterval is how often the state of the nodes is checked.
+	simCheckInterval = 10 * time.Millisecond
+	simStoreHost     = "store"
 )
 
-// simEvent is something that happens at a time of a play.
+// simEvent is an event at a time of a run.
 type simEvent struct {
 	at time.Duration
-	// what is the verb: silent, freeze, kill, cut_store, cut_nodes, refuse, refuse_list,
-	// down, slow, leaves, ends, joins, config, rows, copy or returns.
-	what string
-	// node is the node that it strikes; empty for all, or for the store.
+	// kind is one of silent, freeze, kill, cut_store, cut_nodes, refuse, refuse_list, down,
+	// slow, leaves, ends, joins, config, rows, copy or returns.
+	kind string
+	// node is the affected node; empty for all nodes, or for the store.
 	node string
-	// lasts is how long it lasts, share how many connections it strikes.
-	lasts time.Duration
-	share float64
-	// how is what a store answers that refuses: 503, 429, or silence; or how one is away that
-	// comes back from a copy: down, hang, or not at all.
-	how string
-	// rewrites is how long after its return the operator writes what the store has lost.
-	rewrites time.Duration
+	// duration is how long the fault lasts; share is the share of the connections that it
+	// affects.
+	duration time.Duration
+	share    float64
+	// mode is how a store refuses a call (503, 429 or silence), or how it is unavailable before
+	// a restore (down, hang, or empty for available).
+	mode string
+	// rewriteDelay is the time between a store restore and the rewrite of the configuration by
+	// the operator.
+	rewriteDelay time.Duration
 }
 
 func (e simEvent) String() string {
-	text := fmt.Sprintf("at=%d %s", e.at.Milliseconds(), e.what)
+	text := fmt.Sprintf("at=%d %s", e.at.Milliseconds(), e.kind)
 	if e.node != "" {
 		text += " node=" + e.node
 	}
-	if e.lasts > 0 {
-		text += fmt.Sprintf(" for=%d", e.lasts.Milliseconds())
+	if e.duration > 0 {
+		text += fmt.Sprintf(" for=%d", e.duration.Milliseconds())
 	}
 	if e.share > 0 && e.share < 1 {
 		text += fmt.Sprintf(" share=%.2f", e.share)
 	}
-	if e.how != "" {
-		text += " how=" + e.how
+	if e.mode != "" {
+		text += " how=" + e.mode
 	}
-	if e.rewrites > 0 {
-		text += fmt.Sprintf(" rewrites=%d", e.rewrites.Milliseconds())
+	if e.rewriteDelay > 0 {
+		text += fmt.Sprintf(" rewrites=%d", e.rewriteDelay.Milliseconds())
 	}
 	return text
 }
 
-// simChange is a change that the store has taken.
+// simChange is a change that the store has accepted.
 type simChange struct {
 	at time.Time
-	// upstream has said that it leaves, or has no entry any more; empty for a
-	// configuration, of a version.
+	// upstream is the upstream that leaves or has crashed; it is empty for a change of the
+	// configuration, which has a version.
 	upstream string
 	version  uint64
-	// ends tells that the upstream has ended without a word.
-	ends bool
-	// undone tells that the store has come back from a copy that shows it still.
-	undone bool
-	// reported are the nodes that are known to have missed it, and known those that know it,
-	// by name.
-	reported map[string]bool
-	known    map[string]*simNode
-}
-
-// simSetting is what a site is like throughout a play.
+	// crash reports whether the upstream crashed without notice.
+	crash bool
+	// restoredEntry reports whether a store restore has brought back the entry of the crashed
+	// upstream.
+	restoredEntry bool
+	// missedBy holds the names of the nodes whose failure to apply the change in time is
+	// recorded; appliedBy holds the nodes that have applied it, by name.
+	missedBy  map[string]bool
+	appliedBy map[string]*simNode
+}
+
+// simSetting holds the properties of a site that do not change during a run.
 type simSetting struct {
-	// within is within what time changes must be known.
-	within time.Duration
-	// loss is the share of the nodes' word of themselves that is lost.
+	// deadline is the time within which changes must reach all nodes.
+	deadline time.Duration
+	// loss is the share of lost status messages between nodes.
 	loss float64
-	// jitter bounds how long a node's processor makes what it sends wait, each time.
+	// jitter bounds the delay of each write of a node by its busy processor.
 	jitter time.Duration
-	// returns tells that the store of a seed comes back from copies.
-	returns bool
+	// restores reports whether the events of a seed include store restores.
+	restores bool
 }
 
-// usualSetting is that of the users' sites.
-func usualSetting() simSetting { return simSetting{within: simWithin} }
+// defaultSetting returns the setting of the users' sites.
+func defaultSetting() simSetting { return simSetting{deadline: simDeadline} }
 
 // simSite is a store and the nodes that follow it, in virtual time.
 type simSite struct {
-	t       *testing.T
-	setting simSetting
-	net     *simNet
-	store   *standin.RowStore
-	random  *rand.Rand
-	began   time.Time
-	names   []string
-	mu      sync.Mutex
-	nodes   map[string]*simNode
-	refuses map[string]string
-	// refusesList is what the store answers some nodes that ask for the list alone.
-	refusesList map[string]string
-	calls       int
-	// disturbed is until when something lasts that disturbs a node, by name, or the
-	// store.
-	disturbed map[string]time.Time
-	changes   []*simChange
-	next      int
-	version   uint64
-	missed    []string
-	closed    bool
-	// states are what upstreams say of themselves, without those that have ended.
+	t          *testing.T
+	setting    simSetting
+	net        *simNet
+	store      *standin.RowStore
+	random     *rand.Rand
+	startedAt  time.Time
+	names      []string
+	mu         sync.Mutex
+	nodes      map[string]*simNode
+	rejections map[string]string
+	// listRejections holds the store's answer to a node's requests for the list, by name of the
+	// node.
+	listRejections map[string]string
+	calls          int
+	// disturbedUntil holds the end of the last fault of each node and of the store, by name.
+	disturbedUntil map[string]time.Time
+	changes        []*simChange
+	next           int
+	version        uint64
+	failures       []string
+	closed         bool
+	// states holds the state in the entry of each upstream that has not crashed.
 	states map[string]string
-	// returned is when the store has come back from a copy last, and rows counts what others
-	// have written.
-	returned time.Time
-	rows     int
+	// restoredAt is the time of the last store restore; rows counts the rows of other writers.
+	restoredAt time.Time
+	rows       int
 }
 
-// simNode is a node's followers.
+// simNode holds the followers of a node.
 type simNode struct {
 	*Node
-	end     context.CancelFunc
-	ended   sync.WaitGroup
-	idle    func()
-	mu      sync.Mutex
-	left    map[string]bool
-	listed  map[string]bool
-	version uint64
+	stop        context.CancelFunc
+	wg          sync.WaitGroup
+	closeIdle   func()
+	mu          sync.Mutex
+	unavailable map[string]bool
+	listed      map[string]bool
+	version     uint64
 }
 
-// simResult is what has come of a play: which nodes in touch did not know a change in
-// time, and how often the store was called.
+// simResult is the result of a run: the failures of nodes without a fault to apply changes in
+// time, and the number of store calls.
 type simResult struct {
-	missed []string
-	calls  int
+	failures []string
+	calls    int
 }
 
-// playSim plays events on a site of some nodes.
-func playSim(t *testing.T, setting simSetting, seed uint64, nodes int, until time.Duration, events []simEvent) (result simResult) {
+// runSim runs events on a site with some nodes.
+func runSim(t *testing.T, setting simSetting, seed uint64, nodes int, until time.Duration, events []simEvent) (result simResult) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimSite(t, setting, seed, nodes)
 		defer s.close()
 		slices.SortStableFunc(events, func(a, b simEvent) int { return int(a.at - b.at) })
-		for at := time.Duration(0); at < until; at += simLook {
+		for at := time.Duration(0); at < until; at += simCheckInterval {
 			for len(events) > 0 && events[0].at <= at {
-				s.do(events[0])
+				s.apply(events[0])
 				events = events[1:]
 			}
-			time.Sleep(simLook)
-			s.judge()
+			time.Sleep(simCheckInterval)
+			s.check()
 		}
-		result = simResult{missed: s.missed, calls: s.calls}
+		result = simResult{failures: s.failures, calls: s.calls}
 	})
 	return result
 }
 
-// simUpstreams is how many upstreams there are at the start.
+// simUpstreams is the number of upstreams at the start.
 const simUpstreams = 40
 
 func newSimSite(t *testing.T, setting simSetting, seed uint64, nodes int) *simSite {
 	s := &simSite{
-		t: t, setting: setting, net: newSimNet(), store: standin.NewRowStore(), random: rand.New(rand.NewPCG(seed, seed)), began: time.Now(),
-		nodes: make(map[string]*simNode), refuses: make(map[string]string), refusesList: make(map[string]string), disturbed: make(map[string]time.Time), version: 1,
+		t: t, setting: setting, net: newSimNet(), store: standin.NewRowStore(), random: rand.New(rand.NewPCG(seed, seed)), startedAt: time.Now(),
+		nodes: make(map[string]*simNode), rejections: make(map[string]string), listRejections: make(map[string]string), disturbedUntil: make(map[string]time.Time), version: 1,
 		states: make(map[string]string),
 	}
 	s.net.jitter(seed, setting.jitter)
 	s.store.Put("op", "config", standin.SiteConfig(s.version, "k1"))
 	for i := range simUpstreams {
-		s.put(fmt.Sprintf("u%d", i), "ready")
+		s.putUpstream(fmt.Sprintf("u%d", i), "ready")
 	}
 	s.store.SetFaults(s.faults())
-	server := &http.Server{Handler: s.front(s.store.Handler())}
-	listener := s.net.listen(simStore)
+	server := &http.Server{Handler: s.rejectingHandler(s.store.Handler())}
+	listener := s.net.listen(simStoreHost)
 	go func() { _ = server.Serve(listener) }()
 	for i := range nodes {
 		s.names = append(s.names, fmt.Sprintf("n%02d", i+1))
 	}
 	for _, name := range s.names {
-		s.start(name)
+		s.startNode(name)
 	}
 	t.Cleanup(func() { _ = server.Close() })
 	return s
 }
 
 func (s *simSite) faults() standin.RowStoreFaults {
-	return standin.RowStoreFaults{SlowMS: int64(simAnswer)}
+	return standin.RowStoreFaults{SlowMS: int64(simStoreLatency)}
 }
 
-// front turns nodes away, and counts calls.
-func (s *simSite) front(store http.Handler) http.Handler {
+// rejectingHandler rejects the calls of some nodes, and counts all calls.
+func (s *simSite) rejectingHandler(store http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		host, _, _ := net.SplitHostPort(r.RemoteAddr)
 		s.mu.Lock()
 		s.calls++
-		how := s.refuses[host]
+		how := s.rejections[host]
 		if how == "" && r.URL.Query().Get("table") == "servers" {
-			how = s.refusesList[host]
+			how = s.listRejections[host]
 		}
 		s.mu.Unlock()
 		switch how {
@@ -244,12 +247,12 @@
 	})
 }
 
-func (s *simSite) put(id, state string) {
+func (s *simSite) putUpstream(id, state string) {
 	s.setState(id, state)
 	s.store.Put("servers", id, s.entry(id, state))
 }
 
-// setState notes what an upstream says of itself, empty for one that has ended.
+// setState sets the state of an upstream; empty for a crashed one.
 func (s *simSite) setState(id, state string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -259,7 +262,7 @@
 	}
 }
 
-// entry is what an upstream says of itself.
+// entry returns the entry of an upstream.
 func (s *simSite) entry(id, state string) []byte {
 	entry, err := standin.EntryBytes(&platformpb.Server{Service: "writer", Address: id + ":1", Zone: "z", State: state})
 	if err != nil {
@@ -268,8 +271,8 @@
 	return entry
 }
 
-// start starts a node.
-func (s *simSite) start(name string) {
+// startNode starts a node.
+func (s *simSite) startNode(name string) {
 	log := zap.NewNop()
 	if os.Getenv("SIM_LOG") != "" {
 		to, err := logging.NewTo("debug", zapcore.Lock(os.Stdout))
@@ -278,45 +281,45 @@
 		}
 		log = to.With(zap.String("node", name))
 	}
-	life, end := context.WithCancel(context.Background())
-	n := &simNode{end: end, left: make(map[string]bool), listed: make(map[string]bool)}
+	ctx, cancel := context.WithCancel(context.Background())
+	n := &simNode{stop: cancel, unavailable: make(map[string]bool), listed: make(map[string]bool)}
 	c := clocktest.NewClock()
 	n.Node = &Node{
-		settings: &Settings{Name: name, DataCentre: "z", ConfigWithin: clock.FromDuration(s.setting.within), LeavingWithin: clock.FromDuration(s.setting.within)},
-		log:      log, clock: c, life: life, silences: newSilences(),
-		store: platform.NewStore(simStore+":1", log, platform.WithDialer(s.net.dial(name))),
-		relay: relay.New(life, platform.Headers{}, dispatch.New(), c, log),
+		settings: &Settings{Name: name, DataCentre: "z", ConfigDeadline: clock.FromDuration(s.setting.deadline), LeavingDeadline: clock.FromDuration(s.setting.deadline)},
+		log:      log, clock: c, ctx: ctx, unresponsive: newUnresponsiveReports(),
+		store: platform.NewStore(simStoreHost+":1", log, platform.WithDialer(s.net.dial(name))),
+		relay: relay.New(ctx, platform.Headers{}, dispatch.New(), c, log),
 	}
-	n.quarantined = newQuarantined(c, n.settings.quarantineLasts())
+	n.quarantined = newQuarantineSet(c, n.settings.quarantineDuration())
 	n.keeper = keeper.New(n.store, c, log, true, func([]dispatch.Quarantined) {})
 	peers := platform.NewPeerTransport(platform.WithDialer(s.net.dial(name)))
-	n.idle = peers.CloseIdleConnections
-	n.follow(&wire.Member{Name: name, DataCentre: "z"}, peers, n.tellCatalog, n.tellFleet)
-	n.peers = peering.New(&wire.Member{Name: name}, nil, n.store, n.known, n.known, c, log, peers, 1)
-	n.roster.SetGroup(s.others(name))
+	n.closeIdle = peers.CloseIdleConnections
+	n.follow(&wire.Member{Name: name, DataCentre: "z"}, peers, n.recordCatalog, n.recordFleet)
+	n.peers = peering.New(&wire.Member{Name: name}, nil, n.store, n.local, n.local, c, log, peers, 1)
+	n.roster.SetGroup(s.otherMembers(name))
 	mux := http.NewServeMux()
-	mux.Handle(reading.Handler(n.shared, func(string) {}))
+	mux.Handle(reading.Handler(n.readLog, func(string) {}))
 	server := &http.Server{Handler: mux}
 	listener := s.net.listen(name)
-	n.ended.Go(func() { _ = server.Serve(listener) })
-	n.ended.Go(func() { _ = n.catalogs.Run(life) })
-	n.ended.Go(func() { _ = n.fleets.Run(life) })
-	offset := time.Duration(s.random.Int64N(int64(simWord)))
-	lost := rand.New(rand.NewPCG(s.random.Uint64(), 0))
-	n.ended.Go(func() { s.tellOthers(life, n, offset, lost) })
-	n.ended.Go(func() {
-		<-life.Done()
+	n.wg.Go(func() { _ = server.Serve(listener) })
+	n.wg.Go(func() { _ = n.catalogFollower.Run(ctx) })
+	n.wg.Go(func() { _ = n.fleetFollower.Run(ctx) })
+	offset := time.Duration(s.random.Int64N(int64(simStatusInterval)))
+	loss := rand.New(rand.NewPCG(s.random.Uint64(), 0))
+	n.wg.Go(func() { s.sendStatus(ctx, n, offset, loss) })
+	n.wg.Go(func() {
+		<-ctx.Done()
 		_ = server.Close()
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nodes[name] = n
-	if now := time.Now(); now.After(s.disturbed[name]) {
-		s.disturbed[name] = now
+	if now := time.Now(); now.After(s.disturbedUntil[name]) {
+		s.disturbedUntil[name] = now
 	}
 }
 
-func (s *simSite) others(name string) []*wire.Member {
+func (s *simSite) otherMembers(name string) []*wire.Member {
 	var others []*wire.Member
 	for _, other := range s.names {
 		if other != name {
@@ -326,185 +329,187 @@
 	return others
 }
 
-// tellOthers tells other nodes of a node from time to time.
-func (s *simSite) tellOthers(ctx context.Context, n *simNode, offset time.Duration, lost *rand.Rand) {
+// sendStatus sends a node's status to the other nodes periodically.
+func (s *simSite) sendStatus(ctx context.Context, n *simNode, offset time.Duration, loss *rand.Rand) {
 	clock.Sleep(ctx, offset)
 	for ctx.Err() == nil {
-		told := n.told()
-		for _, other := range s.peersOf(n) {
-			if told != nil && !told[other.settings.Name] || lost.Float64() < s.setting.loss {
+		recipients := n.statusRecipients()
+		for _, other := range s.reachablePeers(n) {
+			if recipients != nil && !recipients[other.settings.Name] || loss.Float64() < s.setting.loss {
 				continue
 			}
-			other.roster.Heard(other.clock.Now(), n.settings.Name, n.followable())
+			other.roster.Heard(other.clock.Now(), n.settings.Name, n.isFollowable())
 		}
-		clock.Sleep(ctx, simWord)
+		clock.Sleep(ctx, simStatusInterval)
 	}
 }
 
-// told are the names of the nodes that a node tells of itself; nil for all.
-func (n *simNode) told() map[string]bool {
+// statusRecipients returns the names of the nodes that receive a node's status; nil for all.
+func (n *simNode) statusRecipients() map[string]bool {
 	circle := n.roster.Topology(n.clock.Now())
 	if circle.FullMesh {
 		return nil
 	}
-	told := make(map[string]bool)
+	recipients := make(map[string]bool)
 	for _, m := range slices.Concat(circle.Hubs, circle.Leaves, circle.Absent) {
-		told[m.GetName()] = true
+		recipients[m.GetName()] = true
 	}
-	return told
+	return recipients
 }
 
-// peersOf returns the nodes that a node's word reaches.
-func (s *simSite) peersOf(n *simNode) []*simNode {
+// reachablePeers returns the nodes that a status message of a node can reach.
+func (s *simSite) reachablePeers(n *simNode) []*simNode {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var peers []*simNode
 	for _, name := range s.names {
 		other := s.nodes[name]
-		if free, _ := s.net.free(n.settings.Name, name); free && other != nil && other != n {
+		if free, _ := s.net.canPass(n.settings.Name, name); free && other != nil && other != n {
 			peers = append(peers, other)
 		}
 	}
 	return peers
 }
 
-// tellCatalog takes what the follower of the configuration tells.
-func (n *simNode) tellCatalog(p follow.Proof) follow.ActiveConfig {
+// recordCatalog applies a proof of the configuration from the follower, and records the version.
+func (n *simNode) recordCatalog(p follow.Proof) follow.ActiveConfig {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	taken, inForce := n.known.take(p)
-	if taken == follow.Replaced {
+	result, active := n.local.apply(p)
+	if result == follow.Replaced {
 		n.version, _, _ = p.Edition.Parts()
 	}
-	return inForce
+	return active
 }
 
-// tellFleet takes what the follower of the list tells.
-func (n *simNode) tellFleet(changes []fleet.Change) {
+// recordFleet records changes of the list from the follower.
+func (n *simNode) recordFleet(changes []fleet.Change) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, c := range changes {
-		n.left[string(c.ID.ID())] = c.Gone || c.Upstream.Leaving
+		n.unavailable[string(c.ID.ID())] = c.Gone || c.Upstream.Leaving
 	}
 }
 
-// knows tells whether the node knows a change. One that has started since needs not.
-func (n *simNode) knows(c *simChange) bool {
+// isUpToDate reports whether the node has applied a change. A node that has started after an
+// upstream was removed never had it.
+func (n *simNode) isUpToDate(c *simChange) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if c.upstream == "" {
 		return n.version >= c.version
 	}
-	left, listed := n.left[c.upstream]
+	left, listed := n.unavailable[c.upstream]
 	return left || !listed
 }
 
-// do lets an event happen.
-func (s *simSite) do(e simEvent) {
-	ends := time.Now().Add(e.lasts)
-	switch e.what {
+// apply applies an event to the site.
+func (s *simSite) apply(e simEvent) {
+	until := time.Now().Add(e.duration)
+	switch e.kind {
 	case "silent":
-		s.net.silence(s.random.Uint64(), e.share, e.node)
-		s.disturb(ends, s.names...)
+		s.net.muteLinks(s.random.Uint64(), e.share, e.node)
+		s.markDisturbed(until, s.names...)
 	case "freeze":
-		s.lasting(e, ends, func(on bool) { s.net.change(func() { s.net.frozen[e.node] = on }) }, e.node)
+		s.runFault(e, until, func(on bool) { s.net.update(func() { s.net.frozen[e.node] = on }) }, e.node)
 	case "cut_store":
-		s.lasting(e, ends, func(on bool) { s.net.change(func() { s.net.cut[pair(e.node, simStore)] = on }) }, e.node)
+		s.runFault(e, until, func(on bool) { s.net.update(func() { s.net.cut[pair(e.node, simStoreHost)] = on }) }, e.node)
 	case "cut_nodes":
-		s.lasting(e, ends, func(on bool) {
-			s.net.change(func() {
+		s.runFault(e, until, func(on bool) {
+			s.net.update(func() {
 				for _, other := range s.names {
 					s.net.cut[pair(e.node, other)] = on && other != e.node
 				}
 			})
 		}, e.node)
 	case "refuse":
-		s.lasting(e, ends, func(on bool) { s.refuse(s.refuses, e, on) }, simStore)
+		s.runFault(e, until, func(on bool) { s.setRejection(s.rejections, e, on) }, simStoreHost)
 	case "refuse_list":
-		s.lasting(e, ends, func(on bool) { s.refuse(s.refusesList, e, on) }, simStore)
+		s.runFault(e, until, func(on bool) { s.setRejection(s.listRejections, e, on) }, simStoreHost)
 	case "down", "hang", "slow":
-		s.lasting(e, ends, func(on bool) { s.fail(e.what, on) }, simStore)
+		s.runFault(e, until, func(on bool) { s.setStoreFault(e.kind, on) }, simStoreHost)
 	case "kill":
-		s.lasting(e, ends, func(on bool) { s.kill(e.node, on) }, e.node)
+		s.runFault(e, until, func(on bool) { s.setKilled(e.node, on) }, e.node)
 	case "leaves", "ends", "joins", "config":
-		s.changeStore(e.what)
+		s.changeStore(e.kind)
 	case "rows":
 		s.rows++
 		s.store.Put("other", fmt.Sprint(s.rows), nil)
 	case "copy":
 		s.store.Copy()
 	case "returns":
-		s.lasting(e, ends, func(on bool) { s.returns(e, on) }, simStore)
+		s.runFault(e, until, func(on bool) { s.restoreStore(e, on) }, simStoreHost)
 	default:
-		s.t.Fatalf("no event %q", e.what)
+		s.t.Fatalf("unknown event %q", e.kind)
 	}
 }
 
-// disturb notes that hosts are disturbed until a time.
-func (s *simSite) disturb(until time.Time, hosts ...string) {
+// markDisturbed records that hosts are affected by a fault until a time.
+func (s *simSite) markDisturbed(until time.Time, hosts ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, host := range hosts {
-		if until.After(s.disturbed[host]) {
-			s.disturbed[host] = until
+		if until.After(s.disturbedUntil[host]) {
+			s.disturbedUntil[host] = until
 		}
 	}
 }
 
-// lasting turns a fault on, and off when its time is over.
-func (s *simSite) lasting(e simEvent, ends time.Time, turn func(on bool), host string) {
-	if host == simStore {
-		s.forgetEnds()
+// runFault starts a fault, and ends it after its duration.
+func (s *simSite) runFault(e simEvent, until time.Time, set func(on bool), host string) {
+	if host == simStoreHost {
+		s.ignoreRecentCrashes()
 	}
-	s.disturb(ends, host)
-	turn(true)
+	s.markDisturbed(until, host)
+	set(true)
 	go func() {
-		time.Sleep(e.lasts)
-		turn(false)
+		time.Sleep(e.duration)
+		set(false)
 	}()
 }
 
-// simGather is for how long a node may not have asked for changes: its pause after one,
-// and some more.
-const simGather = 1200 * time.Millisecond
+// simPollPause is the longest time between two requests of a node for changes: the pause after a
+// change and a margin.
+const simPollPause = 1200 * time.Millisecond
 
-// forgetEnds leaves upstreams out of account that have ended right before an outage of
-// the store: who has not seen that yet cannot tell it from an entry that lapsed in it.
-func (s *simSite) forgetEnds() {
+// ignoreRecentCrashes ignores upstreams that have crashed right before an outage of the store: a
+// node that has not seen the removal yet cannot distinguish it from a false removal during the
+// outage.
+func (s *simSite) ignoreRecentCrashes() {
 	s.changes = slices.DeleteFunc(s.changes, func(c *simChange) bool {
-		return c.ends && time.Since(c.at) < simGather
+		return c.crash && time.Since(c.at) < simPollPause
 	})
 }
 
-func (s *simSite) refuse(in map[string]string, e simEvent, on bool) {
+func (s *simSite) setRejection(rejections map[string]string, e simEvent, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, name := range s.names {
 		if e.node == name || e.node == "" && float64(i) < e.share*float64(len(s.names)) {
-			in[name] = ""
+			rejections[name] = ""
 			if on {
-				in[name] = e.how
+				rejections[name] = e.mode
 			}
 		}
 	}
 }
 
-// simSlow is what a slow store takes for an answer: sixty times the usual.
-const simSlow = 60 * simAnswer
+// simSlowLatency is how long a slow store takes to answer: sixty times the usual latency.
+const simSlowLatency = 60 * simStoreLatency
 
-func (s *simSite) fail(what string, on bool) {
+func (s *simSite) setStoreFault(kind string, on bool) {
 	f := s.faults()
 	if on {
-		f.Down, f.Silent = what == "down", what == "hang"
-		if what == "slow" {
-			f.SlowMS = int64(simSlow)
+		f.Down, f.Silent = kind == "down", kind == "hang"
+		if kind == "slow" {
+			f.SlowMS = int64(simSlowLatency)
 		}
 	}
 	s.store.SetFaults(f)
 }
 
-// kill ends a node's process, or starts it anew unless it runs.
-func (s *simSite) kill(name string, on bool) {
+// setKilled kills a node's process, or starts it unless it runs.
+func (s *simSite) setKilled(name string, on bool) {
 	s.mu.Lock()
 	n, closed := s.nodes[name], s.closed
 	if on {
@@ -513,14 +518,14 @@
 	s.mu.Unlock()
 	switch {
 	case on && n != nil:
-		s.end(n)
+		s.stop(n)
 	case !on && n == nil && !closed:
-		s.start(name)
+		s.startNode(name)
 	}
 }
 
-func (s *simSite) end(n *simNode) {
-	n.end()
+func (s *simSite) stop(n *simNode) {
+	n.stop()
 	s.net.mu.Lock()
 	listener := s.net.listeners[n.settings.Name]
 	s.net.mu.Unlock()
@@ -528,75 +533,75 @@
 		_ = listener.Close()
 	}
 	n.store.Close()
-	n.idle()
-	n.ended.Wait()
+	n.closeIdle()
+	n.wg.Wait()
 }
 
-// changeStore lets an upstream leave, or end without a word, or changes the
+// changeStore makes an upstream leave or crash without notice, adds an upstream, or changes the
 // configuration.
-func (s *simSite) changeStore(what string) {
-	c := &simChange{at: time.Now(), reported: make(map[string]bool), known: make(map[string]*simNode)}
+func (s *simSite) changeStore(kind string) {
+	c := &simChange{at: time.Now(), missedBy: make(map[string]bool), appliedBy: make(map[string]*simNode)}
 	switch {
-	case what == "config":
+	case kind == "config":
 		s.version++
 		c.version = s.version
 		s.store.Put("op", "config", standin.SiteConfig(s.version, "k1"))
-	case what == "joins":
-		s.put(fmt.Sprintf("j%d", len(s.states)), "ready")
+	case kind == "joins":
+		s.putUpstream(fmt.Sprintf("j%d", len(s.states)), "ready")
 		return
 	case s.next >= simUpstreams:
 		return
 	default:
 		c.upstream = fmt.Sprintf("u%d", s.next)
 		s.next++
-		if what == "leaves" {
-			s.put(c.upstream, "draining")
+		if kind == "leaves" {
+			s.putUpstream(c.upstream, "draining")
 		} else {
 			s.setState(c.upstream, "")
 			s.store.Remove("servers", c.upstream)
 		}
 	}
-	c.ends = what == "ends"
-	// Around an outage an entry may vanish whose upstream lives, and counts on for a
-	// while. The users count only what a store has taken that was well.
-	if c.ends && !s.storeWell() {
+	c.crash = kind == "ends"
+	// Around an outage the entry of a running upstream may be removed falsely, so nodes keep
+	// using it for a while. The users' bound is for changes that a stable store has accepted.
+	if c.crash && !s.storeStable() {
 		return
 	}
 	s.changes = append(s.changes, c)
 }
 
-// storeWell tells whether the store has had no disruption for a while.
-func (s *simSite) storeWell() bool {
+// storeStable reports whether the store has had no fault for simStablePeriod.
+func (s *simSite) storeStable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Since(s.disturbed[simStore]) >= simContact
+	return time.Since(s.disturbedUntil[simStoreHost]) >= simStablePeriod
 }
 
-// judge notes what nodes in touch should know and do not. Only what the store has
-// taken while it was well counts.
-func (s *simSite) judge() {
+// check records a failure for each node without a recent fault that lacks a change that is past
+// its deadline. Only changes accepted by a stable store count.
+func (s *simSite) check() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	for name, n := range s.nodes {
-		since := now.Add(simReserve)
-		s.judgeForgotten(name, n)
-		if since.Before(s.disturbed[name].Add(simContact)) {
+		checkAt := now.Add(simMargin)
+		s.checkLostState(name, n)
+		if checkAt.Before(s.disturbedUntil[name].Add(simStablePeriod)) {
 			continue
 		}
-		storeWell := !since.Before(s.disturbed[simStore].Add(simContact))
-		onlyReturned := !s.returned.IsZero() && !s.disturbed[simStore].After(s.returned)
+		storeStable := !checkAt.Before(s.disturbedUntil[simStoreHost].Add(simStablePeriod))
+		onlyRestored := !s.restoredAt.IsZero() && !s.disturbedUntil[simStoreHost].After(s.restoredAt)
 		for _, c := range s.changes {
-			// What is confirmed right after a return counts from then.
-			if !storeWell && (!onlyReturned || c.version == 0 || c.at.Before(s.returned)) {
+			// A configuration that is written right after a restore counts from the restore on.
+			if !storeStable && (!onlyRestored || c.version == 0 || c.at.Before(s.restoredAt)) {
 				continue
 			}
-			if c.undone || c.reported[name] || since.Before(c.at.Add(s.setting.within)) || n.knows(c) {
+			if c.restoredEntry || c.missedBy[name] || checkAt.Before(c.at.Add(s.setting.deadline)) || n.isUpToDate(c) {
 				continue
 			}
-			c.reported[name] = true
-			s.missed = append(s.missed, fmt.Sprintf("at %d %s does not know %s%s of %d",
-				now.Sub(s.began).Milliseconds(), name, c.upstream, versionText(c.version), c.at.Sub(s.began).Milliseconds()))
+			c.missedBy[name] = true
+			s.failures = append(s.failures, fmt.Sprintf("at %d %s lacks %s%s of %d",
+				now.Sub(s.startedAt).Milliseconds(), name, c.upstream, versionText(c.version), c.at.Sub(s.startedAt).Milliseconds()))
 		}
 	}
 }
@@ -608,9 +613,9 @@
 	return fmt.Sprintf("version %d", version)
 }
 
-// close ends all, silent connections too.
+// close stops all nodes, also those with silent connections.
 func (s *simSite) close() {
-	s.net.change(func() {
+	s.net.update(func() {
 		clear(s.net.frozen)
 		clear(s.net.cut)
 	})
@@ -619,7 +624,7 @@
 	s.nodes, s.closed = make(map[string]*simNode), true
 	s.mu.Unlock()
 	for _, n := range nodes {
-		n.end()
+		n.stop()
 	}
 	s.net.mu.Lock()
 	var listeners []*simListener
@@ -631,10 +636,10 @@
 		_ = l.Close()
 	}
 	for _, n := range nodes {
-		s.end(n)
+		s.stop(n)
 	}
-	time.Sleep(longestFault)
+	time.Sleep(maxFaultDuration)
 }
 
-// longestFault bounds how long an event lasts, and a call without an answer.
-const longestFault = 30 * time.Second
+// maxFaultDuration bounds the duration of an event, and of a call without an answer.
+const maxFaultDuration = 30 * time.Second
--- a/node/site_test.go
+++ b/node/site_test.go
@@ -16,38 +16,38 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// patience bounds every wait of these tests. Nothing is measured against it.
-const patience = 60 * time.Second
+// awaitTimeout bounds every wait of these tests. No measurement depends on it.
+const awaitTimeout = 60 * time.Second
 
-// site is the outside world of a test, in this process.
+// site holds the stand-ins of a test, which run in the test's process.
 type site struct {
-	t       *testing.T
-	store   *standin.RowStore
-	storeAt string
-	engines map[string]*engineProcess
-	desk    *standin.Desk
-	// stopDesk ends the desk, and waits until its entry has lapsed.
-	stopDesk func()
+	t            *testing.T
+	store        *standin.RowStore
+	storeAddress string
+	engines      map[string]*engineProcess
+	plainService *standin.Desk
+	// stopPlainService stops the plain service, and waits until its entry is removed.
+	stopPlainService func()
 }
 
 // engineProcess is an engine that can be killed.
 type engineProcess struct {
-	engine *standin.ChainEngine
-	server *httptest.Server
-	stop   context.CancelFunc
+	engine        *standin.ChainEngine
+	server        *httptest.Server
+	stopHeartbeat context.CancelFunc
 }
 
-// newSite starts a store, a desk, and engines in one data centre.
+// newSite starts a store, a plain service and engines in one data centre.
 func newSite(t *testing.T, engines int) *site {
 	s := &site{t: t, store: standin.NewRowStore(), engines: make(map[string]*engineProcess)}
 	server := httptest.NewServer(s.store.Handler())
 	t.Cleanup(server.Close)
-	s.storeAt = server.Listener.Addr().String()
+	s.storeAddress = server.Listener.Addr().String()
 	s.store.Put("op", "config", standin.SiteConfig(1, "k1", "k2"))
 	for i := range engines {
 		s.startEngine(fmt.Sprintf("e%d", i+1))
 	}
-	s.startDesk()
+	s.startPlainService()
 	return s
 }
 
@@ -63,41 +63,41 @@
 	engine := standin.NewChainEngine(id, server.Listener.Addr().String())
 	server.Config.Handler = engine.Handler()
 	server.Start()
-	s.engines[id] = &engineProcess{engine: engine, server: server, stop: s.beat(id, func() *platformpb.Server { return engine.Entry("dc") })}
+	s.engines[id] = &engineProcess{engine: engine, server: server, stopHeartbeat: s.startHeartbeat(id, func() *platformpb.Server { return engine.Entry("dc") })}
 	s.t.Cleanup(func() { s.killEngine(id) })
 }
 
-func (s *site) startDesk() {
+func (s *site) startPlainService() {
 	server := httptest.NewUnstartedServer(nil)
-	s.desk = standin.NewDesk("desk1", server.Listener.Addr().String(), time.Millisecond)
-	server.Config.Handler = s.desk.Handler()
+	s.plainService = standin.NewDesk("desk1", server.Listener.Addr().String(), time.Millisecond)
+	server.Config.Handler = s.plainService.Handler()
 	server.Start()
-	stop := s.beat("desk1", func() *platformpb.Server { return s.desk.Entry("dc") })
-	s.stopDesk = func() {
+	stop := s.startHeartbeat("desk1", func() *platformpb.Server { return s.plainService.Entry("dc") })
+	s.stopPlainService = func() {
 		stop()
 		server.Close()
-		await(s.t, "end of the desk's entry", func() bool { return !s.listed("desk1") })
+		await(s.t, "removal of the plain service's entry", func() bool { return !s.hasEntry("desk1") })
 	}
 	s.t.Cleanup(server.Close)
 }
 
-// addDesk starts a further desk.
-func (s *site) addDesk(id string) *standin.Desk {
+// addPlainService starts another plain service.
+func (s *site) addPlainService(id string) *standin.Desk {
 	server := httptest.NewUnstartedServer(nil)
-	desk := standin.NewDesk(id, server.Listener.Addr().String(), time.Millisecond)
-	server.Config.Handler = desk.Handler()
+	service := standin.NewDesk(id, server.Listener.Addr().String(), time.Millisecond)
+	server.Config.Handler = service.Handler()
 	server.Start()
-	s.beat(id, func() *platformpb.Server { return desk.Entry("dc") })
+	s.startHeartbeat(id, func() *platformpb.Server { return service.Entry("dc") })
 	s.t.Cleanup(server.Close)
-	return desk
+	return service
 }
 
-// listed tells whether the store shows a server's entry.
-func (s *site) listed(id string) bool { return s.holds("servers", id) }
+// hasEntry reports whether the store has an upstream's entry.
+func (s *site) hasEntry(id string) bool { return s.storeContains("servers", id) }
 
-// holds tells whether a table of the store has a row with a text in it.
-func (s *site) holds(table, text string) bool {
-	resp, err := http.Get("http://" + s.storeAt + "/rows-get?table=" + table)
+// storeContains reports whether a table of the store has a row that contains a text.
+func (s *site) storeContains(table, text string) bool {
+	resp, err := http.Get("http://" + s.storeAddress + "/rows-get?table=" + table)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -109,69 +109,69 @@
 	return strings.Contains(string(body), `"table"`) && strings.Contains(string(body), text)
 }
 
-func (s *site) beat(id string, entry func() *platformpb.Server) context.CancelFunc {
+func (s *site) startHeartbeat(id string, entry func() *platformpb.Server) context.CancelFunc {
 	ctx, cancel := context.WithCancel(context.Background())
-	go standin.Beat(ctx, s.storeAt, id, entry)
+	go standin.Beat(ctx, s.storeAddress, id, entry)
 	s.t.Cleanup(cancel)
 	return cancel
 }
 
-// killEngine ends an engine at once, with its connections.
+// killEngine stops an engine at once, and closes its connections.
 func (s *site) killEngine(id string) {
 	e := s.engines[id]
 	if e == nil {
 		return
 	}
 	delete(s.engines, id)
-	e.stop()
+	e.stopHeartbeat()
 	e.server.CloseClientConnections()
 	_ = e.server.Listener.Close()
 	go e.server.Close()
 }
 
-// testNode is a node and where it listens.
+// testNode is a running node and its addresses.
 type testNode struct {
 	*node.Node
-	caller    string
-	readiness string
-	peer      string
-	ended     chan error
-	// stop ends it at once.
+	callerAddress    string
+	readinessAddress string
+	peerAddress      string
+	done             chan error
+	// stop stops the node at once.
 	stop context.CancelFunc
 }
 
-// anyPort leaves the port to the kernel when the node listens: one that is chosen
-// before may be taken by then.
+// anyPort makes the kernel choose the port when the node listens: a port that is chosen earlier
+// may be in use by then.
 const anyPort = "127.0.0.1:0"
 
-func (s *site) startNode(name, storeAt string, seeds ...string) *testNode {
+func (s *site) startNode(name, storeAddress string, seeds ...string) *testNode {
 	s.t.Helper()
-	return s.startNodeWith(name, storeAt, nil, seeds...)
+	return s.startNodeWith(name, storeAddress, nil, seeds...)
 }
 
 // startNodeWith starts a node with options.
-func (s *site) startNodeWith(name, storeAt string, opts []node.Option, seeds ...string) *testNode {
+func (s *site) startNodeWith(name, storeAddress string, opts []node.Option, seeds ...string) *testNode {
 	s.t.Helper()
 	settings := &node.Settings{
 		Name: name, DataCentre: "dc", LogLevel: "info", GraceSeconds: 8, Cores: 1, MemoryMB: 256,
 		CallerListen: anyPort, ReadinessListen: anyPort, PeerListen: anyPort,
-		MetricsListen: anyPort, UsageListen: anyPort, PeerSeeds: seeds, Platform: storeAt,
-		KeysFailClosed: true, KeysWithin: 5000, ConfigWithin: 2000, LeavingWithin: 2000, RetryWindowSeconds: 10, RetryShare: 0.2, RetrySlack: 200,
+		MetricsListen: anyPort, UsageListen: anyPort, PeerSeeds: seeds, PlatformAddress: storeAddress,
+		KeysFailClosed: true, KeysMaxAge: 5000, ConfigDeadline: 2000, LeavingDeadline: 2000, RetryWindowSeconds: 10, RetryShare: 0.2, RetrySlack: 200,
 	}
 	n, err := node.New(settings, logging.Nop(), opts...)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	tn := &testNode{Node: n, caller: n.CallerAddress(), readiness: n.ReadinessAddress(), peer: n.PeerAddress(), ended: make(chan error, 1)}
+	tn := &testNode{Node: n, callerAddress: n.CallerAddress(), readinessAddress: n.ReadinessAddress(), peerAddress: n.PeerAddress(), done: make(chan error, 1)}
 	ctx, cancel := context.WithCancel(context.Background())
 	tn.stop = cancel
-	go func() { tn.ended <- n.Run(ctx) }()
+	go func() { tn.done <- n.Run(ctx) }()
 	s.t.Cleanup(cancel)
 	return tn
 }
 
 func (n *testNode) ready() bool {
-	resp, err := http.Get("http://" + n.readiness + "/")
+	resp, err := http.Get("http://" + n.readinessAddress + "/")
 	if err != nil {
 		return false
 	}
@@ -179,8 +179,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// answer is what a caller got.
-type answer struct {
+// response is the response to a client.
+type response struct {
 	status int
 	body   string
 	header http.Header
@@ -188,7 +188,7 @@
 }
 
 func (n *testNode) request(method, path, id, key string) *http.Request {
-	req, err := http.NewRequest(method, "http://"+n.caller+path, strings.NewReader("x"))
+	req, err := http.NewRequest(method, "http://"+n.callerAddress+path, strings.NewReader("x"))
 	if err != nil {
 		panic(err)
 	}
@@ -202,27 +202,27 @@
 	return req
 }
 
-func (n *testNode) do(method, path, id, key string) answer {
+func (n *testNode) do(method, path, id, key string) response {
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	resp, err := transport.RoundTrip(n.request(method, path, id, key))
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
-	return answer{status: resp.StatusCode, body: string(body), header: resp.Header, err: err}
+	return response{status: resp.StatusCode, body: string(body), header: resp.Header, err: err}
 }
 
-// await waits until something holds.
-func await(t *testing.T, what string, holds func() bool) {
+// await waits until a condition holds.
+func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
-		if holds() {
+	for until := time.Now().Add(awaitTimeout); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
-	t.Fatalf("got no %s in %v", what, patience)
+	t.Fatalf("got no %s in %v", what, awaitTimeout)
 }
 
 // awaitServing waits until a node serves streams.
@@ -235,7 +235,7 @@
 	})
 }
 
-// wholeStream is the answer to a path.
+// wholeStream returns the complete response to a path.
 func wholeStream(path string) string {
 	var b strings.Builder
 	for n := 1; n <= standin.SiteEvents(path); n++ {
--- /dev/null
+++ b/node/updates.go
@@ -0,0 +1,168 @@
+package node
+
+import (
+	"go.uber.org/zap"
+
+	"github.com/hoistjunction/hoistjunction/catalog"
+	"github.com/hoistjunction/hoistjunction/clock"
+	"github.com/hoistjunction/hoistjunction/dispatch"
+	"github.com/hoistjunction/hoistjunction/fleet"
+	"github.com/hoistjunction/hoistjunction/follow"
+	"github.com/hoistjunction/hoistjunction/limit"
+	"github.com/hoistjunction/hoistjunction/placement"
+	"github.com/hoistjunction/hoistjunction/usage"
+	"github.com/hoistjunction/hoistjunction/wire"
+)
+
+// applyConfig applies a proof of the configuration and returns the active configuration. Both
+// the follower of the store and peers supply proofs; configMu gives all parts of the node the
+// same order.
+func (n *Node) applyConfig(p follow.Proof) follow.ActiveConfig {
+	n.configMu.Lock()
+	defer n.configMu.Unlock()
+	result, active := n.local.apply(p)
+	age := zap.Int64("age_ms", int64(clock.AgeOf(p.Confirmed, n.clock.Now())))
+	switch result {
+	case follow.Outdated:
+		if n.lastOutdated != p.Edition {
+			n.lastOutdated = p.Edition
+			n.log.Warn("config_outdated", zap.Stringer("version", p.Edition), zap.Stringer("in_force", active.Edition), age)
+		}
+	case follow.Renewed:
+		n.relay.SetCatalog(nil, active.Confirmed)
+	case follow.Replaced:
+		n.log.Info("config", zap.Stringer("version", p.Edition), zap.Stringer("written", p.Edition.Written()), age)
+		n.relay.SetCatalog(p.Catalog, p.Confirmed)
+		n.placer.Send(placement.CatalogMsg{Catalog: p.Catalog})
+		n.fleetFollower.SetServices(serviceNames(p.Catalog))
+	}
+	return active
+}
+
+// queryNewerConfig queries a node that has a newer configuration because it has seen a store
+// restore that this node has missed. One query runs at a time.
+func (n *Node) queryNewerConfig(address string) {
+	if n.queryingConfig.Swap(true) {
+		return
+	}
+	go func() {
+		defer n.queryingConfig.Store(false)
+		n.peers.QueryAddress(n.ctx, address)
+	}()
+}
+
+// markLeaving records that an upstream has reported that it is leaving.
+func (n *Node) markLeaving(upstream fleet.Incarnation) { n.fleetFollower.MarkLeaving(upstream) }
+
+// markReplaced records that another upstream has answered at the address of an upstream.
+func (n *Node) markReplaced(upstream fleet.Incarnation, address string) {
+	n.fleetFollower.MarkReplaced(upstream, address)
+}
+
+// serviceNames returns the names of the services of a configuration.
+func serviceNames(c *catalog.Catalog) []string {
+	var names []string
+	c.EachService(func(s *catalog.Service) { names = append(names, s.Name) })
+	return names
+}
+
+// reportUnresponsive notifies the planner that an engine has stopped or resumed answering. It
+// notifies other nodes too if none of them has reported the engine yet.
+func (n *Node) reportUnresponsive(cmd dispatch.ResponsivenessCmd) {
+	n.log.Info("silent", zap.Stringer("upstream", cmd.Upstream), zap.Bool("silent", cmd.Unresponsive), zap.Bool("agreed", cmd.Confirmed))
+	n.placer.Send(placement.ResponsivenessMsg{Upstream: cmd.Upstream, Unresponsive: cmd.Unresponsive, Confirmed: cmd.Confirmed})
+	if cmd.Unresponsive && !cmd.Confirmed {
+		n.usage.Silent(cmd.Upstream)
+	}
+}
+
+// sendUsage sends this node's usage to other nodes. The first hub also sends the total of all
+// nodes to its leaves; other hubs send a heartbeat to theirs. The first hub, or the reader of a
+// data centre without hubs, sends the total of its data centre to other data centres.
+func (n *Node) sendUsage(cmd dispatch.ShareUsageCmd) {
+	now := n.clock.Now()
+	topology := n.roster.Topology(now)
+	n.usage.SendUsage(cmd.Used, cmd.Limits)
+	if topology.FullMesh && n.roster.IsReader(now) || topology.IsFirstHub() {
+		n.usage.SendDataCentreTotal(cmd.WholeDataCentre, topology.PeerCount+1, cmd.Limits)
+	}
+	switch {
+	case topology.IsFirstHub():
+		n.usage.SendAllNodes(cmd.AllNodes, cmd.IncludedDataCentres, cmd.Nodes, cmd.Limits)
+	case topology.IsHub:
+		n.usage.SendHeartbeat()
+	}
+}
+
+// usageListener applies messages of other nodes. It implements usage.Listener.
+type usageListener struct{ node *Node }
+
+// HearUse implements usage.Listener.
+func (l usageListener) HearUse(from *wire.Member, msg usage.Report) {
+	n := l.node
+	n.peers.Heard(from)
+	n.peers.AddReported(msg.Hubs)
+	n.compareQuarantine(from, msg.QuarantineDigest)
+	for engine := range msg.Used {
+		n.observeIncarnation(engine)
+	}
+	if !msg.Total {
+		n.roster.Heard(n.clock.Now(), from.GetName(), msg.Followable)
+	}
+	n.relay.SetUsage(dispatch.UsageMsg{
+		Node: from.GetName(), Used: msg.Used, WholeDataCentre: msg.Total, AllNodes: msg.Whole, IncludedDataCentres: msg.HeardOf, Nodes: msg.Nodes,
+		DataCentre: from.GetDataCentre(), Limits: msg.Limits,
+	})
+}
+
+// HearAsk implements usage.Listener.
+func (l usageListener) HearAsk(from *wire.Member, ask limit.Ask) {
+	l.node.observeIncarnation(ask.Upstream)
+	l.node.relay.SetAsked(from.GetName(), ask)
+}
+
+// HearGrant implements usage.Listener.
+func (l usageListener) HearGrant(from *wire.Member, grant limit.Grant) {
+	l.node.relay.SetPermits(from.GetName(), grant)
+}
+
+// HearPlaced implements usage.Listener.
+func (l usageListener) HearPlaced(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool) {
+	l.node.observeIncarnation(upstream)
+	l.node.applyPlacement(upstream, layers, holds)
+}
+
+// HearSilent implements usage.Listener.
+func (l usageListener) HearSilent(from *wire.Member, upstream fleet.Incarnation) {
+	l.node.observeIncarnation(upstream)
+	if !l.node.unresponsive.isNew(l.node.clock.Now(), upstream) {
+		return
+	}
+	l.node.log.Info("silent_told", zap.Stringer("upstream", upstream), zap.String("by", from.GetName()))
+	l.node.relay.SetSilent(upstream)
+}
+
+// observeIncarnation records the incarnation of an upstream in a message of another node, since
+// it may be newer than the one in this node's list.
+func (n *Node) observeIncarnation(upstream fleet.Incarnation) {
+	if upstream.StartedAt() != 0 {
+		n.fleetFollower.Supersede(upstream)
+	}
+}
+
+// publishPlacement sends an order of this node to its relay and to other nodes.
+func (n *Node) publishPlacement(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool) {
+	n.applyPlacement(upstream, layers, holds)
+	n.usage.SendPlacement(upstream, layers, holds)
+}
+
+// applyPlacement applies an order that this node or another node has given.
+func (n *Node) applyPlacement(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool) {
+	n.relay.SetPlaced(upstream, layers, holds)
+	n.placer.Send(placement.PlacedMsg{Upstream: upstream, Layers: layers, Completed: holds})
+}
+
+func (n *Node) applyFleet(changes []fleet.Change) {
+	n.relay.SetFleet(changes)
+	n.placer.Send(placement.FleetMsg{Changes: changes})
+}
