--- a/config/apply.go
+++ b/config/apply.go
@@ -10,8 +10,8 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// Apply returns the configuration that a change record makes of c. It leaves
-// c as it is. The record must be for the version after c's.
+// Apply returns a new configuration with the change record applied to c, and does
+// not modify c. The record must have the version that follows the version of c.
 func Apply(c *wire.Config, record *wire.ChangeRecord) (*wire.Config, error) {
 	if record.GetVersion() != c.GetVersion()+1 {
 		return nil, errors.Wrapf(ErrOutOfOrder, "record %d on version %d", record.GetVersion(), c.GetVersion())
@@ -23,14 +23,14 @@
 		Accounts:  slices.Clone(c.GetAccounts()),
 	}
 	for _, change := range record.GetChanges() {
-		if err := edit(next, change); err != nil {
+		if err := applyChange(next, change); err != nil {
 			return nil, err
 		}
 	}
 	return next, nil
 }
 
-func edit(c *wire.Config, change *wire.Change) error {
+func applyChange(c *wire.Config, change *wire.Change) error {
 	var err error
 	switch e := change.GetEdit().(type) {
 	case *wire.Change_PutRoute:
@@ -51,33 +51,37 @@
 	return err
 }
 
-// named is what all items of a configuration have in common.
-type named interface {
+// namedItem is the interface of all configuration items: routes, pipelines and
+// client accounts.
+type namedItem interface {
 	proto.Message
 	GetName() string
 }
 
-func find[T named](items []T, name string) (int, bool) {
+// find returns the index of the item with the given name, or the index at which
+// to insert it, and whether it exists.
+func find[T namedItem](items []T, name string) (int, bool) {
 	return slices.BinarySearchFunc(items, name, func(item T, name string) int {
 		return strings.Compare(item.GetName(), name)
 	})
 }
 
-// put adds an item or replaces the one of the same name. Items stay sorted by
-// name.
-func put[T named](items []T, item T) []T {
-	at, found := find(items, item.GetName())
+// put adds an item or replaces the one with the same name. The items stay sorted
+// by name.
+func put[T namedItem](items []T, item T) []T {
+	index, found := find(items, item.GetName())
 	if found {
-		items[at] = item
+		items[index] = item
 		return items
 	}
-	return slices.Insert(items, at, item)
+	return slices.Insert(items, index, item)
 }
 
-func remove[T named](items []T, what, name string) ([]T, error) {
-	at, found := find(items, name)
+// remove deletes the item with the given name. An unknown name is an error.
+func remove[T namedItem](items []T, kind, name string) ([]T, error) {
+	index, found := find(items, name)
 	if !found {
-		return nil, errors.Wrapf(ErrInvalid, "no %s %q to delete", what, name)
+		return nil, errors.Wrapf(ErrInvalid, "no %s %q to delete", kind, name)
 	}
-	return slices.Delete(items, at, at+1), nil
+	return slices.Delete(items, index, index+1), nil
 }
--- a/config/errors.go
+++ b/config/errors.go
@@ -2,11 +2,11 @@
 
 import "github.com/cockroachdb/errors"
 
-// Errors that callers test for with errors.Is.
+// Errors that callers match with errors.Is.
 var (
-	// ErrInvalid means that a configuration cannot be served as it is.
+	// ErrInvalid means that a configuration or a change of it is invalid.
 	ErrInvalid = errors.New("config: invalid")
-	// ErrOutOfOrder means that a change record does not follow the version
-	// that it was to be applied to.
+	// ErrOutOfOrder means that the version of a change record does not directly
+	// follow the version of the configuration.
 	ErrOutOfOrder = errors.New("config: out of order")
 )
--- a/config/tracker.go
+++ b/config/tracker.go
@@ -1,10 +1,10 @@
-// Package config holds the configuration in force at a node: how one version
-// is made of the one before, what makes a version valid, and the rule that a
-// node only ever moves up.
+// Package config holds the active configuration of a node: it applies change
+// records, validates configurations, and never lets a node return to an older
+// version.
 //
-// A version is the sum of all change records up to it. The platform's table
-// gives each version number to one record, so any two nodes at the same
-// version hold the same configuration, wherever they got the records from.
+// A version is the result of all change records up to it. The platform's table
+// assigns each version number to one record, so any two nodes at the same version
+// have the same configuration, whichever source they got the records from.
 //
 //	t := config.NewTracker()
 //	changed, err := t.Add(record)
@@ -19,44 +19,46 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// DefaultHistory is how many change records a node keeps to hand to its peers
-// and to show to operators. A day at full size has 6,800.
+// DefaultHistory is the default number of change records that a node keeps, to
+// send to peers and to show to operators. A full-size fleet has 6,800 changes a
+// day.
 const DefaultHistory = 512
 
-// Tracker holds the version in force. It is not safe for concurrent use.
+// Tracker holds the active configuration and its recent changes. It is not safe
+// for concurrent use.
 type Tracker struct {
 	current *wire.Config
-	// base is the version that the history starts from.
-	base    *wire.Config
-	history []*wire.ChangeRecord
-	keep    int
+	// base is the configuration before the first record in history.
+	base       *wire.Config
+	history    []*wire.ChangeRecord
+	maxHistory int
 }
 
-// TrackerOption sets up a Tracker.
+// TrackerOption configures a Tracker.
 type TrackerOption func(*Tracker)
 
-// WithHistory sets how many change records are kept.
-func WithHistory(n int) TrackerOption { return func(t *Tracker) { t.keep = max(n, 1) } }
+// WithHistory sets how many change records a Tracker keeps, at least 1.
+func WithHistory(n int) TrackerOption { return func(t *Tracker) { t.maxHistory = max(n, 1) } }
 
 // NewTracker returns a tracker at version 0, the empty configuration.
 func NewTracker(opts ...TrackerOption) *Tracker {
-	t := &Tracker{current: &wire.Config{}, base: &wire.Config{}, keep: DefaultHistory}
+	t := &Tracker{current: &wire.Config{}, base: &wire.Config{}, maxHistory: DefaultHistory}
 	for _, opt := range opts {
 		opt(t)
 	}
 	return t
 }
 
-// Current returns the configuration in force. It must not be changed.
+// Current returns the active configuration. The caller must not modify it.
 func (t *Tracker) Current() *wire.Config { return t.current }
 
-// Version returns the version in force; zero before the first.
+// Version returns the active version; zero before the first change.
 func (t *Tracker) Version() uint64 { return t.current.GetVersion() }
 
-// Restore puts a whole configuration in force if it is newer than the present
-// one, and reports whether it did. An older one is passed over: a node never
-// goes back.
-func (t *Tracker) Restore(c *wire.Config) bool {
+// Replace activates a complete configuration if it is newer than the active one,
+// and reports whether it did. An older one is ignored, because a node never
+// returns to an older version.
+func (t *Tracker) Replace(c *wire.Config) bool {
 	if c.GetVersion() <= t.Version() {
 		return false
 	}
@@ -66,9 +68,9 @@
 	return true
 }
 
-// Add puts the next change record in force, and reports whether it did. A
-// record that is in force already is passed over. A record that skips a
-// version is ErrOutOfOrder.
+// Add applies the next change record and reports whether it did. It ignores a
+// record that is already applied, and returns ErrOutOfOrder for a record that
+// skips a version.
 func (t *Tracker) Add(record *wire.ChangeRecord) (bool, error) {
 	if record.GetVersion() <= t.Version() {
 		return false, nil
@@ -83,39 +85,40 @@
 	return true, nil
 }
 
-// trim drops the oldest half of a history that has grown too long, and moves
-// the base up to match.
+// trim shortens a history of more than maxHistory records to half of maxHistory,
+// and advances base to match.
 func (t *Tracker) trim() {
-	if len(t.history) <= t.keep {
+	if len(t.history) <= t.maxHistory {
 		return
 	}
-	cut := len(t.history) - t.keep/2
-	t.base = t.At(t.history[cut-1].GetVersion())
-	t.history = slices.Clone(t.history[cut:])
+	dropped := len(t.history) - t.maxHistory/2
+	t.base = t.ConfigAt(t.history[dropped-1].GetVersion())
+	t.history = slices.Clone(t.history[dropped:])
 }
 
-// After returns the records that follow a version. It returns false when they
-// are not all held; the whole configuration then has to do.
-func (t *Tracker) After(version uint64) ([]*wire.ChangeRecord, bool) {
+// RecordsAfter returns the records that follow a version. It returns false if the
+// history lacks some of them; the caller then needs the complete configuration.
+func (t *Tracker) RecordsAfter(version uint64) ([]*wire.ChangeRecord, bool) {
 	if version >= t.Version() {
 		return nil, true
 	}
 	if len(t.history) == 0 || t.history[0].GetVersion() > version+1 {
 		return nil, false
 	}
-	at := version + 1 - t.history[0].GetVersion()
-	return slices.Clone(t.history[at:]), true
+	index := version + 1 - t.history[0].GetVersion()
+	return slices.Clone(t.history[index:]), true
 }
 
-// History returns the newest records held, newest first.
+// History returns at most limit records of the history, newest first.
 func (t *Tracker) History(limit int) []*wire.ChangeRecord {
 	newest := slices.Clone(t.history)
 	slices.Reverse(newest)
 	return newest[:min(limit, len(newest))]
 }
 
-// ByChange returns the record of a change id, or nil when it is not held.
-func (t *Tracker) ByChange(id string) *wire.ChangeRecord {
+// RecordByChangeID returns the record with a change ID, or nil if the history
+// lacks it.
+func (t *Tracker) RecordByChangeID(id string) *wire.ChangeRecord {
 	for _, r := range t.history {
 		if r.GetChangeId() == id {
 			return r
@@ -124,8 +127,8 @@
 	return nil
 }
 
-// ByVersion returns the record that made a version, or nil when it is not held.
-func (t *Tracker) ByVersion(version uint64) *wire.ChangeRecord {
+// RecordByVersion returns the record of a version, or nil if the history lacks it.
+func (t *Tracker) RecordByVersion(version uint64) *wire.ChangeRecord {
 	for _, r := range t.history {
 		if r.GetVersion() == version {
 			return r
@@ -134,8 +137,9 @@
 	return nil
 }
 
-// Try returns the configuration that a proposal would make, if it is valid.
-func (t *Tracker) Try(record *wire.ChangeRecord) (*wire.Config, error) {
+// Preview returns the configuration that would result from a proposed record,
+// without activating it. An invalid result is an error.
+func (t *Tracker) Preview(record *wire.ChangeRecord) (*wire.Config, error) {
 	next, err := Apply(t.current, record)
 	if err != nil {
 		return nil, err
@@ -143,12 +147,13 @@
 	return next, Validate(next)
 }
 
-// Size returns the number of bytes that the configuration takes on the wire.
+// Size returns the encoded size of the active configuration in bytes.
 func (t *Tracker) Size() int { return proto.Size(t.current) }
 
-// At returns an earlier version, worked out from the records held since the
-// last whole configuration, or nil when those do not reach back so far.
-func (t *Tracker) At(version uint64) *wire.Config {
+// ConfigAt returns the configuration at a version, rebuilt from base and the
+// history. It returns nil for a version older than base or newer than the active
+// one.
+func (t *Tracker) ConfigAt(version uint64) *wire.Config {
 	c := t.base
 	if c == nil || version < c.GetVersion() || version > t.Version() {
 		return nil
--- a/config/validate.go
+++ b/config/validate.go
@@ -9,12 +9,12 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// MaxWeight bounds an account's weight, so that no account's share can round
-// to nothing beside another's.
+// MaxWeight bounds the weight of a client account, so that the share of an
+// account cannot round to zero beside a much larger weight.
 const MaxWeight = 1000
 
-// Validate checks that a configuration can be served. The error names the
-// item and what to do; it wraps ErrInvalid.
+// Validate checks that a node can serve a configuration. The error wraps
+// ErrInvalid, names the faulty item and states how to correct it.
 func Validate(c *wire.Config) error {
 	pipelines := make(map[string]bool, len(c.GetPipelines()))
 	for _, p := range c.GetPipelines() {
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// validatePipeline checks that the stages cover every layer once, in order:
-// no gap and no overlap.
+// validatePipeline checks that the stages cover every layer exactly once and in
+// order.
 func validatePipeline(p *wire.Pipeline) error {
 	if p.GetName() == "" {
 		return errors.Wrap(ErrInvalid, "a pipeline has no name; give it one")
--- a/core/call.go
+++ b/core/call.go
@@ -52,12 +52,12 @@
 	}
 	u := r.chain[0]
 	took := m.now.Sub(r.sentAt)
-	m.pool.Observe(u, took, 1)
+	m.pool.RecordSuccess(u, took, 1)
 	l := r.route.lane
 	l.perToken.add(float64(took))
 	l.first.add(float64(took))
 	if m.policy.Adapt {
-		m.pool.Judge(m.now, r.chain, took, r.route.firstBound())
+		m.pool.RecordChainTime(m.now, r.chain, took, r.route.firstBound())
 	}
 	if msg.Status >= firstServerError {
 		m.serviceFailed(r, msg)
@@ -96,11 +96,11 @@
 		return
 	}
 	if msg.NotSent {
-		m.pool.Fail(m.now, r.chain[0], false)
+		m.pool.RecordFailure(m.now, r.chain[0], false)
 		m.notSent(r)
 		return
 	}
-	m.pool.Fail(m.now, r.chain[0], true)
+	m.pool.RecordFailure(m.now, r.chain[0], true)
 	if !r.marked() && m.mayCallAgain(r) {
 		m.callElsewhere(r)
 		return
--- a/core/configure.go
+++ b/core/configure.go
@@ -30,7 +30,7 @@
 func (m *Model) changes(msg ChangesMsg) {
 	m.fetching = false
 	before := m.tracker.Version()
-	if msg.Snapshot != nil && m.tracker.Restore(msg.Snapshot) {
+	if msg.Snapshot != nil && m.tracker.Replace(msg.Snapshot) {
 		m.rebuild()
 	}
 	for _, r := range msg.Records {
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -110,7 +110,7 @@
 func (m *Model) pickOne(g *pool.Group, r *request) (*pool.Upstream, bool) {
 	pick := m.pool.Pick
 	if r.phase == phaseResuming {
-		pick = m.pool.PickOver
+		pick = m.pool.PickOverLimit
 	}
 	u, ok := pick(g.Name(), m.rng, r.tried...)
 	if ok || len(r.tried) == 0 || g.Limit() > 0 && g.Len() > 1 {
@@ -127,7 +127,7 @@
 	}
 	chain := l.affinity.get(m.now, r.spec.Prompt)
 	for _, u := range chain {
-		if !u.HasRoom() || float64(u.InFlight()) > u.Limit()/2 {
+		if !u.HasCapacity() || float64(u.InFlight()) > u.Limit()/2 {
 			return nil
 		}
 	}
--- a/core/model.go
+++ b/core/model.go
@@ -92,7 +92,7 @@
 func (m *Model) poolLimits() pool.Limits {
 	l := pool.DefaultLimits()
 	if !m.policy.Adapt {
-		l.Start, l.Most = m.policy.FixedLimit, m.policy.FixedLimit
+		l.Start, l.Max = m.policy.FixedLimit, m.policy.FixedLimit
 	}
 	return l
 }
--- a/core/overdue.go
+++ b/core/overdue.go
@@ -27,7 +27,7 @@
 	}
 	u := r.chain[r.stage]
 	m.stats.StepTimeouts++
-	m.pool.Fail(m.now, u, true)
+	m.pool.RecordFailure(m.now, u, true)
 	r.tried = append(r.tried, u)
 	m.resume(r)
 }
--- a/core/propose.go
+++ b/core/propose.go
@@ -39,7 +39,7 @@
 // not seen yet waits for it.
 func (m *Model) propose(msg ProposeMsg) {
 	p := &proposal{call: msg.Call, since: m.now}
-	if known := m.tracker.ByChange(msg.ChangeID); known != nil {
+	if known := m.tracker.RecordByChangeID(msg.ChangeID); known != nil {
 		p.version = known.GetVersion()
 		m.proposals = append(m.proposals, p)
 		m.answerProposals()
@@ -76,13 +76,13 @@
 	if record.GetChangeId() == "" || len(record.GetChanges()) == 0 {
 		return invalid("a proposal needs a change id and at least one change")
 	}
-	_, err := m.tracker.Try(record)
+	_, err := m.tracker.Preview(record)
 	if errors.Is(err, config.ErrOutOfOrder) {
 		return &wire.ProposeReply{
 			State:   wire.ProposeState_PROPOSE_STATE_CONFLICT,
 			Version: m.tracker.Version(),
 			Detail:  "the version in force is another one; look at it and propose again",
-			Winner:  m.tracker.ByVersion(record.GetVersion()),
+			Winner:  m.tracker.RecordByVersion(record.GetVersion()),
 		}
 	}
 	if err != nil {
--- a/core/resume.go
+++ b/core/resume.go
@@ -16,7 +16,7 @@
 		m.markLeaving(msg.Upstream)
 	}
 	if msg.Fault == StepNotSent {
-		m.pool.Fail(m.now, u, false)
+		m.pool.RecordFailure(m.now, u, false)
 	}
 	r.tried = append(r.tried, u)
 	provenIdle := msg.Fault == StepNotSent || msg.Fault == StepRefused
@@ -33,7 +33,7 @@
 	if u == nil {
 		return
 	}
-	m.pool.Fail(m.now, u, false)
+	m.pool.RecordFailure(m.now, u, false)
 	var hit []*request
 	for _, r := range m.running {
 		if !r.route.service() && slices.Contains(r.chain, u) {
--- a/core/status.go
+++ b/core/status.go
@@ -16,7 +16,7 @@
 
 // Changes returns what a peer at a version is missing.
 func (m *Model) Changes(after uint64) *wire.ChangesReply {
-	records, ok := m.tracker.After(after)
+	records, ok := m.tracker.RecordsAfter(after)
 	if !ok {
 		return &wire.ChangesReply{Snapshot: m.tracker.Current()}
 	}
@@ -89,7 +89,7 @@
 	if version == 0 || version == m.tracker.Version() {
 		return m.tracker.Current()
 	}
-	return m.tracker.At(version)
+	return m.tracker.ConfigAt(version)
 }
 
 // Knows reports whether there is an upstream of a name.
--- a/core/step.go
+++ b/core/step.go
@@ -79,7 +79,7 @@
 		return
 	}
 	m.stats.Steps++
-	m.pool.Observe(u, m.now.Sub(r.sentAt), msg.Positions)
+	m.pool.RecordSuccess(u, m.now.Sub(r.sentAt), msg.Positions)
 	r.span = msg.Positions
 	if r.stage+1 < len(r.chain) {
 		m.nextStage(r, msg)
@@ -154,6 +154,6 @@
 		r.late++
 	}
 	if m.policy.Adapt {
-		m.pool.Judge(m.now, r.chain, gap, bound)
+		m.pool.RecordChainTime(m.now, r.chain, gap, bound)
 	}
 }
--- a/core/tick.go
+++ b/core/tick.go
@@ -34,7 +34,7 @@
 }
 
 func (m *Model) tick() {
-	m.pool.Tick(m.now)
+	m.pool.StartProbes(m.now)
 	m.timeOutSteps()
 	m.expireClaims()
 	m.expireRelays()
--- a/core/upstream.go
+++ b/core/upstream.go
@@ -15,7 +15,7 @@
 
 // hear takes in what an engine says of itself with an answer.
 func (m *Model) hear(u *pool.Upstream, load int, leaving bool) {
-	m.pool.Report(u, load)
+	m.pool.RecordLoad(u, load)
 	if leaving && !u.Leaving() {
 		m.markLeaving(u.Name())
 	}
@@ -25,7 +25,7 @@
 // heartbeats, at every other node. What it has in progress runs to its end.
 func (m *Model) markLeaving(name string) {
 	u := m.pool.Get(name)
-	if u == nil || !m.pool.Leave(name, "") {
+	if u == nil || !m.pool.MarkLeaving(name, "") {
 		return
 	}
 	m.members.AddMark(m.now, &wire.LeavingMark{Upstream: name, Incarnation: u.Listing().Incarnation})
@@ -34,7 +34,7 @@
 // hearMarks takes in leaving marks from a peer, and passes new ones on.
 func (m *Model) hearMarks(marks []*wire.LeavingMark) {
 	for _, mark := range marks {
-		m.pool.Leave(mark.GetUpstream(), mark.GetIncarnation())
+		m.pool.MarkLeaving(mark.GetUpstream(), mark.GetIncarnation())
 		m.members.AddMark(m.now, mark)
 	}
 }
--- a/engine/link.go
+++ b/engine/link.go
@@ -15,78 +15,80 @@
 	"github.com/hoistjunction/hoistjunction/wire/wireconnect"
 )
 
-// How a link finds out that the other end is gone.
+// dialTimeout bounds connecting. A connection that delivers nothing for
+// pingIdleTime is pinged, and is closed if no reply arrives within pingTimeout.
 const (
 	dialTimeout  = time.Second
-	pingAfter    = 2 * time.Second
-	pingPatience = 2 * time.Second
+	pingIdleTime = 2 * time.Second
+	pingTimeout  = 2 * time.Second
 )
 
-// item is something to be sent: a step or the end of a generation.
-type item struct {
+// outgoing is a message in the send ring: a step, or the end of a generation.
+type outgoing struct {
 	step *core.StepCmd
 	end  *core.EndCmd
 }
 
 type stream = connect.BidiStreamForClient[wire.StepRequest, wire.StepReply]
 
-// link is the stream to one engine.
+// link is the bidirectional stream to one engine.
 type link struct {
 	pool    *Pool
 	name    string
 	address string
-	ring    *ring.Ring[item]
+	ring    *ring.Ring[outgoing]
 	ctx     context.Context
 	stop    context.CancelFunc
-	// dialed is set once there has been a connection. Until then it is
-	// certain that nothing has reached the engine.
-	dialed atomic.Bool
+	// connected is set once a connection to the engine has been established. While
+	// it is unset, no step can have reached the engine.
+	connected atomic.Bool
 }
 
 func newLink(p *Pool, name, address string) *link {
-	l := &link{pool: p, name: name, address: address, ring: ring.New[item](p.ring)}
+	l := &link{pool: p, name: name, address: address, ring: ring.New[outgoing](p.ring)}
 	l.ctx, l.stop = context.WithCancel(context.Background())
 	return l
 }
 
-// transport returns a transport of this link's own, so that what it knows of
-// its connection is true of the stream.
+// transport returns an HTTP transport for this link only, so that connected
+// describes the connection of this stream.
 func (l *link) transport() *http.Transport {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
 	return &http.Transport{
 		Protocols: protocols,
-		HTTP2:     &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingPatience},
+		HTTP2:     &http.HTTP2Config{SendPingTimeout: pingIdleTime, PingTimeout: pingTimeout},
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := dialer.DialContext(ctx, network, address)
 			if err == nil {
-				l.dialed.Store(true)
+				l.connected.Store(true)
 			}
 			return conn, err
 		},
 	}
 }
 
-// run opens the stream, and writes until it breaks or the pool closes. There
-// is nothing to read, ever, from a stream that could not be opened.
+// run opens the stream and exchanges messages until the stream breaks or the pool
+// closes. It does not read if opening the stream failed, because such a stream
+// never delivers anything.
 func (l *link) run() {
 	t := l.transport()
 	defer t.CloseIdleConnections()
 	client := wireconnect.NewEngineClient(&http.Client{Transport: t}, "http://"+l.address, connect.WithGRPC())
-	s := client.Steps(l.ctx)
-	var unsent *item
-	if err := s.Send(nil); err == nil {
-		unsent = l.exchange(s)
+	steps := client.Steps(l.ctx)
+	var unsent *outgoing
+	if err := steps.Send(nil); err == nil {
+		unsent = l.exchange(steps)
 	}
 	l.stop()
-	l.pool.forget(l)
-	l.settle(unsent)
+	l.pool.removeLink(l)
+	l.reportUnanswered(unsent)
 }
 
-// exchange writes and reads until the stream breaks. It returns the item that
-// was in the writer's hands then.
-func (l *link) exchange(s *stream) *item {
+// exchange writes and reads until the stream breaks. It returns the message whose
+// write failed, or nil.
+func (l *link) exchange(s *stream) *outgoing {
 	broken := make(chan struct{})
 	l.pool.wg.Go(func() {
 		defer close(broken)
@@ -94,50 +96,52 @@
 	})
 	unsent := l.write(s, broken)
 	l.stop()
-	// The end of the context alone does not wake the reader: net/http is
-	// still waiting for more of the request.
+	// Cancelling the context alone does not unblock the reader, because
+	// net/http still waits for the rest of the request body.
 	_ = s.CloseRequest()
 	<-broken
 	return unsent
 }
 
-// write sends what is in the ring.
-func (l *link) write(s *stream, broken <-chan struct{}) *item {
+// write sends the queued messages. It returns the message whose write failed, or
+// nil if the reader fails or the link stops first.
+func (l *link) write(s *stream, broken <-chan struct{}) *outgoing {
 	for {
 		select {
 		case <-broken:
 			return nil
 		case <-l.ctx.Done():
 			return nil
-		case it := <-l.ring.Items():
-			if err := s.Send(l.request(it)); err != nil {
-				return &it
+		case out := <-l.ring.Items():
+			if err := s.Send(l.stepRequest(out)); err != nil {
+				return &out
 			}
 		}
 	}
 }
 
-// settle reports what became of the steps: those that never left are not
-// sent, and the rest is lost with the engine. The former go first, so that
-// they are not taken for lost.
-func (l *link) settle(unsent *item) {
-	if unsent != nil && unsent.step != nil && !l.dialed.Load() {
-		l.pool.report(notSent(unsent.step))
+// reportUnanswered reports the outcome of the remaining steps: queued steps are
+// reported as not sent, and UpstreamDownMsg marks the sent ones as lost. The
+// unsent steps are reported first, so that UpstreamDownMsg does not cover them.
+func (l *link) reportUnanswered(unsent *outgoing) {
+	if unsent != nil && unsent.step != nil && !l.connected.Load() {
+		l.pool.report(notSentMsg(unsent.step))
 	}
-	for l.settleNext() {
+	for l.reportNextUnsent() {
 		continue
 	}
-	if l.dialed.Load() {
+	if l.connected.Load() {
 		l.pool.report(core.UpstreamDownMsg{Upstream: l.name})
 	}
 }
 
-// settleNext reports one step that is still in the ring; false for none.
-func (l *link) settleNext() bool {
+// reportNextUnsent reports one queued step as not sent. It returns false if the
+// ring is empty.
+func (l *link) reportNextUnsent() bool {
 	select {
-	case it := <-l.ring.Items():
-		if it.step != nil {
-			l.pool.report(notSent(it.step))
+	case out := <-l.ring.Items():
+		if out.step != nil {
+			l.pool.report(notSentMsg(out.step))
 		}
 		return true
 	default:
@@ -145,7 +149,7 @@
 	}
 }
 
-// read reports every answer until the stream breaks.
+// read reports every reply until the stream breaks.
 func (l *link) read(s *stream) {
 	for {
 		reply, err := s.Receive()
@@ -154,38 +158,40 @@
 			_ = s.CloseRequest()
 			return
 		}
-		l.pool.report(l.answer(reply))
+		l.pool.report(l.message(reply))
 	}
 }
 
-func (l *link) request(it item) *wire.StepRequest {
-	if it.end != nil {
+// stepRequest encodes a queued message.
+func (l *link) stepRequest(out outgoing) *wire.StepRequest {
+	if out.end != nil {
 		return &wire.StepRequest{
-			Node: l.pool.node, Request: it.end.Request, Generation: it.end.Generation, End: true,
+			Node: l.pool.node, Request: out.end.Request, Generation: out.end.Generation, End: true,
 		}
 	}
 	return &wire.StepRequest{
 		Node:       l.pool.node,
-		Request:    it.step.Request,
-		Generation: it.step.Generation,
-		Position:   it.step.Position,
-		Prompt:     it.step.Prompt,
-		Tokens:     it.step.Tokens,
-		Inputs:     it.step.Inputs,
-		Priority:   uint32(it.step.Priority),
+		Request:    out.step.Request,
+		Generation: out.step.Generation,
+		Position:   out.step.Position,
+		Prompt:     out.step.Prompt,
+		Tokens:     out.step.Tokens,
+		Inputs:     out.step.Inputs,
+		Priority:   uint32(out.step.Priority),
 	}
 }
 
-// faults maps the engines' refusals to what the core knows of them.
-var faults = map[wire.StepStatus]core.StepFault{
+// stepFaults maps the status of a refused step to the fault that core handles.
+var stepFaults = map[wire.StepStatus]core.StepFault{
 	wire.StepStatus_STEP_STATUS_GAP:     core.StepGap,
 	wire.StepStatus_STEP_STATUS_FENCED:  core.StepFenced,
 	wire.StepStatus_STEP_STATUS_LEAVING: core.StepRefused,
 	wire.StepStatus_STEP_STATUS_FULL:    core.StepRefused,
 }
 
-func (l *link) answer(r *wire.StepReply) core.Msg {
-	if fault, failed := faults[r.GetStatus()]; failed {
+// message converts a reply of the engine to a message for core.
+func (l *link) message(r *wire.StepReply) core.Msg {
+	if fault, failed := stepFaults[r.GetStatus()]; failed {
 		return core.StepFailedMsg{
 			Upstream: l.name, Request: r.GetRequest(), Generation: r.GetGeneration(),
 			Position: r.GetPosition(), Fault: fault, Leaving: r.GetLeaving(),
--- a/engine/pool.go
+++ b/engine/pool.go
@@ -1,6 +1,6 @@
-// Package engine carries steps to the model engines and their answers back:
-// one long stream for each engine, with a goroutine that writes and one that
-// reads. It decides nothing; what it could not send, or lost, it reports.
+// Package engine sends steps to the model engines and reports their replies: one
+// long-lived stream for each engine, with a goroutine that writes and one that
+// reads. It makes no decisions; it reports the steps that were not sent or lost.
 package engine
 
 import (
@@ -9,15 +9,16 @@
 	"github.com/hoistjunction/hoistjunction/core"
 )
 
-// Reporter takes in what happens at the engines. It may be called from many
-// goroutines.
+// Reporter receives replies and failures of the engines. It may be called from
+// many goroutines at once.
 type Reporter func(core.Msg)
 
-// Pool holds the streams to all engines in use.
+// Pool holds the open streams to engines.
 type Pool struct {
 	node   uint64
 	report Reporter
-	ring   int
+	// ring is the capacity of the send ring of each stream.
+	ring int
 
 	mu     sync.Mutex
 	links  map[string]*link
@@ -25,46 +26,46 @@
 	wg     sync.WaitGroup
 }
 
-// Option sets up a Pool.
+// Option configures a Pool.
 type Option func(*Pool)
 
-// WithRing sets how many steps may wait for one engine's stream.
-func WithRing(capacity int) Option { return func(p *Pool) { p.ring = capacity } }
+// WithRingCapacity sets how many messages may wait to be sent to one engine.
+func WithRingCapacity(capacity int) Option { return func(p *Pool) { p.ring = capacity } }
 
-// defaultRing holds more steps than an engine takes generations.
-const defaultRing = 4096
+// defaultRingCapacity exceeds the number of generations that an engine accepts.
+const defaultRingCapacity = 4096
 
-// NewPool returns a pool without streams. The node's incarnation names it to
-// the engines.
+// NewPool returns a pool without streams. The parameter node is the node's
+// incarnation, which identifies the node to the engines.
 func NewPool(node uint64, report Reporter, opts ...Option) *Pool {
-	p := &Pool{node: node, report: report, ring: defaultRing, links: make(map[string]*link)}
+	p := &Pool{node: node, report: report, ring: defaultRingCapacity, links: make(map[string]*link)}
 	for _, opt := range opts {
 		opt(p)
 	}
 	return p
 }
 
-// Step sends a step, and opens a stream where there is none. When there is no
-// room it returns the message that says so, and else nil.
+// Step queues a step for the engine, and opens a stream if there is none. It
+// returns nil, or a failure message if the ring is full or the pool is closed.
 func (p *Pool) Step(cmd *core.StepCmd) core.Msg {
 	l := p.link(cmd.Upstream, cmd.Address)
-	if l == nil || !l.ring.Offer(item{step: cmd}) {
-		return notSent(cmd)
+	if l == nil || !l.ring.Offer(outgoing{step: cmd}) {
+		return notSentMsg(cmd)
 	}
 	return nil
 }
 
-// End tells an engine to free a generation, if there is a stream to it.
+// End asks an engine to free a generation, if a stream to the engine is open.
 func (p *Pool) End(cmd *core.EndCmd) {
 	p.mu.Lock()
 	l := p.links[cmd.Upstream]
 	p.mu.Unlock()
 	if l != nil {
-		l.ring.Offer(item{end: cmd})
+		l.ring.Offer(outgoing{end: cmd})
 	}
 }
 
-// Close ends all streams and waits for their goroutines.
+// Close closes all streams and waits for their goroutines.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -75,8 +76,8 @@
 	p.wg.Wait()
 }
 
-// link returns the stream to an engine, opened if need be. A stream to the
-// same name at another address is that of an earlier incarnation.
+// link returns the stream to an engine, and opens it if necessary. A stream to the
+// same name at another address belongs to an earlier incarnation and is closed.
 func (p *Pool) link(name, address string) *link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,8 +97,8 @@
 	return l
 }
 
-// forget takes a broken stream out, so that the next step opens another.
-func (p *Pool) forget(l *link) {
+// removeLink removes a broken stream, so that the next step opens a new one.
+func (p *Pool) removeLink(l *link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.links[l.name] == l {
@@ -105,7 +106,7 @@
 	}
 }
 
-func notSent(cmd *core.StepCmd) core.Msg {
+func notSentMsg(cmd *core.StepCmd) core.Msg {
 	return core.StepFailedMsg{
 		Upstream: cmd.Upstream, Request: cmd.Request, Generation: cmd.Generation,
 		Position: cmd.Position, Fault: core.StepNotSent,
--- a/entry/node.go
+++ b/entry/node.go
@@ -99,12 +99,12 @@
 
 // build joins the duties.
 func (n *Node) build() {
-	start := record.Start{
+	start := record.Header{
 		Node: n.record(), Seed: uint64(n.config.Seed), Seeds: n.config.PeerSeeds,
 		Grace: n.config.Grace, Policy: n.config.Policy,
 	}
 	secret := randomBytes(32)
-	model := start.Model(core.WithSecret(secret), core.WithChooser(n.config.chooser()))
+	model := start.NewModel(core.WithSecret(secret), core.WithChooser(n.config.chooser()))
 	recorder := record.NewRecorder(start, record.WithCapacity(n.config.Recording))
 	n.decider = newDecider(model, n.clock, recorder)
 	n.decider.execute = n.execute
--- a/entry/recording_test.go
+++ b/entry/recording_test.go
@@ -36,7 +36,7 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := record.File(path); err != nil {
+	if err := record.ReplayFile(path); err != nil {
 		t.Errorf("got %v, want the replay to end as the run did", err)
 	}
 }
--- a/measure/contender.go
+++ b/measure/contender.go
@@ -7,22 +7,22 @@
 	"github.com/hoistjunction/hoistjunction/core"
 )
 
-// Contender is a policy that takes part in a comparison.
+// Contender is a routing policy to measure, with its upstream chooser.
 type Contender struct {
 	Name    string
 	Policy  core.Policy
 	Chooser string
 }
 
-// fixedLimit is what an operator would set by hand: the requests that an
-// engine of the testbed takes at a time without being slow.
+// fixedLimit is the limit that an operator would set by hand: the number of
+// concurrent requests that an engine of the testbed handles without slowing down.
 const fixedLimit = 24
 
-// Contenders returns the policy and its baselines: what a plain proxy does,
-// with and without a limit on the requests that an engine gets at a time. Only
-// those whose name holds one of the given words, separated by commas, are
+// Contenders returns the default policy and its baselines, which act like a plain
+// proxy with or without a fixed limit on the concurrent requests of an engine.
+// Only contenders whose names contain one of the comma-separated words are
 // returned.
-func Contenders(only string) []Contender {
+func Contenders(words string) []Contender {
 	plain := core.Policy{
 		FixedLimit: 4096, MaxQueue: 1 << 20, MaxGenerations: 6, MaxCalls: 3, LeastStepLimit: 400, StepLimitFactor: 8, Margin: 1,
 	}
@@ -34,10 +34,10 @@
 		{Name: "least in flight", Policy: plain, Chooser: "least_in_flight"},
 		{Name: "least, fixed limit", Policy: limited, Chooser: "least_in_flight"},
 	}
-	return slices.DeleteFunc(all, func(c Contender) bool { return !named(c.Name, only) })
+	return slices.DeleteFunc(all, func(c Contender) bool { return !matchesAny(c.Name, words) })
 }
 
-func named(name, words string) bool {
+func matchesAny(name, words string) bool {
 	for word := range strings.SplitSeq(words, ",") {
 		if strings.Contains(name, word) {
 			return true
--- a/measure/fault.go
+++ b/measure/fault.go
@@ -5,8 +5,8 @@
 	"github.com/hoistjunction/hoistjunction/testbed"
 )
 
-// degradedLinkMS is what a degraded link adds to each answer: more than the
-// whole bound between tokens.
+// degradedLinkMS is the delay in milliseconds that a degraded link adds to each
+// response. It exceeds TokenIntervalBound.
 const degradedLinkMS = 60
 
 func killEngine(b *testbed.Bed) { b.Engines[0].Kill() }
@@ -21,7 +21,7 @@
 
 func killNode(b *testbed.Bed) { b.Nodes[0].Kill() }
 
-func outageAndDeath(b *testbed.Bed) {
+func failStoreAndKillEngine(b *testbed.Bed) {
 	b.Platform.SetFaults(standin.PlatformFaults{Down: true})
 	killEngine(b)
 }
--- a/measure/figures.go
+++ b/measure/figures.go
@@ -7,22 +7,27 @@
 	"github.com/hoistjunction/hoistjunction/outcome"
 )
 
-// Figures are what a run comes to.
+// Figures are the results of a run.
 type Figures struct {
-	// Good is answers within their bounds a second, of those that arrived.
-	Good float64
-	// Share is the share of requests that were answered within their bounds.
-	Share float64
-	// Small is the same share for the small accounts, where there are any.
-	Small float64
-	// Recovery is the time from the fault until requests that arrive are
-	// within their bounds again for good.
-	Recovery time.Duration
-	// Stall is the longest wait within an answer that was given whole.
-	Stall    time.Duration
-	Outcomes map[string]int
-	Wrong    int
-	Missing  int
+	// GoodPerSecond is the rate of correct, complete responses within the latency
+	// bounds.
+	GoodPerSecond float64
+	// GoodShare is the share of requests with a correct, complete response within the
+	// latency bounds.
+	GoodShare float64
+	// SmallGoodShare is GoodShare for all accounts except the first one of the
+	// scenario; zero if the scenario lists no accounts.
+	SmallGoodShare float64
+	// RecoveryTime is the time from the fault until new requests meet the latency
+	// bounds for the rest of the run; zero without a fault.
+	RecoveryTime time.Duration
+	// LongestStall is the longest pause within a correct response.
+	LongestStall time.Duration
+	Outcomes     map[string]int
+	// WrongAnswers counts responses with incorrect content, and MissingOutcomes
+	// requests without an outcome.
+	WrongAnswers    int
+	MissingOutcomes int
 }
 
 func figures(s Scenario, results []load.Result, start time.Time) *Figures {
@@ -30,7 +35,7 @@
 	good, small, smallGood := 0, 0, 0
 	for i := range results {
 		r := &results[i]
-		within := r.Within(FirstBound, TokenBound)
+		within := r.Within(FirstTokenBound, TokenIntervalBound)
 		if within {
 			good++
 		}
@@ -42,11 +47,11 @@
 		}
 		f.count(r)
 	}
-	f.Good = float64(good) / s.Length.Seconds()
-	f.Share = share(good, len(results))
-	f.Small = share(smallGood, small)
+	f.GoodPerSecond = float64(good) / s.Duration.Seconds()
+	f.GoodShare = ratio(good, len(results))
+	f.SmallGoodShare = ratio(smallGood, small)
 	if s.Fault != nil {
-		f.Recovery = recovery(results, start.Add(s.FaultAt))
+		f.RecoveryTime = recovery(results, start.Add(s.FaultAt))
 	}
 	return f
 }
@@ -55,33 +60,33 @@
 	f.Outcomes[r.Outcome.String()]++
 	switch {
 	case r.Outcome == outcome.None:
-		f.Missing++
+		f.MissingOutcomes++
 	case r.Outcome == outcome.Done && !r.Correct:
-		f.Wrong++
+		f.WrongAnswers++
 	}
 	for _, g := range r.Gaps {
 		if r.Correct {
-			f.Stall = max(f.Stall, g)
+			f.LongestStall = max(f.LongestStall, g)
 		}
 	}
 }
 
-func share(part, whole int) float64 {
+func ratio(part, whole int) float64 {
 	if whole == 0 {
 		return 0
 	}
 	return float64(part) / float64(whole)
 }
 
-// Recovery is told in windows; one is recovered when this share of what
-// arrived in it is within its bounds.
+// Recovery is measured in windows. A window counts as recovered if at least
+// recoveredShare of the requests that arrive in it meet the latency bounds.
 const (
 	recoveryWindow = 250 * time.Millisecond
 	recoveredShare = 0.9
 )
 
-// recovery returns the end of the last window after a fault that is not yet
-// recovered, counted from the fault.
+// recovery returns the time from the fault to the end of the last window that is
+// not recovered.
 func recovery(results []load.Result, fault time.Time) time.Duration {
 	total, good := make(map[int]int), make(map[int]int)
 	last := 0
@@ -93,12 +98,12 @@
 		w := int(r.Due.Sub(fault) / recoveryWindow)
 		last = max(last, w)
 		total[w]++
-		if r.Within(FirstBound, TokenBound) {
+		if r.Within(FirstTokenBound, TokenIntervalBound) {
 			good[w]++
 		}
 	}
 	for w := last; w >= 0; w-- {
-		if total[w] > 0 && share(good[w], total[w]) < recoveredShare {
+		if total[w] > 0 && ratio(good[w], total[w]) < recoveredShare {
 			return time.Duration(w+1) * recoveryWindow
 		}
 	}
--- a/measure/load.go
+++ b/measure/load.go
@@ -8,60 +8,59 @@
 	"github.com/hoistjunction/hoistjunction/load"
 )
 
-// prompts are what stallholders and clinics send: mostly short, and many that
-// begin alike.
+// prompts are typical client prompts: short, and many with a common prefix.
 var prompts = []string{
 	"Redacte un aviso en castellano llano: expediente %d, audiencia el lunes a las 9:30, sala 3.",
 	"오늘의 가격표를 써 주세요: 배추 한 포기 %d원, 무 한 개 1,800원.",
 	"¿Cuándo es mi audiencia? Expediente %d.",
 }
 
-// Tokens that a request asks for, evenly between these.
+// Bounds of the number of tokens in a request, drawn from a uniform distribution.
 const (
-	leastTokens = 8
-	mostTokens  = 32
+	minTokens = 8
+	maxTokens = 32
 )
 
-// Rate is requests of one account that arrive at random (a Poisson process).
-type Rate struct {
+// PoissonLoad generates requests of one account that arrive as a Poisson process.
+type PoissonLoad struct {
 	PerSecond float64
-	Length    time.Duration
+	Duration  time.Duration
 	Account   string
 }
 
-// Items returns the requests of a run.
-func (r Rate) Items(seed uint64) []load.Item {
-	account := r.Account
+// Items returns the requests of a run in the order of their arrival.
+func (p PoissonLoad) Items(seed uint64) []load.Item {
+	account := p.Account
 	if account == "" {
 		account = "clinic"
 	}
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var items []load.Item
 	for at := 0.0; ; {
-		at += rng.ExpFloat64() / r.PerSecond
-		if at >= r.Length.Seconds() {
+		at += rng.ExpFloat64() / p.PerSecond
+		if at >= p.Duration.Seconds() {
 			return items
 		}
 		items = append(items, load.Item{
 			AtMS: int64(at * 1000), Account: account, Route: "notices",
 			Prompt:    fmt.Sprintf(prompts[rng.IntN(len(prompts))], rng.IntN(10_000)),
-			MaxTokens: leastTokens + rng.IntN(mostTokens-leastTokens+1),
+			MaxTokens: minTokens + rng.IntN(maxTokens-minTokens+1),
 		})
 	}
 }
 
-// Flood is one account that sends three times the capacity, and three small
-// ones that together send less than half of it.
-type Flood struct {
+// FloodLoad generates requests of one account at three times PerSecond, and of
+// three small accounts that together send less than half of PerSecond.
+type FloodLoad struct {
 	PerSecond float64
-	Length    time.Duration
+	Duration  time.Duration
 }
 
-// Items returns the requests of a run, in the order of their times.
-func (f Flood) Items(seed uint64) []load.Item {
-	items := Rate{PerSecond: 3 * f.PerSecond, Length: f.Length, Account: "flood"}.Items(seed)
+// Items returns the requests of a run in the order of their arrival.
+func (f FloodLoad) Items(seed uint64) []load.Item {
+	items := PoissonLoad{PerSecond: 3 * f.PerSecond, Duration: f.Duration, Account: "flood"}.Items(seed)
 	for i, name := range []string{"small-1", "small-2", "small-3"} {
-		small := Rate{PerSecond: 0.12 * f.PerSecond, Length: f.Length, Account: name}.Items(seed + uint64(i) + 100)
+		small := PoissonLoad{PerSecond: 0.12 * f.PerSecond, Duration: f.Duration, Account: name}.Items(seed + uint64(i) + 100)
 		items = merge(items, small)
 	}
 	return items
--- a/measure/overhead.go
+++ b/measure/overhead.go
@@ -15,32 +15,34 @@
 	"github.com/hoistjunction/hoistjunction/testbed"
 )
 
-// ErrOverhead means that a call of the comparison was not answered.
-var ErrOverhead = errors.New("measure: overhead")
+// ErrOverhead means that a measured call failed.
+var ErrOverhead = errors.New("measure: overhead call failed")
 
-// How the overhead is measured: in slices that alternate between the service
-// itself and an entry node before it.
+// The overhead is measured in time slices that alternate between direct calls to
+// the service and calls through an entry node.
 const (
-	overheadRate   = 1000
-	overheadSlice  = time.Second
-	overheadSlices = 10
-	longestMicros  = 10_000_000
+	callsPerSlice = 1000
+	sliceDuration = time.Second
+	sliceCount    = 10
+	maxMicros     = 10_000_000
 )
 
-// Overhead is what an entry node adds to a plain call.
+// Overhead holds the latencies of plain service calls, in microseconds, without
+// and with an entry node.
 type Overhead struct {
 	Direct *hdrhistogram.Histogram
 	Node   *hdrhistogram.Histogram
-	// HeapBefore and HeapAfter are the bytes in use, all of the testbed's,
-	// before and after the calls through the node.
+	// HeapBefore and HeapAfter are the heap bytes in use in the whole testbed before
+	// and after the measured calls.
 	HeapBefore uint64
 	HeapAfter  uint64
-	Calls      int
+	// Calls is the number of measured calls through the node.
+	Calls int
 }
 
-// AddedByNode sends the same calls to a service, straight and through a
-// node, a thousand a second, in one run.
-func AddedByNode() (*Overhead, error) {
+// RunOverhead sends a thousand calls a second to a service, alternately directly
+// and through an entry node, and returns the latencies of both.
+func RunOverhead() (*Overhead, error) {
 	bed, err := testbed.Start(testbed.WithNodes(1), testbed.WithServices(1, 0), testbed.WithRecording(0))
 	if err != nil {
 		return nil, err
@@ -50,27 +52,27 @@
 		return nil, err
 	}
 	o := &Overhead{
-		Direct: hdrhistogram.New(1, longestMicros, 3), Node: hdrhistogram.New(1, longestMicros, 3),
+		Direct: hdrhistogram.New(1, maxMicros, 3), Node: hdrhistogram.New(1, maxMicros, 3),
 	}
 	direct := "http://" + bed.Services[0].Address() + "/confirm"
 	node := "http://" + bed.Nodes[0].CallerAddress() + "/v1/services/orders/confirm"
 	caller := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	defer caller.CloseIdleConnections()
-	for slice := range overheadSlices + 1 {
+	for slice := range sliceCount + 1 {
 		if slice == 1 {
-			// The first slice warms up and is not counted.
+			// The first slice is a warm-up, so its results are discarded.
 			o.Direct.Reset()
 			o.Node.Reset()
 			o.HeapBefore = heapInUse()
 			o.Calls = 0
 		}
-		if err := o.slice(caller, direct, o.Direct); err != nil {
+		if err := o.sendCalls(caller, direct, o.Direct); err != nil {
 			return nil, err
 		}
-		if err := o.slice(caller, node, o.Node); err != nil {
+		if err := o.sendCalls(caller, node, o.Node); err != nil {
 			return nil, err
 		}
-		o.Calls += overheadRate
+		o.Calls += callsPerSlice
 	}
 	o.HeapAfter = heapInUse()
 	return o, nil
@@ -83,21 +85,21 @@
 	return m.HeapAlloc
 }
 
-// slice sends calls at their times for a second and records each from the
-// moment it was due.
-func (o *Overhead) slice(caller *http.Client, url string, into *hdrhistogram.Histogram) error {
+// sendCalls sends evenly spaced calls for a second and records the latency of each
+// call from its scheduled time.
+func (o *Overhead) sendCalls(caller *http.Client, url string, latencies *hdrhistogram.Histogram) error {
 	var mu sync.Mutex
 	var failed error
 	var wg sync.WaitGroup
 	start := time.Now()
-	for i := range overheadRate {
-		due := start.Add(time.Duration(i) * overheadSlice / overheadRate)
+	for i := range callsPerSlice {
+		due := start.Add(time.Duration(i) * sliceDuration / callsPerSlice)
 		time.Sleep(time.Until(due))
 		wg.Go(func() {
 			err := post(caller, url)
 			mu.Lock()
 			defer mu.Unlock()
-			_ = into.RecordValue(time.Since(due).Microseconds())
+			_ = latencies.RecordValue(time.Since(due).Microseconds())
 			if err != nil {
 				failed = err
 			}
--- a/pool/group.go
+++ b/pool/group.go
@@ -1,23 +1,23 @@
 package pool
 
-// Group is the upstreams that hold the same thing and can stand in for each
-// other.
+// Group is a set of interchangeable upstreams: engines of the same stage or
+// instances of the same plain service.
 type Group struct {
 	name     string
 	members  []*Upstream
 	limit    float64
 	inFlight int
-	out      int
+	ejected  int
 }
 
-// Name returns the group's name, as the configuration spells it.
+// Name returns the group name from the configuration.
 func (g *Group) Name() string { return g.name }
 
-// Len returns the number of upstreams, open or not.
+// Len returns the number of upstreams, whether or not they are available.
 func (g *Group) Len() int { return len(g.members) }
 
-// Limit returns the sum of the limits of all upstreams that may get work.
+// Limit returns the sum of the limits of all available upstreams.
 func (g *Group) Limit() float64 { return g.limit }
 
-// InFlight returns the work that this node has at the group.
+// InFlight returns the number of requests that this node has in flight at the group.
 func (g *Group) InFlight() int { return g.inFlight }
--- a/pool/limits.go
+++ b/pool/limits.go
@@ -2,63 +2,72 @@
 
 import "github.com/hoistjunction/hoistjunction/clock"
 
-// Limits holds the constants by which an upstream's limit moves.
+// Limits holds the parameters of ejection and of the adaptive concurrency limit
+// of an upstream: how many requests this node may have in flight at it.
 type Limits struct {
-	// Start is the limit of an upstream that is new or has come back.
+	// Start is the initial limit of an upstream that is new, restarted or available
+	// again after an ejection.
 	Start float64
-	// Least and Most bound every limit.
-	Least float64
-	Most  float64
-	// Step is added to the limit after a good window.
-	Step float64
-	// Ahead is the factor after a good window while no bound has been missed.
-	Ahead float64
-	// Back is the factor after a missed bound.
-	Back float64
-	// InUse is the share of the limit that must be taken for it to grow.
-	InUse float64
-	// Over is how far work that is half done may stretch a limit.
-	Over float64
-	// Aim is the share of the bound that answers should take at the most.
-	Aim float64
-	// MayMiss is the share of answers that may take longer.
-	MayMiss float64
-	// Enough is how many answers a window must hold at least.
-	Enough int
-	// Window is the least time between two moves of a limit.
+	// Min and Max bound every limit.
+	Min float64
+	Max float64
+	// Increment is added to the limit after a window with few late responses.
+	Increment float64
+	// SlowStartFactor multiplies the limit after a window with few late responses
+	// during slow start, that is, until the first window with too many of them.
+	SlowStartFactor float64
+	// DecreaseFactor multiplies the limit after a window with too many late responses.
+	DecreaseFactor float64
+	// MinUtilization is the share of the limit that must have been in use for the
+	// limit to increase.
+	MinUtilization float64
+	// OverLimitFactor multiplies the limit for a request that is already in progress.
+	OverLimitFactor float64
+	// TargetShare is the share of the latency bound that a response may take before
+	// it counts as late.
+	TargetShare float64
+	// MaxMissShare is the share of responses in a window that may be late.
+	MaxMissShare float64
+	// MinAnswers is the minimum number of responses in a window.
+	MinAnswers int
+	// Window is the minimum time between two changes of a limit.
 	Window clock.Millis
-	// Ejection is how long the first failure takes an upstream out.
-	Ejection clock.Millis
-	// LongestEjection bounds the doubling.
-	LongestEjection clock.Millis
-	// MostOut is the share of a group that soft failures may take out.
-	MostOut float64
-	// Unlisted is how long an upstream may be missing from the list.
-	Unlisted clock.Millis
-	// SmallStep is the most positions of a step that counts as a decode step.
-	SmallStep int
+	// BaseEjection is the ejection period after the first failure.
+	BaseEjection clock.Millis
+	// MaxEjection bounds the ejection period, which doubles with each consecutive
+	// failure.
+	MaxEjection clock.Millis
+	// MaxEjectedShare is the share of a group up to which soft failures may eject
+	// upstreams.
+	MaxEjectedShare float64
+	// UnlistedTimeout is how long an idle upstream may be missing from the list of VMs
+	// before it is removed.
+	UnlistedTimeout clock.Millis
+	// MaxDecodePositions is the maximum number of positions in a step that counts as
+	// a decode step. A step with more positions counts as prefill.
+	MaxDecodePositions int
 }
 
-// DefaultLimits returns constants that need no tuning: they only set how fast
-// the limits follow the bound, not where they end up.
+// DefaultLimits returns parameters that need no tuning: they set how fast the
+// limits follow the latency bound, not the values at which the limits settle.
 func DefaultLimits() Limits {
 	return Limits{
-		Start:           4,
-		Least:           1,
-		Most:            4096,
-		Step:            1,
-		Ahead:           1.5,
-		Back:            0.85,
-		InUse:           0.8,
-		Over:            2,
-		Aim:             0.9,
-		MayMiss:         0.02,
-		Enough:          20,
-		Window:          150,
-		Ejection:        250,
-		LongestEjection: 10_000,
-		MostOut:         0.5,
-		Unlisted:        300_000,
-		SmallStep:       4,
+		Start:              4,
+		Min:                1,
+		Max:                4096,
+		Increment:          1,
+		SlowStartFactor:    1.5,
+		DecreaseFactor:     0.85,
+		MinUtilization:     0.8,
+		OverLimitFactor:    2,
+		TargetShare:        0.9,
+		MaxMissShare:       0.02,
+		MinAnswers:         20,
+		Window:             150,
+		BaseEjection:       250,
+		MaxEjection:        10_000,
+		MaxEjectedShare:    0.5,
+		UnlistedTimeout:    300_000,
+		MaxDecodePositions: 4,
 	}
 }
--- a/pool/listing.go
+++ b/pool/listing.go
@@ -1,16 +1,16 @@
 package pool
 
-// Listing is one line of the platform's list of VMs, as far as routing needs
-// it. The list lags and may leave VMs out.
+// Listing is an entry of the platform's list of VMs, reduced to the fields that
+// routing needs. The list lags behind and may omit VMs.
 type Listing struct {
 	Name string `json:"name"`
-	// Incarnation differs after each restart.
+	// Incarnation changes with each restart of the VM.
 	Incarnation string `json:"incarnation"`
-	// Group is the pool that the configuration names.
+	// Group is the name of the upstream pool in the configuration.
 	Group      string `json:"group"`
 	Address    string `json:"address"`
 	DataCentre string `json:"data_centre"`
-	// Kind names the accelerator.
+	// Kind names the accelerator model.
 	Kind    string `json:"kind"`
 	Leaving bool   `json:"leaving,omitempty"`
 }
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -1,11 +1,10 @@
-// Package pool knows the upstreams: which there are, which may get new work,
-// how much each can take, and which to choose.
+// Package pool tracks the upstreams of a node: which exist, which may get new
+// work, how much work each can take, and which one to choose for a request.
 //
-// What the platform's list says is joined with what calls show. The list
-// lags, so an upstream that it no longer names is not dead and one that it
-// names is not alive: an upstream is taken out of the choice when calls to it
-// fail, and put back slowly. A leaving mark holds for one incarnation and is
-// never taken back.
+// It combines the platform's list of VMs with the results of calls. The list
+// lags behind, so it does not decide whether an upstream is alive: an upstream is
+// ejected when calls to it fail, and gets work again gradually. A leaving mark
+// applies to one incarnation and is never removed.
 //
 //	p := pool.New()
 //	p.Update(0, []pool.Listing{{Name: "e1", Group: "low", Address: "127.0.0.1:9"}})
@@ -20,23 +19,23 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// Pool holds all upstreams by name and by group. It is not safe for
-// concurrent use.
+// Pool indexes all upstreams by name and by group. It is not safe for concurrent
+// use.
 type Pool struct {
 	byName  map[string]*Upstream
 	groups  map[string]*Group
-	out     []*Upstream
+	ejected []*Upstream
 	chooser Chooser
 	limits  Limits
 }
 
-// Option sets up a Pool.
+// Option configures a Pool.
 type Option func(*Pool)
 
-// WithChooser sets how one upstream is chosen among those with room.
+// WithChooser sets how one upstream is chosen among those with free capacity.
 func WithChooser(c Chooser) Option { return func(p *Pool) { p.chooser = c } }
 
-// WithLimits sets the constants of the limits, ejection and slow start.
+// WithLimits sets the parameters of the limits, ejection and slow start.
 func WithLimits(l Limits) Option { return func(p *Pool) { p.limits = l } }
 
 // New returns a pool without upstreams.
@@ -53,13 +52,14 @@
 	return p
 }
 
-// Len returns the number of upstreams known.
+// Len returns the number of tracked upstreams.
 func (p *Pool) Len() int { return len(p.byName) }
 
-// Get returns an upstream by name, or nil.
+// Get returns the upstream with the given name, or nil.
 func (p *Pool) Get(name string) *Upstream { return p.byName[name] }
 
-// Group returns a group by name. An unknown group is empty.
+// Group returns the group with the given name, and creates an empty one if it is
+// missing.
 func (p *Pool) Group(name string) *Group {
 	g := p.groups[name]
 	if g == nil {
@@ -69,7 +69,7 @@
 	return g
 }
 
-// All returns every upstream in the order of their names.
+// All returns all upstreams, sorted by name.
 func (p *Pool) All() []*Upstream {
 	all := make([]*Upstream, 0, len(p.byName))
 	for _, g := range p.groups {
@@ -79,8 +79,9 @@
 	return all
 }
 
-// Update joins the platform's list with what is known. An upstream that the
-// list has not named for Limits.Unlisted is forgotten, once it is idle.
+// Update merges a new list of VMs into the tracked upstreams. An upstream that
+// has been missing from the list for Limits.UnlistedTimeout is removed once it
+// is idle.
 func (p *Pool) Update(now clock.Millis, list []Listing) {
 	for _, l := range list {
 		u := p.byName[l.Name]
@@ -88,15 +89,15 @@
 			u = p.add(now, l)
 		}
 		if u.listing.Incarnation != l.Incarnation {
-			p.renew(now, u)
+			p.reset(now, u)
 		}
 		u.listing = l
-		u.listed = now
+		u.listedAt = now
 		if l.Leaving {
-			p.leave(u)
+			p.markLeaving(u)
 		}
 	}
-	p.forgetUnlisted(now)
+	p.removeUnlisted(now)
 }
 
 func (p *Pool) add(now clock.Millis, l Listing) *Upstream {
@@ -106,119 +107,120 @@
 	g := p.Group(l.Group)
 	u := &Upstream{name: l.Name, listing: l, group: g}
 	p.byName[l.Name] = u
-	at, _ := slices.BinarySearchFunc(g.members, l.Name, func(m *Upstream, name string) int {
+	index, _ := slices.BinarySearchFunc(g.members, l.Name, func(m *Upstream, name string) int {
 		return strings.Compare(m.name, name)
 	})
-	g.members = slices.Insert(g.members, at, u)
-	p.renew(now, u)
+	g.members = slices.Insert(g.members, index, u)
+	p.reset(now, u)
 	return u
 }
 
-// renew starts an upstream afresh: a new incarnation knows nothing of the
-// marks and measurements of the one before.
-func (p *Pool) renew(now clock.Millis, u *Upstream) {
+// reset clears the state that applies to one incarnation of an upstream: leaving
+// mark, ejection, failures, step time, load and limit.
+func (p *Pool) reset(now clock.Millis, u *Upstream) {
 	u.leaving = false
 	u.ejectedUntil = 0
 	u.failures = 0
-	u.step = average{}
-	u.reported = 0
+	u.stepTime = movingAverage{}
+	u.otherLoad = 0
 	u.limit = p.limits.Start
 	u.slowStart = true
-	u.resized = now
-	u.recount()
+	u.limitAdjustedAt = now
+	u.updateGroupLimit()
 }
 
 func (p *Pool) remove(u *Upstream) {
-	u.gone = true
-	u.recount()
+	u.removed = true
+	u.updateGroupLimit()
 	delete(p.byName, u.name)
 	g := u.group
 	g.members = slices.DeleteFunc(g.members, func(m *Upstream) bool { return m == u })
 }
 
-func (p *Pool) forgetUnlisted(now clock.Millis) {
+func (p *Pool) removeUnlisted(now clock.Millis) {
 	for _, g := range p.groups {
 		for _, u := range slices.Clone(g.members) {
-			if u.inFlight == 0 && now.Sub(u.listed) > p.limits.Unlisted {
+			if u.inFlight == 0 && now.Sub(u.listedAt) > p.limits.UnlistedTimeout {
 				p.remove(u)
 			}
 		}
 	}
 }
 
-// Leave marks an upstream as leaving, if it still runs as that incarnation.
-// An empty incarnation stands for the present one. It returns whether the
-// mark is new.
-func (p *Pool) Leave(name, incarnation string) bool {
+// MarkLeaving marks an upstream as leaving if its current incarnation is the
+// given one; an empty incarnation matches any. It reports whether the mark is
+// new.
+func (p *Pool) MarkLeaving(name, incarnation string) bool {
 	u := p.byName[name]
 	if u == nil || (incarnation != "" && u.listing.Incarnation != incarnation) {
 		return false
 	}
-	return p.leave(u)
+	return p.markLeaving(u)
 }
 
-func (p *Pool) leave(u *Upstream) bool {
+func (p *Pool) markLeaving(u *Upstream) bool {
 	if u.leaving {
 		return false
 	}
 	u.leaving = true
-	u.recount()
+	u.updateGroupLimit()
 	return true
 }
 
-// Pick chooses an upstream of a group that has room for one more piece of
-// work, and is none of the excluded. It returns false when there is none.
+// Pick chooses an upstream of the group with free capacity for one more request,
+// except the excluded ones. It returns false if there is none.
 func (p *Pool) Pick(group string, rng *rand.Rand, exclude ...*Upstream) (*Upstream, bool) {
 	return p.pick(group, rng, 1, exclude)
 }
 
-// PickOver is Pick for work that is half done and waits elsewhere: it may go
-// over the limits by Limits.Over, which a short crowding costs less than the
-// wait for room.
-func (p *Pool) PickOver(group string, rng *rand.Rand, exclude ...*Upstream) (*Upstream, bool) {
-	return p.pick(group, rng, p.limits.Over, exclude)
+// PickOverLimit is like Pick, for a request that is already in progress at other
+// upstreams. It may exceed a limit by Limits.OverLimitFactor, because a brief
+// overload costs less than making the request wait for free capacity.
+func (p *Pool) PickOverLimit(group string, rng *rand.Rand, exclude ...*Upstream) (*Upstream, bool) {
+	return p.pick(group, rng, p.limits.OverLimitFactor, exclude)
 }
 
-func (p *Pool) pick(group string, rng *rand.Rand, over float64, exclude []*Upstream) (*Upstream, bool) {
+func (p *Pool) pick(group string, rng *rand.Rand, limitFactor float64, exclude []*Upstream) (*Upstream, bool) {
 	g := p.groups[group]
 	if g == nil || len(g.members) == 0 {
 		return nil, false
 	}
 	u := p.chooser.Choose(g, rng, func(u *Upstream) bool {
-		return u.hasRoom(over) && !slices.Contains(exclude, u)
+		return u.hasCapacity(limitFactor) && !slices.Contains(exclude, u)
 	})
 	return u, u != nil
 }
 
-// Begin counts a piece of work at an upstream.
+// Begin adds a request to the in-flight count of an upstream.
 func (p *Pool) Begin(u *Upstream) {
 	u.inFlight++
 	u.group.inFlight++
 }
 
-// End takes a piece of work off an upstream's count.
+// End removes a request from the in-flight count of an upstream.
 func (p *Pool) End(u *Upstream) {
 	u.inFlight--
 	u.group.inFlight--
 }
 
-// Observe learns from an answer: it took span for the given number of
-// positions.
-func (p *Pool) Observe(u *Upstream, span clock.Millis, positions int) {
-	if positions <= p.limits.SmallStep {
-		u.step.add(float64(span))
+// RecordSuccess records a response that took span for the given number of
+// positions. It resets the consecutive failures and ends an ejection.
+func (p *Pool) RecordSuccess(u *Upstream, span clock.Millis, positions int) {
+	if positions <= p.limits.MaxDecodePositions {
+		u.stepTime.add(float64(span))
 	} else {
-		u.prefill.add(float64(span) / float64(positions))
+		u.positionTime.add(float64(span) / float64(positions))
 	}
 	u.failures = 0
 	if u.ejectedUntil != 0 {
-		p.restore(u)
+		p.endEjection(u)
 	}
 }
 
-// Report takes in the number of generations that an engine says it holds for
-// everybody. What is not this node's is taken to be the other nodes'.
-func (p *Pool) Report(u *Upstream, load int) {
+// RecordLoad records the number of generations that an engine reports for all
+// nodes. The number beyond this node's requests in flight is attributed to the
+// other nodes and averaged.
+func (p *Pool) RecordLoad(u *Upstream, load int) {
 	others := float64(max(load-u.inFlight, 0))
-	u.reported += (others - u.reported) / 8
+	u.otherLoad += (others - u.otherLoad) / 8
 }
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -9,7 +9,8 @@
 	"github.com/hoistjunction/hoistjunction/pool"
 )
 
-func listing(n int) []pool.Listing {
+// makeListings returns the listings of n upstreams of one group.
+func makeListings(n int) []pool.Listing {
 	var list []pool.Listing
 	for i := range n {
 		list = append(list, pool.Listing{Name: fmt.Sprintf("u%d", i), Group: "g", Incarnation: "1"})
@@ -19,69 +20,70 @@
 
 func newPool(n int) (*pool.Pool, *rand.Rand) {
 	p := pool.New()
-	p.Update(0, listing(n))
+	p.Update(0, makeListings(n))
 	return p, rand.New(rand.NewPCG(1, 1))
 }
 
-func TestEjectedUpstreamComesBackSlowly(t *testing.T) {
+func TestEjectedUpstreamRecoversGradually(t *testing.T) {
 	p, rng := newPool(2)
 	u := p.Get("u0")
-	p.Fail(10, u, false)
+	p.RecordFailure(10, u, false)
 	for range 20 {
 		if got, ok := p.Pick("g", rng); !ok || got == u {
 			t.Fatalf("got %v %v, want the other upstream", got, ok)
 		}
 	}
-	p.Tick(10 + pool.DefaultLimits().Ejection)
-	if !u.HasRoom() || u.Limit() != pool.DefaultLimits().Least {
-		t.Errorf("got limit %v after the ejection, want one probe", u.Limit())
+	p.StartProbes(10 + pool.DefaultLimits().BaseEjection)
+	if !u.HasCapacity() || u.Limit() != pool.DefaultLimits().Min {
+		t.Errorf("got limit %v after the ejection period, want the minimum limit for probing", u.Limit())
 	}
-	p.Observe(u, 5, 1)
+	p.RecordSuccess(u, 5, 1)
 	if got, want := u.Limit(), pool.DefaultLimits().Start; got != want || u.State() != "starting" {
-		t.Errorf("got limit %v and state %s after a good answer, want %v and starting", got, u.State(), want)
+		t.Errorf("got limit %v and state %s after a success, want %v and starting", got, u.State(), want)
 	}
 }
 
-func TestSoftFailuresSpareHalfOfAGroup(t *testing.T) {
+func TestSoftFailuresEjectAtMostHalfOfAGroup(t *testing.T) {
 	p, _ := newPool(4)
 	for i := range 4 {
-		p.Fail(10, p.Get(fmt.Sprintf("u%d", i)), true)
+		p.RecordFailure(10, p.Get(fmt.Sprintf("u%d", i)), true)
 	}
-	out := 0
+	ejected := 0
 	for _, u := range p.All() {
 		if u.Ejected() {
-			out++
+			ejected++
 		}
 	}
-	if out != 2 {
-		t.Errorf("got %d of 4 ejected for being slow, want 2", out)
+	if ejected != 2 {
+		t.Errorf("got %d of 4 upstreams ejected after soft failures, want 2", ejected)
 	}
 }
 
-// TestGroupLimitIsTheSumOfItsMembers goes through every way in which an
-// upstream may come, go and change, and compares the running sum.
-func TestGroupLimitIsTheSumOfItsMembers(t *testing.T) {
+// TestGroupLimitIsSumOfMemberLimits compares the incrementally updated group
+// limit with the sum over its members after random failures, successes, restarts,
+// leaving marks and limit changes.
+func TestGroupLimitIsSumOfMemberLimits(t *testing.T) {
 	p, rng := newPool(6)
 	for now := clock.Millis(1); now < 3000; now++ {
 		u := p.Get(fmt.Sprintf("u%d", rng.IntN(6)))
 		switch rng.IntN(8) {
 		case 0:
-			p.Fail(now, u, rng.IntN(2) == 0)
+			p.RecordFailure(now, u, rng.IntN(2) == 0)
 		case 1:
-			p.Observe(u, 5, 1)
+			p.RecordSuccess(u, 5, 1)
 		case 2:
-			p.Tick(now)
+			p.StartProbes(now)
 		case 3:
-			list := listing(6)
+			list := makeListings(6)
 			list[rng.IntN(6)].Incarnation = fmt.Sprint(now)
 			p.Update(now, list)
 		case 4:
 			if rng.IntN(20) == 0 {
-				p.Leave(u.Name(), "")
+				p.MarkLeaving(u.Name(), "")
 			}
 		default:
 			p.Begin(u)
-			p.Judge(now*10, []*pool.Upstream{u}, clock.Millis(rng.IntN(60)), 30)
+			p.RecordChainTime(now*10, []*pool.Upstream{u}, clock.Millis(rng.IntN(60)), 30)
 			p.End(u)
 		}
 		want := 0.0
@@ -96,25 +98,25 @@
 	}
 }
 
-func TestLimitSettlesWhereTheBoundIsMet(t *testing.T) {
+func TestLimitConvergesToLatencyBound(t *testing.T) {
 	p, _ := newPool(1)
 	u := p.Get("u0")
-	// An upstream whose answers take 2 ms for each piece of work it has: at a
-	// bound of 40 ms it holds 20 of them.
+	// The response time is 2 ms for each request in flight, so a bound of 40 ms
+	// permits 20 requests at a time.
 	now := clock.Millis(0)
 	for range 400 {
-		for u.HasRoom() {
+		for u.HasCapacity() {
 			p.Begin(u)
 		}
 		for range 20 {
 			now += 8
-			p.Judge(now, []*pool.Upstream{u}, clock.Millis(2*u.InFlight()), 40)
+			p.RecordChainTime(now, []*pool.Upstream{u}, clock.Millis(2*u.InFlight()), 40)
 		}
 		for u.InFlight() > 0 {
 			p.End(u)
 		}
 	}
 	if u.Limit() < 13 || u.Limit() > 20 {
-		t.Errorf("got limit %v, want it near and under 18", u.Limit())
+		t.Errorf("got limit %v, want between 13 and 20, near 18", u.Limit())
 	}
 }
--- a/pool/upstream.go
+++ b/pool/upstream.go
@@ -2,67 +2,77 @@
 
 import "github.com/hoistjunction/hoistjunction/clock"
 
-// Upstream is one model engine or plain service, and what is known of it.
+// Upstream is one model engine or one instance of a plain service, with its state
+// and measurements.
 type Upstream struct {
 	name    string
 	listing Listing
 	group   *Group
 
-	listed       clock.Millis
+	// listedAt is when the list of VMs last contained the upstream.
+	listedAt     clock.Millis
 	leaving      bool
-	gone         bool
+	removed      bool
 	probing      bool
 	ejectedUntil clock.Millis
 	failures     int
 
-	inFlight  int
-	reported  float64
-	limit     float64
-	slowStart bool
-	resized   clock.Millis
-	counted   float64
-	judged    int
-	missed    int
-	busiest   int
-
-	step    average
-	prefill average
+	inFlight int
+	// otherLoad is the averaged number of generations of other nodes.
+	otherLoad       float64
+	limit           float64
+	slowStart       bool
+	limitAdjustedAt clock.Millis
+	// groupContribution is the part of the group limit that stems from this upstream.
+	groupContribution float64
+	// windowAnswers and windowMisses count the responses and late responses in the
+	// current window; windowPeak is its maximum number of requests in flight.
+	windowAnswers int
+	windowMisses  int
+	windowPeak    int
+
+	stepTime     movingAverage
+	positionTime movingAverage
 }
 
 // Name returns the upstream's name, unique in the fleet.
 func (u *Upstream) Name() string { return u.name }
 
-// Listing returns the platform's newest word on the upstream.
+// Listing returns the newest entry for the upstream in the platform's list of VMs.
 func (u *Upstream) Listing() Listing { return u.listing }
 
-// InFlight returns the work that this node has there.
+// InFlight returns the number of requests that this node has in flight at the
+// upstream.
 func (u *Upstream) InFlight() int { return u.inFlight }
 
-// Limit returns how much work this node may have there.
+// Limit returns the maximum number of requests that this node may have in flight
+// at the upstream.
 func (u *Upstream) Limit() float64 { return u.limit }
 
-// StepMillis returns the usual time of a decode step there, link included;
-// zero before the first one.
-func (u *Upstream) StepMillis() float64 { return u.step.value }
+// StepMillis returns the average time of a decode step in milliseconds, network
+// time included; zero before the first step.
+func (u *Upstream) StepMillis() float64 { return u.stepTime.value }
 
-// PrefillMillis returns the usual time for each position of a step.
-func (u *Upstream) PrefillMillis() float64 { return u.prefill.value }
+// PrefillMillis returns the average time for each prefill position in
+// milliseconds; zero before the first prefill.
+func (u *Upstream) PrefillMillis() float64 { return u.positionTime.value }
 
-// Leaving reports whether the upstream gets no new work.
+// Leaving reports whether the upstream is marked as leaving and gets no new work.
 func (u *Upstream) Leaving() bool { return u.leaving }
 
-// Ejected reports whether the upstream is out of the choice after a failure.
+// Ejected reports whether the upstream is ejected after a failure and not yet
+// being probed.
 func (u *Upstream) Ejected() bool { return u.ejectedUntil != 0 && !u.probing }
 
-// HasRoom reports whether the upstream may be given one more piece of work.
-func (u *Upstream) HasRoom() bool { return u.hasRoom(1) }
+// HasCapacity reports whether the upstream may get one more request.
+func (u *Upstream) HasCapacity() bool { return u.hasCapacity(1) }
 
-// hasRoom is HasRoom with the limit stretched by a factor.
-func (u *Upstream) hasRoom(over float64) bool {
-	return u.open() && float64(u.inFlight)+1 <= u.limit*over
+// hasCapacity is like HasCapacity, with the limit multiplied by limitFactor.
+func (u *Upstream) hasCapacity(limitFactor float64) bool {
+	return u.available() && float64(u.inFlight)+1 <= u.limit*limitFactor
 }
 
-// State returns the upstream's state in a word, for people.
+// State returns the upstream's state as a word for display.
 func (u *Upstream) State() string {
 	switch {
 	case u.leaving:
@@ -76,27 +86,30 @@
 	}
 }
 
-func (u *Upstream) open() bool {
-	return !u.gone && !u.leaving && !u.Ejected()
+// available reports whether the upstream may get new work within its limit.
+func (u *Upstream) available() bool {
+	return !u.removed && !u.leaving && !u.Ejected()
 }
 
 func (u *Upstream) setLimit(limit float64) {
 	u.limit = limit
-	u.recount()
+	u.updateGroupLimit()
 }
 
-// recount brings the group's sum of limits up to date with this upstream.
-func (u *Upstream) recount() {
-	now := 0.0
-	if u.open() {
-		now = u.limit
+// updateGroupLimit adjusts the group limit to a change of this upstream's limit
+// or availability.
+func (u *Upstream) updateGroupLimit() {
+	contribution := 0.0
+	if u.available() {
+		contribution = u.limit
 	}
-	u.group.limit += now - u.counted
-	u.counted = now
+	u.group.limit += contribution - u.groupContribution
+	u.groupContribution = contribution
 }
 
-// crowding is the expected time of a step there, stretched by how full the
-// upstream is with this node's work and the others'. Lower is better.
-func (u *Upstream) crowding() float64 {
-	return (u.step.value + 1) * (float64(u.inFlight) + u.reported + 1) / (u.limit + u.reported)
+// loadScore estimates the time of a step: the average step time, multiplied by
+// the utilization with the requests of this node and of other nodes. Lower is
+// better.
+func (u *Upstream) loadScore() float64 {
+	return (u.stepTime.value + 1) * (float64(u.inFlight) + u.otherLoad + 1) / (u.limit + u.otherLoad)
 }
--- a/record/fuzz_test.go
+++ b/record/fuzz_test.go
@@ -25,6 +25,6 @@
 	f.Fuzz(checkDecode)
 }
 
-func TestDecodeOnManyInputs(t *testing.T) {
+func TestDecodeWithMutatedInputs(t *testing.T) {
 	fixedseed.Mutate(decodeExamples, func(input []byte) { checkDecode(t, input) })
 }
--- a/record/recorder.go
+++ b/record/recorder.go
@@ -1,8 +1,8 @@
-// Package record writes down the messages that a model took in, and replays
-// them: the same messages at the same times give the same commands.
+// Package record records the input messages of a model and replays them: the same
+// messages at the same times produce the same commands.
 //
-// A recording is lines of JSON. The first says how the model was made, and
-// each other line is a message with its time.
+// A recording is a JSON Lines file. The first line is the header with the
+// parameters of the model, and each other line is a message with its time.
 package record
 
 import (
@@ -12,18 +12,19 @@
 	"github.com/hoistjunction/hoistjunction/core"
 )
 
-// Bounds of a Recorder: how many messages it keeps, and how many bytes of what
-// they carry.
+// Bounds of a Recorder: the default number of messages, and the maximum number of
+// payload bytes.
 const (
 	DefaultCapacity = 1 << 14
-	mostBytes       = 16 << 20
+	maxPayloadBytes = 16 << 20
 )
 
-// Recorder keeps the newest messages in a bounded ring. VMs have no disks; an
-// operator reads it while the node runs. It is safe for concurrent use.
+// Recorder keeps the newest messages in a bounded ring in memory, because VMs have
+// no disks; an operator downloads it while the node runs. It is safe for
+// concurrent use.
 type Recorder struct {
 	mu       sync.Mutex
-	start    Start
+	header   Header
 	entries  []entry
 	oldest   int
 	length   int
@@ -37,22 +38,22 @@
 	msg core.Msg
 }
 
-// Option sets up a Recorder.
+// Option configures a Recorder.
 type Option func(*Recorder)
 
-// WithCapacity sets how many messages are kept; zero keeps none.
+// WithCapacity sets the maximum number of messages; zero disables recording.
 func WithCapacity(n int) Option { return func(r *Recorder) { r.capacity = n } }
 
-// NewRecorder returns an empty recorder for a model that was made so.
-func NewRecorder(start Start, opts ...Option) *Recorder {
-	r := &Recorder{start: start, capacity: DefaultCapacity}
+// NewRecorder returns an empty recorder for a model with the parameters in header.
+func NewRecorder(header Header, opts ...Option) *Recorder {
+	r := &Recorder{header: header, capacity: DefaultCapacity}
 	for _, opt := range opts {
 		opt(r)
 	}
 	return r
 }
 
-// Add notes a message. When the ring is full the oldest is dropped.
+// Add records a message, and drops the oldest ones to stay within the bounds.
 func (r *Recorder) Add(at clock.Millis, msg core.Msg) {
 	if r.capacity == 0 {
 		return
@@ -63,27 +64,28 @@
 		r.entries = make([]entry, r.capacity)
 	}
 	if r.length == r.capacity {
-		r.drop()
+		r.dropOldest()
 	}
 	r.entries[(r.oldest+r.length)%r.capacity] = entry{at: at, msg: msg}
 	r.length++
-	r.bytes += carried(msg)
-	for r.bytes > mostBytes && r.length > 1 {
-		r.drop()
+	r.bytes += payloadSize(msg)
+	for r.bytes > maxPayloadBytes && r.length > 1 {
+		r.dropOldest()
 	}
 }
 
-// drop drops the oldest message.
-func (r *Recorder) drop() {
-	r.bytes -= carried(r.entries[r.oldest].msg)
+// dropOldest drops the oldest message and counts it as dropped.
+func (r *Recorder) dropOldest() {
+	r.bytes -= payloadSize(r.entries[r.oldest].msg)
 	r.entries[r.oldest] = entry{}
 	r.oldest = (r.oldest + 1) % r.capacity
 	r.length--
 	r.dropped++
 }
 
-// carried is the bytes of a message that callers and upstreams decide on.
-func carried(msg core.Msg) int {
+// payloadSize returns the bytes of a message whose size depends on callers and
+// upstreams.
+func payloadSize(msg core.Msg) int {
 	switch msg := msg.(type) {
 	case core.SubmitMsg:
 		return len(msg.Prompt) + len(msg.Body)
@@ -98,17 +100,17 @@
 	}
 }
 
-// Lines returns the recording, and how many messages have been dropped. One
-// that has dropped any shows what happened last, but does not replay.
+// Lines returns the encoded recording and the number of dropped messages. A
+// recording with dropped messages shows the latest ones but cannot be replayed.
 func (r *Recorder) Lines() ([]byte, uint64, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	start := r.start
-	start.Dropped = r.dropped
+	header := r.header
+	header.Dropped = r.dropped
 	ordered := make([]entry, 0, r.length)
 	for i := range r.length {
 		ordered = append(ordered, r.entries[(r.oldest+i)%r.capacity])
 	}
-	lines, err := encode(start, ordered)
+	lines, err := encode(header, ordered)
 	return lines, r.dropped, err
 }
--- a/tablestore/claims.go
+++ b/tablestore/claims.go
@@ -10,11 +10,11 @@
 	"github.com/hoistjunction/hoistjunction/once"
 )
 
-// Claim gives each key that has no claim the one asked for, and returns the
-// claims that stand, in the order of the keys. Claims that are there already
-// take a second transaction for the rest.
+// Claim writes the requested claim for each key that has none, and returns the
+// claim of every key, in the order of the keys. The platform rejects a transaction
+// if any of its keys already has a claim; Claim then retries with the other keys.
 func (s *Store) Claim(ctx context.Context, claims []core.KeyClaim) ([]core.KeyClaim, error) {
-	standing := make(map[string]once.Claim)
+	existing := make(map[string]once.Claim)
 	pending := claims
 	for len(pending) > 0 {
 		result, err := s.client.Commit(ctx, claimTxn(pending))
@@ -25,14 +25,14 @@
 			break
 		}
 		if len(result.Conflicts) == 0 {
-			return nil, errors.Wrap(ErrNoAnswer, "a refused transaction names no conflict")
+			return nil, errors.Wrap(ErrNoResponse, "rejected transaction lists no conflicts")
 		}
-		if err := noteConflicts(standing, result.Conflicts); err != nil {
+		if err := addExistingClaims(existing, result.Conflicts); err != nil {
 			return nil, err
 		}
-		pending = without(pending, standing)
+		pending = withoutExisting(pending, existing)
 	}
-	return merge(claims, standing), nil
+	return mergeClaims(claims, existing), nil
 }
 
 func claimTxn(claims []core.KeyClaim) Txn {
@@ -46,32 +46,33 @@
 	return txn
 }
 
-func noteConflicts(standing map[string]once.Claim, rows []Row) error {
+func addExistingClaims(existing map[string]once.Claim, rows []Row) error {
 	for _, row := range rows {
 		var c once.Claim
 		if err := json.Unmarshal(row.Value, &c); err != nil {
-			return errors.Wrapf(ErrNoAnswer, "row %q: %v", row.Key, err)
+			return errors.Wrapf(ErrNoResponse, "row %q: %v", row.Key, err)
 		}
-		standing[row.Key[len(claimPrefix):]] = c
+		existing[row.Key[len(claimPrefix):]] = c
 	}
 	return nil
 }
 
-func without(claims []core.KeyClaim, standing map[string]once.Claim) []core.KeyClaim {
-	var rest []core.KeyClaim
+func withoutExisting(claims []core.KeyClaim, existing map[string]once.Claim) []core.KeyClaim {
+	var remaining []core.KeyClaim
 	for _, c := range claims {
-		if _, taken := standing[c.Key]; !taken {
-			rest = append(rest, c)
+		if _, exists := existing[c.Key]; !exists {
+			remaining = append(remaining, c)
 		}
 	}
-	return rest
+	return remaining
 }
 
-func merge(claims []core.KeyClaim, standing map[string]once.Claim) []core.KeyClaim {
+// mergeClaims returns the claims with existing ones in place of requested ones.
+func mergeClaims(claims []core.KeyClaim, existing map[string]once.Claim) []core.KeyClaim {
 	merged := make([]core.KeyClaim, 0, len(claims))
 	for _, c := range claims {
-		if taken, ok := standing[c.Key]; ok {
-			c.Claim = taken
+		if claim, ok := existing[c.Key]; ok {
+			c.Claim = claim
 		}
 		merged = append(merged, c)
 	}
--- a/tablestore/client.go
+++ b/tablestore/client.go
@@ -1,6 +1,6 @@
-// Package tablestore speaks to the platform's table service, object store and
-// list of VMs. It says what has been asked for and what came of it, and
-// nothing about what that means: the core decides.
+// Package tablestore is a client of the platform's table service, object store
+// and list of VMs. It reports the results of calls and leaves decisions to package
+// core.
 package tablestore
 
 import (
@@ -17,27 +17,28 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Errors that callers test for with errors.Is.
+// Errors that callers match with errors.Is.
 var (
-	// ErrNoAnswer means that a call brought no answer. A write may have taken
-	// effect, or may yet.
-	ErrNoAnswer = errors.New("tablestore: no answer")
-	// ErrNotFound means that there is no such row or object.
+	// ErrNoResponse means that a call got no usable response. A write may have
+	// taken effect, or may still do so.
+	ErrNoResponse = errors.New("tablestore: no response")
+	// ErrNotFound means that the row or object does not exist.
 	ErrNotFound = errors.New("tablestore: not found")
-	// ErrUnchanged means that the list of VMs is still the one known.
+	// ErrUnchanged means that the list of VMs has not changed since the given
+	// version.
 	ErrUnchanged = errors.New("tablestore: unchanged")
 )
 
-// DefaultTimeout bounds each call.
+// DefaultTimeout is the default timeout of a call.
 const DefaultTimeout = 2 * time.Second
 
-// idleMost is how many connections are kept that are not in use.
-const idleMost = 8
+// maxIdleConnections bounds the idle connections that are kept for reuse.
+const maxIdleConnections = 8
 
-// maxAnswer bounds what is read of an answer, in bytes.
-const maxAnswer = 64 << 20
+// maxResponseBytes bounds the body of a response.
+const maxResponseBytes = 64 << 20
 
-// Client calls the platform. It is safe for concurrent use.
+// Client calls the platform's HTTP interface. It is safe for concurrent use.
 type Client struct {
 	base      string
 	http      *http.Client
@@ -45,23 +46,23 @@
 	timeout   time.Duration
 }
 
-// Option sets up a Client.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithTimeout bounds each call.
+// WithTimeout sets the timeout of each call.
 func WithTimeout(d time.Duration) Option { return func(c *Client) { c.timeout = d } }
 
-// WithDialer sets how the platform is connected to.
+// WithDialer sets the function that opens connections to the platform.
 func WithDialer(dial func(ctx context.Context, network, address string) (net.Conn, error)) Option {
 	return func(c *Client) { c.transport.DialContext = dial }
 }
 
-// NewClient returns a client of the platform at an address, an IP number and
+// NewClient returns a client of the platform at an address: an IP address and
 // port.
 func NewClient(address string, opts ...Option) *Client {
 	c := &Client{
 		base: "http://" + address, timeout: DefaultTimeout,
-		transport: &http.Transport{MaxIdleConnsPerHost: idleMost},
+		transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections},
 	}
 	for _, opt := range opts {
 		opt(c)
@@ -73,83 +74,85 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Commit runs a transaction.
+// Commit commits a transaction. A transaction that the platform rejects is not an
+// error.
 func (c *Client) Commit(ctx context.Context, txn Txn) (TxnResult, error) {
 	var result TxnResult
 	body, err := json.Marshal(txn)
 	if err != nil {
-		return result, errors.Wrap(err, "tablestore: transaction")
+		return result, errors.Wrap(err, "tablestore: encode transaction")
 	}
-	err = c.do(ctx, http.MethodPost, "/table/txn", body, &result)
+	err = c.call(ctx, http.MethodPost, "/table/txn", body, &result)
 	return result, err
 }
 
 // Row reads one row.
 func (c *Client) Row(ctx context.Context, key string) (Row, error) {
 	var row Row
-	err := c.do(ctx, http.MethodGet, "/table/row?key="+url.QueryEscape(key), nil, &row)
+	err := c.call(ctx, http.MethodGet, "/table/row?key="+url.QueryEscape(key), nil, &row)
 	return row, err
 }
 
-// Scan reads the rows after one key and before another.
+// Scan reads the rows with keys between after and to, both exclusive.
 func (c *Client) Scan(ctx context.Context, after, to string) ([]Row, error) {
 	var rows []Row
 	query := url.Values{"after": {after}, "to": {to}}
-	err := c.do(ctx, http.MethodGet, "/table/scan?"+query.Encode(), nil, &rows)
+	err := c.call(ctx, http.MethodGet, "/table/scan?"+query.Encode(), nil, &rows)
 	return rows, err
 }
 
-// Object reads an object.
+// Object reads an object from the object store.
 func (c *Client) Object(ctx context.Context, name string) ([]byte, error) {
 	var data []byte
-	err := c.do(ctx, http.MethodGet, "/objects/"+url.PathEscape(name), nil, &data)
+	err := c.call(ctx, http.MethodGet, "/objects/"+url.PathEscape(name), nil, &data)
 	return data, err
 }
 
-// PutObject writes an object.
+// PutObject writes an object to the object store.
 func (c *Client) PutObject(ctx context.Context, name string, data []byte) error {
-	return c.do(ctx, http.MethodPut, "/objects/"+url.PathEscape(name), data, nil)
+	return c.call(ctx, http.MethodPut, "/objects/"+url.PathEscape(name), data, nil)
 }
 
-// VMs reads the list of VMs, if it has changed since a version.
+// VMs reads the list of VMs. It returns ErrUnchanged if the list is still at the
+// version since.
 func (c *Client) VMs(ctx context.Context, since uint64) (VMList, error) {
 	var list VMList
-	err := c.do(ctx, http.MethodGet, "/vms?since="+strconv.FormatUint(since, 10), nil, &list)
+	err := c.call(ctx, http.MethodGet, "/vms?since="+strconv.FormatUint(since, 10), nil, &list)
 	return list, err
 }
 
-// do makes one call. Into is filled from JSON, or with the bytes as they are
-// where it is a *[]byte.
-func (c *Client) do(ctx context.Context, method, path string, body []byte, into any) error {
+// call sends one request. It decodes the JSON response into the value that into
+// points to; a *[]byte gets the body unchanged.
+func (c *Client) call(ctx context.Context, method, path string, body []byte, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "tablestore: request")
+		return errors.Wrap(err, "tablestore: create request")
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		// Connections may go silent for good, all at once: the next call must not be
-		// lost on another one that was kept.
+		// All connections may become unresponsive at once. Closing the idle ones
+		// keeps the next call from failing on another of them.
 		c.http.CloseIdleConnections()
-		return errors.Mark(errors.Wrap(err, "tablestore"), ErrNoAnswer)
+		return errors.Mark(errors.Wrap(err, "tablestore: send request"), ErrNoResponse)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return errors.Mark(errors.Wrap(err, "tablestore"), ErrNoAnswer)
+		return errors.Mark(errors.Wrap(err, "tablestore: read response"), ErrNoResponse)
 	}
-	return read(resp.StatusCode, data, into)
+	return decodeResponse(resp.StatusCode, data, into)
 }
 
-func read(status int, data []byte, into any) error {
+func decodeResponse(status int, data []byte, into any) error {
 	switch {
 	case status == http.StatusNotFound:
 		return ErrNotFound
 	case status == http.StatusNotModified:
 		return ErrUnchanged
 	case status >= http.StatusMultipleChoices:
-		return errors.Wrapf(ErrNoAnswer, "status %d", status)
+		return errors.Wrapf(ErrNoResponse, "status %d", status)
 	case into == nil:
 		return nil
 	}
@@ -158,7 +161,7 @@
 		return nil
 	}
 	if err := json.Unmarshal(data, into); err != nil {
-		return errors.Mark(errors.Wrap(err, "tablestore: answer"), ErrNoAnswer)
+		return errors.Mark(errors.Wrap(err, "tablestore: decode response"), ErrNoResponse)
 	}
 	return nil
 }
--- a/tablestore/config.go
+++ b/tablestore/config.go
@@ -11,7 +11,7 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// Head returns the newest version of the configuration; zero for none.
+// Head returns the newest version of the configuration; zero if there is none.
 func (s *Store) Head(ctx context.Context) (uint64, error) {
 	row, err := s.client.Row(ctx, headKey)
 	if errors.Is(err, ErrNotFound) {
@@ -26,15 +26,15 @@
 func parseVersion(value []byte) (uint64, error) {
 	n, err := strconv.ParseUint(string(value), 10, 64)
 	if err != nil {
-		return 0, errors.Mark(err, ErrNoAnswer)
+		return 0, errors.Mark(err, ErrNoResponse)
 	}
 	return n, nil
 }
 
 func formatVersion(n uint64) []byte { return strconv.AppendUint(nil, n, 10) }
 
-// Commit writes a change record as the next version, if it is the next and
-// its change id is new.
+// Commit writes a change record if its version directly follows the newest one and
+// its change ID is new.
 func (s *Store) Commit(ctx context.Context, call uint64, r *wire.ChangeRecord) core.CommitMsg {
 	msg := core.CommitMsg{Call: call, Result: core.CommitUnanswered}
 	value, err := proto.Marshal(r)
@@ -50,7 +50,7 @@
 		msg.Version = r.GetVersion()
 		return msg
 	}
-	return s.conflict(ctx, msg, r, result.Conflicts)
+	return s.conflictResult(ctx, msg, r, result.Conflicts)
 }
 
 func commitTxn(r *wire.ChangeRecord, value []byte) Txn {
@@ -69,9 +69,9 @@
 	}
 }
 
-// conflict finds out why a commit was refused: its change id has been
-// committed before, or another change has its version.
-func (s *Store) conflict(ctx context.Context, msg core.CommitMsg, r *wire.ChangeRecord, rows []Row) core.CommitMsg {
+// conflictResult determines why a commit was rejected: either the change ID was
+// committed before, or another change has the version.
+func (s *Store) conflictResult(ctx context.Context, msg core.CommitMsg, r *wire.ChangeRecord, rows []Row) core.CommitMsg {
 	for _, row := range rows {
 		n, err := parseVersion(row.Value)
 		if err != nil {
@@ -100,41 +100,41 @@
 	return r, proto.Unmarshal(row.Value, r)
 }
 
-// Changes returns what a node at a version is missing: the records after it,
-// or the newest whole configuration when there are too many.
+// Changes returns the change records after a version. If there are too many, it
+// returns the newest snapshot and the records after the snapshot.
 func (s *Store) Changes(ctx context.Context, after uint64) (core.ChangesMsg, error) {
 	var msg core.ChangesMsg
 	head, err := s.Head(ctx)
 	if err != nil {
 		return msg, err
 	}
-	if head > after+pageOfRecords {
+	if head > after+maxRecordsPerRead {
 		if snapshot, err := s.snapshot(ctx); err == nil && snapshot.GetVersion() > after {
 			msg.Snapshot = snapshot
 			after = snapshot.GetVersion()
 		}
 	}
-	rows, err := s.client.Scan(ctx, recordKey(after), recordKey(after+pageOfRecords+1))
+	rows, err := s.client.Scan(ctx, recordKey(after), recordKey(after+maxRecordsPerRead+1))
 	if err != nil {
 		return msg, err
 	}
 	for _, row := range rows {
 		r := &wire.ChangeRecord{}
 		if err := proto.Unmarshal(row.Value, r); err != nil {
-			return msg, errors.Mark(err, ErrNoAnswer)
+			return msg, errors.Mark(err, ErrNoResponse)
 		}
 		msg.Records = append(msg.Records, r)
 	}
 	return msg, nil
 }
 
-// PutSnapshot writes a whole configuration, and then the row that names it.
-// The row may go back to an older snapshot when two nodes race; the records
-// after that one make up for it.
+// PutSnapshot writes a complete configuration as an object, and then the row with
+// the name of the object. If two nodes race, the row may end up with the older
+// snapshot; readers then apply the change records after that snapshot.
 func (s *Store) PutSnapshot(ctx context.Context, c *wire.Config) error {
 	data, err := proto.Marshal(c)
 	if err != nil {
-		return errors.Wrap(err, "tablestore: snapshot")
+		return errors.Wrap(err, "tablestore: encode snapshot")
 	}
 	name := snapshotObject + strconv.FormatUint(c.GetVersion(), 10)
 	if err := s.client.PutObject(ctx, name, data); err != nil {
--- a/tablestore/nodes.go
+++ b/tablestore/nodes.go
@@ -9,17 +9,17 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// Register writes a node's record.
+// Register writes the record of a node to the table.
 func (s *Store) Register(ctx context.Context, n *wire.NodeRecord) error {
 	value, err := proto.Marshal(n)
 	if err != nil {
-		return errors.Wrap(err, "tablestore: node")
+		return errors.Wrap(err, "tablestore: encode node record")
 	}
 	_, err = s.client.Commit(ctx, Txn{Puts: []Row{{Key: nodePrefix + n.GetName(), Value: value}}})
 	return err
 }
 
-// Nodes returns the records of all nodes that have registered.
+// Nodes returns the records of all registered nodes.
 func (s *Store) Nodes(ctx context.Context) ([]*wire.NodeRecord, error) {
 	rows, err := s.client.Scan(ctx, nodePrefix, nodePrefix+"\xff")
 	if err != nil {
@@ -29,7 +29,7 @@
 	for _, row := range rows {
 		n := &wire.NodeRecord{}
 		if err := proto.Unmarshal(row.Value, n); err != nil {
-			return nil, errors.Mark(err, ErrNoAnswer)
+			return nil, errors.Mark(err, ErrNoResponse)
 		}
 		nodes = append(nodes, n)
 	}
--- a/tablestore/store.go
+++ b/tablestore/store.go
@@ -4,7 +4,8 @@
 	"fmt"
 )
 
-// Where things lie in the table and the object store.
+// Row keys, row key prefixes and object name prefixes in the platform's table and
+// object store.
 const (
 	headKey        = "config/head"
 	changeIDPrefix = "config/id/"
@@ -15,16 +16,16 @@
 	snapshotObject = "config-"
 )
 
-// pageOfRecords bounds how many change records are read at once.
-const pageOfRecords = 256
+// maxRecordsPerRead bounds how many change records one call of Changes reads.
+const maxRecordsPerRead = 256
 
 func recordKey(version uint64) string { return fmt.Sprintf("%s%016x", recordPrefix, version) }
 
-// Store keeps what must last or be agreed on: claims, configuration and the
-// records of nodes.
+// Store reads and writes shared, durable data in the platform's table: claims,
+// configuration and node records.
 type Store struct {
 	client *Client
 }
 
-// NewStore returns a store on a platform client.
+// NewStore returns a store that uses the given client.
 func NewStore(c *Client) *Store { return &Store{client: c} }
--- a/tablestore/types.go
+++ b/tablestore/types.go
@@ -2,7 +2,7 @@
 
 import "github.com/hoistjunction/hoistjunction/pool"
 
-// The platform's protocol, as its stand-in serves it: JSON over HTTP.
+// The platform's protocol is JSON over HTTP:
 //
 //	GET  /table/row?key=K             one row, or 404
 //	GET  /table/scan?after=K&to=K     rows between two keys, in order
@@ -17,23 +17,23 @@
 	Value []byte `json:"value"`
 }
 
-// Condition must hold for a transaction to commit: the row has this value,
-// or, where Absent is set, there is no such row.
+// Condition is a precondition of a transaction: the row with Key has the given
+// Value or, if Absent is set, does not exist.
 type Condition struct {
 	Key    string `json:"key"`
 	Absent bool   `json:"absent,omitempty"`
 	Value  []byte `json:"value,omitempty"`
 }
 
-// Txn is a transaction: all its rows are written if all its conditions hold,
-// and else none.
+// Txn is a transaction: it writes all rows if all conditions hold, and no row
+// otherwise.
 type Txn struct {
 	Conditions []Condition `json:"conditions"`
 	Puts       []Row       `json:"puts"`
 }
 
-// TxnResult says whether a transaction has committed. If not, it holds the
-// rows as they are whose conditions did not hold.
+// TxnResult reports whether a transaction was committed. If it was rejected,
+// Conflicts holds the current rows of the conditions that failed.
 type TxnResult struct {
 	Committed bool  `json:"committed"`
 	Conflicts []Row `json:"conflicts,omitempty"`
@@ -41,7 +41,7 @@
 
 // VMList is the platform's list of live and leaving VMs.
 type VMList struct {
-	// Version rises with each change of the list.
+	// Version increases with each change of the list.
 	Version uint64         `json:"version"`
 	VMs     []pool.Listing `json:"vms"`
 }
--- a/tablestore/silent_test.go
+++ b/tablestore/unresponsive_test.go
@@ -14,9 +14,10 @@
 	"github.com/hoistjunction/hoistjunction/tablestore"
 )
 
-// The kept connections to the platform went silent for good. Call after call went out
-// on the next of them and was lost, two seconds each, with up to eight to go.
-func TestCallsAfterSilentConnections(t *testing.T) {
+// TestCallAfterUnresponsiveConnectionsSucceeds guards against reusing idle
+// connections after all of them have become unresponsive: each call was sent on the
+// next of up to eight such connections and timed out after two seconds.
+func TestCallAfterUnresponsiveConnectionsSucceeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := pipenet.New()
 		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -33,21 +34,21 @@
 			return err
 		}
 		done := make(chan error)
-		const atOnce = 4
-		for range atOnce {
+		const callers = 4
+		for range callers {
 			go func() { done <- scan() }()
 		}
-		for range atOnce {
+		for range callers {
 			if err := <-done; err != nil {
-				t.Fatalf("got %v before any connection went silent, want rows", err)
+				t.Fatalf("got error %v while all connections respond, want rows", err)
 			}
 		}
 		network.Mute()
-		if err := scan(); !errors.Is(err, tablestore.ErrNoAnswer) {
-			t.Errorf("got %v on a silent connection, want no answer", err)
+		if err := scan(); !errors.Is(err, tablestore.ErrNoResponse) {
+			t.Errorf("got error %v on an unresponsive connection, want ErrNoResponse", err)
 		}
 		if err := scan(); err != nil {
-			t.Errorf("got %v after a call without an answer, want rows", err)
+			t.Errorf("got error %v after a failed call, want rows on a new connection", err)
 		}
 	})
 }
