--- a/record/header.go
+++ b/record/header.go
@@ -25,7 +25,7 @@
 		Address: h.Node.GetAddress(), StartedMs: h.Node.GetStartedMs(),
 	}
 	all := []core.Option{
-		core.WithNode(node), core.WithSeed(h.Seed), core.WithSeeds(h.Seeds), core.WithGrace(h.Grace),
+		core.WithNode(node), core.WithSeed(h.Seed), core.WithSeedPeers(h.Seeds), core.WithDrainGrace(h.Grace),
 		core.WithPolicy(h.Policy), core.WithSecret([]byte("replay")),
 	}
 	return core.New(append(all, opts...)...)
--- a/record/replay.go
+++ b/record/replay.go
@@ -40,7 +40,7 @@
 	Expect  json.RawMessage `json:"expect"`
 	Node    json.RawMessage `json:"node"`
 	Type    string          `json:"type"`
-	// Ticks applies a TickMsg at every core.TickEvery until this time.
+	// Ticks applies a TickMsg at every core.TickInterval until this time.
 	Ticks clock.Millis `json:"ticks"`
 }
 
@@ -129,8 +129,8 @@
 }
 
 func (r *Replay) tickUntil(until clock.Millis) {
-	for r.now+core.TickEvery <= until {
-		r.apply(r.now+core.TickEvery, core.TickMsg{})
+	for r.now+core.TickInterval <= until {
+		r.apply(r.now+core.TickInterval, core.TickMsg{})
 	}
 }
 
