--- a/core/status.go
+++ b/core/status.go
@@ -17,7 +17,7 @@
 // ChangesAfter returns the change records after a version, or the full configuration if those
 // records are no longer held.
 func (m *Model) ChangesAfter(after uint64) *wire.ChangesReply {
-	records, ok := m.tracker.After(after)
+	records, ok := m.tracker.RecordsAfter(after)
 	if !ok {
 		return &wire.ChangesReply{Snapshot: m.tracker.Current()}
 	}
@@ -89,7 +89,7 @@
 	if version == 0 || version == m.tracker.Version() {
 		return m.tracker.Current()
 	}
-	return m.tracker.At(version)
+	return m.tracker.ConfigAt(version)
 }
 
 // HasUpstream reports whether an upstream with the given name is known.
--- a/core/timeout.go
+++ b/core/timeout.go
@@ -27,7 +27,7 @@
 	}
 	u := r.chain[r.stage]
 	m.stats.StepTimeouts++
-	m.pool.Fail(m.now, u, true)
+	m.pool.RecordFailure(m.now, u, true)
 	r.failed = append(r.failed, u)
 	m.resume(r)
 }
--- a/core/upstream.go
+++ b/core/upstream.go
@@ -16,7 +16,7 @@
 
 // recordEngineStatus records the load and the leaving flag that an engine reports with an answer.
 func (m *Model) recordEngineStatus(u *pool.Upstream, load int, leaving bool) {
-	m.pool.Report(u, load)
+	m.pool.RecordLoad(u, load)
 	if leaving && !u.Leaving() {
 		m.markLeaving(u.Name())
 	}
@@ -26,7 +26,7 @@
 // others. Work in progress continues.
 func (m *Model) markLeaving(name string) {
 	u := m.pool.Get(name)
-	if u == nil || !m.pool.Leave(name, "") {
+	if u == nil || !m.pool.MarkLeaving(name, "") {
 		return
 	}
 	m.members.AddMark(m.now, &wire.LeavingMark{Upstream: name, Incarnation: u.Listing().Incarnation})
@@ -35,7 +35,7 @@
 // applyMarks applies leaving marks from a peer. The following heartbeats forward new marks.
 func (m *Model) applyMarks(marks []*wire.LeavingMark) {
 	for _, mark := range marks {
-		m.pool.Leave(mark.GetUpstream(), mark.GetIncarnation())
+		m.pool.MarkLeaving(mark.GetUpstream(), mark.GetIncarnation())
 		m.members.AddMark(m.now, mark)
 	}
 }
--- a/entry/node.go
+++ b/entry/node.go
@@ -102,12 +102,12 @@
 
 // buildComponents creates the event loop and the clients that post messages to it.
 func (n *Node) buildComponents() {
-	start := record.Start{
+	start := record.Header{
 		Node: n.nodeRecord(), Seed: uint64(n.config.Seed), Seeds: n.config.PeerSeeds,
 		Grace: n.config.Grace, Policy: n.config.Policy,
 	}
 	secret := randomBytes(32)
-	model := start.Model(core.WithSecret(secret), core.WithChooser(n.config.newChooser()))
+	model := start.NewModel(core.WithSecret(secret), core.WithChooser(n.config.newChooser()))
 	recorder := record.NewRecorder(start, record.WithCapacity(n.config.RecordingCapacity))
 	n.loop = newModelLoop(model, n.clock, recorder)
 	n.loop.execute = n.execute
--- a/entry/recording_test.go
+++ b/entry/recording_test.go
@@ -36,7 +36,7 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := record.File(path); err != nil {
+	if err := record.ReplayFile(path); err != nil {
 		t.Errorf("replay: got error %v, want the recorded outcomes", err)
 	}
 }
