--- a/node/learn.go
+++ b/node/learn.go
@@ -108,7 +108,7 @@
 	if !msg.Total {
 		n.roster.Heard(n.clock.Now(), from.GetName(), msg.Followable)
 	}
-	n.relay.SetUsage(dispatch.UsageMsg{
+	n.relay.HandleUsage(dispatch.UsageMsg{
 		Node: from.GetName(), Used: msg.Used, Total: msg.Total, Whole: msg.Whole, HeardOf: msg.HeardOf, Nodes: msg.Nodes,
 		DataCentre: from.GetDataCentre(), Limits: msg.Limits,
 	})
@@ -117,12 +117,12 @@
 // HearAsk implements usage.Listener.
 func (l listener) HearAsk(from *wire.Member, ask limit.Ask) {
 	l.node.meet(ask.Upstream)
-	l.node.relay.SetAsked(from.GetName(), ask)
+	l.node.relay.HandlePermitRequest(from.GetName(), ask)
 }
 
 // HearGrant implements usage.Listener.
 func (l listener) HearGrant(from *wire.Member, grant limit.Grant) {
-	l.node.relay.SetPermits(from.GetName(), grant)
+	l.node.relay.HandlePermitGrant(from.GetName(), grant)
 }
 
 // HearPlaced implements usage.Listener.
@@ -138,7 +138,7 @@
 		return
 	}
 	l.node.log.Info("silent_told", zap.Stringer("upstream", upstream), zap.String("by", from.GetName()))
-	l.node.relay.SetSilent(upstream)
+	l.node.relay.HandlePeerUnresponsive(upstream)
 }
 
 // meet takes in that another node speaks of a run of an upstream, which may be a later one
@@ -157,11 +157,11 @@
 
 // setPlaced takes an order that this node or another one has given.
 func (n *Node) setPlaced(upstream fleet.Incarnation, layers fleet.Range, holds bool) {
-	n.relay.SetPlaced(upstream, layers, holds)
+	n.relay.HandlePlacement(upstream, layers, holds)
 	n.placer.Tell(placement.PlacedMsg{Upstream: upstream, Layers: layers, Holds: holds})
 }
 
 func (n *Node) setFleet(changes []fleet.Change) {
-	n.relay.SetFleet(changes)
+	n.relay.UpdateFleet(changes)
 	n.placer.Tell(placement.FleetMsg{Changes: changes})
 }
--- a/node/node.go
+++ b/node/node.go
@@ -108,7 +108,7 @@
 	n.quarantined = newQuarantined(n.clock, s.quarantineLasts())
 	n.keeper = keeper.New(n.store, n.clock, n.log, s.FirstStart, n.learnQuarantined)
 	n.engines = platform.NewEngines(platform.WithLaterRuns(func(run fleet.Incarnation) { n.fleets.Supersede(run) }),
-		platform.WithWords(func(upstream fleet.Incarnation, word relay.Word) { n.relay.Said(upstream, word) }))
+		platform.WithWords(func(upstream fleet.Incarnation, word relay.UpstreamStatus) { n.relay.HandleUpstreamStatus(upstream, word) }))
 	model := dispatch.New(
 		dispatch.WithDataCentre(s.DataCentre),
 		dispatch.WithSeed(hash(s.Name)),
@@ -129,13 +129,13 @@
 	self.UsageAddress = sharing.Address()
 	listAge := func() clock.Millis { return n.fleets.ListAge() }
 	n.relay = relay.New(n.life, platform.Headers{}, model, n.clock, n.log,
-		relay.WithEngines(n.engines), relay.WithDialer(platform.Dialer().DialContext), relay.WithKeysWithin(s.keysWithin()),
+		relay.WithEngines(n.engines), relay.WithDialer(platform.Dialer().DialContext), relay.WithMaxConfigAge(s.keysWithin()),
 		relay.WithCounters("store_calls", n.store.Calls()), relay.WithCounters("store", expvar.Func(n.storeView)), relay.WithCounters("entries_refused", n.store.EntriesRefused()),
 		relay.WithCounters("quarantine_refused", n.keeper.Refused()), relay.WithCounters("orders", n.orders),
 		relay.WithCounters("quarantined", expvar.Func(n.quarantined.count)),
 		relay.WithCounters("peers", expvar.Func(func() any { return n.Peers() })),
-		relay.WithListAge(listAge), relay.WithSilence(n.setSilent), relay.WithSharing(n.share), relay.WithLeaving(n.setSaidLeaving), relay.WithReplaced(n.setReplaced), relay.WithQuarantine(n.setQuarantine),
-		relay.WithPermits(n.usage.Ask, n.usage.Give))
+		relay.WithListAge(listAge), relay.WithResponsivenessHandler(n.setSilent), relay.WithUsageSharing(n.share), relay.WithLeavingHandler(n.setSaidLeaving), relay.WithReplacedHandler(n.setReplaced), relay.WithQuarantine(n.setQuarantine),
+		relay.WithPermitExchange(n.usage.Ask, n.usage.Give))
 	planner := placement.New(placement.WithDelay(plannerDelay(int(hash(s.Name)%unknownRanks))), placement.WithStart(n.clock.Now()))
 	n.placer = placer.New(planner, n.engines, n.clock, n.log, n.tellPlaced, placer.WithSeed(hash(s.Name)), placer.WithListAge(listAge),
 		placer.WithResults(n.orders))
--- a/node/quarantined.go
+++ b/node/quarantined.go
@@ -199,7 +199,7 @@
 // learnQuarantined takes requests in quarantine from the store or a peer.
 func (n *Node) learnQuarantined(list []dispatch.Quarantined) {
 	n.quarantined.learn(list)
-	n.relay.SetQuarantined(list)
+	n.relay.UpdateQuarantine(list)
 }
 
 // compareQuarantine asks a peer for the requests that it knows to be in quarantine, where
@@ -214,11 +214,11 @@
 // HearLost implements usage.Listener.
 func (l listener) HearLost(id work.ID, upstream fleet.Incarnation) {
 	l.node.meet(upstream)
-	l.node.relay.SetLost(id, upstream)
+	l.node.relay.HandlePeerLoss(id, upstream)
 }
 
 // HearAnswered implements usage.Listener.
-func (l listener) HearAnswered(id work.ID) { l.node.relay.SetAnswered(id) }
+func (l listener) HearAnswered(id work.ID) { l.node.relay.HandlePeerAnswer(id) }
 
 // Quarantined implements peering.Knowledge.
 func (k *known) Quarantined() []dispatch.Quarantined { return k.node.quarantined.list() }
--- a/node/wake.go
+++ b/node/wake.go
@@ -14,5 +14,5 @@
 	n.log.Warn("suspended", zap.Int64("for_ms", int64(slept)))
 	n.store.Renew()
 	n.engines.Close()
-	n.relay.Wake()
+	n.relay.HandleVMResumed()
 }
--- a/relay/answer.go
+++ b/relay/answer.go
@@ -11,54 +11,55 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// errBegun means that an answer cannot be given, since another one has begun.
-var errBegun = errors.New("relay: an answer has begun")
+// errAnswerStarted is returned for a second answer to the same request.
+var errAnswerStarted = errors.New("relay: an answer has already been started")
 
-// answerState is how far the answer to a caller is.
+// answerState states how much of an answer has been written to the caller.
 type answerState uint8
 
 const (
-	// answerNone: nothing of it is out.
-	answerNone answerState = iota
-	// answerOpen: some of it is out, and more is to come.
-	answerOpen
-	// answerEnded: all of it is out.
-	answerEnded
+	// answerNotStarted means that nothing has been written.
+	answerNotStarted answerState = iota
+	// answerPartial means that the status line and perhaps part of the body have been written.
+	answerPartial
+	// answerComplete means that the whole answer has been written.
+	answerComplete
 )
 
-// answerWriter writes one answer to a caller.
+// answerWriter writes the answer to one request of a caller.
 //
-// net/http ends an answer in good order when its handler returns, whatever is out by
-// then: part of a stream then looks like all of it, and nothing at all like an empty
-// 200. So only whole, own and end make an answer an ended one, each where it is known
-// to be whole, and ServeHTTP breaks off whatever has not ended.
+// net/http completes the response when its handler returns, whatever has been written by then:
+// a truncated stream would look complete, and an unwritten answer like an empty 200. So only
+// complete, writeError and end mark an answer as ended, each where it is known to be complete,
+// and ServeHTTP aborts every other one.
 type answerWriter struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
-	// closing tells that the node is stopping, so connections end with their
-	// answers.
-	closing *atomic.Bool
-	state   answerState
+	// stopping is true while the node stops; the caller's connection is then closed after the
+	// answer.
+	stopping *atomic.Bool
+	state    answerState
 }
 
-func newAnswerWriter(w http.ResponseWriter, closing *atomic.Bool) *answerWriter {
-	return &answerWriter{w: w, control: http.NewResponseController(w), closing: closing}
+func newAnswerWriter(w http.ResponseWriter, stopping *atomic.Bool) *answerWriter {
+	return &answerWriter{w: w, control: http.NewResponseController(w), stopping: stopping}
 }
 
-// begun tells whether some of the answer is out.
-func (a *answerWriter) begun() bool { return a.state != answerNone }
+// started reports whether any part of the answer has been written.
+func (a *answerWriter) started() bool { return a.state != answerNotStarted }
 
-// ended tells whether all of the answer is out.
-func (a *answerWriter) ended() bool { return a.state == answerEnded }
+// ended reports whether the whole answer has been written.
+func (a *answerWriter) ended() bool { return a.state == answerComplete }
 
-// begin writes the head of an upstream's answer.
-func (a *answerWriter) begin(head *http.Response) error {
-	if a.begun() {
-		return errBegun
+// writeHead writes the status and headers of an upstream's answer.
+func (a *answerWriter) writeHead(head *http.Response) error {
+	if a.started() {
+		return errAnswerStarted
 	}
 	a.copyHead(head)
 	if isEvents(head) {
-		// Another upstream may go on with it, and cut the rest into other events.
+		// Another upstream may resume the stream and split the remaining text into other
+		// events.
 		a.w.Header().Del("Content-Length")
 	}
 	a.w.WriteHeader(head.StatusCode)
@@ -66,24 +67,24 @@
 }
 
 func (a *answerWriter) copyHead(head *http.Response) {
-	a.state = answerOpen
+	a.state = answerPartial
 	out := a.w.Header()
-	for name, values := range passedOn(head.Header) {
+	for name, values := range forwardedHeaders(head.Header) {
 		out[name] = values
 	}
-	a.markClosing()
+	a.setConnectionClose()
 }
 
-func (a *answerWriter) markClosing() {
-	if a.closing.Load() {
+func (a *answerWriter) setConnectionClose() {
+	if a.stopping.Load() {
 		a.w.Header().Set("Connection", "close")
 	}
 }
 
-// whole writes an upstream's answer at once, and ends it.
-func (a *answerWriter) whole(head *http.Response, body []byte) error {
-	if a.begun() {
-		return errBegun
+// complete writes an upstream's answer with its whole body and marks it as ended.
+func (a *answerWriter) complete(head *http.Response, body []byte) error {
+	if a.started() {
+		return errAnswerStarted
 	}
 	a.copyHead(head)
 	if head.Request == nil || head.Request.Method != http.MethodHead {
@@ -97,8 +98,8 @@
 	return nil
 }
 
-// piece writes some of the body and sends it off.
-func (a *answerWriter) piece(data []byte) error {
+// writeBody writes part of the body and flushes it to the caller.
+func (a *answerWriter) writeBody(data []byte) error {
 	if len(data) == 0 {
 		return nil
 	}
@@ -108,23 +109,24 @@
 	return a.control.Flush()
 }
 
-// end makes an open answer a whole one.
-func (a *answerWriter) end() { a.state = answerEnded }
+// end marks the answer as ended, with all of it written.
+func (a *answerWriter) end() { a.state = answerComplete }
 
-// own writes an answer of the node's own, and ends it. Back tells when to come back.
-func (a *answerWriter) own(status int, reason string, back clock.Millis) error {
-	if a.begun() {
-		return errBegun
+// writeError writes a JSON error answer of this node and marks it as ended. A positive
+// retryAfter is sent as Retry-After header.
+func (a *answerWriter) writeError(status int, reason string, retryAfter clock.Millis) error {
+	if a.started() {
+		return errAnswerStarted
 	}
-	a.state = answerOpen
+	a.state = answerPartial
 	h := a.w.Header()
 	h.Set("Content-Type", "application/json")
-	if back > 0 {
-		h.Set("Retry-After", formatSeconds(back))
+	if retryAfter > 0 {
+		h.Set("Retry-After", formatSeconds(retryAfter))
 	}
 	body := []byte(`{"error":` + strconv.Quote(reason) + "}\n")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
-	a.markClosing()
+	a.setConnectionClose()
 	a.w.WriteHeader(status)
 	if _, err := a.w.Write(body); err != nil {
 		return err
@@ -133,9 +135,10 @@
 	return nil
 }
 
-// reset closes the caller's connection so that its end is an error. An answer in
-// HTTP/1.0 ends with its connection, and one that is closed in good order looks whole.
-func (a *answerWriter) reset() error {
+// resetConnection closes the caller's connection with a TCP reset. An HTTP/1.0 answer without a
+// length ends with its connection, and a regular close would make a truncated one look
+// complete.
+func (a *answerWriter) resetConnection() error {
 	conn, _, err := a.control.Hijack()
 	if err != nil {
 		return err
@@ -146,7 +149,7 @@
 	return errors.CombineErrors(err, conn.Close())
 }
 
-func formatSeconds(m clock.Millis) string {
+func formatSeconds(d clock.Millis) string {
 	const msPerSecond = 1000
-	return strconv.FormatFloat(float64(m)/msPerSecond, 'f', -1, 64)
+	return strconv.FormatFloat(float64(d)/msPerSecond, 'f', -1, 64)
 }
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -18,200 +18,204 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// Errors of an attempt.
+// Errors that end an attempt.
 var (
-	errBarred      = errors.New("relay: the upstream rests or is leaving")
-	errGateShut    = errors.New("relay: the configuration is too old for a request with a key")
-	errSentTwice   = errors.New("relay: the request was written before")
-	errOtherAnswer = errors.New("relay: the answer belongs to another request")
-	errNotSealed   = errors.New("relay: the answer is not the upstream's own")
-	errEncoded     = errors.New("relay: the answer is encoded")
-	errNoStream    = errors.New("relay: an answer that has begun is not gone on with")
+	errUpstreamBlocked = errors.New("relay: upstream requests a back-off or is leaving")
+	errConfigTooOld    = errors.New("relay: configuration is stale or superseded, request with a client key is not written")
+	errAlreadyWritten  = errors.New("relay: request has already been written")
+	errAnswerMismatch  = errors.New("relay: answer belongs to another request")
+	errAnswerNotSealed = errors.New("relay: answer has no upstream seal")
+	errAnswerEncoded   = errors.New("relay: answer has a content encoding")
+	errNotResumable    = errors.New("relay: answer cannot resume the event stream")
 )
 
 const (
-	// bufferedAnswer is how much of an answer is held back until it is known
-	// to be whole, in bytes. A larger one is passed on as it comes.
-	bufferedAnswer = 512 << 10
-	// pieceSize is the size of the pieces in which a large answer is passed on.
-	pieceSize = 32 << 10
-	// piecesWaiting bounds the pieces that wait for a slow caller.
-	piecesWaiting = 8
+	// maxBufferedAnswer bounds, in bytes, the answers that are buffered until complete. A
+	// larger answer is forwarded while it is received.
+	maxBufferedAnswer = 512 << 10
+	// chunkSize is the size in bytes of the chunks in which a large answer is forwarded.
+	chunkSize = 32 << 10
+	// maxQueuedUpdates bounds the updates that an attempt queues for a slow caller.
+	maxQueuedUpdates = 8
 )
 
-// piece is what an attempt tells its session.
-type piece struct {
-	// head is set on the first piece of an answer.
+// attemptUpdate is a part of an answer, or the failure of an attempt, sent to the session.
+type attemptUpdate struct {
+	// head is the response with status and headers; set in the first update of an answer.
 	head *http.Response
-	// event is set for streams of events, data for all else.
+	// event is set for event streams, data for all other answers.
 	event event
 	data  []byte
-	// end tells that the answer is whole with this piece.
+	// end reports that the answer ends with this update.
 	end bool
-	// failed tells that there is no answer, and why.
-	failed bool
-	cause  dispatch.Cause
-	at     string
-	word   Word
-	err    error
+	// failed reports that the attempt has failed; the fields below give the reason.
+	failed        bool
+	cause         dispatch.Cause
+	faultyAddress string
+	status        UpstreamStatus
+	err           error
 }
 
-// attempt is one sending of a request.
+// attempt sends a request to one upstream and reads the answer.
 type attempt struct {
 	protocol Protocol
 	conns    *upstreamConns
-	// barred tells whether the upstream may get no request now, and said is told what it
-	// says of itself.
-	barred func() bool
-	said   func(upstream fleet.Incarnation, word Word)
-	// unlimited is told of an answer without a limit, and when its request was sent.
-	unlimited func(upstream fleet.Incarnation, sent clock.Millis)
-	begunAt   clock.Millis
-	// answeredBy is told who has answered in the upstream's place.
-	answeredBy func(upstream fleet.Incarnation, address string, presence fleet.Presence)
-	// alone tells that the attempt has a connection of its own.
-	alone    bool
-	gate     *gate
-	cmd      dispatch.SendCmd
-	callerID string
-	// resumes tells that the caller's answer has begun. Only a stream of events can
-	// go on with it; what else an upstream says is its failure to do so.
-	resumes bool
-	req     *http.Request
-	// word is what the upstream has said of itself in the head of its answer.
-	word   Word
-	pieces chan piece
-	cancel context.CancelCauseFunc
-	// wrote tells that bytes of the request have gone out, or are about to.
-	wrote atomic.Bool
+	// blocked reports whether no request may be written to the upstream now, and handleStatus is
+	// called with the upstream status of an answer.
+	blocked      func() bool
+	handleStatus func(upstream fleet.Incarnation, status UpstreamStatus)
+	// handleNoLimit is called for an answer that advertises no rate limit, with the time at which
+	// the attempt was started.
+	handleNoLimit func(upstream fleet.Incarnation, sentAt clock.Millis)
+	startedAt     clock.Millis
+	// handlePresence is called when a misdirected request shows which incarnation uses the
+	// upstream's address.
+	handlePresence func(upstream fleet.Incarnation, address string, presence fleet.Presence)
+	// ownConnection reports that the attempt uses a connection of its own instead of a pooled
+	// one.
+	ownConnection bool
+	gate          *configGate
+	cmd           dispatch.SendCmd
+	callerID      string
+	// resuming reports that part of the answer has been written to the caller. Only an event
+	// stream can resume it; any other answer fails the attempt.
+	resuming bool
+	req      *http.Request
+	// status is the upstream status in the headers of the answer.
+	status  UpstreamStatus
+	updates chan attemptUpdate
+	cancel  context.CancelCauseFunc
+	// written reports that bytes of the request have been written to the connection, or are
+	// about to be.
+	written atomic.Bool
 }
 
-// outgoing builds the request of an attempt from the caller's.
+// outgoing returns the request to an upstream for a caller's request.
 func outgoing(ctx context.Context, r *http.Request, address string, body []byte) *http.Request {
 	target := &url.URL{
 		Scheme: "http", Host: address, Path: r.URL.Path, RawPath: r.URL.RawPath,
 		RawQuery: r.URL.RawQuery, ForceQuery: r.URL.ForceQuery,
 	}
 	out := (&http.Request{
-		Method: r.Method, URL: target, Host: r.Host, Header: passedOn(r.Header),
+		Method: r.Method, URL: target, Host: r.Host, Header: forwardedHeaders(r.Header),
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, ContentLength: int64(len(body)), Body: http.NoBody,
 	}).WithContext(ctx)
 	if len(body) > 0 {
-		// A body without GetBody is never sent a second time by net/http.
+		// net/http never resends a body whose request has no GetBody.
 		out.Body = io.NopCloser(bytes.NewReader(body))
 	}
 	if _, ok := out.Header["User-Agent"]; !ok {
-		// An empty value keeps net/http from adding its own.
+		// An empty value stops net/http from adding its default User-Agent.
 		out.Header["User-Agent"] = []string{""}
 	}
 	return out
 }
 
-// run sends the request and reads the answer until it ends or the attempt is
-// cancelled.
+// run sends the request and reads the answer until it is complete or the attempt is cancelled.
 func (a *attempt) run(ctx context.Context) {
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			if conn, ok := info.Conn.(*guardedConn); ok {
-				conn.arm(a)
+				conn.setGuard(a)
 			}
 		},
 	})
-	resp, err := a.conns.choose(a.alone).RoundTrip(a.req.WithContext(ctx))
+	resp, err := a.conns.roundTripper(a.ownConnection).RoundTrip(a.req.WithContext(ctx))
 	if err != nil {
-		a.fail(ctx, a.causeOf(ctx), "", err)
+		a.fail(ctx, a.failureCause(ctx), "", err)
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
-	a.read(ctx, resp)
+	a.readAnswer(ctx, resp)
 }
 
-// mayWrite implements sendGuard. An attempt is written once: whether it is
-// repeated is the decider's to say.
-func (a *attempt) mayWrite() error {
-	if a.cmd.Keyed && !a.gate.open(a.cmd.Config) {
-		a.cancel(errGateShut)
-		return errGateShut
+// beforeWrite implements writeGuard. An attempt is written at most once, since only the decider
+// decides on retries.
+func (a *attempt) beforeWrite() error {
+	if a.cmd.Keyed && !a.gate.allows(a.cmd.Config) {
+		a.cancel(errConfigTooOld)
+		return errConfigTooOld
 	}
-	if a.barred() {
-		a.cancel(errBarred)
-		return errBarred
+	if a.blocked() {
+		a.cancel(errUpstreamBlocked)
+		return errUpstreamBlocked
 	}
-	if a.wrote.Swap(true) {
-		a.cancel(errSentTwice)
-		return errSentTwice
+	if a.written.Swap(true) {
+		a.cancel(errAlreadyWritten)
+		return errAlreadyWritten
 	}
 	return nil
 }
 
-// notWritten implements sendGuard.
-func (a *attempt) notWritten() { a.wrote.Store(false) }
+// nothingWritten implements writeGuard.
+func (a *attempt) nothingWritten() { a.written.Store(false) }
 
-// causeOf says why there is no answer.
-func (a *attempt) causeOf(ctx context.Context) dispatch.Cause {
+// failureCause returns the cause of an attempt that got no response headers.
+func (a *attempt) failureCause(ctx context.Context) dispatch.Cause {
 	switch {
-	case a.wrote.Load():
+	case a.written.Load():
 		return dispatch.Unknown
-	case errors.IsAny(context.Cause(ctx), errGateShut, errBarred):
+	case errors.IsAny(context.Cause(ctx), errConfigTooOld, errUpstreamBlocked):
 		return dispatch.HeldBack
 	default:
 		return dispatch.NotSent
 	}
 }
 
-// read judges the head of an answer, and passes the answer on.
-func (a *attempt) read(ctx context.Context, resp *http.Response) {
+// readAnswer checks the headers of an answer and forwards the answer to the session.
+func (a *attempt) readAnswer(ctx context.Context, resp *http.Response) {
 	head := a.protocol.AnswerHead(resp.StatusCode, resp.Header)
-	a.hear(head)
+	a.recordStatus(head)
 	switch {
 	case head.ID != "" && head.ID != a.callerID:
-		a.fail(ctx, dispatch.Unknown, "", errOtherAnswer)
+		a.fail(ctx, dispatch.Unknown, "", errAnswerMismatch)
 		return
 	case head.Misdirected:
 		if head.At == "" || head.At == a.cmd.Address {
-			a.answeredBy(a.cmd.Upstream, a.cmd.Address, a.cmd.Upstream.Presence(head.Answerer))
+			a.handlePresence(a.cmd.Upstream, a.cmd.Address, a.cmd.Upstream.Presence(head.Responder))
 		}
 		a.fail(ctx, dispatch.NotRunElsewhere, head.At, errors.Newf("status %d", resp.StatusCode))
 		return
-	case head.NotRun:
+	case head.NotExecuted:
 		a.fail(ctx, dispatch.NotRunFull, head.At, errors.Newf("status %d", resp.StatusCode))
 		return
 	case !head.Sealed:
-		a.fail(ctx, dispatch.Unknown, "", errNotSealed)
+		a.fail(ctx, dispatch.Unknown, "", errAnswerNotSealed)
 		return
 	case resp.Header.Get("Content-Encoding") != "":
-		a.fail(ctx, dispatch.Unknown, "", errEncoded)
+		a.fail(ctx, dispatch.Unknown, "", errAnswerEncoded)
 		return
 	}
 	switch {
 	case isEvents(resp) && a.cmd.Route.Kind == catalog.Streaming:
 		a.readEvents(ctx, resp)
-	case a.resumes:
-		a.fail(ctx, dispatch.Failed, "", errors.Wrapf(errNoStream, "status %d", resp.StatusCode))
+	case a.resuming:
+		a.fail(ctx, dispatch.Failed, "", errors.Wrapf(errNotResumable, "status %d", resp.StatusCode))
 	default:
-		a.readWhole(ctx, resp)
+		a.readBuffered(ctx, resp)
 	}
 }
 
-// hear takes in what the upstream says of itself. In a late answer to another request only
-// its leaving is still so. Where it names another engine of the chain that could not take
-// the request, that one has asked through it.
-func (a *attempt) hear(head AnswerHead) {
-	word := head.Word
-	if head.ID == a.callerID && !head.Misdirected && !word.Limited {
-		a.unlimited(a.cmd.Upstream, a.begunAt)
+// recordStatus records the upstream status in the headers of an answer. In a late answer to
+// another request, only the leaving flag still applies. If the answer names a later engine of
+// the chain as the one that could not take the request, the requested back-off applies to that
+// engine as well.
+func (a *attempt) recordStatus(head AnswerHead) {
+	status := head.UpstreamStatus
+	if head.ID == a.callerID && !head.Misdirected && !status.HasLimit {
+		a.handleNoLimit(a.cmd.Upstream, a.startedAt)
 	}
 	if head.ID != "" && head.ID != a.callerID {
-		word.Rest = 0
+		status.BackOff = 0
 	}
-	if word.IsZero() {
+	if status.IsZero() {
 		return
 	}
-	a.word = word
-	a.said(a.cmd.Upstream, word)
-	for _, p := range a.cmd.Chain {
-		if p.Address == head.At && p.ID != a.cmd.Upstream && word.Rest > 0 {
-			a.said(p.ID, Word{Rest: word.Rest})
+	a.status = status
+	a.handleStatus(a.cmd.Upstream, status)
+	for _, part := range a.cmd.Chain {
+		if part.Address == head.At && part.ID != a.cmd.Upstream && status.BackOff > 0 {
+			a.handleStatus(part.ID, UpstreamStatus{BackOff: status.BackOff})
 		}
 	}
 }
@@ -220,78 +224,77 @@
 	return resp.StatusCode == http.StatusOK && strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
 }
 
-// readEvents passes the events of a stream on. One that has neither a length nor
-// chunks ends when its connection is closed. That is a way to answer that upstreams
-// have, and an end like any other: whoever breaks such a stream off resets its
-// connection, which is an error here, and one that stops within an event is told by
-// that. A close between two events cannot be told from the end, since events do not
-// say which is the last, and asking another upstream for what may follow would run
-// each such stream twice.
+// readEvents forwards the events of a stream. A stream with neither Content-Length nor chunked
+// encoding ends when the upstream closes the connection, and such a close counts as a complete
+// stream. An upstream that aborts the stream resets the connection, which is a read error, and
+// a stream that ends inside an event is an error too. A close between two events cannot be told
+// from a complete stream, because no event is marked as the last one; asking another upstream
+// for further events would execute every such stream twice.
 func (a *attempt) readEvents(ctx context.Context, resp *http.Response) {
 	events := newEventReader(resp.Body)
 	head := resp
 	for {
 		ev, err := events.next()
 		if errors.Is(err, io.EOF) {
-			a.send(ctx, piece{head: head, end: true})
+			a.emit(ctx, attemptUpdate{head: head, end: true})
 			return
 		}
 		if err != nil {
 			a.fail(ctx, dispatch.Unknown, "", err)
 			return
 		}
-		if !a.send(ctx, piece{head: head, event: ev}) {
+		if !a.emit(ctx, attemptUpdate{head: head, event: ev}) {
 			return
 		}
 		head = nil
 	}
 }
 
-// readWhole holds an answer back until it is whole, if it is not too large.
-func (a *attempt) readWhole(ctx context.Context, resp *http.Response) {
-	data, err := io.ReadAll(io.LimitReader(resp.Body, bufferedAnswer))
+// readBuffered buffers an answer until it is complete, up to maxBufferedAnswer.
+func (a *attempt) readBuffered(ctx context.Context, resp *http.Response) {
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer))
 	if err != nil {
 		a.fail(ctx, dispatch.Unknown, "", err)
 		return
 	}
-	if len(data) < bufferedAnswer {
-		a.send(ctx, piece{head: resp, data: data, end: true})
+	if len(data) < maxBufferedAnswer {
+		a.emit(ctx, attemptUpdate{head: resp, data: data, end: true})
 		return
 	}
-	if a.send(ctx, piece{head: resp, data: data}) {
-		a.readRest(ctx, resp.Body)
+	if a.emit(ctx, attemptUpdate{head: resp, data: data}) {
+		a.readRemaining(ctx, resp.Body)
 	}
 }
 
-// readRest passes on the rest of an answer that is too large to hold back.
-func (a *attempt) readRest(ctx context.Context, body io.Reader) {
+// readRemaining forwards the remaining body of an answer that exceeds maxBufferedAnswer.
+func (a *attempt) readRemaining(ctx context.Context, body io.Reader) {
 	for {
-		data := make([]byte, pieceSize)
+		data := make([]byte, chunkSize)
 		n, err := body.Read(data)
 		end := errors.Is(err, io.EOF)
 		if err != nil && !end {
 			a.fail(ctx, dispatch.Unknown, "", err)
 			return
 		}
-		if !a.send(ctx, piece{data: data[:n], end: end}) || end {
+		if !a.emit(ctx, attemptUpdate{data: data[:n], end: end}) || end {
 			return
 		}
 	}
 }
 
-func (a *attempt) fail(ctx context.Context, cause dispatch.Cause, at string, err error) {
-	a.send(ctx, piece{failed: true, cause: cause, at: at, word: a.word, err: err})
+func (a *attempt) fail(ctx context.Context, cause dispatch.Cause, faultyAddress string, err error) {
+	a.emit(ctx, attemptUpdate{failed: true, cause: cause, faultyAddress: faultyAddress, status: a.status, err: err})
 }
 
-// send hands a piece to the session, and reports whether it still listens.
-func (a *attempt) send(ctx context.Context, p piece) bool {
+// emit sends an update to the session and reports whether it was accepted before ctx ended.
+func (a *attempt) emit(ctx context.Context, update attemptUpdate) bool {
 	select {
-	case a.pieces <- p:
+	case a.updates <- update:
 		return true
 	default:
 	}
 	select {
-	case a.pieces <- p:
+	case a.updates <- update:
 		return true
 	case <-ctx.Done():
 		return false
--- a/relay/doc.go
+++ b/relay/doc.go
@@ -1,8 +1,7 @@
-// Package relay is the shell around the decisions of package dispatch: it
-// takes callers' requests, carries out the attempts, and passes answers on
-// byte for byte.
+// Package relay forwards callers' requests to upstreams as package dispatch decides, and
+// returns the answers byte for byte.
 //
-// A session lives as long as one request. It reports to the decider what
-// happens, and does what the decider's commands say. Attempts run in
-// goroutines of their own and speak to their session through a channel.
+// A session handles one request: it reports events to the decider and carries out the decider's
+// commands. Each attempt runs in its own goroutine and sends its updates to the session over a
+// channel.
 package relay
--- a/relay/events.go
+++ b/relay/events.go
@@ -9,26 +9,27 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxEvent bounds one event of a stream, in bytes. The sheets' events are
-// under 400; a larger one than this is no event.
-const maxEvent = 256 << 10
+// maxEventBytes bounds the size of one event of a stream, in bytes. Specified events are under
+// 400 bytes; a larger event than the bound is an error.
+const maxEventBytes = 256 << 10
 
-// Errors of reading a stream of events.
+// Errors of reading an event stream.
 var (
-	errEventTooLong = errors.New("relay: an event is too long")
-	errPartialEvent = errors.New("relay: the stream ends inside an event")
+	errEventTooLong = errors.New("relay: event exceeds the size limit")
+	errPartialEvent = errors.New("relay: stream ends inside an event")
 )
 
-// event is one whole event of a stream, with the empty line that ends it.
+// event is one complete event of a stream.
 type event struct {
 	raw []byte
-	// id is the event's id, and number its value; hasID tells that it has one.
-	id     string
-	number int64
-	hasID  bool
+	// raw is the event as received, including the empty line that ends it. id is the event's
+	// id, and number its numeric value; hasNumber reports whether the id is numeric.
+	id        string
+	number    int64
+	hasNumber bool
 }
 
-// eventReader splits a stream into whole events.
+// eventReader splits an event stream into complete events.
 type eventReader struct {
 	r *bufio.Reader
 }
@@ -37,12 +38,12 @@
 	return &eventReader{r: bufio.NewReaderSize(r, readBuffer)}
 }
 
-// next returns the next event. At the end of the stream it returns io.EOF if
-// no event has begun, and else errPartialEvent.
+// next returns the next event. At the end of the stream it returns io.EOF, or errPartialEvent
+// if the stream ends inside an event.
 func (e *eventReader) next() (event, error) {
 	var ev event
 	for {
-		line, err := e.line(&ev)
+		line, err := e.readLine(&ev)
 		if err != nil {
 			if errors.Is(err, io.EOF) && len(ev.raw) > 0 {
 				return event{}, errPartialEvent
@@ -52,17 +53,17 @@
 		if len(line) == 0 {
 			return ev, nil
 		}
-		ev.note(line)
+		ev.parseLine(line)
 	}
 }
 
-// line reads one line into the event, and returns it without its end.
-func (e *eventReader) line(ev *event) ([]byte, error) {
+// readLine appends one line to the event and returns it without the line ending.
+func (e *eventReader) readLine(ev *event) ([]byte, error) {
 	start := len(ev.raw)
 	for {
 		part, err := e.r.ReadSlice('\n')
 		ev.raw = append(ev.raw, part...)
-		if len(ev.raw) > maxEvent {
+		if len(ev.raw) > maxEventBytes {
 			return nil, errEventTooLong
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
@@ -75,13 +76,13 @@
 	}
 }
 
-// note takes the event's id from one of its lines.
-func (ev *event) note(line []byte) {
+// parseLine sets the event's id if the line is an id field.
+func (ev *event) parseLine(line []byte) {
 	value, ok := bytes.CutPrefix(line, []byte("id:"))
 	if !ok {
 		return
 	}
 	ev.id = string(bytes.TrimPrefix(value, []byte(" ")))
 	n, err := strconv.ParseInt(ev.id, 10, 64)
-	ev.number, ev.hasID = n, err == nil
+	ev.number, ev.hasNumber = n, err == nil
 }
--- a/relay/events_test.go
+++ b/relay/events_test.go
@@ -14,14 +14,14 @@
 		ids          []string
 		err          error
 	}{
-		{"nothing", "", nil, nil, io.EOF},
+		{"empty stream", "", nil, nil, io.EOF},
 		{"two events", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", []string{"id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"}, []string{"1", "2"}, io.EOF},
-		{"without a blank", "id:12\n\n", []string{"id:12\n\n"}, []string{"12"}, io.EOF},
+		{"id without a space", "id:12\n\n", []string{"id:12\n\n"}, []string{"12"}, io.EOF},
 		{"carriage returns", "id: 3\r\ndata: c\r\n\r\n", []string{"id: 3\r\ndata: c\r\n\r\n"}, []string{"3"}, io.EOF},
-		{"a line before the id", "versions: 2\nid: 4\n\n", []string{"versions: 2\nid: 4\n\n"}, []string{"4"}, io.EOF},
-		{"cut inside an event", "id: 1\n\nid: 2\nda", []string{"id: 1\n\n"}, []string{"1"}, errPartialEvent},
-		{"a long line", "data: " + strings.Repeat("x", 3*readBuffer) + "\n\n", []string{"data: " + strings.Repeat("x", 3*readBuffer) + "\n\n"}, []string{""}, io.EOF},
-		{"too long", strings.Repeat("y", maxEvent+2), nil, nil, errEventTooLong},
+		{"line before the id", "versions: 2\nid: 4\n\n", []string{"versions: 2\nid: 4\n\n"}, []string{"4"}, io.EOF},
+		{"end inside an event", "id: 1\n\nid: 2\nda", []string{"id: 1\n\n"}, []string{"1"}, errPartialEvent},
+		{"long line", "data: " + strings.Repeat("x", 3*readBuffer) + "\n\n", []string{"data: " + strings.Repeat("x", 3*readBuffer) + "\n\n"}, []string{""}, io.EOF},
+		{"event too long", strings.Repeat("y", maxEventBytes+2), nil, nil, errEventTooLong},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -59,7 +59,7 @@
 			read += string(ev.raw)
 		}
 		if !strings.HasPrefix(stream, read) {
-			t.Errorf("got %q, want a beginning of %q", read, stream)
+			t.Errorf("got %q, want a prefix of %q", read, stream)
 		}
 	})
 }
--- a/relay/fixture_test.go
+++ b/relay/fixture_test.go
@@ -23,113 +23,114 @@
 	"github.com/hoistjunction/hoistjunction/limit"
 )
 
-// Headers of the fixture's protocol.
+// Headers of sealedProtocol.
 const (
 	headerSeal  = "Test-Seal"
 	headerAfter = "Test-After"
 )
 
-// sealedProtocol is a protocol in which an answer without a seal has not run.
+// sealedProtocol is a protocol in which an answer without a seal reports that the request was
+// not executed.
 type sealedProtocol struct{}
 
 func (sealedProtocol) CallerHead(h http.Header) CallerHead { return CallerHead{ID: h.Get("Test-Id")} }
 
 func (sealedProtocol) SetAttempt(h http.Header, a AttemptHead) {
-	if a.LastEvent != "" {
-		h.Set(headerAfter, a.LastEvent)
+	if a.LastEventID != "" {
+		h.Set(headerAfter, a.LastEventID)
 	}
 }
 
 func (sealedProtocol) AnswerHead(_ int, h http.Header) AnswerHead {
 	sealed := h.Get(headerSeal) != ""
-	return AnswerHead{Sealed: sealed, NotRun: !sealed}
+	return AnswerHead{Sealed: sealed, NotExecuted: !sealed}
 }
 
-// noEngines stands for engines that answer no question.
-type noEngines struct{}
+// unresponsiveEngines is a client whose queries to engines all fail.
+type unresponsiveEngines struct{}
 
-func (noEngines) Report(context.Context, string, fleet.Incarnation) (EngineReport, error) {
-	return EngineReport{}, errTakenBack
+func (unresponsiveEngines) Report(context.Context, string, fleet.Incarnation) (EngineReport, error) {
+	return EngineReport{}, errAttemptAbandoned
 }
 
-func (noEngines) Move(context.Context, string, string, []chain.Part) (result dispatch.MoveResult, at string) {
+func (unresponsiveEngines) Move(context.Context, string, string, []chain.Part) (result dispatch.MoveResult, at string) {
 	return dispatch.MoveUnanswered, ""
 }
 
-func (noEngines) Identify(context.Context, string, string, fleet.Incarnation) (fleet.Presence, error) {
-	return fleet.Unnamed, errTakenBack
+func (unresponsiveEngines) Identify(context.Context, string, string, fleet.Incarnation) (fleet.Presence, error) {
+	return fleet.Unnamed, errAttemptAbandoned
 }
 
-func (noEngines) Probe(context.Context, string, fleet.Incarnation) error { return nil }
+func (unresponsiveEngines) Probe(context.Context, string, fleet.Incarnation) error { return nil }
 
-// outcome is how an upstream answers one attempt.
+// outcome is the way in which an upstream answers one attempt.
 type outcome uint8
 
-// The outcomes. A stream has lastEvent events; the broken ones end after some, and a
-// measured one has named a length that is not that of the stream as others go on
-// with it, and one with an unnamed event ends with it.
+// Outcomes of an attempt. A stream has the events 1 to lastStreamEvent; the broken ones end
+// after some of them. A streamWithLength declares a length that differs from the length of the
+// resumed stream, and an eventWithoutID breaks off after an event without an id.
 const (
 	wholeStream outcome = iota
 	brokenStream
 	partialEvent
 	partialFirst
-	measuredStream
-	unnamedEvent
+	streamWithLength
+	eventWithoutID
 	failure
-	failedAtOnce
-	otherType
+	gatewayTimeout
+	plainTextAnswer
 	notFound
-	notRun
-	reset
-	large
-	largeBroken
+	notExecuted
+	connectionReset
+	largeAnswer
+	brokenLargeAnswer
 )
 
-// outcomes is how many there are.
-const outcomes = int(largeBroken) + 1
+// outcomeCount is the number of outcomes.
+const outcomeCount = int(brokenLargeAnswer) + 1
 
-var outcomeNames = [outcomes]string{
-	"whole stream", "broken stream", "partial event", "partial first event", "measured stream", "unnamed event", "500", "504", "other type", "404", "not run", "reset", "large", "large broken",
+var outcomeNames = [outcomeCount]string{
+	"whole stream", "broken stream", "partial event", "partial first event", "stream with length", "event without id", "500", "504", "plain text answer", "404", "not executed", "reset", "large", "large broken",
 }
 
 func (o outcome) String() string { return outcomeNames[o] }
 
 const (
-	// lastEvent is the id of the last event of each stream, and eventsEach how many
-	// of them a broken one brings.
-	lastEvent  = 7
-	eventsEach = 2
-	// measuredLength is the length in bytes that a measured stream names.
-	measuredLength = 100
-	// largeAnswer is the size of a large answer in bytes, and largePart how much a
-	// broken one brings.
-	largeAnswer = bufferedAnswer + 3*pieceSize
-	largePart   = bufferedAnswer + pieceSize
+	// lastStreamEvent is the id of the last event of each stream, and brokenStreamEvents the
+	// number of events that a broken stream sends.
+	lastStreamEvent    = 7
+	brokenStreamEvents = 2
+	// declaredLength is the Content-Length of a streamWithLength, in bytes.
+	declaredLength = 100
+	// largeAnswerBytes is the size of a large answer, and brokenLargeBytes the part of it that
+	// a broken one sends.
+	largeAnswerBytes = maxBufferedAnswer + 3*chunkSize
+	brokenLargeBytes = maxBufferedAnswer + chunkSize
 )
 
-// scriptedUpstreams answer the attempts of one request in turn; those beyond the
-// script as the last of it.
+// scriptedUpstreams answers the attempts of one request as scripted; the last outcome is
+// repeated.
 type scriptedUpstreams struct {
 	script []outcome
 
 	mu       sync.Mutex
 	attempts int
-	// asked are the addresses of the upstreams that got the request.
-	asked map[string]bool
+	// addresses contains the addresses of the upstreams that received the request.
+	addresses map[string]bool
 }
 
 func (u *scriptedUpstreams) next(r *http.Request) (attempt int, o outcome) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.attempts++
-	if u.asked == nil {
-		u.asked = make(map[string]bool)
+	if u.addresses == nil {
+		u.addresses = make(map[string]bool)
 	}
-	u.asked[fmt.Sprint(r.Context().Value(http.LocalAddrContextKey))] = true
+	u.addresses[fmt.Sprint(r.Context().Value(http.LocalAddrContextKey))] = true
 	return u.attempts, u.outcome(u.attempts)
 }
 
-// outcome is that of an attempt, counted from 1.
+// outcome returns the outcome of an attempt, counted from 1.
 func (u *scriptedUpstreams) outcome(attempt int) outcome {
 	return u.script[min(attempt, len(u.script))-1]
 }
@@ -138,73 +139,73 @@
 func (u *scriptedUpstreams) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	attempt, o := u.next(r)
 	after, _ := strconv.Atoi(r.Header.Get(headerAfter))
-	if o != notRun {
+	if o != notExecuted {
 		w.Header().Set(headerSeal, strconv.Itoa(attempt))
 	}
 	switch o {
 	case wholeStream:
-		writeEvents(w, after, lastEvent)
+		writeEvents(w, after, lastStreamEvent)
 	case brokenStream:
-		writeEvents(w, after, min(after+eventsEach, lastEvent))
-		breakOff(w)
+		writeEvents(w, after, min(after+brokenStreamEvents, lastStreamEvent))
+		abortConnection(w)
 	case partialEvent:
-		writeEvents(w, after, min(after+eventsEach, lastEvent))
-		write(w, "id: 9")
-		breakOff(w)
+		writeEvents(w, after, min(after+brokenStreamEvents, lastStreamEvent))
+		writeText(w, "id: 9")
+		abortConnection(w)
 	case partialFirst:
 		writeEvents(w, 0, 0)
-		write(w, "id: 1")
-		breakOff(w)
-	case measuredStream:
-		w.Header().Set("Content-Length", strconv.Itoa(measuredLength))
-		writeEvents(w, after, min(after+eventsEach, lastEvent))
-		breakOff(w)
-	case unnamedEvent:
-		writeEvents(w, after, min(after+eventsEach, lastEvent))
-		write(w, "data: piece without an id\n\n")
-		breakOff(w)
+		writeText(w, "id: 1")
+		abortConnection(w)
+	case streamWithLength:
+		w.Header().Set("Content-Length", strconv.Itoa(declaredLength))
+		writeEvents(w, after, min(after+brokenStreamEvents, lastStreamEvent))
+		abortConnection(w)
+	case eventWithoutID:
+		writeEvents(w, after, min(after+brokenStreamEvents, lastStreamEvent))
+		writeText(w, "data: piece without an id\n\n")
+		abortConnection(w)
 	case failure:
-		answer(w, http.StatusInternalServerError, wholeBody(o, attempt))
-	case failedAtOnce:
-		answer(w, http.StatusGatewayTimeout, wholeBody(o, attempt))
-	case otherType:
-		answer(w, http.StatusOK, wholeBody(o, attempt))
+		writeAnswer(w, http.StatusInternalServerError, wholeBody(o, attempt))
+	case gatewayTimeout:
+		writeAnswer(w, http.StatusGatewayTimeout, wholeBody(o, attempt))
+	case plainTextAnswer:
+		writeAnswer(w, http.StatusOK, wholeBody(o, attempt))
 	case notFound:
-		answer(w, http.StatusNotFound, wholeBody(o, attempt))
-	case notRun:
-		answer(w, http.StatusServiceUnavailable, "not run")
-	case reset:
-		breakOff(w)
-	case large:
-		answer(w, http.StatusOK, wholeBody(o, attempt))
-	case largeBroken:
-		answer(w, http.StatusOK, wholeBody(o, attempt)[:largePart])
-		breakOff(w)
+		writeAnswer(w, http.StatusNotFound, wholeBody(o, attempt))
+	case notExecuted:
+		writeAnswer(w, http.StatusServiceUnavailable, "not executed")
+	case connectionReset:
+		abortConnection(w)
+	case largeAnswer:
+		writeAnswer(w, http.StatusOK, wholeBody(o, attempt))
+	case brokenLargeAnswer:
+		writeAnswer(w, http.StatusOK, wholeBody(o, attempt)[:brokenLargeBytes])
+		abortConnection(w)
 	}
 }
 
-// wholeBody is the body of an answer that is no stream. It names the attempt, so
-// that those of two attempts differ throughout.
+// wholeBody returns the body of an answer that is not a stream. It contains the attempt's
+// number, so that the bodies of two attempts differ throughout.
 func wholeBody(o outcome, attempt int) string {
-	if o == large || o == largeBroken {
-		return strings.Repeat(strconv.Itoa(attempt%10), largeAnswer)
+	if o == largeAnswer || o == brokenLargeAnswer {
+		return strings.Repeat(strconv.Itoa(attempt%10), largeAnswerBytes)
 	}
 	return fmt.Sprintf("%v of attempt %d", o, attempt)
 }
 
-func answer(w http.ResponseWriter, status int, body string) {
+func writeAnswer(w http.ResponseWriter, status int, body string) {
 	w.Header().Set("Content-Type", "text/plain")
 	w.WriteHeader(status)
-	write(w, body)
+	writeText(w, body)
 }
 
 func writeEvents(w http.ResponseWriter, after, last int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
-	write(w, eventsText(after, last))
+	writeText(w, eventsText(after, last))
 }
 
-// eventsText is the events after one up to another.
+// eventsText returns the events after an id, up to and including the last one.
 func eventsText(after, last int) string {
 	var text strings.Builder
 	for id := after + 1; id <= last; id++ {
@@ -213,51 +214,51 @@
 	return text.String()
 }
 
-func write(w http.ResponseWriter, text string) {
-	// An upstream whose caller has left has nobody to tell.
+func writeText(w http.ResponseWriter, text string) {
+	// A write error only means that the caller has disconnected.
 	_, _ = w.Write([]byte(text))
 	_ = http.NewResponseController(w).Flush()
 }
 
-func breakOff(w http.ResponseWriter) {
+func abortConnection(w http.ResponseWriter) {
 	_ = http.NewResponseController(w).Flush()
 	panic(http.ErrAbortHandler)
 }
 
 const (
-	// upstreamsOfTest is how many upstreams there are, and how many of them most routes
-	// let run a request.
-	upstreamsOfTest = 4
-	// fewUpstreams is how many of them the route of few lets do so.
+	// testUpstreams is the number of upstreams; most routes let a request execute on all of
+	// them.
+	testUpstreams = 4
+	// fewUpstreams is the number of upstreams on which the route "few" lets a request execute.
 	fewUpstreams = 2
 )
 
-// newTestRelay runs a relay in front of upstreams that answer alike. It returns the
-// address at which callers reach it.
+// newTestRelay runs a relay in front of upstreams that share a handler. It returns the address
+// for callers.
 func newTestRelay(t *testing.T, upstreams http.Handler) (r *Relay, address string) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	model := dispatch.New(dispatch.WithPolicy(dispatch.Policy{RetryWindow: 10_000, RetryShare: 1, RetrySlack: 1e9}))
 	r = New(ctx, sealedProtocol{}, model, clocktest.NewClock(), zap.NewNop(),
-		WithDialer((&net.Dialer{}).DialContext), WithEngines(noEngines{}))
-	ended := make(chan struct{})
+		WithDialer((&net.Dialer{}).DialContext), WithEngines(unresponsiveEngines{}))
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		if err := r.Run(ctx); !errors.Is(err, context.Canceled) {
-			t.Errorf("got %v from the relay, want it to run until it is stopped", err)
+			t.Errorf("Run: got error %v, want context.Canceled", err)
 		}
 	}()
 	t.Cleanup(func() {
 		cancel()
-		<-ended
+		<-stopped
 	})
 	r.SetCatalog(testCatalog(), r.clock.Now())
 	r.SetPeers(dispatch.PeersMsg{All: 1, Members: []limit.Member{{}}})
-	for i := range upstreamsOfTest {
+	for i := range testUpstreams {
 		server := httptest.NewServer(upstreams)
 		t.Cleanup(server.Close)
 		id := fleet.Undated(fleet.ID("u" + strconv.Itoa(i)))
-		r.SetFleet([]fleet.Change{{ID: id, Upstream: fleet.Upstream{
+		r.UpdateFleet([]fleet.Change{{ID: id, Upstream: fleet.Upstream{
 			ID: id, Service: "desk", Address: server.Listener.Addr().String(),
 		}}})
 	}
@@ -266,12 +267,12 @@
 	return r, front.Listener.Addr().String()
 }
 
-// testCatalog has one route of each kind.
+// testCatalog returns a catalog with a route of each kind.
 func testCatalog() *catalog.Catalog {
 	route := func(name string, kind catalog.Kind, resumable bool) *catalog.Route {
 		return &catalog.Route{
 			Name: name, Host: "h", Prefix: "/" + name + "/", Kind: kind, Resumable: resumable, Anonymous: true,
-			Targets: []catalog.Target{{Service: "desk", Weight: 1}}, MaxAttempts: upstreamsOfTest,
+			Targets: []catalog.Target{{Service: "desk", Weight: 1}}, MaxAttempts: testUpstreams,
 			Timeout: 10_000, Aim: 10_000,
 		}
 	}
--- a/relay/gate.go
+++ b/relay/gate.go
@@ -7,51 +7,52 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// gate stays open for requests with a key while the configuration that decided
-// them is in force and fresh. It is asked right before a request is written,
-// since the process may have stood still after the decision, and the key may
-// have been taken away meanwhile.
-type gate struct {
+// configGate allows requests with a client key to be written while the configuration that
+// accepted the key is active and fresh. It is checked immediately before the write, since the
+// process may have been suspended after the decision and the key may have been revoked
+// meanwhile.
+type configGate struct {
 	clock  *clock.Clock
-	within clock.Millis
+	maxAge clock.Millis
 
 	mu sync.Mutex
-	// inForce is the edition in force, and confirmed when it was known to be the newest.
-	inForce   catalog.Edition
-	confirmed clock.Millis
+	// active is the active edition, and confirmedAt the time at which it was last known to be
+	// the newest one.
+	active      catalog.Edition
+	confirmedAt clock.Millis
 }
 
-func newGate(c *clock.Clock, within clock.Millis) *gate {
-	return &gate{clock: c, within: within, confirmed: clock.Never}
+func newConfigGate(c *clock.Clock, maxAge clock.Millis) *configGate {
+	return &configGate{clock: c, maxAge: maxAge, confirmedAt: clock.Never}
 }
 
-// confirm notes that an edition is in force, which was the newest at a time. It names none
-// where only the time is new.
-func (g *gate) confirm(edition catalog.Edition, at clock.Millis) {
+// confirm records that an edition was the newest one at a time. A zero edition updates only the
+// time.
+func (g *configGate) confirm(edition catalog.Edition, confirmedAt clock.Millis) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if edition.Supersedes(g.inForce) {
-		g.inForce, g.confirmed = edition, at
+	if edition.Supersedes(g.active) {
+		g.active, g.confirmedAt = edition, confirmedAt
 		return
 	}
-	g.confirmed = max(g.confirmed, at)
+	g.confirmedAt = max(g.confirmedAt, confirmedAt)
 }
 
-// age returns for how long the configuration has not been known to be fresh;
-// -1 if it never was.
-func (g *gate) age() clock.Millis {
+// age returns the time since the configuration was last confirmed as the newest one; -1 if it
+// never was.
+func (g *configGate) age() clock.Millis {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return clock.AgeOf(g.confirmed, g.clock.Now())
+	return clock.AgeOf(g.confirmedAt, g.clock.Now())
 }
 
-// open tells whether a request with a key that an edition let pass may be written
-// now. One that the gate has not heard of yet is newer than its own.
-func (g *gate) open(decided catalog.Edition) bool {
-	if g.within == 0 {
+// allows reports whether a request with a client key accepted by an edition may be written now.
+// An edition that the gate has not received yet is newer than the active one and is allowed.
+func (g *configGate) allows(edition catalog.Edition) bool {
+	if g.maxAge == 0 {
 		return true
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return !g.inForce.Supersedes(decided) && g.clock.Now().Sub(g.confirmed) <= g.within
+	return !g.active.Supersedes(edition) && g.clock.Now().Sub(g.confirmedAt) <= g.maxAge
 }
--- a/relay/gate_test.go
+++ b/relay/gate_test.go
@@ -8,35 +8,36 @@
 	"github.com/hoistjunction/hoistjunction/clock/clocktest"
 )
 
-func TestGate(t *testing.T) {
-	const within, long = clock.Millis(600_000), clock.Millis(700_000)
+func TestConfigGate(t *testing.T) {
+	const maxAge, tooOld = clock.Millis(600_000), clock.Millis(700_000)
 	tests := []struct {
 		name string
-		// The gate's version, and when it was known to be the newest.
+		// version is the gate's configuration, confirmed the time at which it was the newest
+		// one, and decided the configuration with which the request was decided.
 		version   uint64
 		confirmed clock.Millis
 		decided   uint64
 		want      bool
 	}{
 		{"fresh", 3, 0, 3, true},
-		{"older than the process, and still fresh", 3, -1000, 3, true},
-		{"too old", 3, -long, 3, false},
-		{"decided by an older configuration", 4, 0, 3, false},
-		{"decided by one that the gate is about to be told of", 3, 0, 4, true},
+		{"confirmed before the process start, still fresh", 3, -1000, 3, true},
+		{"stale", 3, -tooOld, 3, false},
+		{"decided with a superseded configuration", 4, 0, 3, false},
+		{"decided with a newer configuration than the gate has", 3, 0, 4, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := newGate(clocktest.NewClock(), within)
+			g := newConfigGate(clocktest.NewClock(), maxAge)
 			g.confirm(catalog.New(tt.version).Edition(), tt.confirmed)
-			if got := g.open(catalog.New(tt.decided).Edition()); got != tt.want {
-				t.Errorf("got open=%v, want %v", got, tt.want)
+			if got := g.allows(catalog.New(tt.decided).Edition()); got != tt.want {
+				t.Errorf("got allowed=%v, want %v", got, tt.want)
 			}
 		})
 	}
-	if got := newGate(clocktest.NewClock(), within).open(catalog.New(1).Edition()); got {
-		t.Error("got a gate that is open before anything is known, want it shut")
+	if got := newConfigGate(clocktest.NewClock(), maxAge).allows(catalog.New(1).Edition()); got {
+		t.Error("got allowed=true before any configuration, want false")
 	}
-	if got := newGate(clocktest.NewClock(), 0).open(catalog.New(1).Edition()); !got {
-		t.Error("got a shut gate without a bound, want it open")
+	if got := newConfigGate(clocktest.NewClock(), 0).allows(catalog.New(1).Edition()); !got {
+		t.Error("got allowed=false without a maximum age, want true")
 	}
 }
--- a/relay/guarded_conn.go
+++ b/relay/guarded_conn.go
@@ -6,61 +6,61 @@
 	"sync/atomic"
 )
 
-// sendGuard is asked right before the first bytes of a request go out.
-type sendGuard interface {
-	// mayWrite returns why the request must not be written; nil if it may.
-	mayWrite() error
-	// notWritten takes back that it was written: none of its bytes went out.
-	notWritten()
+// writeGuard is called immediately before the first bytes of a request are written.
+type writeGuard interface {
+	// beforeWrite returns an error if the request must not be written.
+	beforeWrite() error
+	// nothingWritten reports that the write failed before any byte was written.
+	nothingWritten()
 }
 
-// guardedConn is a connection to an upstream. net/http decides by itself which
-// connection a request goes out on, and writes it even if its context has ended
-// in the meantime; it also repeats some requests on its own when a kept
-// connection breaks. So the request's guard is asked here, at the write.
+// guardedConn is a connection to an upstream that checks each request before it is written.
+// net/http chooses the connection of a request itself, writes the request even if its context
+// has ended meanwhile, and resends some requests when a pooled connection breaks. Therefore the
+// request's guard is called in Write.
 type guardedConn struct {
 	net.Conn
-	guard atomic.Pointer[sendGuard]
-	// heard is told of all that comes.
-	heard func()
+	guard atomic.Pointer[writeGuard]
+	// onRead is called after each read that returned data.
+	onRead func()
 }
 
-// arm sets the guard of the request that is written next.
-func (c *guardedConn) arm(g sendGuard) { c.guard.Store(&g) }
+// setGuard sets the guard for the next request on the connection.
+func (c *guardedConn) setGuard(g writeGuard) { c.guard.Store(&g) }
 
 // Read implements net.Conn.
 func (c *guardedConn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	if n > 0 {
-		c.heard()
+		c.onRead()
 	}
 	return n, err
 }
 
-// Write implements net.Conn. Only a request's first write asks its guard.
+// Write implements net.Conn. Only the first write of a request calls its guard.
 func (c *guardedConn) Write(data []byte) (int, error) {
 	guard := c.guard.Swap(nil)
 	if guard == nil {
 		return c.Conn.Write(data)
 	}
-	if err := (*guard).mayWrite(); err != nil {
+	if err := (*guard).beforeWrite(); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Write(data)
 	if n == 0 && err != nil {
-		(*guard).notWritten()
+		(*guard).nothingWritten()
 	}
 	return n, err
 }
 
-// guarded makes a dialer's connections guarded ones. Heard is told of all that comes
-// on them.
-func guarded(dial dialFunc, heard func()) dialFunc {
+// guardDialer returns a dialer whose connections are guarded. onRead is called after each read
+// that returned data.
+func guardDialer(dial dialFunc, onRead func()) dialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return &guardedConn{Conn: conn, heard: heard}, nil
+		return &guardedConn{Conn: conn, onRead: onRead}, nil
 	}
 }
--- a/relay/log.go
+++ b/relay/log.go
@@ -14,8 +14,8 @@
 	"github.com/hoistjunction/hoistjunction/logging"
 )
 
-// bytesEachPart is about how long a part of a chain is in the log.
-const bytesEachPart = 24
+// chainPartTextBytes is the approximate length in bytes of one part of a chain in the log.
+const chainPartTextBytes = 24
 
 func appendRange(text []byte, from, to int) []byte {
 	text = strconv.AppendInt(text, int64(from), 10)
@@ -23,8 +23,8 @@
 	return strconv.AppendInt(text, int64(to), 10)
 }
 
-// hostName returns a host in the form in which routes have it.
-func hostName(host string) string {
+// normalizeHost returns a host without port and in lower case, as routes contain it.
+func normalizeHost(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
@@ -38,141 +38,142 @@
 		zap.String("chain", chainText(cmd.Chain)), zap.Int("in_flight", cmd.InFlight), zap.Int("priority", cmd.Priority),
 		zap.Stringer("config", cmd.Config), zap.Int64("config_age_ms", int64(cmd.ConfigAge)),
 		zap.Int64("list_age_ms", int64(s.relay.listAge())),
-		zap.Int64("remaining_ms", int64(remaining)), zap.String("resume_after", s.lastEvent), zap.Bool("suspected", cmd.Suspected), limitField(cmd.Limit))
+		zap.Int64("remaining_ms", int64(remaining)), zap.String("resume_after", s.lastEventID), zap.Bool("suspected", cmd.Suspected), rateLimitField(cmd.Limit))
 }
 
 func (s *session) logAnswer(status int) {
 	s.relay.stats.count("answered")
-	s.relay.stats.whole(s.age())
-	late := s.late()
-	if late != "" {
-		s.relay.stats.count("late_" + string(late))
+	s.relay.stats.wholeAnswer(s.age())
+	missed := s.missedAim()
+	if missed != "" {
+		s.relay.stats.count("late_" + string(missed))
 	}
-	s.log.Info("answered", s.fields(zap.Int("status", status), zap.String("late", string(late)))...)
+	s.log.Info("answered", s.outcomeFields(zap.Int("status", status), zap.String("late", string(missed)))...)
 }
 
-// fields are what is logged at the end of a request, whatever it is.
-func (s *session) fields(more ...zap.Field) []zap.Field {
+// outcomeFields returns the log fields common to all outcomes of a request.
+func (s *session) outcomeFields(more ...zap.Field) []zap.Field {
 	name := ""
 	if s.route != nil {
 		name = s.route.Name
 	}
 	return append([]zap.Field{zap.String("id", s.head.ID), zap.String("route", name)}, append(more,
-		zap.Int("events", s.events), zap.Int("attempts", s.attempts), zap.Int("moves", s.moved),
-		zap.Int64("first_ms", int64(s.first)), zap.Int64("pause_ms", int64(s.pause)), zap.Int64("after_ms", int64(s.age())))...)
+		zap.Int("events", s.events), zap.Int("attempts", s.attempts), zap.Int("moves", s.migrations),
+		zap.Int64("first_ms", int64(s.firstEvent)), zap.Int64("pause_ms", int64(s.longestPause)), zap.Int64("after_ms", int64(s.age())))...)
 }
 
-// lateness says by what an answer has missed its route's aims; empty if it has
-// not.
-type lateness string
+// aim names the latency aim of a route that an answer has missed; empty if none.
+type aim string
 
 const (
-	lateFirst lateness = "first_event"
-	latePause lateness = "pause"
-	lateWhole lateness = "whole_answer"
+	aimFirstEvent  aim = "first_event"
+	aimPause       aim = "pause"
+	aimWholeAnswer aim = "whole_answer"
 )
 
-func (s *session) late() lateness {
+func (s *session) missedAim() aim {
 	switch {
 	case s.route == nil:
 		return ""
-	case s.route.Kind == catalog.Streaming && s.route.Aim > 0 && s.first > s.route.Aim:
-		return lateFirst
-	case s.route.Kind == catalog.Streaming && s.route.GapAim > 0 && s.pause > s.route.GapAim:
-		return latePause
+	case s.route.Kind == catalog.Streaming && s.route.Aim > 0 && s.firstEvent > s.route.Aim:
+		return aimFirstEvent
+	case s.route.Kind == catalog.Streaming && s.route.GapAim > 0 && s.longestPause > s.route.GapAim:
+		return aimPause
 	case s.route.Kind != catalog.Streaming && s.route.Aim > 0 && s.age() > s.route.Aim:
-		return lateWhole
+		return aimWholeAnswer
 	}
 	return ""
 }
 
-func (s *session) logLeft() {
-	s.explained = true
+func (s *session) logCallerLeft() {
+	s.outcomeLogged = true
 	s.relay.stats.count("caller_left")
-	s.log.Info("caller_left", s.fields()...)
+	s.log.Info("caller_left", s.outcomeFields()...)
 }
 
-func (s *session) logAwait(cmd dispatch.PlaceCmd) {
+func (s *session) logSlotWait(cmd dispatch.PlaceCmd) {
 	s.relay.stats.count("awaited_places")
 	s.log.Info("awaits_place", zap.String("id", s.head.ID), zap.String("service", cmd.Service), zap.Int("waiting", cmd.Waiting),
 		zap.Int64("for_ms", int64(cmd.Until.Sub(s.relay.clock.Now()))), zap.Int64("after_ms", int64(s.age())))
 }
 
-func (s *session) logFinish(cmd dispatch.FinishCmd) {
-	s.log.Info("refused", zap.String("id", s.head.ID), zap.Stringer("work", cmd.Work), zap.String("host", s.r.Host), zap.String("path", s.r.URL.Path),
+func (s *session) logRefusal(cmd dispatch.FinishCmd) {
+	s.log.Info("refused", zap.String("id", s.head.ID), zap.Stringer("work", cmd.Work), zap.String("host", s.request.Host), zap.String("path", s.request.URL.Path),
 		zap.Int("status", cmd.Status), zap.String("reason", string(cmd.Reason)),
 		zap.Int64("retry_after_ms", int64(cmd.RetryAfter)), zap.Int("attempts", s.attempts),
 		zap.Stringer("config", cmd.Config), zap.Int64("config_age_ms", int64(cmd.ConfigAge)),
-		zap.Int64("after_ms", int64(s.age())), lackField(cmd.Lack), limitedField(cmd.Limited))
+		zap.Int64("after_ms", int64(s.age())), missingResourceField(cmd.Lack), limitRefusalField(cmd.Limited))
 }
 
-// limitField is what the upstream of an attempt takes from all nodes together.
-func limitField(perSecond float64) zap.Field {
+// rateLimitField returns the log field for the rate limit of an upstream, in requests per
+// second over all nodes.
+func rateLimitField(perSecond float64) zap.Field {
 	if perSecond == 0 {
 		return zap.Skip()
 	}
 	return zap.Float64("limit", perSecond)
 }
 
-// limitedField says whose limit has had a request refused.
-func limitedField(limited *dispatch.Limited) zap.Field {
-	if limited == nil {
+// limitRefusalField returns the log fields for the rate limit that caused a refusal.
+func limitRefusalField(refusal *dispatch.Limited) zap.Field {
+	if refusal == nil {
 		return zap.Skip()
 	}
 	return zap.Inline(zapcore.ObjectMarshalerFunc(func(e zapcore.ObjectEncoder) error {
-		e.AddString("at", limited.Upstream.String())
-		e.AddFloat64("limit", limited.Rate)
-		e.AddInt("limited", limited.Upstreams)
-		e.AddInt("queue", limited.Queue)
+		e.AddString("at", refusal.Upstream.String())
+		e.AddFloat64("limit", refusal.Rate)
+		e.AddInt("limited", refusal.Upstreams)
+		e.AddInt("queue", refusal.Queue)
 		return nil
 	}))
 }
 
-// lackField says what ran short, and by whose word.
-func lackField(lack *dispatch.Lack) zap.Field {
-	if lack == nil {
+// missingResourceField returns the log fields for the memory that an upstream lacked and the
+// source of that figure.
+func missingResourceField(missing *dispatch.Lack) zap.Field {
+	if missing == nil {
 		return zap.Skip()
 	}
 	return zap.Inline(zapcore.ObjectMarshalerFunc(func(e zapcore.ObjectEncoder) error {
-		e.AddString("lacks", string(appendRange(nil, lack.Layers.From, lack.Layers.To)))
-		e.AddInt("holders", lack.Holders)
-		e.AddString("at", lack.ID.String())
-		e.AddInt64("left", int64(lack.Room))
-		e.AddInt64("asked", int64(lack.Need))
-		e.AddString("word_of", string(lack.Word))
-		e.AddInt64("word_age_ms", int64(lack.Age))
+		e.AddString("lacks", string(appendRange(nil, missing.Layers.From, missing.Layers.To)))
+		e.AddInt("holders", missing.Holders)
+		e.AddString("at", missing.ID.String())
+		e.AddInt64("left", int64(missing.Room))
+		e.AddInt64("asked", int64(missing.Need))
+		e.AddString("word_of", string(missing.Word))
+		e.AddInt64("word_age_ms", int64(missing.Age))
 		return nil
 	}))
 }
 
-func (s *session) logFailure(cause dispatch.Cause, at string, word Word, err error) {
+func (s *session) logFailure(cause dispatch.Cause, faultyAddress string, status UpstreamStatus, err error) {
 	s.relay.stats.count("attempt_" + cause.String())
 	s.log.Info("attempt_failed", zap.String("id", s.head.ID), zap.Stringer("work", s.attempt.cmd.Work), zap.Int("attempt", s.attempt.cmd.Attempt),
-		zap.Stringer("upstream", s.attempt.cmd.Upstream), zap.Stringer("cause", cause), zap.String("at", at),
-		zap.Int("events", s.events), zap.Int64("after_ms", int64(s.relay.clock.Now().Sub(s.sent))), wordField(word), logging.Err(err))
+		zap.Stringer("upstream", s.attempt.cmd.Upstream), zap.Stringer("cause", cause), zap.String("at", faultyAddress),
+		zap.Int("events", s.events), zap.Int64("after_ms", int64(s.relay.clock.Now().Sub(s.sentAt))), upstreamStatusField(status), logging.Err(err))
 }
 
-// wordField is what an upstream has said of itself.
-func wordField(word Word) zap.Field {
-	if word.IsZero() {
+// upstreamStatusField returns the log fields for the status reported by an upstream.
+func upstreamStatusField(status UpstreamStatus) zap.Field {
+	if status.IsZero() {
 		return zap.Skip()
 	}
 	return zap.Inline(zapcore.ObjectMarshalerFunc(func(e zapcore.ObjectEncoder) error {
-		e.AddInt64("rest_ms", int64(word.Rest))
-		e.AddBool("leaving", word.Leaving)
-		if word.Limited {
-			e.AddFloat64("limit", word.Limit)
+		e.AddInt64("rest_ms", int64(status.BackOff))
+		e.AddBool("leaving", status.Leaving)
+		if status.HasLimit {
+			e.AddFloat64("limit", status.Limit)
 		}
-		if word.Unread != "" {
-			e.AddString("unread", word.Unread)
+		if status.Malformed != "" {
+			e.AddString("unread", status.Malformed)
 		}
 		return nil
 	}))
 }
 
-// logLost notes that a caller could not be given its answer.
-func (s *session) logLost(err error) {
-	s.explained = true
+// logCallerLost logs that the answer could not be written to the caller.
+func (s *session) logCallerLost(err error) {
+	s.outcomeLogged = true
 	s.relay.stats.count("caller_lost")
 	s.log.Info("caller_lost", zap.String("id", s.head.ID), zap.Int("events", s.events), logging.Err(err))
 }
--- a/relay/protocol.go
+++ b/relay/protocol.go
@@ -10,82 +10,84 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// CallerHead is what the head of a caller's request says.
+// CallerHead holds the values from the headers of a caller's request.
 type CallerHead struct {
-	// ID is the name of this try; answers carry it too.
+	// ID is the caller's id for this attempt; the answer carries it too.
 	ID string
-	// Key is the caller's key; HasKey tells that one was sent.
+	// Key is the caller's key; HasKey reports whether one was sent.
 	Key    string
 	HasKey bool
-	// Remaining is how long the caller will wait; zero where it does not say.
+	// Remaining is the time until the caller's deadline; zero if none was sent.
 	Remaining clock.Millis
-	// Sizes of a generation in tokens; zero where they were not sent.
+	// PromptTokens, AnswerTokens and HintTokens are the size of the prompt, the maximum size of
+	// the answer and the caller's estimate of it, in tokens; zero if not sent.
 	PromptTokens int
 	AnswerTokens int
 	HintTokens   int
 }
 
-// AttemptHead is what a node says in the head of an attempt.
+// AttemptHead holds the values that a node puts into the headers of a request to an upstream.
 type AttemptHead struct {
-	// Upstream is the one meant; any other that has its address refuses.
+	// Upstream is the intended incarnation; any other one at its address rejects the request.
 	Upstream fleet.Incarnation
 	Account  string
-	// Priority is the request's rank at an engine, 0 being the first. Plain
-	// services know none.
+	// Priority is the request's priority at an engine, 0 being the highest. Plain services have
+	// no priorities.
 	Priority int
-	// Remaining is how long the upstream may work on it.
+	// Remaining is the time that the upstream has for the request.
 	Remaining clock.Millis
 	Chain     []chain.Part
-	// LastEvent is the last event that the caller has; empty for none.
-	LastEvent string
+	// LastEventID is the id of the last event that the caller has received; empty for none.
+	LastEventID string
 }
 
-// AnswerHead is what the head of an upstream's answer says.
+// AnswerHead holds the values from the headers of an upstream's answer.
 type AnswerHead struct {
-	// ID is the try that is answered.
+	// ID is the caller's id of the attempt that is answered.
 	ID string
-	// Sealed tells that the answer is the upstream's own word on the request.
+	// Sealed reports whether the upstream itself produced the answer.
 	Sealed bool
-	// NotRun tells that the upstream has not run the request and will not.
-	NotRun bool
-	// Misdirected tells that the upstream is not the one meant, or does not
-	// hold what was asked of it.
+	// NotExecuted reports whether the upstream has not executed the request and will not
+	// execute it.
+	NotExecuted bool
+	// Misdirected reports whether the request reached an upstream that is not the intended one
+	// or does not hold the requested layers.
 	Misdirected bool
-	// At is the address of the upstream at fault, if it is another.
+	// At is the address of the upstream that caused the failure, if it is another one.
 	At string
-	// Answerer is the upstream that answers, where it says so as it refuses what was meant
-	// for another one; empty otherwise.
-	Answerer fleet.ID
-	// Word is what the upstream says of itself.
-	Word Word
+	// Responder is the id of the upstream that answered a request intended for another one;
+	// empty if not sent.
+	Responder fleet.ID
+	// UpstreamStatus is the status that the upstream reports in the headers.
+	UpstreamStatus UpstreamStatus
 }
 
-// Protocol translates heads.
+// Protocol reads and writes the headers of requests and answers.
 type Protocol interface {
 	CallerHead(h http.Header) CallerHead
 	SetAttempt(h http.Header, a AttemptHead)
 	AnswerHead(status int, h http.Header) AnswerHead
 }
 
-// StalledStream is a stream that an engine reports as standing still.
+// StalledStream is a stream that an engine reports as stalled.
 type StalledStream struct {
-	// ID is the caller's name of the try, and At the address of the engine
-	// that it waits for.
+	// ID is the caller's id of the attempt, and At the address of the engine that the stream
+	// waits for.
 	ID string
 	At string
 }
 
-// EngineReport is an engine's own account of itself.
+// EngineReport is an engine's report on its own state.
 type EngineReport struct {
-	// Stalled are the streams that began there and stand still.
+	// Stalled are the stalled streams for which the engine is the first of the chain.
 	Stalled []StalledStream
-	// Named tells that the report says that it is of the run that was asked.
+	// Named reports whether the report names the incarnation that was asked for.
 	Named bool
 	dispatch.Report
 }
 
-// Engines asks upstreams for their state and gives them orders. Identify tells who answers
-// at an upstream's address.
+// Engines queries upstreams and sends them orders. Identify asks which upstream uses an
+// address.
 type Engines interface {
 	Report(ctx context.Context, address string, upstream fleet.Incarnation) (EngineReport, error)
 	Move(ctx context.Context, address, callerID string, parts []chain.Part) (result dispatch.MoveResult, at string)
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -18,104 +18,111 @@
 	"github.com/hoistjunction/hoistjunction/work"
 )
 
-// Relay passes callers' requests on to upstreams.
+// Relay forwards callers' requests to upstreams.
 type Relay struct {
-	protocol  Protocol
-	engines   Engines
-	reports   *reports
-	clock     *clock.Clock
-	log       *zap.Logger
-	decider   *decider
-	gate      *gate
-	upstreams *upstreamPool
-	stats     *stats
-	limits    atomic.Pointer[catalog.Limits]
-	nextID    atomic.Uint64
-	open      atomic.Int64
-	stopping  atomic.Bool
-	// life ends with the node; what must outlast a request hangs on it.
-	life context.Context
-	// more are counters of other parts of the node, by name.
-	more map[string]expvar.Var
-	// leaving is told of upstreams that say that they are leaving.
-	leaving func(fleet.Incarnation)
-	// replaced is told of upstreams at whose addresses others answer.
-	replaced func(upstream fleet.Incarnation, address string)
-	// listAge tells how long ago the list of upstreams was last confirmed.
+	protocol     Protocol
+	engines      Engines
+	reports      *reportCache
+	clock        *clock.Clock
+	log          *zap.Logger
+	decider      *decider
+	gate         *configGate
+	upstreams    *upstreamPool
+	stats        *stats
+	limits       atomic.Pointer[catalog.Limits]
+	nextID       atomic.Uint64
+	openRequests atomic.Int64
+	stopping     atomic.Bool
+	// lifetime ends when the node stops; it is the context of work that must outlast a request.
+	lifetime context.Context
+	// extraMetrics are metrics of other parts of the node, by name.
+	extraMetrics map[string]expvar.Var
+	// onLeaving is called for upstreams that report that they are leaving.
+	onLeaving func(fleet.Incarnation)
+	// onReplaced is called for an upstream when another incarnation answers at its address.
+	onReplaced func(upstream fleet.Incarnation, address string)
+	// listAge returns the time since the list of upstreams was last confirmed; -1 for never.
 	listAge func() clock.Millis
 }
 
-// Option sets up a Relay.
+// Option configures a Relay.
 type Option func(*Relay)
 
-// WithEngines sets who asks engines for their state.
+// WithEngines sets the client that queries engines and other upstreams.
 func WithEngines(e Engines) Option {
-	return func(r *Relay) { r.engines, r.reports = e, newReports(e, r.clock) }
+	return func(r *Relay) { r.engines, r.reports = e, newReportCache(e, r.clock) }
 }
 
-// WithCounters adds another part's counters to the metrics.
-func WithCounters(name string, v expvar.Var) Option { return func(r *Relay) { r.more[name] = v } }
+// WithCounters adds the counters of another part of the node to the metrics.
+func WithCounters(name string, v expvar.Var) Option {
+	return func(r *Relay) { r.extraMetrics[name] = v }
+}
 
-// WithListAge sets who tells how long ago the list of upstreams was last confirmed, for
-// logs and metrics; -1 for never.
+// WithListAge sets the function that returns the time since the list of upstreams was last
+// confirmed (-1 for never), for logs and metrics.
 func WithListAge(age func() clock.Millis) Option { return func(r *Relay) { r.listAge = age } }
 
-// WithSilence sets who is told of engines that do not answer, or do again.
-func WithSilence(tell func(dispatch.SilentCmd)) Option {
-	return func(r *Relay) { r.decider.silent = tell }
+// WithResponsivenessHandler sets the function that is called when an engine becomes
+// unresponsive or responsive again.
+func WithResponsivenessHandler(handle func(dispatch.SilentCmd)) Option {
+	return func(r *Relay) { r.decider.onResponsiveness = handle }
 }
 
-// WithSharing sets who tells other nodes what this one has in use, and what all
-// do that tell each other.
-func WithSharing(share func(dispatch.ShareCmd)) Option {
-	return func(r *Relay) { r.decider.share = share }
+// WithUsageSharing sets the function that sends this node's usage and the totals aggregated
+// from other nodes to its peers.
+func WithUsageSharing(share func(dispatch.ShareCmd)) Option {
+	return func(r *Relay) { r.decider.shareUsage = share }
 }
 
-// WithQuarantine sets who is told of requests that end upstreams.
-func WithQuarantine(tell func(quarantine.News)) Option {
-	return func(r *Relay) { r.decider.quarantine = tell }
+// WithQuarantine sets the function that is called with news of requests suspected of
+// crashing upstreams.
+func WithQuarantine(handle func(quarantine.News)) Option {
+	return func(r *Relay) { r.decider.onQuarantine = handle }
 }
 
-// WithPermits sets who sends other nodes questions for permits, and answers to theirs.
-func WithPermits(ask func(limit.AskCmd), give func(to string, grant limit.Grant)) Option {
-	return func(r *Relay) { r.decider.ask, r.decider.give = ask, give }
+// WithPermitExchange sets the functions that send requests for rate-limit permits to other
+// nodes, and grants for their requests.
+func WithPermitExchange(request func(limit.AskCmd), grant func(to string, g limit.Grant)) Option {
+	return func(r *Relay) { r.decider.requestPermits, r.decider.grantPermits = request, grant }
 }
 
-// WithDialer sets how upstreams are connected to.
+// WithDialer sets the function that connects to upstreams.
 func WithDialer(dial dialFunc) Option {
 	return func(r *Relay) { r.upstreams = newUpstreamPool(dial, r.clock) }
 }
 
-// WithKeysWithin sets how old the newest configuration may be when a request
-// with a key is written; zero for no bound.
-func WithKeysWithin(d clock.Millis) Option { return func(r *Relay) { r.gate = newGate(r.clock, d) } }
+// WithMaxConfigAge sets the maximum age of the configuration at which a request with a client
+// key may be written; zero for no bound.
+func WithMaxConfigAge(d clock.Millis) Option {
+	return func(r *Relay) { r.gate = newConfigGate(r.clock, d) }
+}
 
-// New returns a relay around a model. Run makes it work.
-func New(life context.Context, protocol Protocol, model *dispatch.Model, c *clock.Clock, log *zap.Logger, opts ...Option) *Relay {
+// New returns a relay that follows the decisions of a model. Run starts it.
+func New(lifetime context.Context, protocol Protocol, model *dispatch.Model, c *clock.Clock, log *zap.Logger, opts ...Option) *Relay {
 	r := &Relay{
-		protocol: protocol, clock: c, log: log, gate: newGate(c, 0), stats: newStats(), life: life,
-		more: make(map[string]expvar.Var), listAge: neverListed, leaving: func(fleet.Incarnation) {}, replaced: func(fleet.Incarnation, string) {},
+		protocol: protocol, clock: c, log: log, gate: newConfigGate(c, 0), stats: newStats(), lifetime: lifetime,
+		extraMetrics: make(map[string]expvar.Var), listAge: unknownListAge, onLeaving: func(fleet.Incarnation) {}, onReplaced: func(fleet.Incarnation, string) {},
 	}
 	r.decider = newDecider(model, c, log, r.probe, r.identify)
 	for _, opt := range opts {
 		opt(r)
 	}
-	r.decider.limited = r.upstreams.noteLimit
-	r.more["limits"] = expvar.Func(func() any { return r.decider.limits.Load() })
+	r.decider.onLimitChanged = r.upstreams.recordLimit
+	r.extraMetrics["limits"] = expvar.Func(func() any { return r.decider.limits.Load() })
 	return r
 }
 
-// neverListed is the age of the list in a relay that nobody tells of it.
-func neverListed() clock.Millis { return clock.AgeOf(clock.Never, 0) }
+// unknownListAge is the default list age: the list was never confirmed.
+func unknownListAge() clock.Millis { return clock.AgeOf(clock.Never, 0) }
 
-// Run decides until the context ends.
+// Run processes decisions until ctx ends.
 func (r *Relay) Run(ctx context.Context) error {
 	defer r.upstreams.closeIdle()
 	return r.decider.run(ctx)
 }
 
-// SetCatalog takes the configuration that is in force from now on, and when it was known to be
-// the newest; nil where only the time is new.
+// SetCatalog activates a configuration that was the newest one at the confirmed time. If c is
+// nil, only the time is updated.
 func (r *Relay) SetCatalog(c *catalog.Catalog, confirmed clock.Millis) {
 	var edition catalog.Edition
 	if c != nil {
@@ -123,94 +130,95 @@
 		r.limits.Store(&limits)
 		edition = c.Edition()
 	}
-	// The decider is told first: what the gate holds back is decided anew, and
-	// must not be by the old version.
-	r.decider.tell(r.life, dispatch.CatalogMsg{Catalog: c, Confirmed: confirmed})
+	// The decider is notified first: a request that the gate rejects is decided again, which
+	// must not happen with the old configuration.
+	r.decider.notify(r.lifetime, dispatch.CatalogMsg{Catalog: c, Confirmed: confirmed})
 	r.gate.confirm(edition, confirmed)
 }
 
-// SetFleet takes changes of the list of upstreams.
-func (r *Relay) SetFleet(changes []fleet.Change) {
-	r.decider.tell(r.life, dispatch.FleetMsg{Changes: changes})
+// UpdateFleet applies changes to the list of upstreams.
+func (r *Relay) UpdateFleet(changes []fleet.Change) {
+	r.decider.notify(r.lifetime, dispatch.FleetMsg{Changes: changes})
 	for _, c := range changes {
 		switch {
 		case c.Gone:
-			r.upstreams.drop(c.ID)
-			r.reports.forget(c.ID)
+			r.upstreams.remove(c.ID)
+			r.reports.evict(c.ID)
 		case c.Upstream.Leaving:
-			r.upstreams.bar(c.ID, Word{Leaving: true})
+			r.upstreams.block(c.ID, UpstreamStatus{Leaving: true})
 		}
 	}
 }
 
-// Wake takes in that the VM goes on after it was suspended. Connections that were kept may
-// have ended meanwhile without a word.
-func (r *Relay) Wake() {
+// HandleVMResumed handles the end of a suspension of the VM. Idle connections are closed, since
+// they may have died meanwhile without a FIN or reset.
+func (r *Relay) HandleVMResumed() {
 	r.upstreams.closeIdle()
-	r.decider.tell(r.life, dispatch.WokeMsg{})
+	r.decider.notify(r.lifetime, dispatch.WokeMsg{})
 }
 
-// SetPeers tells which nodes there are, and by whom this one is told what they have in use.
-func (r *Relay) SetPeers(msg dispatch.PeersMsg) { r.decider.tell(r.life, msg) }
+// SetPeers sets the nodes of the fleet and the peers that report their usage to this node.
+func (r *Relay) SetPeers(msg dispatch.PeersMsg) { r.decider.notify(r.lifetime, msg) }
 
-// SetAsked takes another node's question for permits.
-func (r *Relay) SetAsked(from string, ask limit.Ask) {
-	r.decider.tell(r.life, dispatch.PermitAskMsg{From: from, Ask: ask})
+// HandlePermitRequest handles another node's request for rate-limit permits.
+func (r *Relay) HandlePermitRequest(from string, ask limit.Ask) {
+	r.decider.notify(r.lifetime, dispatch.PermitAskMsg{From: from, Ask: ask})
 }
 
-// SetPermits takes the answer to a question for permits.
-func (r *Relay) SetPermits(from string, grant limit.Grant) {
-	r.decider.tell(r.life, dispatch.PermitsMsg{From: from, Grant: grant})
+// HandlePermitGrant handles the answer to a request for rate-limit permits.
+func (r *Relay) HandlePermitGrant(from string, grant limit.Grant) {
+	r.decider.notify(r.lifetime, dispatch.PermitsMsg{From: from, Grant: grant})
 }
 
-// SetUsage takes what another node has in use or, with total, all nodes of another data
-// centre or, with whole, all, and what it knows of limits.
-func (r *Relay) SetUsage(msg dispatch.UsageMsg) {
+// HandleUsage handles a usage report, which also contains the rate limits known to its sender.
+// A report covers one node, all nodes of another data centre, or all nodes.
+func (r *Relay) HandleUsage(msg dispatch.UsageMsg) {
 	if msg.Total {
 		msg.Node = "all of " + msg.DataCentre
 	}
-	r.decider.tell(r.life, msg)
+	r.decider.notify(r.lifetime, msg)
 }
 
-// SetSilent takes an engine that another node has found silent.
-func (r *Relay) SetSilent(upstream fleet.Incarnation) {
-	r.decider.tell(r.life, dispatch.ToldSilentMsg{Upstream: upstream})
+// HandlePeerUnresponsive handles a peer report of an unresponsive engine.
+func (r *Relay) HandlePeerUnresponsive(upstream fleet.Incarnation) {
+	r.decider.notify(r.lifetime, dispatch.ToldSilentMsg{Upstream: upstream})
 }
 
-// SetLost takes a request that another node has lost at an upstream that has ended.
-func (r *Relay) SetLost(id work.ID, upstream fleet.Incarnation) {
-	r.decider.tell(r.life, dispatch.ToldLostMsg{Work: id, Upstream: upstream})
+// HandlePeerLoss handles a peer report of a request that was lost at a crashed upstream.
+func (r *Relay) HandlePeerLoss(id work.ID, upstream fleet.Incarnation) {
+	r.decider.notify(r.lifetime, dispatch.ToldLostMsg{Work: id, Upstream: upstream})
 }
 
-// SetAnswered takes a request under suspicion to which another node has brought an answer.
-func (r *Relay) SetAnswered(id work.ID) {
-	r.decider.tell(r.life, dispatch.ToldAnsweredMsg{Work: id})
+// HandlePeerAnswer handles a peer report of an answer to a suspected request.
+func (r *Relay) HandlePeerAnswer(id work.ID) {
+	r.decider.notify(r.lifetime, dispatch.ToldAnsweredMsg{Work: id})
 }
 
-// SetQuarantined takes requests that are quarantined.
-func (r *Relay) SetQuarantined(works []dispatch.Quarantined) {
-	r.decider.tell(r.life, dispatch.QuarantinedMsg{Works: works})
+// UpdateQuarantine sets the requests that are quarantined.
+func (r *Relay) UpdateQuarantine(works []dispatch.Quarantined) {
+	r.decider.notify(r.lifetime, dispatch.QuarantinedMsg{Works: works})
 }
 
-// SetPlaced takes an order that an engine has taken or, with holds, carried out.
-func (r *Relay) SetPlaced(upstream fleet.Incarnation, layers fleet.Range, holds bool) {
-	r.decider.tell(r.life, dispatch.PlacedMsg{Upstream: upstream, Layers: layers, Holds: holds})
+// HandlePlacement handles a placement order that an engine has accepted or, if loaded is
+// set, completed.
+func (r *Relay) HandlePlacement(upstream fleet.Incarnation, layers fleet.Range, loaded bool) {
+	r.decider.notify(r.lifetime, dispatch.PlacedMsg{Upstream: upstream, Layers: layers, Holds: loaded})
 }
 
-// Stop makes the relay say that it is not ready and end connections with
-// their answers. Requests in progress go on.
+// Stop makes Ready report false and closes each connection after its answer. Requests in
+// progress continue.
 func (r *Relay) Stop() { r.stopping.Store(true) }
 
-// Stopping tells whether Stop has been called.
+// Stopping reports whether Stop has been called.
 func (r *Relay) Stopping() bool { return r.stopping.Load() }
 
-// Ready tells whether the node can serve.
+// Ready reports whether the node can serve requests.
 func (r *Relay) Ready() bool { return !r.stopping.Load() && r.decider.ready.Load() }
 
-// InProgress returns how many requests are open.
-func (r *Relay) InProgress() int64 { return r.open.Load() }
+// InProgress returns the number of requests in progress.
+func (r *Relay) InProgress() int64 { return r.openRequests.Load() }
 
-// Readiness answers the platform's question whether the node can serve.
+// Readiness serves the platform's readiness check.
 func (r *Relay) Readiness(w http.ResponseWriter, _ *http.Request) {
 	if !r.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -219,66 +227,66 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Metrics serves the counters and histograms.
+// Metrics serves the counters and histograms as JSON.
 func (r *Relay) Metrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
 	gauges := map[string]int64{
-		"open": r.open.Load(), "config_age_ms": int64(r.gate.age()), "list_age_ms": int64(r.listAge()),
+		"open": r.openRequests.Load(), "config_age_ms": int64(r.gate.age()), "list_age_ms": int64(r.listAge()),
 		"decisions_waiting": int64(r.decider.inbox.Len()), "decisions_refused": int64(r.decider.inbox.Refused()),
 	}
-	if err := r.stats.write(w, gauges, r.more); err != nil {
+	if err := r.stats.write(w, gauges, r.extraMetrics); err != nil {
 		r.log.Info("metrics_not_sent", logging.Err(err))
 	}
 }
 
-// ServeHTTP takes one request of a caller. It is the one place where answers are
-// broken off: when it returns, net/http takes the answer for whole.
+// ServeHTTP handles one request of a caller. Answers are aborted only in this method, since
+// net/http completes an answer when the method returns.
 func (r *Relay) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	r.open.Add(1)
-	defer r.open.Add(-1)
+	r.openRequests.Add(1)
+	defer r.openRequests.Add(-1)
 	r.stats.count("arrived")
 	answer := newAnswerWriter(w, &r.stopping)
 	head := r.protocol.CallerHead(req.Header)
-	explained := r.serve(answer, head, w, req)
+	reasonLogged := r.serve(answer, head, w, req)
 	if !answer.ended() && !req.ProtoAtLeast(1, 1) {
-		if err := answer.reset(); err != nil {
+		if err := answer.resetConnection(); err != nil {
 			r.log.Warn("not_reset", zap.String("id", head.ID), logging.Err(err))
 		}
 	}
-	r.settle(answer, head.ID, explained)
+	r.abortUnlessComplete(answer, head.ID, reasonLogged)
 }
 
-// settle breaks an answer off that has not ended.
-func (r *Relay) settle(answer *answerWriter, id string, explained bool) {
+// abortUnlessComplete aborts an answer that is not complete.
+func (r *Relay) abortUnlessComplete(answer *answerWriter, id string, reasonLogged bool) {
 	if answer.ended() {
 		return
 	}
-	if !explained {
+	if !reasonLogged {
 		r.stats.count("left_open")
-		r.log.Error("left_open", zap.String("id", id), zap.Bool("begun", answer.begun()))
+		r.log.Error("left_open", zap.String("id", id), zap.Bool("begun", answer.started()))
 	}
 	r.stats.count("broken_off")
 	panic(http.ErrAbortHandler)
 }
 
-// serve answers a request. It returns whether the log says why the answer has not
-// ended, if it has not.
-func (r *Relay) serve(answer *answerWriter, head CallerHead, w http.ResponseWriter, req *http.Request) (explained bool) {
-	began := r.clock.Now()
+// serve handles a request and reports whether the reason for an incomplete answer has been
+// logged.
+func (r *Relay) serve(answer *answerWriter, head CallerHead, w http.ResponseWriter, req *http.Request) (reasonLogged bool) {
+	startedAt := r.clock.Now()
 	body, status := r.readBody(w, req)
 	if status != 0 {
 		r.log.Info("refused", zap.String("id", head.ID), zap.Int("status", status), zap.String("reason", "body"))
-		if err := answer.own(status, "body", 0); err != nil {
+		if err := answer.writeError(status, "body", 0); err != nil {
 			r.log.Info("caller_lost", zap.String("id", head.ID), logging.Err(err))
 		}
 		return true
 	}
-	r.boundWriting(w, head)
+	r.setWriteDeadline(w, head)
 	s := &session{
-		relay: r, id: dispatch.RequestID(r.nextID.Add(1)), head: head, body: body, w: answer, r: req,
-		mail: make(chan dispatch.Cmd, mailboxSize), log: r.log, began: began,
+		relay: r, id: dispatch.RequestID(r.nextID.Add(1)), head: head, body: body, answer: answer, request: req,
+		commands: make(chan dispatch.Cmd, mailboxSize), log: r.log, startedAt: startedAt,
 		sentTo: make(map[fleet.Incarnation]bool),
 	}
 	s.run()
-	return s.explained
+	return s.outcomeLogged
 }
--- a/relay/reports.go
+++ b/relay/reports.go
@@ -10,57 +10,56 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// reportLasts is for how long a report is not asked for again. When an engine
-// is lost, all streams that pass it ask for the same reports within the time
-// between two events; each question costs what a health check costs, and reports
-// are 200 ms old when they come.
-const reportLasts clock.Millis = 120
+// reportTTL is the time in ms for which a report is reused. When an engine crashes, all its
+// streams request the same reports within the time between two events; each query costs as much
+// as a health check, and a report is already 200 ms old when it is received.
+const reportTTL clock.Millis = 120
 
-// reports asks engines for their reports, once for all who want to know.
-type reports struct {
+// reportCache fetches reports from engines and shares each one among concurrent callers.
+type reportCache struct {
 	engines Engines
 	clock   *clock.Clock
 	group   singleflight.Group
 	mu      sync.Mutex
-	recent  map[fleet.Incarnation]recentReport
+	entries map[fleet.Incarnation]cachedReport
 }
 
-// recentReport is what an engine has answered, or that it has not.
-type recentReport struct {
-	at     clock.Millis
-	report EngineReport
-	err    error
+// cachedReport is the result of a query to an engine: its report or an error.
+type cachedReport struct {
+	fetchedAt clock.Millis
+	report    EngineReport
+	err       error
 }
 
-func newReports(engines Engines, c *clock.Clock) *reports {
-	return &reports{engines: engines, clock: c, recent: make(map[fleet.Incarnation]recentReport)}
+func newReportCache(engines Engines, c *clock.Clock) *reportCache {
+	return &reportCache{engines: engines, clock: c, entries: make(map[fleet.Incarnation]cachedReport)}
 }
 
-// get returns an engine's report; it may be reportLasts old.
-func (r *reports) get(ctx context.Context, address string, upstream fleet.Incarnation) (EngineReport, error) {
+// get returns an engine's report, which may be up to reportTTL old.
+func (r *reportCache) get(ctx context.Context, address string, upstream fleet.Incarnation) (EngineReport, error) {
 	r.mu.Lock()
-	known, ok := r.recent[upstream]
+	cached, ok := r.entries[upstream]
 	r.mu.Unlock()
-	if ok && r.clock.Now() < known.at.Add(reportLasts) {
-		return known.report, known.err
+	if ok && r.clock.Now() < cached.fetchedAt.Add(reportTTL) {
+		return cached.report, cached.err
 	}
-	answer, err, _ := r.group.Do(upstream.String(), func() (any, error) {
+	result, err, _ := r.group.Do(upstream.String(), func() (any, error) {
 		report, err := r.engines.Report(ctx, address, upstream)
-		r.keep(upstream, recentReport{at: r.clock.Now(), report: report, err: err})
+		r.store(upstream, cachedReport{fetchedAt: r.clock.Now(), report: report, err: err})
 		return report, err
 	})
-	return answer.(EngineReport), err
+	return result.(EngineReport), err
 }
 
-func (r *reports) keep(upstream fleet.Incarnation, report recentReport) {
+func (r *reportCache) store(upstream fleet.Incarnation, entry cachedReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.recent[upstream] = report
+	r.entries[upstream] = entry
 }
 
-// forget drops what is known of an upstream that is gone.
-func (r *reports) forget(upstream fleet.Incarnation) {
+// evict drops the cached report of an upstream that was removed from the list.
+func (r *reportCache) evict(upstream fleet.Incarnation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.recent, upstream)
+	delete(r.entries, upstream)
 }
--- /dev/null
+++ b/relay/session_answer.go
@@ -0,0 +1,104 @@
+package relay
+
+import (
+	"net/http"
+
+	"github.com/hoistjunction/hoistjunction/dispatch"
+)
+
+// handleUpdate handles an update of the attempt and reports whether the request has ended.
+func (s *session) handleUpdate(update attemptUpdate) bool {
+	s.lastUpdateAt = s.relay.clock.Now()
+	s.quietSince = s.lastUpdateAt
+	s.silenceTimer.Stop()
+	switch {
+	case update.failed:
+		s.failAttempt(update.cause, update.faultyAddress, update.status, update.err)
+		return false
+	case update.head != nil && update.head.StatusCode >= http.StatusInternalServerError && update.end:
+		return s.holdUpstreamFailure(update)
+	}
+	if err := s.writeUpdate(update); err != nil {
+		s.logCallerLost(err)
+		return true
+	}
+	if update.end {
+		s.answer.end()
+		s.completeAttempt(update)
+		return true
+	}
+	if len(update.event.raw) > 0 {
+		s.timing.record(s.lastUpdateAt)
+	}
+	s.resetStallTimer()
+	return false
+}
+
+// holdUpstreamFailure stores a 5xx answer of the upstream and reports the failure to the
+// decider, which may try another upstream.
+func (s *session) holdUpstreamFailure(update attemptUpdate) bool {
+	s.upstreamFailure = &update
+	s.failAttempt(dispatch.Failed, "", update.status, nil)
+	return false
+}
+
+// writeUpdate writes an update to the caller.
+func (s *session) writeUpdate(update attemptUpdate) error {
+	if update.head != nil && !s.answer.started() {
+		if update.end && len(update.event.raw) == 0 {
+			return s.answer.complete(update.head, update.data)
+		}
+		if err := s.answer.writeHead(update.head); err != nil {
+			return err
+		}
+	}
+	if len(update.event.raw) == 0 {
+		return s.answer.writeBody(update.data)
+	}
+	return s.writeEvent(update.event)
+}
+
+// writeEvent writes an event to the caller unless the caller has it already: a resumed stream
+// may begin with events sent before.
+func (s *session) writeEvent(ev event) error {
+	if ev.hasNumber && s.hasEventNumber {
+		if ev.number <= s.lastEventNumber {
+			return nil
+		}
+	}
+	if err := s.answer.writeBody(ev.raw); err != nil {
+		return err
+	}
+	s.recordEvent()
+	s.eventWithoutID = !ev.hasNumber
+	if ev.hasNumber {
+		s.lastEventID, s.lastEventNumber, s.hasEventNumber = ev.id, ev.number, true
+	}
+	return nil
+}
+
+// recordEvent records that an event was written to the caller.
+func (s *session) recordEvent() {
+	now := s.relay.clock.Now()
+	s.events++
+	if s.events == 1 {
+		s.firstEvent = s.age()
+		s.relay.stats.firstEvent(s.firstEvent)
+	} else {
+		s.longestPause = max(s.longestPause, now.Sub(s.lastEventAt))
+	}
+	s.lastEventAt = now
+}
+
+// completeAttempt reports a complete answer to the decider and logs it.
+func (s *session) completeAttempt(update attemptUpdate) {
+	status := http.StatusOK
+	if update.head != nil {
+		status = update.head.StatusCode
+	}
+	s.relay.decider.notify(s.relay.lifetime, dispatch.AttemptDoneMsg{
+		Request: s.id, Attempt: s.attempt.cmd.Attempt, Took: s.relay.clock.Now().Sub(s.sentAt),
+		Failed: status >= http.StatusInternalServerError,
+	})
+	s.logAnswer(status)
+}
--- a/relay/session_attempt.go
+++ b/relay/session_attempt.go
@@ -10,110 +10,112 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// doubtAfter is after how long without a byte of an upstream its kept connections are
-// doubted. First events come within 130 ms for 99 in 100, answers of plain upstreams
-// within 350 (docs/MEASUREMENTS.md).
-const doubtAfter clock.Millis = 300
+// maxConnectionSilence is the time in ms without a byte from an upstream after which its idle
+// connections are closed. First events arrive within 130 ms for 99 in 100 requests, answers of
+// plain upstreams within 350 ms (docs/MEASUREMENTS.md).
+const maxConnectionSilence clock.Millis = 300
 
-// send begins an attempt.
-func (s *session) send(cmd dispatch.SendCmd) {
+// startAttempt sends the request to the upstream chosen by the decider.
+func (s *session) startAttempt(cmd dispatch.SendCmd) {
 	now := s.relay.clock.Now()
 	remaining := min(cmd.Deadline, cmd.GiveUp).Sub(now)
 	s.attempts++
 	s.route = cmd.Route
 	s.logSend(cmd, remaining)
 	if s.attempts == 1 {
-		s.giveUp.Reset(max(remaining, 1).Duration())
+		s.deadlineTimer.Reset(max(remaining, 1).Duration())
 	}
 	if cmd.TryFor > 0 && cmd.TryFor < remaining {
-		s.try.Reset(cmd.TryFor.Duration())
+		s.attemptTimer.Reset(cmd.TryFor.Duration())
 	}
-	s.doubt.Reset(doubtAfter.Duration())
+	s.silenceTimer.Reset(maxConnectionSilence.Duration())
 	conns := s.relay.upstreams.get(cmd.Upstream)
-	ctx, cancel := context.WithCancelCause(s.r.Context())
+	ctx, cancel := context.WithCancelCause(s.request.Context())
 	a := &attempt{
-		protocol: s.relay.protocol, conns: conns, barred: func() bool { return s.relay.upstreams.barred(conns) }, said: s.relay.Said, unlimited: s.relay.unlimited, begunAt: now, answeredBy: s.relay.answeredBy, alone: s.needsOwnConnection(cmd.Upstream), gate: s.relay.gate, cmd: cmd,
-		callerID: s.head.ID, resumes: s.w.begun(), pieces: make(chan piece, piecesWaiting), cancel: cancel,
+		protocol: s.relay.protocol, conns: conns, blocked: func() bool { return s.relay.upstreams.blocked(conns) }, handleStatus: s.relay.HandleUpstreamStatus, handleNoLimit: s.relay.handleNoLimit, startedAt: now, handlePresence: s.relay.handlePresence, ownConnection: s.needsOwnConnection(cmd.Upstream), gate: s.relay.gate, cmd: cmd,
+		callerID: s.head.ID, resuming: s.answer.started(), updates: make(chan attemptUpdate, maxQueuedUpdates), cancel: cancel,
 	}
-	a.req = outgoing(ctx, s.r, cmd.Address, s.body)
+	a.req = outgoing(ctx, s.request, cmd.Address, s.body)
 	s.relay.protocol.SetAttempt(a.req.Header, AttemptHead{
-		Upstream: cmd.Upstream, Account: cmd.Account, Priority: cmd.Priority, Remaining: remaining, Chain: cmd.Chain, LastEvent: s.lastEvent,
+		Upstream: cmd.Upstream, Account: cmd.Account, Priority: cmd.Priority, Remaining: remaining, Chain: cmd.Chain, LastEventID: s.lastEventID,
 	})
-	s.attempt, s.sent, s.lastPiece, s.since = a, now, now, now
+	s.attempt, s.sentAt, s.lastUpdateAt, s.quietSince = a, now, now, now
 	if len(cmd.Chain) > 0 {
-		s.stall.Reset(firstStall.Duration())
+		s.stallTimer.Reset(firstEventStall.Duration())
 	}
 	go a.run(ctx)
 }
 
-// wake sets the timers anew after a suspension of the VM, for which they have stood still.
-// A stream may have stood still too, and its kept connections may be dead.
-func (s *session) wake(cmd dispatch.WakeCmd) {
-	s.giveUp.Reset(max(cmd.GiveUp.Sub(s.relay.clock.Now()), 0).Duration())
+// recheckDeadline resets the timers after a suspension of the VM, during which they do not
+// advance. The stream may have stalled meanwhile, and its idle connections may be dead.
+func (s *session) recheckDeadline(cmd dispatch.WakeCmd) {
+	s.deadlineTimer.Reset(max(cmd.GiveUp.Sub(s.relay.clock.Now()), 0).Duration())
 	if s.attempt == nil {
 		return
 	}
-	s.doubtConnections()
+	s.closeSilentConnections()
 	if len(s.attempt.cmd.Chain) > 0 {
-		s.stall.Reset(0)
+		s.stallTimer.Reset(0)
 	}
 }
 
-// needsOwnConnection tells whether the next attempt goes out on a connection of its own.
-// It does where one has brought nothing: kept ones may all have gone silent, and the
-// caller's time does not last for one after the other. And it does where the upstream
-// has been asked before: it may answer once more, late, and on the same connection that
-// would be taken for the answer to this attempt.
+// needsOwnConnection reports whether the next attempt uses a new connection instead of a pooled
+// one. A new one is needed after an attempt without an answer: all pooled connections may have
+// stopped carrying data, and the caller's deadline does not allow trying them one after
+// another. A new one is also needed if the request was sent to this upstream before: on the
+// same connection, a late second answer to the earlier attempt would be read as the answer to
+// this one.
 func (s *session) needsOwnConnection(upstream fleet.Incarnation) bool {
-	again := s.sentTo[upstream]
+	sentBefore := s.sentTo[upstream]
 	s.sentTo[upstream] = true
-	return s.inVain || again
+	return s.unanswered || sentBefore
 }
 
-// attemptFailed ends the attempt and asks what comes next.
-func (s *session) attemptFailed(cause dispatch.Cause, at string, word Word, err error) {
-	s.logFailure(cause, at, word, err)
-	msg := dispatch.AttemptFailedMsg{Request: s.id, Attempt: s.attempt.cmd.Attempt, Cause: cause, At: at, Events: s.events, Delivered: s.delivered()}
-	s.drop()
-	s.relay.decider.tell(s.relay.life, msg)
+// failAttempt ends the attempt and reports the failure to the decider.
+func (s *session) failAttempt(cause dispatch.Cause, faultyAddress string, status UpstreamStatus, err error) {
+	s.logFailure(cause, faultyAddress, status, err)
+	msg := dispatch.AttemptFailedMsg{Request: s.id, Attempt: s.attempt.cmd.Attempt, Cause: cause, At: faultyAddress, Events: s.events, Delivered: s.delivered()}
+	s.cancelAttempt()
+	s.relay.decider.notify(s.relay.lifetime, msg)
 }
 
-// abandon takes an attempt back for want of an answer. An answer that has begun and
-// that no further upstream may go on with is left as it is: it may still go on, and
-// taking it back would cut it for sure.
-func (s *session) abandon(at, why string) {
-	if s.attempt == nil || s.w.begun() && (s.attempt.cmd.Last || s.delivered() == dispatch.DeliveredPart) {
+// abandon gives up an attempt that makes no progress. A partial answer that no other upstream
+// may resume is kept, since it may still continue, whereas abandoning it would truncate it for
+// certain.
+func (s *session) abandon(faultyAddress, reason string) {
+	if s.attempt == nil || s.answer.started() && (s.attempt.cmd.Last || s.delivered() == dispatch.DeliveredPart) {
 		return
 	}
-	s.inVain = true
-	s.doubtConnections()
-	s.attemptFailed(dispatch.Slow, at, Word{}, errors.Wrap(errTakenBack, why))
+	s.unanswered = true
+	s.closeSilentConnections()
+	s.failAttempt(dispatch.Slow, faultyAddress, UpstreamStatus{}, errors.Wrap(errAttemptAbandoned, reason))
 }
 
-// doubtConnections keeps other requests off the connections that are kept from before
-// the last piece of the attempt under way, if its upstream has brought nothing since.
-func (s *session) doubtConnections() {
+// closeSilentConnections closes the idle connections to the upstream of the current attempt if
+// none of them has received data since the attempt's last update.
+func (s *session) closeSilentConnections() {
 	if s.attempt != nil {
-		s.attempt.conns.renewUnheard(s.lastPiece)
+		s.attempt.conns.closeIdleIfSilent(s.lastUpdateAt)
 	}
 }
 
-// firstAddress is where the attempt under way was sent.
-func (s *session) firstAddress() string {
+// attemptAddress returns the address of the current attempt's upstream; empty if there is no
+// attempt.
+func (s *session) attemptAddress() string {
 	if s.attempt == nil {
 		return ""
 	}
 	return s.attempt.cmd.Address
 }
 
-// drop cancels the attempt under way, which closes its connection.
-func (s *session) drop() {
+// cancelAttempt cancels the current attempt, which closes its connection.
+func (s *session) cancelAttempt() {
 	if s.attempt == nil {
 		return
 	}
 	s.attempt.cancel(context.Canceled)
 	s.attempt = nil
-	s.try.Stop()
-	s.doubt.Stop()
-	s.stall.Stop()
+	s.attemptTimer.Stop()
+	s.silenceTimer.Stop()
+	s.stallTimer.Stop()
 }
--- a/relay/session_end.go
+++ b/relay/session_end.go
@@ -9,40 +9,40 @@
 	"github.com/hoistjunction/hoistjunction/dispatch"
 )
 
-// timeUp ends a request whose time is up.
-func (s *session) timeUp() bool {
-	if s.w.begun() {
-		s.cut(dispatch.ReasonTimeout)
+// handleTimeout ends a request whose deadline has passed.
+func (s *session) handleTimeout() bool {
+	if s.answer.started() {
+		s.abortAnswer(dispatch.ReasonTimeout)
 		return true
 	}
-	status, back := http.StatusGatewayTimeout, clock.Millis(0)
+	status, retryAfter := http.StatusGatewayTimeout, clock.Millis(0)
 	if s.attempt == nil && s.attempts == 0 {
-		status, back = http.StatusServiceUnavailable, overloadBack
+		status, retryAfter = http.StatusServiceUnavailable, overloadRetryAfter
 	}
-	s.logFinish(dispatch.FinishCmd{Request: s.id, Status: status, Reason: dispatch.ReasonTimeout, RetryAfter: back})
-	s.answer(status, dispatch.ReasonTimeout, back)
+	s.logRefusal(dispatch.FinishCmd{Request: s.id, Status: status, Reason: dispatch.ReasonTimeout, RetryAfter: retryAfter})
+	s.respondError(status, dispatch.ReasonTimeout, retryAfter)
 	return true
 }
 
-// answer gives an answer of the node's own.
-func (s *session) answer(status int, reason dispatch.Reason, back clock.Millis) {
+// respondError answers the request with an error of this node.
+func (s *session) respondError(status int, reason dispatch.Reason, retryAfter clock.Millis) {
 	s.relay.stats.count("own_" + string(reason))
-	if err := s.w.own(status, string(reason), back); err != nil {
-		s.logLost(err)
+	if err := s.answer.writeError(status, string(reason), retryAfter); err != nil {
+		s.logCallerLost(err)
 	}
 }
 
-// cut leaves an answer that cannot go on as it is. ServeHTTP breaks it off, so that
-// it does not look whole.
-func (s *session) cut(reason dispatch.Reason) {
-	s.log.Warn("cut", s.fields(zap.String("reason", string(reason)), zap.String("last_event", s.lastEvent))...)
+// abortAnswer logs that an answer cannot be completed. ServeHTTP then aborts it, so that the
+// caller does not take it for complete.
+func (s *session) abortAnswer(reason dispatch.Reason) {
+	s.log.Warn("cut", s.outcomeFields(zap.String("reason", string(reason)), zap.String("last_event", s.lastEventID))...)
 	s.relay.stats.count("cut")
-	s.explained = true
+	s.outcomeLogged = true
 }
 
-// end gives back what the request has taken.
-func (s *session) end() {
-	s.drop()
-	s.giveUp.Stop()
-	s.relay.decider.tell(s.relay.life, dispatch.GoneMsg{Request: s.id})
+// release cancels the current attempt and reports the end of the request to the decider.
+func (s *session) release() {
+	s.cancelAttempt()
+	s.deadlineTimer.Stop()
+	s.relay.decider.notify(s.relay.lifetime, dispatch.GoneMsg{Request: s.id})
 }
--- a/relay/silent_connections_test.go
+++ b/relay/silent_connections_test.go
@@ -25,41 +25,43 @@
 )
 
 const (
-	// deskWork is how long a desk takes for a request.
-	deskWork = 20 * time.Millisecond
-	// warmEach is how many requests at a time leave kept connections to a desk behind.
-	warmEach = 4
+	// deskLatency is the time that a desk takes for a request.
+	deskLatency = 20 * time.Millisecond
+	// warmRequests is the number of concurrent requests per desk that open the kept
+	// connections.
+	warmRequests = 4
 )
 
-// silentSite is a relay and its plain upstreams in a network of their own.
-type silentSite struct {
-	t       *testing.T
-	network *pipenet.Network
-	relay   *relay.Relay
-	desks   int
-	asked   int
-	vm      *clocktest.VM
+// blackholeSite is a relay with its upstreams on a simulated network whose connections can
+// silently stop carrying data.
+type blackholeSite struct {
+	t        *testing.T
+	network  *pipenet.Network
+	relay    *relay.Relay
+	desks    int
+	requests int
+	vm       *clocktest.VM
 }
 
-// newSilentSite starts a relay and desks, in virtual time.
-func newSilentSite(t *testing.T, desks int) *silentSite {
+// newBlackholeSite starts a relay and desks in virtual time.
+func newBlackholeSite(t *testing.T, desks int) *blackholeSite {
 	t.Helper()
-	s := &silentSite{t: t, network: pipenet.New(), desks: desks, vm: clocktest.NewVM()}
-	life, end := context.WithCancel(context.Background())
+	s := &blackholeSite{t: t, network: pipenet.New(), desks: desks, vm: clocktest.NewVM()}
+	ctx, cancel := context.WithCancel(context.Background())
 	engines := platform.NewEngines(platform.WithEngineDialer(s.network.DialContext))
 	model := dispatch.New(dispatch.WithSeed(1), dispatch.WithPolicy(dispatch.Policy{RetryWindow: 10_000, RetryShare: 0.2, RetrySlack: 200}))
-	s.relay = relay.New(life, platform.Headers{}, model, clock.New(clock.WithVM(s.vm)), zap.NewNop(),
+	s.relay = relay.New(ctx, platform.Headers{}, model, clock.New(clock.WithVM(s.vm)), zap.NewNop(),
 		relay.WithEngines(engines), relay.WithDialer(s.network.DialContext))
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
-		if err := s.relay.Run(life); !errors.Is(err, context.Canceled) {
-			t.Errorf("got %v from a relay whose life has ended, want its end", err)
+		defer close(stopped)
+		if err := s.relay.Run(ctx); !errors.Is(err, context.Canceled) {
+			t.Errorf("Run: got error %v, want context.Canceled", err)
 		}
 	}()
 	t.Cleanup(func() {
-		end()
-		<-ended
+		cancel()
+		<-stopped
 		engines.Close()
 	})
 	s.relay.SetPeers(dispatch.PeersMsg{All: 1, Members: []limit.Member{{}}})
@@ -74,21 +76,21 @@
 	return s
 }
 
-func (s *silentSite) startDesk(id string) {
+func (s *blackholeSite) startDesk(id string) {
 	address := id + ":80"
-	server := &http.Server{Handler: standin.NewDesk(id, address, deskWork).Handler()}
+	server := &http.Server{Handler: standin.NewDesk(id, address, deskLatency).Handler()}
 	listener := s.network.Listen(address)
 	go func() { _ = server.Serve(listener) }()
 	s.t.Cleanup(func() { _ = server.Close() })
-	s.relay.SetFleet([]fleet.Change{{ID: fleet.Undated(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.Undated(fleet.ID(id)), Service: standin.SiteDesk, Address: address, Slots: 6}}})
+	s.relay.UpdateFleet([]fleet.Change{{ID: fleet.Undated(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.Undated(fleet.ID(id)), Service: standin.SiteDesk, Address: address, Slots: 6}}})
 }
 
-// ask asks for a path in the background, and hands over the status.
-func (s *silentSite) ask(method, path string) <-chan int {
-	s.asked++
+// request sends a request in the background and returns a channel for its status.
+func (s *blackholeSite) request(method, path string) <-chan int {
+	s.requests++
 	req := httptest.NewRequest(method, path, nil)
 	req.Host = standin.SiteHost
-	req.Header.Set("Attempt-Id", fmt.Sprintf("a%d", s.asked))
+	req.Header.Set("Attempt-Id", fmt.Sprintf("a%d", s.requests))
 	req.Header.Set("Deadline-Remaining-Ms", "3000")
 	req.Header.Set("Authorization", "Bearer k1")
 	status := make(chan int, 1)
@@ -100,68 +102,68 @@
 	return status
 }
 
-// warm leaves kept connections to the desks behind.
-func (s *silentSite) warm() {
+// warm opens kept connections to the desks.
+func (s *blackholeSite) warm() {
 	s.t.Helper()
 	var answers []<-chan int
-	for range warmEach * s.desks {
-		answers = append(answers, s.ask(http.MethodPost, "/once/a"))
+	for range warmRequests * s.desks {
+		answers = append(answers, s.request(http.MethodPost, "/once/a"))
 	}
 	for _, answer := range answers {
 		if got := <-answer; got != http.StatusOK {
-			s.t.Fatalf("got status %d before any connection went silent, want 200", got)
+			s.t.Fatalf("got status %d before the connections were muted, want 200", got)
 		}
 	}
 }
 
-// The kept connections to all upstreams of a service went silent for good. A request
-// that may be repeated went out on one, was taken back, went out on the next, and used
-// up its upstreams or its time, although each of them would have answered on a new one.
-func TestRepeatAfterASilentConnection(t *testing.T) {
+// All kept connections to the upstreams of a service stopped carrying data. A repeatable
+// request was sent on one, abandoned, sent on the next one, and used up its upstreams or its
+// time, although each upstream would have answered on a new connection.
+func TestRetryAfterASilentConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSilentSite(t, 3)
+		s := newBlackholeSite(t, 3)
 		s.warm()
 		s.network.Mute()
-		began := time.Now()
-		if got := <-s.ask(http.MethodGet, "/read/a"); got != http.StatusOK {
+		start := time.Now()
+		if got := <-s.request(http.MethodGet, "/read/a"); got != http.StatusOK {
 			t.Errorf("got status %d, want 200", got)
 		}
-		// Four times the first guess of an answer's time, and the second upstream's.
+		// Four times the initial latency estimate, plus the second upstream's latency.
 		const want = 200 * time.Millisecond
-		if got := time.Since(began); got > want {
-			t.Errorf("got an answer after %v, want it after %v at most: one attempt in vain", got, want)
+		if got := time.Since(start); got > want {
+			t.Errorf("got an answer after %v, want it within %v: at most one unanswered attempt", got, want)
 		}
 	})
 }
 
-// A request that may run only once is lost where its connection has gone silent. Those
-// that followed went out on the other silent connections and were lost as well.
-func TestOnceOnlyAfterASilentConnection(t *testing.T) {
+// A request that may be executed only once is lost if its connection stops carrying data. The
+// requests after it were sent on the other dead connections and lost as well.
+func TestNonRepeatableRequestAfterASilentConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSilentSite(t, 1)
+		s := newBlackholeSite(t, 1)
 		s.warm()
 		s.network.Mute()
-		lost := s.ask(http.MethodPost, "/once/a")
+		lost := s.request(http.MethodPost, "/once/a")
 		time.Sleep(time.Second / 2)
 		for range 3 {
-			if got := <-s.ask(http.MethodPost, "/once/b"); got != http.StatusOK {
-				t.Errorf("got status %d half a second after a request without an answer, want 200", got)
+			if got := <-s.request(http.MethodPost, "/once/b"); got != http.StatusOK {
+				t.Errorf("got status %d half a second after an unanswered request, want 200", got)
 			}
 		}
 		if got := <-lost; got != http.StatusGatewayTimeout {
-			t.Errorf("got status %d for the request that was lost, want 504", got)
+			t.Errorf("got status %d for the lost request, want 504", got)
 		}
 	})
 }
 
-// An upstream that is only slow keeps its connections: new ones are dear.
+// Connections to a slow upstream must be kept, since new ones are expensive.
 func TestConnectionsOfASlowUpstreamAreKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSilentSite(t, 1)
+		s := newBlackholeSite(t, 1)
 		s.warm()
 		before := s.network.Dials("d1:80")
 		for range 10 {
-			if got := <-s.ask(http.MethodPost, "/once/a"); got != http.StatusOK {
+			if got := <-s.request(http.MethodPost, "/once/a"); got != http.StatusOK {
 				t.Errorf("got status %d, want 200", got)
 			}
 			time.Sleep(time.Second)
--- a/relay/stall.go
+++ b/relay/stall.go
@@ -14,209 +14,213 @@
 )
 
 const (
-	// firstStall is after how long without a first event the engines are asked
-	// what holds the stream up. First events come within 45 to 75 ms at the
-	// median and 130 ms for 99 in 100 (docs/MEASUREMENTS.md); their aim is 500.
-	firstStall clock.Millis = 220
-	// rereadStall is the same after a move: the new engines read the prompt and
-	// the answer so far, and the report still names the old one.
-	rereadStall clock.Millis = 400
-	// flowing is how old the last event may be for a stream to count as
-	// unharmed by an engine under suspicion.
-	flowing clock.Millis = 60
-	// askAgain is how soon the engines are asked again; a report is that old. It
-	// doubles with each time that brings nothing: every question costs what a
-	// health check costs, and a stream that waits for a load waits for seconds.
-	askAgain clock.Millis = 200
-	// mostDoublings bounds that: a stream is given up after abandonAfter.
-	mostDoublings = 2
-	// slowPace is how much slower than usual an engine must be to be left for
-	// its slowness, and slowAfter for how long the stream must have stood still.
-	slowPace               = 2.5
-	slowAfter clock.Millis = 400
-	// abandonAfter is after how long without an event a stream is taken up
-	// elsewhere although every engine answers: they have too much to read, and
-	// reading it all again elsewhere adds to that. Callers give a stream up
-	// after two seconds.
+	// firstEventStall is the time in ms without a first event after which the engines are asked
+	// why the stream stalls. First events arrive within 45 to 75 ms at the median and within
+	// 130 ms for 99 in 100 (docs/MEASUREMENTS.md); the aim is 500 ms.
+	firstEventStall clock.Millis = 220
+	// migrationStall is the time in ms without an event after a migration until the engines are
+	// queried: the new engines process the prompt and the answer so far, and the first engine's
+	// report still names the old engine.
+	migrationStall clock.Millis = 400
+	// flowingWithin is the maximum age in ms of the last event at which a stream counts as
+	// unaffected by a suspected engine.
+	flowingWithin clock.Millis = 60
+	// stallQueryInterval is the time in ms until the engines are queried again; it equals the
+	// age of a report. The interval doubles after each query without a result, since every
+	// query costs as much as a health check and a stream that waits for layers to load waits
+	// for seconds.
+	stallQueryInterval clock.Millis = 200
+	// maxIntervalDoublings bounds the doublings of stallQueryInterval, since a
+	// stream is abandoned after abandonAfter.
+	maxIntervalDoublings = 2
+	// slowEngineFactor is the slowdown at which a stream is migrated off an engine, and
+	// slowEngineStall the time in ms for which the stream must have stalled before.
+	slowEngineFactor              = 2.5
+	slowEngineStall  clock.Millis = 400
+	// abandonAfter is the time in ms without an event after which a stream is resumed at
+	// another upstream although every engine responds. Such engines have too many tokens to
+	// process, and resuming elsewhere adds to that load. Callers give up a stream after two
+	// seconds.
 	abandonAfter clock.Millis = 1600
 )
 
-// errTakenBack is the error of an attempt that the session gave up.
-var errTakenBack = errors.New("relay: taken back")
+// errAttemptAbandoned is the error of an attempt that the session abandoned.
+var errAttemptAbandoned = errors.New("relay: attempt abandoned")
 
-// errUpstreamEnded is the error of an attempt whose upstream's process has ended.
-var errUpstreamEnded = errors.New("relay: the upstream has ended")
+// errUpstreamCrashed is the error of an attempt whose upstream process has crashed.
+var errUpstreamCrashed = errors.New("relay: upstream process has crashed")
 
-// stallAnswer is what the engines of a chain say when a stream stands still.
-type stallAnswer struct {
+// stallReport is the combined state of a chain's engines during a stall.
+type stallReport struct {
 	attempt *attempt
-	// streams are those that the first engine reports as standing still.
-	streams []StalledStream
-	// silent are the parts whose engines did not answer, and slow the one that
-	// is slowest, with its pace.
-	silent []chain.Part
-	slow   chain.Part
-	pace   float64
+	// stalled are the streams that the first engine reports as stalled.
+	stalled []StalledStream
+	// unresponsive are the parts of the chain whose engines did not answer. slowest is the part
+	// with the largest slowdown.
+	unresponsive []chain.Part
+	slowest      chain.Part
+	slowdown     float64
 }
 
-func (s *session) armStall() {
-	s.asks = 0
+func (s *session) resetStallTimer() {
+	s.stallQueries = 0
 	if s.attempt != nil && len(s.attempt.cmd.Chain) > 0 {
-		s.stall.Reset(s.rhythm.stallAfter().Duration())
+		s.stallTimer.Reset(s.timing.stallThreshold().Duration())
 	}
 }
 
-// checkStall asks the engines of the chain why the stream stands still.
+// checkStall asks the engines of the chain why the stream stalls.
 func (s *session) checkStall() {
 	if s.attempt == nil {
 		return
 	}
-	s.stall.Reset(s.nextCheck().Duration())
-	s.asks++
-	if s.asking {
+	s.stallTimer.Reset(s.nextStallQuery().Duration())
+	s.stallQueries++
+	if s.queryingChain {
 		return
 	}
-	s.asking = true
+	s.queryingChain = true
 	a := s.attempt
-	go func() { s.asked <- s.relay.askChain(a) }()
+	go func() { s.stallReports <- s.relay.queryChain(a) }()
 }
 
-// nextCheck is after which pause the engines are asked again. A check falls on
-// abandonAfter: with the pauses between the questions alone a stream that had begun was
-// given up after 2.3 s, when its caller had left.
-func (s *session) nextCheck() clock.Millis {
-	next := askAgain << min(s.asks, mostDoublings)
-	if left := abandonAfter - s.relay.clock.Now().Sub(s.lastPiece); left > 0 {
-		return min(next, left)
+// nextStallQuery returns the time until the engines are queried again. One query always falls
+// on abandonAfter: with the doubling intervals alone, a partial stream was abandoned only after
+// 2.3 s, when its caller had disconnected.
+func (s *session) nextStallQuery() clock.Millis {
+	next := stallQueryInterval << min(s.stallQueries, maxIntervalDoublings)
+	if remaining := abandonAfter - s.relay.clock.Now().Sub(s.lastUpdateAt); remaining > 0 {
+		return min(next, remaining)
 	}
 	return next
 }
 
-// askChain asks all engines for their reports. A dead engine is silent before
-// the first engine's report names it.
-func (r *Relay) askChain(a *attempt) stallAnswer {
+// queryChain fetches the reports of all engines of a chain, because a crashed engine stops
+// responding before the first engine's report names it.
+func (r *Relay) queryChain(a *attempt) stallReport {
 	parts := a.cmd.Chain
-	got := make([]recentReport, len(parts))
+	reports := make([]cachedReport, len(parts))
 	var group sync.WaitGroup
 	for i, part := range parts {
-		group.Go(func() { got[i].report, got[i].err = r.reports.get(r.life, part.Address, part.ID) })
+		group.Go(func() { reports[i].report, reports[i].err = r.reports.get(r.lifetime, part.Address, part.ID) })
 	}
 	group.Wait()
-	answer := stallAnswer{attempt: a, streams: got[0].report.Stalled}
+	report := stallReport{attempt: a, stalled: reports[0].report.Stalled}
 	for i, part := range parts {
-		if got[i].err != nil {
-			answer.silent = append(answer.silent, part)
+		if reports[i].err != nil {
+			report.unresponsive = append(report.unresponsive, part)
 			continue
 		}
-		r.decider.tell(r.life, dispatch.ReportMsg{Upstream: part.ID, Report: got[i].report.Report})
-		if got[i].report.Pace > answer.pace {
-			answer.slow, answer.pace = part, got[i].report.Pace
+		r.decider.notify(r.lifetime, dispatch.ReportMsg{Upstream: part.ID, Report: reports[i].report.Report})
+		if reports[i].report.Pace > report.slowdown {
+			report.slowest, report.slowdown = part, reports[i].report.Pace
 		}
 	}
-	return answer
+	return report
 }
 
-// stallAnswered acts on what the engines say.
-func (s *session) stallAnswered(answer stallAnswer) {
-	s.asking = false
-	if s.attempt == nil || answer.attempt != s.attempt {
+// handleStallReport migrates or abandons the stream if the engines' reports explain the stall.
+func (s *session) handleStallReport(report stallReport) {
+	s.queryingChain = false
+	if s.attempt == nil || report.attempt != s.attempt {
 		return
 	}
 	now := s.relay.clock.Now()
-	quiet := now.Sub(s.since)
-	at := answer.culprit(s.head.ID)
+	pause := now.Sub(s.quietSince)
+	address := report.faultyAddress(s.head.ID)
 	switch {
-	case quiet < s.rhythm.stallAfter():
-		// It goes on.
-	case at != "":
-		s.logStall("stalled", at, quiet, answer)
-		s.stalledAt(at)
-	case quiet >= slowAfter && answer.pace >= slowPace && s.events > 0 && answer.slow.Address != s.firstAddress():
-		s.logStall("slow", answer.slow.Address, quiet, answer)
-		s.relay.decider.tell(s.relay.life, dispatch.StalledMsg{
-			Request: s.id, Attempt: s.attempt.cmd.Attempt, At: answer.slow.Address, Slow: true,
+	case pause < s.timing.stallThreshold():
+		// The stream has resumed.
+	case address != "":
+		s.logStall("stalled", address, pause, report)
+		s.leaveEngine(address)
+	case pause >= slowEngineStall && report.slowdown >= slowEngineFactor && s.events > 0 && report.slowest.Address != s.attemptAddress():
+		s.logStall("slow", report.slowest.Address, pause, report)
+		s.relay.decider.notify(s.relay.lifetime, dispatch.StalledMsg{
+			Request: s.id, Attempt: s.attempt.cmd.Attempt, At: report.slowest.Address, Slow: true,
 		})
-	case now.Sub(s.lastPiece) >= abandonAfter:
-		// Also after a move: the caller has waited since the last piece.
+	case now.Sub(s.lastUpdateAt) >= abandonAfter:
+		// The pause counts from the last update even after a migration, since that is how long
+		// the caller has waited.
 		s.abandon("", "no_event_for_too_long")
 	}
 }
 
-func (s *session) logStall(event, at string, quiet clock.Millis, answer stallAnswer) {
-	s.log.Info(event, zap.String("id", s.head.ID), zap.String("at", at), zap.Int64("quiet_ms", int64(quiet)),
-		zap.Int("events", s.events), zap.Int("silent", len(answer.silent)), zap.Float64("slowest_pace", answer.pace))
+func (s *session) logStall(event, address string, pause clock.Millis, report stallReport) {
+	s.log.Info(event, zap.String("id", s.head.ID), zap.String("at", address), zap.Int64("quiet_ms", int64(pause)),
+		zap.Int("events", s.events), zap.Int("silent", len(report.unresponsive)), zap.Float64("slowest_pace", report.slowdown))
 }
 
-// culprit returns the address of the engine that holds a stream up, if known.
-// A silent first engine comes first: the stream comes from there.
-func (a stallAnswer) culprit(callerID string) string {
-	first := a.attempt.cmd.Address
-	if len(a.silent) > 0 && a.silent[0].Address == first {
+// faultyAddress returns the address of the engine that blocks a stream; empty if unknown. An
+// unresponsive first engine takes precedence, since the stream is received from it.
+func (r stallReport) faultyAddress(callerID string) string {
+	first := r.attempt.cmd.Address
+	if len(r.unresponsive) > 0 && r.unresponsive[0].Address == first {
 		return first
 	}
-	for _, stream := range a.streams {
+	for _, stream := range r.stalled {
 		if stream.ID == callerID {
 			return stream.At
 		}
 	}
-	if len(a.silent) > 0 {
-		return a.silent[0].Address
+	if len(r.unresponsive) > 0 {
+		return r.unresponsive[0].Address
 	}
 	return ""
 }
 
-// reconsider acts on the suspicion that others have of an engine on the way. A
-// stream that still flows is left alone; if it stops, its own check follows.
-func (s *session) reconsider(cmd dispatch.ReconsiderCmd) {
+// recheckAttempt handles a suspected or crashed engine in the attempt's chain. A stream that
+// still receives events is left alone; its own stall check applies if it stops.
+func (s *session) recheckAttempt(cmd dispatch.ReconsiderCmd) {
 	if s.attempt == nil || s.attempt.cmd.Attempt != cmd.Attempt {
 		return
 	}
 	switch {
 	case cmd.Ended && cmd.At == s.attempt.cmd.Address:
-		s.upstreamEnded()
-	case cmd.Ended || s.relay.clock.Now().Sub(s.since) >= flowing:
-		s.stalledAt(cmd.At)
+		s.abandonCrashed()
+	case cmd.Ended || s.relay.clock.Now().Sub(s.quietSince) >= flowingWithin:
+		s.leaveEngine(cmd.At)
 	}
 }
 
-// upstreamEnded gives an attempt up whose upstream's process has ended: no answer of it
-// will come, and none that has begun goes on.
-func (s *session) upstreamEnded() {
-	s.inVain = true
-	s.attemptFailed(dispatch.Slow, "", Word{}, errUpstreamEnded)
+// abandonCrashed gives up an attempt whose upstream process has crashed: its answer will
+// neither start nor continue.
+func (s *session) abandonCrashed() {
+	s.unanswered = true
+	s.failAttempt(dispatch.Slow, "", UpstreamStatus{}, errUpstreamCrashed)
 }
 
-// stalledAt moves the stream away from an engine, or takes it up elsewhere if
-// it has brought nothing yet.
-func (s *session) stalledAt(at string) {
-	if s.events == 0 || at == s.attempt.cmd.Address {
-		s.abandon(at, "engine_holds_it_up")
+// leaveEngine asks the decider to migrate the stream off an engine, or abandons the attempt if
+// the stream has no event yet or the engine is the first one.
+func (s *session) leaveEngine(address string) {
+	if s.events == 0 || address == s.attempt.cmd.Address {
+		s.abandon(address, "engine_holds_it_up")
 		return
 	}
-	s.relay.decider.tell(s.relay.life, dispatch.StalledMsg{Request: s.id, Attempt: s.attempt.cmd.Attempt, At: at})
+	s.relay.decider.notify(s.relay.lifetime, dispatch.StalledMsg{Request: s.id, Attempt: s.attempt.cmd.Attempt, At: address})
 }
 
-// move orders the first engine to send the stream over other engines.
-func (s *session) move(cmd dispatch.MoveCmd) {
+// migrate orders the first engine to send the stream through another chain.
+func (s *session) migrate(cmd dispatch.MoveCmd) {
 	if s.attempt == nil || s.attempt.cmd.Attempt != cmd.Attempt {
 		return
 	}
 	s.attempt.cmd.Chain = cmd.Chain
 	address := s.attempt.cmd.Address
 	go func() {
-		result, at := s.relay.engines.Move(s.relay.life, address, s.head.ID, cmd.Chain)
+		result, refusedBy := s.relay.engines.Move(s.relay.lifetime, address, s.head.ID, cmd.Chain)
 		s.log.Info("move", zap.String("id", s.head.ID), zap.Stringer("away_from", cmd.Away),
-			zap.String("chain", chainText(cmd.Chain)), zap.Int("result", int(result)), zap.String("at", at))
-		s.moves <- dispatch.MovedMsg{Request: s.id, Attempt: cmd.Attempt, Result: result, At: at}
+			zap.String("chain", chainText(cmd.Chain)), zap.Int("result", int(result)), zap.String("at", refusedBy))
+		s.migrationResults <- dispatch.MovedMsg{Request: s.id, Attempt: cmd.Attempt, Result: result, At: refusedBy}
 	}()
 }
 
-// moveEnded passes on what came of a move. A stream whose first engine does not
-// know it, or does not answer, is taken up elsewhere.
-func (s *session) moveEnded(msg dispatch.MovedMsg) {
-	s.moved++
+// handleMigrationResult reports the result of a migration to the decider. A stream whose first
+// engine does not know it or does not respond is abandoned and resumed at another upstream.
+func (s *session) handleMigrationResult(msg dispatch.MovedMsg) {
+	s.migrations++
 	s.relay.stats.count("moved")
-	s.relay.decider.tell(s.relay.life, msg)
+	s.relay.decider.notify(s.relay.lifetime, msg)
 	if s.attempt == nil || s.attempt.cmd.Attempt != msg.Attempt {
 		return
 	}
@@ -224,56 +228,56 @@
 	case dispatch.MoveUnknownStream:
 		s.abandon("", "stream_is_unknown_there")
 	case dispatch.MoveUnanswered:
-		s.abandon(s.firstAddress(), "first_engine_is_silent")
+		s.abandon(s.attemptAddress(), "first_engine_is_silent")
 	case dispatch.Moved:
-		// The new engines read all tokens first; until then silence is no sign.
-		s.since = s.relay.clock.Now()
-		s.stall.Reset(rereadStall.Duration())
+		// The new engines process all tokens first, so a pause does not indicate a stall yet.
+		s.quietSince = s.relay.clock.Now()
+		s.stallTimer.Reset(migrationStall.Duration())
 	case dispatch.MoveRefused:
-		// The decider tries another way.
+		// The decider chooses another chain.
 	}
 }
 
-// probe asks an upstream whether it is well, for the decider.
+// probe checks an upstream on behalf of the decider.
 func (r *Relay) probe(cmd dispatch.ProbeCmd) {
 	go func() {
 		msg := dispatch.ProbedMsg{Upstream: cmd.Upstream}
 		var err error
 		if cmd.Engine {
 			var report EngineReport
-			report, err = r.reports.get(r.life, cmd.Address, cmd.Upstream)
+			report, err = r.reports.get(r.lifetime, cmd.Address, cmd.Upstream)
 			msg.Report, msg.Named = report.Report, report.Named
 		} else {
-			err = r.engines.Probe(r.life, cmd.Address, cmd.Upstream)
+			err = r.engines.Probe(r.lifetime, cmd.Address, cmd.Upstream)
 		}
 		msg.Answered = err == nil
 		r.log.Info("probe", zap.Stringer("upstream", cmd.Upstream), zap.String("address", cmd.Address),
 			zap.Float64("pace", msg.Report.Pace), zap.Float64("free", msg.Report.Free), zap.Float64("all", msg.Report.All), logging.Err(err))
-		r.decider.tell(r.life, msg)
+		r.decider.notify(r.lifetime, msg)
 	}()
 }
 
-// identify asks who is at an upstream's address, for the decider.
+// identify asks which upstream uses an address, on behalf of the decider.
 func (r *Relay) identify(cmd dispatch.IdentifyCmd) {
 	go func() {
-		presence, err := r.engines.Identify(r.life, cmd.Address, cmd.Path, cmd.Upstream)
+		presence, err := r.engines.Identify(r.lifetime, cmd.Address, cmd.Path, cmd.Upstream)
 		r.log.Info("identified", zap.Stringer("upstream", cmd.Upstream), zap.String("address", cmd.Address),
 			zap.Stringer("as", presence), logging.Err(err))
-		r.answeredBy(cmd.Upstream, cmd.Address, presence)
-		r.decider.tell(r.life, dispatch.IdentifiedMsg{Upstream: cmd.Upstream, Presence: presence})
+		r.handlePresence(cmd.Upstream, cmd.Address, presence)
+		r.decider.notify(r.lifetime, dispatch.IdentifiedMsg{Upstream: cmd.Upstream, Presence: presence})
 	}()
 }
 
-// answeredBy takes in who has answered at an upstream's address. Another one there proves that
-// the upstream has ended, or was never there.
-func (r *Relay) answeredBy(upstream fleet.Incarnation, address string, presence fleet.Presence) {
+// handlePresence handles the result of an identification. Another incarnation at the address
+// proves that the upstream has terminated or never ran there.
+func (r *Relay) handlePresence(upstream fleet.Incarnation, address string, presence fleet.Presence) {
 	if presence == fleet.Another {
-		r.replaced(upstream, address)
+		r.onReplaced(upstream, address)
 	}
 }
 
 func chainText(parts []chain.Part) string {
-	text := make([]byte, 0, len(parts)*bytesEachPart)
+	text := make([]byte, 0, len(parts)*chainPartTextBytes)
 	for i, p := range parts {
 		if i > 0 {
 			text = append(text, ' ')
