--- a/budget/budget.go
+++ b/budget/budget.go
@@ -9,9 +9,9 @@
 
 // Budget is a bucket of retries. It is not safe for concurrent use.
 type Budget struct {
-	share float64
-	depth float64
-	saved float64
+	share   float64
+	burst   float64
+	balance float64
 }
 
 // Option sets up a Budget.
@@ -20,34 +20,34 @@
 // WithShare sets how many retries each first try earns.
 func WithShare(share float64) Option { return func(b *Budget) { b.share = share } }
 
-// WithDepth sets how many retries may be saved up, and are there at the start.
-func WithDepth(depth float64) Option { return func(b *Budget) { b.depth = depth } }
+// WithBurst sets how many retries may be saved up, and are there at the start.
+func WithBurst(depth float64) Option { return func(b *Budget) { b.burst = depth } }
 
 // Defaults of a Budget. The depth lets a route with little traffic survive the
 // death of one upstream that holds all of its work.
 const (
 	DefaultShare = 0.2
-	DefaultDepth = 64
+	DefaultBurst = 64
 )
 
 // New returns a full budget.
 func New(opts ...Option) *Budget {
-	b := &Budget{share: DefaultShare, depth: DefaultDepth}
+	b := &Budget{share: DefaultShare, burst: DefaultBurst}
 	for _, opt := range opts {
 		opt(b)
 	}
-	b.saved = b.depth
+	b.balance = b.burst
 	return b
 }
 
-// Earn credits one first try.
-func (b *Budget) Earn() { b.saved = min(b.saved+b.share, b.depth) }
+// Deposit credits one first try.
+func (b *Budget) Deposit() { b.balance = min(b.balance+b.share, b.burst) }
 
-// Spend takes one retry, and reports whether there was one.
-func (b *Budget) Spend() bool {
-	if b.saved < 1 {
+// TryWithdraw takes one retry, and reports whether there was one.
+func (b *Budget) TryWithdraw() bool {
+	if b.balance < 1 {
 		return false
 	}
-	b.saved--
+	b.balance--
 	return true
 }
--- a/budget/window.go
+++ b/budget/window.go
@@ -20,50 +20,50 @@
 // a whole, as those of a thousand nodes, each would else hold less than a retry, and none
 // would ever make any.
 type Window struct {
-	part  clock.Millis
-	share float64
-	slack float64
-	luck  float64
-	parts [windowParts + 1]windowPart
+	partLength clock.Millis
+	share      float64
+	slack      float64
+	draw       float64
+	parts      [windowParts + 1]windowPart
 }
 
-// chanceShare is the part of an allowance of less than one that counts as a chance. What is
+// chanceFactor is the part of an allowance of less than one that counts as a chance. What is
 // left is for windows that are luckier together than the mean.
-const chanceShare = 0.9
+const chanceFactor = 0.9
 
 // WindowOption sets up a Window.
 type WindowOption func(*Window)
 
-// WithLuck sets what is drawn for a window, from 0 up to 1: where its allowance is less than
+// WithDraw sets what is drawn for a window, from 0 up to 1: where its allowance is less than
 // one, it is one if the chance exceeds what is left of 1. Windows that share a whole are to
 // have draws of their own, which do not change while they are used.
-func WithLuck(draw float64) WindowOption { return func(w *Window) { w.luck = draw } }
+func WithDraw(draw float64) WindowOption { return func(w *Window) { w.draw = draw } }
 
 // windowPart counts one part of the time; its number tells a stale one.
 type windowPart struct {
-	number  int64
-	first   int
-	retries int
+	number        int64
+	firstAttempts int
+	retries       int
 }
 
 // NewWindow returns a budget of a share and a slack in each window of a length.
 func NewWindow(length clock.Millis, share, slack float64, opts ...WindowOption) *Window {
-	w := &Window{part: max(length/windowParts, 1), share: share, slack: slack}
+	w := &Window{partLength: max(length/windowParts, 1), share: share, slack: slack}
 	for _, opt := range opts {
 		opt(w)
 	}
 	return w
 }
 
-// Set changes the share, and the number of retries beyond it.
-func (w *Window) Set(share, slack float64) { w.share, w.slack = share, slack }
+// SetLimits changes the share, and the number of retries beyond it.
+func (w *Window) SetLimits(share, slack float64) { w.share, w.slack = share, slack }
 
-// Earn counts one first try.
-func (w *Window) Earn(now clock.Millis) { w.at(now).first++ }
+// Deposit counts one first try.
+func (w *Window) Deposit(now clock.Millis) { w.partAt(now).firstAttempts++ }
 
-// Spend takes one retry, and reports whether there was one.
-func (w *Window) Spend(now clock.Millis) bool {
-	current := w.at(now)
+// TryWithdraw takes one retry, and reports whether there was one.
+func (w *Window) TryWithdraw(now clock.Millis) bool {
+	current := w.partAt(now)
 	first, retries := w.sums(current.number)
 	if float64(retries+1) > w.allowance(first) {
 		return false
@@ -75,20 +75,20 @@
 // allowance is how many retries a window with so many first tries may have.
 func (w *Window) allowance(first int) float64 {
 	allowed := w.share*float64(first) + w.slack
-	if allowed < 1 && chanceShare*allowed+w.luck >= 1 {
+	if allowed < 1 && chanceFactor*allowed+w.draw >= 1 {
 		return 1
 	}
 	return allowed
 }
 
-// Return gives back a retry that was taken at the same moment and not made.
-func (w *Window) Return(now clock.Millis) {
-	current := w.at(now)
+// Refund gives back a retry that was taken at the same moment and not made.
+func (w *Window) Refund(now clock.Millis) {
+	current := w.partAt(now)
 	current.retries = max(current.retries-1, 0)
 }
 
-func (w *Window) at(now clock.Millis) *windowPart {
-	number := int64(now / w.part)
+func (w *Window) partAt(now clock.Millis) *windowPart {
+	number := int64(now / w.partLength)
 	p := &w.parts[number%int64(len(w.parts))]
 	if p.number != number {
 		*p = windowPart{number: number}
@@ -102,7 +102,7 @@
 			retries += p.retries
 		}
 		if p.number > newest-windowParts {
-			first += p.first
+			first += p.firstAttempts
 		}
 	}
 	return first, retries
--- a/budget/window_test.go
+++ b/budget/window_test.go
@@ -12,7 +12,7 @@
 	w := budget.NewWindow(10_000, 0.2, 3)
 	spend := func(at clock.Millis) int {
 		n := 0
-		for w.Spend(at) {
+		for w.TryWithdraw(at) {
 			n++
 		}
 		return n
@@ -24,7 +24,7 @@
 		t.Errorf("got %d retries in the same window, want %d", got, want)
 	}
 	for range 10 {
-		w.Earn(10_500)
+		w.Deposit(10_500)
 	}
 	if got, want := spend(10_500), 2; got != want {
 		t.Errorf("got %d retries for ten first tries, want %d", got, want)
@@ -46,11 +46,11 @@
 	var events []event
 	for at := clock.Millis(0); at < 100_000; at += clock.Millis(random.IntN(60)) {
 		retry := random.IntN(2) == 0
-		if retry && !w.Spend(at) {
+		if retry && !w.TryWithdraw(at) {
 			continue
 		}
 		if !retry {
-			w.Earn(at)
+			w.Deposit(at)
 		}
 		events = append(events, event{at, retry})
 	}
@@ -74,14 +74,14 @@
 
 func TestReturnedRetryIsThereAgain(t *testing.T) {
 	w := budget.NewWindow(10_000, 0, 1)
-	w.Return(0)
+	w.Refund(0)
 	for at := clock.Millis(0); at < 3; at++ {
-		if !w.Spend(at) {
+		if !w.TryWithdraw(at) {
 			t.Errorf("at %d: got no retry, want the one that was given back", at)
 		}
-		w.Return(at)
+		w.Refund(at)
 	}
-	if !w.Spend(5) || w.Spend(6) {
+	if !w.TryWithdraw(5) || w.TryWithdraw(6) {
 		t.Error("got another number of retries than one")
 	}
 }
@@ -96,15 +96,15 @@
 			random := rand.New(rand.NewPCG(seed, uint64(nodes)))
 			windows := make([]*budget.Window, nodes)
 			for i := range windows {
-				windows[i] = budget.NewWindow(10_000, share, slack/float64(nodes), budget.WithLuck(random.Float64()))
+				windows[i] = budget.NewWindow(10_000, share, slack/float64(nodes), budget.WithDraw(random.Float64()))
 			}
 			for i := range requests {
-				windows[random.IntN(nodes)].Earn(clock.Millis(i))
+				windows[random.IntN(nodes)].Deposit(clock.Millis(i))
 			}
 			got := 0
 			for range 3 {
 				for _, w := range windows {
-					if w.Spend(requests) {
+					if w.TryWithdraw(requests) {
 						got++
 					}
 				}
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -28,9 +28,9 @@
 	hosts    map[string]*host
 	services map[string]*Service
 	accounts map[string]Account
-	// keyed tells that there are client accounts, with keys or without.
-	keyed  bool
-	limits Limits
+	// hasAccounts tells that there are client accounts, with keys or without.
+	hasAccounts bool
+	limits      Limits
 }
 
 // Option sets up a Catalog.
@@ -57,16 +57,16 @@
 // WithAccount adds a client account with its keys.
 func WithAccount(a Account, keys ...string) Option {
 	return func(c *Catalog) {
-		c.keyed = true
+		c.hasAccounts = true
 		for _, key := range keys {
 			c.accounts[key] = a
 		}
 	}
 }
 
-// WithText sets the text that the configuration was read from, and when the store was told
+// WithSource sets the text that the configuration was read from, and when the store was told
 // it.
-func WithText(text []byte, written moment.Moment) Option {
+func WithSource(text []byte, written moment.Moment) Option {
 	return func(c *Catalog) { c.edition = NewEdition(c.edition.version, text, written) }
 }
 
@@ -96,8 +96,8 @@
 // Service returns a service by name, or nil.
 func (c *Catalog) Service(name string) *Service { return c.services[name] }
 
-// Services calls f for each service, in no order.
-func (c *Catalog) Services(f func(*Service)) {
+// EachService calls f for each service, in no order.
+func (c *Catalog) EachService(f func(*Service)) {
 	for _, s := range c.services {
 		f(s)
 	}
@@ -114,7 +114,7 @@
 
 // HasAccounts tells whether requests must carry a key at all. They must also
 // where every key has been taken away.
-func (c *Catalog) HasAccounts() bool { return c.keyed }
+func (c *Catalog) HasAccounts() bool { return c.hasAccounts }
 
 // Route returns the route with the longest prefix of a path under a host, or
 // ErrNoRoute. Prefixes end at a slash, so only whole segments match.
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -7,13 +7,13 @@
 	"github.com/hoistjunction/hoistjunction/catalog"
 )
 
-func route(name, host, prefix string) *catalog.Route {
+func newRoute(name, host, prefix string) *catalog.Route {
 	return &catalog.Route{Name: name, Host: host, Prefix: prefix}
 }
 
 func TestRoute(t *testing.T) {
 	c := catalog.New(1, catalog.WithRoutes(
-		route("all", "h", "/"), route("a", "h", "/a/"), route("ab", "h", "/a/b/"), route("other", "g", "/x/"),
+		newRoute("all", "h", "/"), newRoute("a", "h", "/a/"), newRoute("ab", "h", "/a/b/"), newRoute("other", "g", "/x/"),
 	))
 	tests := []struct{ host, path, want string }{
 		{"h", "/", "all"},
@@ -79,7 +79,7 @@
 		want string
 	}{{0, "old"}, {0.89, "old"}, {0.91, "new"}, {0.999, "new"}}
 	for _, tt := range tests {
-		if got := r.Pick(tt.at); got != tt.want {
+		if got := r.ServiceAt(tt.at); got != tt.want {
 			t.Errorf("at %v: got %s, want %s", tt.at, got, tt.want)
 		}
 	}
--- a/catalog/edition.go
+++ b/catalog/edition.go
@@ -22,15 +22,15 @@
 
 // NewEdition returns the edition of a text that was written at a moment.
 func NewEdition(version uint64, text []byte, written moment.Moment) Edition {
-	return EditionOf(version, xxhash.Sum64(text), written)
+	return EditionFromParts(version, xxhash.Sum64(text), written)
 }
 
-// EditionOf returns the edition of a text with a digest, for messages.
-func EditionOf(version, digest uint64, written moment.Moment) Edition {
+// EditionFromParts returns the edition of a text with a digest, for messages.
+func EditionFromParts(version, digest uint64, written moment.Moment) Edition {
 	return Edition{version: version, written: written, digest: digest}
 }
 
-// Parts returns what EditionOf takes, for messages.
+// Parts returns what EditionFromParts takes, for messages.
 func (e Edition) Parts() (version, digest uint64, written moment.Moment) {
 	return e.version, e.digest, e.written
 }
@@ -44,8 +44,8 @@
 // IsZero tells whether it names none.
 func (e Edition) IsZero() bool { return e == Edition{} }
 
-// Same tells whether two name the same text. The store may have been told it twice.
-func (e Edition) Same(o Edition) bool { return e.version == o.version && e.digest == o.digest }
+// SameText tells whether two name the same text. The store may have been told it twice.
+func (e Edition) SameText(o Edition) bool { return e.version == o.version && e.digest == o.digest }
 
 // Supersedes tells whether the text of this edition takes the place of another one's.
 func (e Edition) Supersedes(o Edition) bool {
--- a/catalog/edition_test.go
+++ b/catalog/edition_test.go
@@ -30,7 +30,7 @@
 		if got := tt.e.Supersedes(tt.o); got != tt.want {
 			t.Errorf("%s: got supersedes=%v, want %v", tt.name, got, tt.want)
 		}
-		if got := tt.e.Same(tt.o); got != tt.isSame {
+		if got := tt.e.SameText(tt.o); got != tt.isSame {
 			t.Errorf("%s: got same=%v, want %v", tt.name, got, tt.isSame)
 		}
 	}
--- a/catalog/route.go
+++ b/catalog/route.go
@@ -7,8 +7,8 @@
 
 // The kinds of request.
 const (
-	// Once marks requests that run at most once for each try of a caller.
-	Once Kind = iota
+	// AtMostOnce marks requests that run at most once for each try of a caller.
+	AtMostOnce Kind = iota
 	// Repeatable marks requests that may run more than once.
 	Repeatable
 	// Streaming marks requests that are answered as a series of events.
@@ -37,10 +37,10 @@
 	Targets []Target
 	// Timeout is the longest time for which a request may be held.
 	Timeout clock.Millis
-	// Aim is the time within which an answer (or a stream's first event) earns
-	// its full worth, and GapAim the longest pause between events that does.
-	Aim    clock.Millis
-	GapAim clock.Millis
+	// LatencyTarget is the time within which an answer (or a stream's first event) earns
+	// its full worth, and EventGapTarget the longest pause between events that does.
+	LatencyTarget  clock.Millis
+	EventGapTarget clock.Millis
 	// MaxAttempts is the largest number of upstreams that may run one try.
 	MaxAttempts int
 	Priority    int
@@ -62,9 +62,9 @@
 	return r.Kind == Repeatable || r.Kind == Streaming && r.Resumable
 }
 
-// Pick chooses a target by a number from 0 up to 1, so that the same number
+// ServiceAt chooses a target by a number from 0 up to 1, so that the same number
 // gives the same service for as long as the weights stay.
-func (r *Route) Pick(at float64) string {
+func (r *Route) ServiceAt(at float64) string {
 	total := 0.0
 	for _, t := range r.Targets {
 		total += t.Weight
@@ -92,5 +92,5 @@
 
 // Limits bound what callers may send. Zero means that there is no bound.
 type Limits struct {
-	BodyBytes int64
+	MaxBodyBytes int64
 }
--- a/catalog/service.go
+++ b/catalog/service.go
@@ -31,17 +31,17 @@
 	// ReadRate is how many tokens of a prompt an accelerator of factor 1 reads
 	// through all layers, in tokens a ms.
 	ReadRate float64
-	// StepsInPass is how many tokens of each stream an engine writes in a pass, and
-	// ReadInPass how many of prompts it reads beside them at the most; zero for no
+	// StepsPerPass is how many tokens of each stream an engine writes in a pass, and
+	// PromptTokensPerPass how many of prompts it reads beside them at the most; zero for no
 	// bound.
-	StepsInPass float64
-	ReadInPass  float64
+	StepsPerPass        float64
+	PromptTokensPerPass float64
 	// LoadMS is the time of loading all layers, in ms.
 	LoadMS float64
-	// UsualPrompt and UsualAnswer are the operator's word on the mean tokens of a
+	// MeanPromptTokens and MeanAnswerTokens are the operator's word on the mean tokens of a
 	// request; zero where it gives none.
-	UsualPrompt float64
-	UsualAnswer float64
+	MeanPromptTokens float64
+	MeanAnswerTokens float64
 	// Accelerators are the kinds in use, by name.
 	Accelerators map[string]Accelerator
 }
@@ -49,37 +49,37 @@
 // Accelerator is a kind of accelerator.
 type Accelerator struct {
 	Name string
-	// MB is its memory.
-	MB float64
+	// MemoryMB is its memory.
+	MemoryMB float64
 	// StepFactor multiplies the time of a step: larger is slower.
 	StepFactor float64
 	// ReadFactor multiplies the time of reading a prompt: larger is slower.
 	ReadFactor float64
 }
 
-// LayersOf is an accelerator's memory in layers, with the part of one that is
+// MemoryInLayers is an accelerator's memory in layers, with the part of one that is
 // left over.
-func (p *Pipeline) LayersOf(a Accelerator) float64 {
+func (p *Pipeline) MemoryInLayers(a Accelerator) float64 {
 	if p.LayerMB <= 0 {
 		return 0
 	}
-	return a.MB / p.LayerMB
+	return a.MemoryMB / p.LayerMB
 }
 
-// MostLayers is how many layers fit into an accelerator's memory.
-func (p *Pipeline) MostLayers(a Accelerator) int { return min(int(p.LayersOf(a)), p.Layers) }
+// MaxLayers is how many layers fit into an accelerator's memory.
+func (p *Pipeline) MaxLayers(a Accelerator) int { return min(int(p.MemoryInLayers(a)), p.Layers) }
 
 // bytesPerMB converts the platform's MB.
 const bytesPerMB = 1e6
 
-// Room returns the memory that an accelerator has for requests beside a number
+// RequestMemory returns the memory that an accelerator has for requests beside a number
 // of layers, in tokens times layers.
-func (p *Pipeline) Room(a Accelerator, layers int) float64 {
+func (p *Pipeline) RequestMemory(a Accelerator, layers int) float64 {
 	perToken := p.TokenBytes / float64(max(p.Layers, 1))
 	if perToken <= 0 {
 		return 0
 	}
-	return max(0, a.MB-float64(layers)*p.LayerMB) * bytesPerMB / perToken
+	return max(0, a.MemoryMB-float64(layers)*p.LayerMB) * bytesPerMB / perToken
 }
 
 // LayerTokens returns what the memory of one layer's weights would hold, in
@@ -101,32 +101,32 @@
 	return a.ReadFactor * float64(layers) / float64(max(p.Layers, 1)) / p.ReadRate
 }
 
-// Usual returns the mean tokens of a request's prompt and answer, by the operator's
+// MeanTokens returns the mean tokens of a request's prompt and answer, by the operator's
 // word or, without it, those of the first users' drafts.
-func (p *Pipeline) Usual() (prompt, answer float64) {
-	prompt, answer = p.UsualPrompt, p.UsualAnswer
+func (p *Pipeline) MeanTokens() (prompt, answer float64) {
+	prompt, answer = p.MeanPromptTokens, p.MeanAnswerTokens
 	if prompt <= 0 {
-		prompt = defaultPrompt
+		prompt = defaultPromptTokens
 	}
 	if answer <= 0 {
-		answer = defaultAnswer
+		answer = defaultAnswerTokens
 	}
 	return prompt, answer
 }
 
 // Sizes of a request where the operator gives none, in tokens.
 const (
-	defaultPrompt = 750
-	defaultAnswer = 150
+	defaultPromptTokens = 750
+	defaultAnswerTokens = 150
 )
 
-// ReadsInTime is how many prompts an accelerator reads in a ms at the most while a
+// PromptRate is how many prompts an accelerator reads in a ms at the most while a
 // number of streams is in its batch.
-func (p *Pipeline) ReadsInTime(a Accelerator, layers int, batch float64) float64 {
+func (p *Pipeline) PromptRate(a Accelerator, layers int, batch float64) float64 {
 	if layers == 0 {
 		return math.Inf(1)
 	}
-	return p.Pass().Reads(p.StepTime(a, layers), p.ReadTime(a, layers), batch)
+	return p.Pass().PromptRate(p.StepTime(a, layers), p.ReadTime(a, layers), batch)
 }
 
 // StepTime returns the time of one token over some layers, in ms.
--- a/catalog/service_test.go
+++ b/catalog/service_test.go
@@ -11,9 +11,9 @@
 // time falls with its layers and with its batch.
 func TestReadsInTime(t *testing.T) {
 	p := &catalog.Pipeline{
-		Layers: 80, StepMS: 1, SequenceMS: 0.01, ReadRate: 200, StepsInPass: 4, ReadInPass: 500, UsualPrompt: 1000, UsualAnswer: 100,
+		Layers: 80, StepMS: 1, SequenceMS: 0.01, ReadRate: 200, StepsPerPass: 4, PromptTokensPerPass: 500, MeanPromptTokens: 1000, MeanAnswerTokens: 100,
 	}
-	a := catalog.Accelerator{Name: "fast", MB: 1000, StepFactor: 2, ReadFactor: 4}
+	a := catalog.Accelerator{Name: "fast", MemoryMB: 1000, StepFactor: 2, ReadFactor: 4}
 	tests := []struct {
 		name   string
 		layers int
@@ -26,12 +26,12 @@
 		{"a batch of 100", 80, 100, 1.0 / 52},
 	}
 	for _, tt := range tests {
-		if got := p.ReadsInTime(a, tt.layers, tt.batch); math.Abs(got-tt.want) > 1e-9 {
+		if got := p.PromptRate(a, tt.layers, tt.batch); math.Abs(got-tt.want) > 1e-9 {
 			t.Errorf("%s: got %v prompts a ms, want %v", tt.name, got, tt.want)
 		}
 	}
-	p.ReadInPass = 0
-	if got := p.ReadsInTime(a, 80, 0); !math.IsInf(got, 1) {
+	p.PromptTokensPerPass = 0
+	if got := p.PromptRate(a, 80, 0); !math.IsInf(got, 1) {
 		t.Errorf("without a bound: got %v prompts a ms, want no bound", got)
 	}
 }
--- a/chain/home_test.go
+++ b/chain/home_test.go
@@ -8,8 +8,8 @@
 	"github.com/hoistjunction/hoistjunction/chain"
 )
 
-// ofHome returns the holders of a data centre.
-func ofHome(holders []chain.Holder, centre string) []chain.Holder {
+// localHolders returns the holders of a data centre.
+func localHolders(holders []chain.Holder, centre string) []chain.Holder {
 	var home []chain.Holder
 	for _, h := range holders {
 		if h.DataCentre == centre {
@@ -19,8 +19,8 @@
 	return home
 }
 
-// fastest returns the least time of a token through a layer.
-func fastest(holders []chain.Holder) float64 {
+// minLayerTime returns the least time of a token through a layer.
+func minLayerTime(holders []chain.Holder) float64 {
 	least := holders[0].LayerTime
 	for _, h := range holders {
 		least = min(least, h.LayerTime)
@@ -47,14 +47,14 @@
 			h := holder(fmt.Sprintf("e%d", i), string(rune('a'+random.IntN(3))), from, to, 0.05+random.Float64(), room)
 			holders = append(holders, h)
 		}
-		got, ok := chain.BuildAtHome(layers, tokens, "a", ofHome(holders, "a"), layers*fastest(holders))
+		got, ok := chain.BuildLocal(layers, tokens, "a", localHolders(holders, "a"), layers*minLayerTime(holders))
 		if !ok {
 			continue
 		}
 		found++
 		want, err := chain.Build(layers, tokens, "a", holders)
-		if err != nil || ids(got) != ids(want) {
-			t.Fatalf("got %s at home, want %s (%v) of %+v", ids(got), ids(want), err, holders)
+		if err != nil || formatStages(got) != formatStages(want) {
+			t.Fatalf("got %s at home, want %s (%v) of %+v", formatStages(got), formatStages(want), err, holders)
 		}
 	}
 	if found == 0 {
@@ -67,13 +67,13 @@
 		name    string
 		holders []chain.Holder
 	}{
-		{"a layer has no engine at home", []chain.Holder{holder("x", "a", 0, 4, 1, plenty)}},
+		{"a layer has no engine at home", []chain.Holder{holder("x", "a", 0, 4, 1, ampleMemory)}},
 		{"no room at home", []chain.Holder{holder("x", "a", 0, 8, 1, 10)}},
-		{"a chain that leaves may be cheaper", []chain.Holder{holder("x", "a", 0, 8, 9, plenty)}},
+		{"a chain that leaves may be cheaper", []chain.Holder{holder("x", "a", 0, 8, 9, ampleMemory)}},
 	}
 	for _, tt := range tests {
-		if parts, ok := chain.BuildAtHome(8, 5, "a", tt.holders, 0); ok {
-			t.Errorf("%s: got %s, want none", tt.name, ids(parts))
+		if parts, ok := chain.BuildLocal(8, 5, "a", tt.holders, 0); ok {
+			t.Errorf("%s: got %s, want none", tt.name, formatStages(parts))
 		}
 	}
 }
--- a/dispatch/arrive.go
+++ b/dispatch/arrive.go
@@ -9,60 +9,60 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// noDeadline stands in for the deadline of a caller that names none.
-const noDeadline clock.Millis = 60_000
+// defaultClientTimeout stands in for the deadline of a caller that names none.
+const defaultClientTimeout clock.Millis = 60_000
 
 // arrive checks a request against the configuration and sends it off.
 func (m *Model) arrive(msg ArriveMsg) []Cmd {
-	if m.waitsForStart() {
-		m.early = append(m.early, early{msg: msg, at: m.now})
+	if m.defersArrivals() {
+		m.deferred = append(m.deferred, deferredArrival{arrival: msg, deferredAt: m.now})
 		return nil
 	}
 	if m.catalog == nil {
-		return m.refuse(msg.Request, http.StatusServiceUnavailable, ReasonNoConfig, backStale)
+		return m.refuse(msg.Request, http.StatusServiceUnavailable, ReasonNoConfig, staleConfigRetryAfter)
 	}
 	route, err := m.catalog.Route(msg.Host, msg.Path)
 	if err != nil {
-		if !m.fresh(m.now) {
-			return m.refuse(msg.Request, http.StatusServiceUnavailable, ReasonStaleConfig, backStale)
+		if !m.configFresh(m.now) {
+			return m.refuse(msg.Request, http.StatusServiceUnavailable, ReasonStaleConfig, staleConfigRetryAfter)
 		}
 		return m.refuse(msg.Request, http.StatusNotFound, ReasonNoRoute, 0)
 	}
-	r := &request{msg: msg, arrived: m.now, route: route, tried: make(map[fleet.Incarnation]bool), ranAt: make(map[fleet.Incarnation]run)}
-	r.keyed = m.catalog.HasAccounts() && !route.Anonymous
-	if cmds := m.admitKey(r); cmds != nil {
+	r := &request{arrival: msg, arrivedAt: m.now, route: route, triedUpstreams: make(map[fleet.Incarnation]bool), executedOn: make(map[fleet.Incarnation]execution)}
+	r.requiresKey = m.catalog.HasAccounts() && !route.Anonymous
+	if cmds := m.checkKey(r); cmds != nil {
 		return cmds
 	}
-	r.work = msg.Asked.ForAccount(r.account.Name)
-	r.deadline = m.now.Add(noDeadline)
+	r.work = msg.Work.ForAccount(r.account.Name)
+	r.clientDeadline = m.now.Add(defaultClientTimeout)
 	if msg.Remaining > 0 {
-		r.deadline = m.now.Add(msg.Remaining)
+		r.clientDeadline = m.now.Add(msg.Remaining)
 	}
-	r.giveUp = r.deadline
+	r.giveUp = r.clientDeadline
 	if route.Timeout > 0 {
 		r.giveUp = m.now.Add(route.Timeout)
 	}
-	r.service = m.catalog.Service(route.Pick(position(msg.CallerID)))
+	r.service = m.catalog.Service(route.ServiceAt(hashPosition(msg.CallerID)))
 	if r.service == nil {
-		return m.refuse(msg.Request, http.StatusServiceUnavailable, ReasonNoUpstream, backHealing)
+		return m.refuse(msg.Request, http.StatusServiceUnavailable, ReasonNoUpstream, coverageGapRetryAfter)
 	}
-	r.tokens = expectedTokens(msg)
+	r.memoryTokens = expectedMemoryTokens(msg)
 	m.requests[msg.Request] = r
-	m.budget(r.service.Name).Earn(m.now)
+	m.budget(r.service.Name).Deposit(m.now)
 	return m.send(r)
 }
 
-// admitKey checks a request's key, and that the check is not out of date.
-func (m *Model) admitKey(r *request) []Cmd {
-	if !r.keyed {
+// checkKey checks a request's key, and that the check is not out of date.
+func (m *Model) checkKey(r *request) []Cmd {
+	if !r.requiresKey {
 		return nil
 	}
-	if !m.fresh(m.now) {
-		return m.refuse(r.msg.Request, http.StatusServiceUnavailable, ReasonStaleConfig, backStale)
+	if !m.configFresh(m.now) {
+		return m.refuse(r.arrival.Request, http.StatusServiceUnavailable, ReasonStaleConfig, staleConfigRetryAfter)
 	}
-	account, err := m.catalog.Account(r.msg.Key)
-	if err != nil || !r.msg.HasKey {
-		return m.refuse(r.msg.Request, http.StatusUnauthorized, ReasonNoAccount, 0)
+	account, err := m.catalog.Account(r.arrival.Key)
+	if err != nil || !r.arrival.HasKey {
+		return m.refuse(r.arrival.Request, http.StatusUnauthorized, ReasonUnknownKey, 0)
 	}
 	r.account = account
 	return nil
@@ -70,47 +70,47 @@
 
 // refuse ends a request with an answer of the node's own.
 func (m *Model) refuse(id RequestID, status int, reason Reason, back clock.Millis) []Cmd {
-	return m.end(id, m.finish(id, status, reason, back), reason)
+	return m.respondOrAbort(id, m.response(id, status, reason, back), reason)
 }
 
-// refuseFor ends a request that has not run for want of something.
-func (m *Model) refuseFor(id RequestID, reason Reason, back clock.Millis, lack *Lack) []Cmd {
-	cmd := m.finish(id, http.StatusServiceUnavailable, reason, back)
-	cmd.Lack = lack
-	return m.end(id, cmd, reason)
+// refuseMissing ends a request that has not run for want of something.
+func (m *Model) refuseMissing(id RequestID, reason Reason, back clock.Millis, lack *MissingResource) []Cmd {
+	cmd := m.response(id, http.StatusServiceUnavailable, reason, back)
+	cmd.Missing = lack
+	return m.respondOrAbort(id, cmd, reason)
 }
 
-// refuseLimited ends a request that has not run since all that could serve it have limits.
-func (m *Model) refuseLimited(r *request, back clock.Millis, why *Limited) []Cmd {
-	cmd := m.finish(r.msg.Request, http.StatusServiceUnavailable, ReasonLimit, back)
-	cmd.Limited = why
-	return m.end(r.msg.Request, cmd, ReasonLimit)
+// refuseRateLimited ends a request that has not run since all that could serve it have limits.
+func (m *Model) refuseRateLimited(r *request, back clock.Millis, why *LimitRefusal) []Cmd {
+	cmd := m.response(r.arrival.Request, http.StatusServiceUnavailable, ReasonRateLimit, back)
+	cmd.RateLimit = why
+	return m.respondOrAbort(r.arrival.Request, cmd, ReasonRateLimit)
 }
 
-// end ends a request with a whole answer, or cuts it where its answer has begun: two
+// respondOrAbort ends a request with a whole answer, or cuts it where its answer has begun: two
 // answers in one would look like one that is complete. All requests end here or with
 // cut.
-func (m *Model) end(id RequestID, answer Cmd, reason Reason) []Cmd {
-	if r := m.requests[id]; r != nil && r.begun() {
-		return m.cut(id, reason)
+func (m *Model) respondOrAbort(id RequestID, answer Cmd, reason Reason) []Cmd {
+	if r := m.requests[id]; r != nil && r.answerBegun() {
+		return m.abort(id, reason)
 	}
-	m.forget(id)
+	m.dropRequest(id)
 	return []Cmd{answer}
 }
 
-// cut ends a request whose answer has begun.
-func (m *Model) cut(id RequestID, reason Reason) []Cmd {
-	m.forget(id)
-	return []Cmd{CutCmd{Request: id, Reason: reason}}
+// abort ends a request whose answer has begun.
+func (m *Model) abort(id RequestID, reason Reason) []Cmd {
+	m.dropRequest(id)
+	return []Cmd{AbortResponseCmd{Request: id, Reason: reason}}
 }
 
-// finish makes an answer of the node's own. A 503 promises that the request has not
+// response makes an answer of the node's own. A 503 promises that the request has not
 // run, so it becomes a 502 where it may have.
-func (m *Model) finish(id RequestID, status int, reason Reason, back clock.Millis) FinishCmd {
-	if r := m.requests[id]; r != nil && r.runs > 0 && status == http.StatusServiceUnavailable {
-		status, reason, back = http.StatusBadGateway, ReasonUnknown, 0
+func (m *Model) response(id RequestID, status int, reason Reason, back clock.Millis) RespondCmd {
+	if r := m.requests[id]; r != nil && r.executions > 0 && status == http.StatusServiceUnavailable {
+		status, reason, back = http.StatusBadGateway, ReasonAnswerLost, 0
 	}
-	cmd := FinishCmd{Request: id, Status: status, Reason: reason, RetryAfter: back, ConfigAge: clock.AgeOf(m.confirmed, m.now)}
+	cmd := RespondCmd{Request: id, Status: status, Reason: reason, RetryAfter: back, ConfigAge: clock.AgeOf(m.configConfirmedAt, m.now)}
 	if r := m.requests[id]; r != nil {
 		cmd.Work = r.work
 	}
@@ -120,20 +120,20 @@
 	return cmd
 }
 
-// position spreads callers' names evenly from 0 up to 1.
-func position(name string) float64 {
+// hashPosition spreads callers' names evenly from 0 up to 1.
+func hashPosition(name string) float64 {
 	return float64(xxhash.Sum64String(name)>>11) / (1 << 53)
 }
 
-// expectedTokens is how much memory a generation is likely to take on average
+// expectedMemoryTokens is how much memory a generation is likely to take on average
 // while it lasts, in tokens.
-func expectedTokens(msg ArriveMsg) float64 {
-	out := float64(msg.AnswerTokens) * answerShare
+func expectedMemoryTokens(msg ArriveMsg) float64 {
+	out := float64(msg.AnswerTokens) * expectedAnswerShare
 	if msg.HintTokens > 0 {
 		out = float64(msg.HintTokens)
 	}
 	if msg.AnswerTokens > 0 {
 		out = min(out, float64(msg.AnswerTokens))
 	}
-	return float64(msg.PromptTokens) + answerHeld*out
+	return float64(msg.PromptTokens) + answerMemoryShare*out
 }
--- a/dispatch/begun_test.go
+++ b/dispatch/begun_test.go
@@ -15,45 +15,45 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m, map[string]string{"rapid.checks": "1000"}) }
 
-// caller is one request as its caller sees it.
-type caller struct {
+// clientView is one request as its caller sees it.
+type clientView struct {
 	t *rapid.T
 	// attempt is the one under way; 0 for none.
 	attempt   int
 	events    int
 	delivered dispatch.Delivered
-	// over tells that the request has ended, or its caller has left.
-	over bool
+	// ended tells that the request has ended, or its caller has left.
+	ended bool
 }
 
-// take carries out a command, and checks that it may be given.
-func (c *caller) take(cmd dispatch.Cmd) {
+// apply carries out a command, and checks that it may be given.
+func (c *clientView) apply(cmd dispatch.Cmd) {
 	switch cmd := cmd.(type) {
 	case dispatch.SendCmd:
 		c.attempt = cmd.Attempt
-		if c.over || c.delivered == dispatch.DeliveredPart {
-			c.t.Errorf("got attempt %d, want none: over=%v delivered=%d", cmd.Attempt, c.over, c.delivered)
+		if c.ended || c.delivered == dispatch.DeliveredPartial {
+			c.t.Errorf("got attempt %d, want none: over=%v delivered=%d", cmd.Attempt, c.ended, c.delivered)
 		}
-	case dispatch.FinishCmd, dispatch.RelayCmd:
-		if c.over || c.delivered != dispatch.DeliveredNothing {
-			c.t.Errorf("got %s, want an answer that has begun gone on with or cut: over=%v delivered=%d", show(cmd), c.over, c.delivered)
+	case dispatch.RespondCmd, dispatch.RelayFailureCmd:
+		if c.ended || c.delivered != dispatch.DeliveredNothing {
+			c.t.Errorf("got %s, want an answer that has begun gone on with or cut: over=%v delivered=%d", show(cmd), c.ended, c.delivered)
 		}
-		c.over = true
-	case dispatch.CutCmd:
-		if c.over || c.delivered == dispatch.DeliveredNothing {
-			c.t.Errorf("got %s of an answer that has not begun: over=%v", show(cmd), c.over)
+		c.ended = true
+	case dispatch.AbortResponseCmd:
+		if c.ended || c.delivered == dispatch.DeliveredNothing {
+			c.t.Errorf("got %s of an answer that has not begun: over=%v", show(cmd), c.ended)
 		}
-		c.over = true
+		c.ended = true
 	}
 }
 
 // deliver draws what the attempt under way has brought its caller before it failed.
-func (c *caller) deliver() {
+func (c *clientView) deliver() {
 	switch {
 	case rapid.Bool().Draw(c.t, "nothing"):
 	case c.delivered == dispatch.DeliveredNothing && rapid.Bool().Draw(c.t, "part"):
-		c.delivered = dispatch.DeliveredPart
-	case c.delivered != dispatch.DeliveredPart:
+		c.delivered = dispatch.DeliveredPartial
+	case c.delivered != dispatch.DeliveredPartial:
 		c.delivered = dispatch.DeliveredEvents
 		c.events += rapid.IntRange(1, 3).Draw(c.t, "events")
 	}
@@ -65,17 +65,17 @@
 func TestBegunAnswersGoOnOrAreCut(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := dispatch.New(dispatch.WithDataCentre("a"), dispatch.WithPolicy(dispatch.Policy{
-			RevokeWithin: 5000, RetryWindow: 10_000, RetryShare: 0.2, RetrySlack: rapid.SampledFrom([]float64{0, 100, 1000}).Draw(rt, "slack"),
+			MaxConfigAge: 5000, RetryWindow: 10_000, RetryShare: 0.2, RetrySlack: rapid.SampledFrom([]float64{0, 100, 1000}).Draw(rt, "slack"),
 		}))
 		now := clock.Millis(1000)
 		version := 1
-		c := &caller{t: rt}
+		c := &clientView{t: rt}
 		step := func(msg dispatch.Msg) {
 			for _, cmd := range m.Update(now, msg) {
-				c.take(cmd)
+				c.apply(cmd)
 			}
 		}
-		step(dispatch.CatalogMsg{Catalog: testCatalog(script.Step{}), Confirmed: now})
+		step(dispatch.CatalogMsg{Catalog: testCatalog(script.Step{}), ConfirmedAt: now})
 		step(dispatch.FleetMsg{Changes: randomFleet(rt)})
 		path := rapid.SampledFrom([]string{"/write/a", "/read/a", "/once/a"}).Draw(rt, "path")
 		step(dispatch.ArriveMsg{Request: 1, CallerID: "c", Host: "h", Path: path, Key: "k", HasKey: true, PromptTokens: 10, AnswerTokens: 10, Remaining: 20_000})
@@ -89,9 +89,9 @@
 			case 2:
 				keys := rapid.SampledFrom([]string{"all", "none"}).Draw(rt, "keys")
 				version++
-				step(dispatch.CatalogMsg{Catalog: testCatalog(script.Step{Named: map[string]string{"keys": keys, "version": strconv.Itoa(version)}}), Confirmed: now})
+				step(dispatch.CatalogMsg{Catalog: testCatalog(script.Step{Named: map[string]string{"keys": keys, "version": strconv.Itoa(version)}}), ConfirmedAt: now})
 			default:
-				if c.over || c.attempt == 0 {
+				if c.ended || c.attempt == 0 {
 					continue
 				}
 				c.deliver()
@@ -99,7 +99,7 @@
 				c.attempt = 0
 				step(dispatch.AttemptFailedMsg{
 					Request: 1, Attempt: failed, Events: c.events, Delivered: c.delivered,
-					Cause: dispatch.Cause(rapid.IntRange(int(dispatch.NotSent), int(dispatch.Failed)).Draw(rt, "cause")),
+					Cause: dispatch.Cause(rapid.IntRange(int(dispatch.CauseNotSent), int(dispatch.CauseUpstreamFailed)).Draw(rt, "cause")),
 				})
 			}
 		}
@@ -116,7 +116,7 @@
 		named["state"] = rapid.SampledFrom([]string{"ready", "ready", "leaving"}).Draw(t, "state")
 		id := "u" + strconv.Itoa(len(changes))
 		changes = append(changes, fleet.Change{
-			ID: fleet.Undated(fleet.ID(id)), Gone: rapid.IntRange(0, 4).Draw(t, "gone") == 0,
+			ID: fleet.IncarnationByID(fleet.ID(id)), Gone: rapid.IntRange(0, 4).Draw(t, "gone") == 0,
 			Upstream: testUpstream(script.Step{Words: []string{id}, Named: named}),
 		})
 	}
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -21,15 +21,15 @@
 		}),
 		catalog.WithServices(&catalog.Service{Name: "writer", Pipeline: &catalog.Pipeline{
 			Layers: 80, LayerMB: 1000, TokenBytes: 400_000, StepMS: 1,
-			Accelerators: map[string]catalog.Accelerator{"k": {Name: "k", MB: 1e6, StepFactor: 1}},
+			Accelerators: map[string]catalog.Accelerator{"k": {Name: "k", MemoryMB: 1e6, StepFactor: 1}},
 		}}),
 	)})
 	var changes []fleet.Change
 	for i := range engines {
 		from := (i * 8) % 80
 		u := fleet.Upstream{
-			ID: fleet.Undated(fleet.ID(fmt.Sprintf("e%d", i))), Address: fmt.Sprintf("a%d", i), Service: "writer", Accelerator: "k",
-			DataCentre: fmt.Sprintf("dc-%d", i/33), Held: fleet.Range{From: from, To: from + 8},
+			ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%d", i))), Address: fmt.Sprintf("a%d", i), Service: "writer", Accelerator: "k",
+			DataCentre: fmt.Sprintf("dc-%d", i/33), Held: fleet.LayerRange{From: from, To: from + 8},
 		}
 		changes = append(changes, fleet.Change{ID: u.ID, Upstream: u})
 	}
@@ -51,18 +51,18 @@
 				if _, ok := cmds[0].(dispatch.SendCmd); !ok {
 					b.Fatalf("got %+v, want a request sent", cmds[0])
 				}
-				m.Update(clock.Millis(id/100), dispatch.GoneMsg{Request: id})
+				m.Update(clock.Millis(id/100), dispatch.RequestEndedMsg{Request: id})
 			}
 		})
 	}
 }
 
-// sizes are how many upstreams the users' sites have, and the size of two years from now.
-var sizes = []int{38, 218, 998, 7100}
+// fleetSizes are how many upstreams the users' sites have, and the size of two years from now.
+var fleetSizes = []int{38, 218, 998, 7100}
 
 // BenchmarkTick is what the decider costs ten times a second while nothing happens.
 func BenchmarkTick(b *testing.B) {
-	for _, engines := range sizes {
+	for _, engines := range fleetSizes {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			m := benchModel(engines)
 			for b.Loop() {
@@ -74,13 +74,13 @@
 
 // BenchmarkListChange is an engine that comes to hold other layers.
 func BenchmarkListChange(b *testing.B) {
-	for _, engines := range sizes {
+	for _, engines := range fleetSizes {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			m := benchModel(engines)
 			n := 0
 			for b.Loop() {
 				n++
-				u := fleet.Upstream{ID: fleet.Undated("e1"), Address: "a1", Service: "writer", Accelerator: "k", DataCentre: "dc-0", Held: fleet.Range{From: n % 9, To: n%9 + 8}}
+				u := fleet.Upstream{ID: fleet.IncarnationByID("e1"), Address: "a1", Service: "writer", Accelerator: "k", DataCentre: "dc-0", Held: fleet.LayerRange{From: n % 9, To: n%9 + 8}}
 				m.Update(1000, dispatch.FleetMsg{Changes: []fleet.Change{{ID: u.ID, Upstream: u}}})
 			}
 		})
@@ -91,12 +91,12 @@
 // 24 streams over nine engines.
 func BenchmarkHearUsage(b *testing.B) {
 	const told = 24 * 9
-	for _, engines := range sizes {
+	for _, engines := range fleetSizes {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			m := benchModel(engines)
-			used := make(map[fleet.Incarnation]fleet.Use)
+			used := make(map[fleet.Incarnation]fleet.EngineUsage)
 			for i := range min(told, engines) {
-				used[fleet.Undated(fleet.ID(fmt.Sprintf("e%d", i)))] = fleet.Use{Memory: float64(i)}
+				used[fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%d", i)))] = fleet.EngineUsage{Memory: float64(i)}
 			}
 			for b.Loop() {
 				m.Update(1000, dispatch.UsageMsg{Node: "n", Used: used})
--- a/dispatch/depart.go
+++ b/dispatch/depart.go
@@ -10,33 +10,33 @@
 )
 
 const (
-	// departAfter is how long streams may go on over an engine that is leaving
+	// departDelay is how long streams may go on over an engine that is leaving
 	// before they are moved. It serves for two seconds at least; most streams
 	// end in that time, and a move while it still serves costs a short pause
 	// instead of a stall.
-	departAfter clock.Millis = 1200
-	// departEach bounds the streams that are moved at each tick, since all of
+	departDelay clock.Millis = 1200
+	// migrationsPerTick bounds the streams that are moved at each tick, since all of
 	// them are read again by the same few engines.
-	departEach = 6
+	migrationsPerTick = 6
 )
 
-// noteDeparture notes that an engine is leaving, or has no entry any more.
-func (m *Model) noteDeparture(id fleet.Incarnation) {
-	if _, known := m.departing[id]; !known {
-		m.departing[id] = m.now
+// markDeparting notes that an engine is leaving, or has no entry any more.
+func (m *Model) markDeparting(id fleet.Incarnation) {
+	if _, known := m.departingSince[id]; !known {
+		m.departingSince[id] = m.now
 	}
 }
 
-// placed takes the layers that an engine gives up out of use, and moves the
+// placementChanged takes the layers that an engine gives up out of use, and moves the
 // streams that pass them at once: the engine loads the new ones only when they
 // have gone.
-func (m *Model) placed(msg PlacedMsg) {
+func (m *Model) placementChanged(msg PlacedMsg) {
 	u := m.upstreams[msg.Upstream]
 	if u == nil {
 		return
 	}
-	if msg.Holds {
-		m.holds(u, msg.Layers)
+	if msg.Completed {
+		m.layersLoaded(u, msg.Layers)
 		return
 	}
 	kept := u.entry.Held.Overlap(msg.Layers)
@@ -44,53 +44,53 @@
 		return
 	}
 	u.entry.Held = kept
-	m.departing[msg.Upstream] = m.now.Sub(departAfter)
+	m.departingSince[msg.Upstream] = m.now.Sub(departDelay)
 }
 
-// holds takes in that an engine holds layers, before the list shows it.
-func (m *Model) holds(u *upstream, layers fleet.Range) {
+// layersLoaded takes in that an engine holds layers, before the list shows it.
+func (m *Model) layersLoaded(u *upstream, layers fleet.LayerRange) {
 	u.entry.Held = layers
-	u.heldAt = m.now
+	u.layersReportedAt = m.now
 	u.fullUntil = 0
-	delete(m.departing, u.entry.ID)
+	delete(m.departingSince, u.entry.ID)
 	if m.catalog != nil {
-		u.measure(m.catalog.Service(u.entry.Service))
+		u.applyService(m.catalog.Service(u.entry.Service))
 	}
 }
 
-// depart moves streams off engines that have been leaving for a while.
-func (m *Model) depart() []Cmd {
+// migrateDeparting moves streams off engines that have been leaving for a while.
+func (m *Model) migrateDeparting() []Cmd {
 	var cmds []Cmd
-	for _, id := range slices.SortedFunc(maps.Keys(m.departing), fleet.Incarnation.Compare) {
-		if m.now < m.departing[id].Add(departAfter) {
+	for _, id := range slices.SortedFunc(maps.Keys(m.departingSince), fleet.Incarnation.Compare) {
+		if m.now < m.departingSince[id].Add(departDelay) {
 			continue
 		}
-		if !m.departFrom(id, &cmds) {
-			delete(m.departing, id)
+		if !m.migrateFrom(id, &cmds) {
+			delete(m.departingSince, id)
 		}
 	}
 	return cmds
 }
 
-// departFrom moves some streams off an engine, and reports whether any are left
+// migrateFrom moves some streams off an engine, and reports whether any are left
 // that may still be moved.
-func (m *Model) departFrom(id fleet.Incarnation, cmds *[]Cmd) bool {
+func (m *Model) migrateFrom(id fleet.Incarnation, cmds *[]Cmd) bool {
 	left := false
 	for _, request := range slices.Sorted(maps.Keys(m.requests)) {
 		r := m.requests[request]
-		if !r.passes(id) || r.parts[0].ID == id || r.moves >= mostMoves {
+		if !r.passesThrough(id) || r.chain[0].ID == id || r.migrations >= maxMigrations {
 			continue
 		}
 		left = true
-		if len(*cmds) >= departEach {
+		if len(*cmds) >= migrationsPerTick {
 			break
 		}
-		*cmds = append(*cmds, m.move(r, id)...)
+		*cmds = append(*cmds, m.migrate(r, id)...)
 	}
 	return left
 }
 
-// passes tells whether the attempt under way passes an engine.
-func (r *request) passes(id fleet.Incarnation) bool {
-	return slices.ContainsFunc(r.parts, func(p chain.Part) bool { return p.ID == id })
+// passesThrough tells whether the attempt under way passes an engine.
+func (r *request) passesThrough(id fleet.Incarnation) bool {
+	return slices.ContainsFunc(r.chain, func(p chain.Stage) bool { return p.ID == id })
 }
--- a/dispatch/distance_test.go
+++ b/dispatch/distance_test.go
@@ -9,38 +9,38 @@
 )
 
 const (
-	// distanceNodes have one request each, over engines that hold a quarter of the layers
+	// preferenceNodes have one request each, over engines that hold a quarter of the layers
 	// each, so many for each quarter.
-	distanceNodes  = 200
-	distanceCopies = 12
-	distanceLayers = 80
+	preferenceNodes   = 200
+	enginesPerQuarter = 12
+	preferenceLayers  = 80
 )
 
-// firstChoices returns how often each engine is part of the first chains of nodes that know
+// engineChoices returns how often each engine is part of the first chains of nodes that know
 // the same.
-func firstChoices(large bool) map[fleet.Incarnation]int {
+func engineChoices(large bool) map[fleet.Incarnation]int {
 	pipeline := &catalog.Pipeline{
-		Layers: distanceLayers, LayerMB: 1000, TokenBytes: 80_000, StepMS: 1, ReadRate: 100, StepsInPass: 1, ReadInPass: 100,
-		Accelerators: map[string]catalog.Accelerator{"fast": {Name: "fast", MB: 40_000, StepFactor: 1, ReadFactor: 1}},
+		Layers: preferenceLayers, LayerMB: 1000, TokenBytes: 80_000, StepMS: 1, ReadRate: 100, StepsPerPass: 1, PromptTokensPerPass: 100,
+		Accelerators: map[string]catalog.Accelerator{"fast": {Name: "fast", MemoryMB: 40_000, StepFactor: 1, ReadFactor: 1}},
 	}
 	var changes []fleet.Change
-	for i := range 4 * distanceCopies {
-		id := fleet.Undated(fleet.ID(fmt.Sprintf("e%03d", i)))
-		from := i % 4 * distanceLayers / 4
+	for i := range 4 * enginesPerQuarter {
+		id := fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%03d", i)))
+		from := i % 4 * preferenceLayers / 4
 		changes = append(changes, fleet.Change{ID: id, Upstream: fleet.Upstream{
 			ID: id, Service: "s", Address: fmt.Sprint("e", i, ":1"), DataCentre: "a", Accelerator: "fast", Slots: 192,
-			Held: fleet.Range{From: from, To: from + distanceLayers/4},
+			Held: fleet.LayerRange{From: from, To: from + preferenceLayers/4},
 		}})
 	}
 	counts := make(map[fleet.Incarnation]int)
-	for node := range distanceNodes {
+	for node := range preferenceNodes {
 		m := New(WithDataCentre("a"), WithSeed(uint64(node)+1))
 		m.Update(0, CatalogMsg{Catalog: catalog.New(1,
 			catalog.WithRoutes(&catalog.Route{Name: "r", Host: "h", Prefix: "/", Kind: catalog.Streaming, Anonymous: true,
-				Targets: []catalog.Target{{Service: "s", Weight: 1}}, MaxAttempts: 2, Timeout: 20_000, Aim: 500}),
+				Targets: []catalog.Target{{Service: "s", Weight: 1}}, MaxAttempts: 2, Timeout: 20_000, LatencyTarget: 500}),
 			catalog.WithServices(&catalog.Service{Name: "s", Pipeline: pipeline}))})
 		m.Update(0, FleetMsg{Changes: changes})
-		m.Update(0, PeersMsg{All: distanceNodes, Near: distanceNodes - 1, Summed: large})
+		m.Update(0, PeersMsg{TotalNodes: preferenceNodes, UsagePeers: preferenceNodes - 1, Aggregated: large})
 		cmds := m.Update(2000, ArriveMsg{Request: 1, CallerID: fmt.Sprint(node), Host: "h", Path: "/a", Remaining: 20_000, PromptTokens: 100, AnswerTokens: 50})
 		send, ok := cmds[len(cmds)-1].(SendCmd)
 		if !ok {
@@ -64,16 +64,16 @@
 		}
 		return most
 	}
-	mean := distanceNodes / distanceCopies
-	counts := firstChoices(true)
+	mean := preferenceNodes / enginesPerQuarter
+	counts := engineChoices(true)
 	if got, want := most(counts), 3*mean; got > want {
-		t.Errorf("got %d of %d requests over one engine, want %d at most", got, distanceNodes, want)
+		t.Errorf("got %d of %d requests over one engine, want %d at most", got, preferenceNodes, want)
 	}
-	if got, want := len(counts), 4*distanceCopies; got != want {
+	if got, want := len(counts), 4*enginesPerQuarter; got != want {
 		t.Errorf("got %d engines used, want all %d", got, want)
 	}
 	// Where each node has many requests they learn of each other's by what is in use.
-	if got, want := most(firstChoices(false)), distanceNodes; got != want {
+	if got, want := most(engineChoices(false)), preferenceNodes; got != want {
 		t.Errorf("got %d of %d requests over one engine in a small data centre, want all", got, want)
 	}
 }
--- a/dispatch/early.go
+++ b/dispatch/early.go
@@ -6,46 +6,46 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// startPatience is for how long after its start a node lets requests wait that come
+// maxStartDeferral is for how long after its start a node lets requests wait that come
 // before it knows the configuration and the list. With 295 nodes that start at the same
 // moment all knew both within 0.22 s. An aim of 0.5 s and more leaves that much.
-const startPatience clock.Millis = 400
+const maxStartDeferral clock.Millis = 400
 
-// early is a request that has come before the node could decide on it.
-type early struct {
-	msg ArriveMsg
-	at  clock.Millis
+// deferredArrival is a request that has come before the node could decide on it.
+type deferredArrival struct {
+	arrival    ArriveMsg
+	deferredAt clock.Millis
 }
 
-// waitsForStart tells whether a request is to wait until the node knows what it needs.
+// defersArrivals tells whether a request is to wait until the node knows what it needs.
 // The clock begins with the process.
-func (m *Model) waitsForStart() bool { return !m.informed() && m.now < startPatience }
+func (m *Model) defersArrivals() bool { return !m.hasInitialState() && m.now < maxStartDeferral }
 
-// informed tells whether the node knows a configuration, a list, and the requests that
+// hasInitialState tells whether the node knows a configuration, a list, and the requests that
 // were in quarantine.
-func (m *Model) informed() bool {
-	return m.catalog != nil && len(m.upstreams) > 0 && !m.awaitsQuarantine
+func (m *Model) hasInitialState() bool {
+	return m.catalog != nil && len(m.upstreams) > 0 && !m.awaitsStoredQuarantine
 }
 
-// takeEarly takes up the requests that have waited for the node's start, once it knows
+// processDeferred takes up the requests that have waited for the node's start, once it knows
 // what it needs or will not know it soon.
-func (m *Model) takeEarly() []Cmd {
-	if len(m.early) == 0 || m.waitsForStart() {
+func (m *Model) processDeferred() []Cmd {
+	if len(m.deferred) == 0 || m.defersArrivals() {
 		return nil
 	}
-	waiting := m.early
-	m.early = nil
+	waiting := m.deferred
+	m.deferred = nil
 	var cmds []Cmd
 	for _, e := range waiting {
-		if e.msg.Remaining > 0 {
-			e.msg.Remaining = max(e.msg.Remaining-m.now.Sub(e.at), 1)
+		if e.arrival.Remaining > 0 {
+			e.arrival.Remaining = max(e.arrival.Remaining-m.now.Sub(e.deferredAt), 1)
 		}
-		cmds = append(cmds, m.arrive(e.msg)...)
+		cmds = append(cmds, m.arrive(e.arrival)...)
 	}
 	return cmds
 }
 
-// forgetEarly drops a waiting request whose caller has left.
-func (m *Model) forgetEarly(id RequestID) {
-	m.early = slices.DeleteFunc(m.early, func(e early) bool { return e.msg.Request == id })
+// dropDeferred drops a waiting request whose caller has left.
+func (m *Model) dropDeferred(id RequestID) {
+	m.deferred = slices.DeleteFunc(m.deferred, func(e deferredArrival) bool { return e.arrival.Request == id })
 }
--- a/dispatch/fail.go
+++ b/dispatch/fail.go
@@ -11,160 +11,160 @@
 // upstream's own failure, or an answer of the node's.
 func (m *Model) attemptFailed(msg AttemptFailedMsg) []Cmd {
 	r := m.requests[msg.Request]
-	if r == nil || msg.Attempt != r.sends {
+	if r == nil || msg.Attempt != r.attempts {
 		return nil
 	}
-	cmds := append(m.blame(r, msg), m.noteLoss(r, msg)...)
-	m.noteRun(r, msg)
-	if msg.Cause == NotRunFull && r.service.Pipeline == nil {
-		r.placeless++
+	cmds := append(m.recordFault(r, msg), m.recordLoss(r, msg)...)
+	m.recordExecution(r, msg)
+	if msg.Cause == CauseFull && r.service.Pipeline == nil {
+		r.slotRefusals++
 	}
-	r.events, r.delivered = msg.Events, msg.Delivered
+	r.deliveredEvents, r.delivered = msg.Events, msg.Delivered
 	m.endAttempt(r)
-	return append(cmds, m.next(r, msg)...)
+	return append(cmds, m.afterFailure(r, msg)...)
 }
 
-func (m *Model) next(r *request, msg AttemptFailedMsg) []Cmd {
-	reason := m.mayRepeat(r, msg.Cause)
-	if reason == ReasonNoBudget && msg.Cause == NotRunFull && r.service.Pipeline == nil {
+func (m *Model) afterFailure(r *request, msg AttemptFailedMsg) []Cmd {
+	reason := m.retryDenial(r, msg.Cause)
+	if reason == ReasonNoRetryBudget && msg.Cause == CauseFull && r.service.Pipeline == nil {
 		// It goes on when the budget allows, as it does when there is a place.
-		return m.awaitPlace(r)
+		return m.awaitSlot(r)
 	}
 	if reason != "" {
-		return m.lastWord(r, msg, reason)
+		return m.endAfterFailure(r, msg, reason)
 	}
 	cmds := m.resend(r)
-	if r.awaitsPlace && msg.Cause.spends() {
+	if r.awaitsSlot && msg.Cause.spendsRetryBudget() {
 		// The repeat is paid for when it is made.
-		m.budget(r.service.Name).Return(m.now)
+		m.budget(r.service.Name).Refund(m.now)
 	}
-	if slices.ContainsFunc(cmds, isSend) || !r.awaits.IsZero() || r.awaitsPlace {
+	if slices.ContainsFunc(cmds, isSendCmd) || !r.permitUpstream.IsZero() || r.awaitsSlot {
 		return cmds
 	}
-	if m.requests[r.msg.Request] == nil && msg.Cause.spends() {
+	if m.requests[r.arrival.Request] == nil && msg.Cause.spendsRetryBudget() {
 		// There was nobody to send it to.
-		m.budget(r.service.Name).Return(m.now)
+		m.budget(r.service.Name).Refund(m.now)
 	}
-	if msg.Cause == Failed && !r.begun() {
-		return m.relay(r, msg)
+	if msg.Cause == CauseUpstreamFailed && !r.answerBegun() {
+		return m.relayFailure(r, msg)
 	}
 	return cmds
 }
 
-// spends tells whether another attempt takes from the budget of repeats: where the request
+// spendsRetryBudget tells whether another attempt takes from the budget of repeats: where the request
 // has reached an upstream.
-func (c Cause) spends() bool { return c != NotSent && c != HeldBack }
+func (c Cause) spendsRetryBudget() bool { return c != CauseNotSent && c != CauseStaleConfig }
 
-func isSend(cmd Cmd) bool {
+func isSendCmd(cmd Cmd) bool {
 	_, ok := cmd.(SendCmd)
 	return ok
 }
 
-// mayRepeat returns why a request may not be sent again, or nothing.
-func (m *Model) mayRepeat(r *request, cause Cause) Reason {
-	ran := cause == Unknown || cause == Slow || cause == Failed
+// retryDenial returns why a request may not be sent again, or nothing.
+func (m *Model) retryDenial(r *request, cause Cause) Reason {
+	ran := cause == CauseUnknown || cause == CauseNoProgress || cause == CauseUpstreamFailed
 	switch {
-	case r.delivered == DeliveredPart:
-		return ReasonUnknown
+	case r.delivered == DeliveredPartial:
+		return ReasonAnswerLost
 	case ran && !r.route.MayRepeat():
-		return ReasonUnknown
-	case cause == Failed && r.route.Kind == 0:
-		return ReasonUnknown
-	case !r.mayRunAgain(), r.sends-r.placeless >= mostSends:
+		return ReasonAnswerLost
+	case cause == CauseUpstreamFailed && r.route.Kind == 0:
+		return ReasonAnswerLost
+	case !r.mayExecuteAgain(), r.attempts-r.slotRefusals >= maxAttempts:
 		return ReasonRefused
-	case r.left(m.now) < leastLeft:
+	case r.timeLeft(m.now) < minTimeLeft:
 		return ReasonTimeout
-	case cause.spends() && !m.budget(r.service.Name).Spend(m.now):
-		return ReasonNoBudget
+	case cause.spendsRetryBudget() && !m.budget(r.service.Name).TryWithdraw(m.now):
+		return ReasonNoRetryBudget
 	}
 	return ""
 }
 
-// lastWord ends a request after its last attempt.
-func (m *Model) lastWord(r *request, msg AttemptFailedMsg, reason Reason) []Cmd {
-	if r.begun() {
+// endAfterFailure ends a request after its last attempt.
+func (m *Model) endAfterFailure(r *request, msg AttemptFailedMsg, reason Reason) []Cmd {
+	if r.answerBegun() {
 		return m.giveUp(r, reason)
 	}
-	if msg.Cause == Failed {
-		return m.relay(r, msg)
+	if msg.Cause == CauseUpstreamFailed {
+		return m.relayFailure(r, msg)
 	}
 	return m.giveUp(r, reason)
 }
 
-func (m *Model) relay(r *request, msg AttemptFailedMsg) []Cmd {
-	return m.end(r.msg.Request, RelayCmd{Request: r.msg.Request, Attempt: msg.Attempt}, ReasonUnknown)
+func (m *Model) relayFailure(r *request, msg AttemptFailedMsg) []Cmd {
+	return m.respondOrAbort(r.arrival.Request, RelayFailureCmd{Request: r.arrival.Request, Attempt: msg.Attempt}, ReasonAnswerLost)
 }
 
-// blame notes what an attempt's failure says about an upstream.
-func (m *Model) blame(r *request, msg AttemptFailedMsg) []Cmd {
-	if msg.Cause == HeldBack {
+// recordFault notes what an attempt's failure says about an upstream.
+func (m *Model) recordFault(r *request, msg AttemptFailedMsg) []Cmd {
+	if msg.Cause == CauseStaleConfig {
 		return nil
 	}
-	if r.first != nil {
-		r.tried[r.first.entry.ID] = true
+	if r.firstUpstream != nil {
+		r.triedUpstreams[r.firstUpstream.entry.ID] = true
 	}
-	at := m.atFault(r, msg)
+	at := m.faultyUpstream(r, msg)
 	if at == nil {
 		return nil
 	}
-	r.tried[at.entry.ID] = true
+	r.triedUpstreams[at.entry.ID] = true
 	switch msg.Cause {
-	case NotRunFull:
-		if at.resting(m.now) {
+	case CauseFull:
+		if at.inBackOff(m.now) {
 			// It has said for how long.
 			return nil
 		}
-		at.refusedItself = at == r.first
-		at.refused(m.now)
+		at.refusedAsFirst = at == r.firstUpstream
+		at.recordRefusal(m.now)
 		return nil
-	case NotRunElsewhere:
-		at.misplaced(m.now)
+	case CauseMisdirected:
+		at.recordMisdirected(m.now)
 		return nil
-	case Failed:
-		at.record(m.now.Sub(r.arrived), true)
+	case CauseUpstreamFailed:
+		at.recordAnswer(m.now.Sub(r.arrivedAt), true)
 		return nil
 	default:
-		at.record(m.now.Sub(r.arrived), true)
+		at.recordAnswer(m.now.Sub(r.arrivedAt), true)
 		return m.suspect(at, msg.Cause, r)
 	}
 }
 
-// atFault returns the upstream that a failure speaks against. An attempt that
+// faultyUpstream returns the upstream that a failure speaks against. An attempt that
 // was taken back for want of events speaks against nobody, unless somebody was
 // found silent.
-func (m *Model) atFault(r *request, msg AttemptFailedMsg) *upstream {
-	if at, ok := r.at(msg.At); ok {
+func (m *Model) faultyUpstream(r *request, msg AttemptFailedMsg) *upstream {
+	if at, ok := r.upstreamAt(msg.FaultyAddress); ok {
 		// Who has ended since cannot be blamed, nor can who has its address now.
 		return m.upstreams[at]
 	}
-	if msg.Cause == Slow {
+	if msg.Cause == CauseNoProgress {
 		return nil
 	}
-	return r.first
+	return r.firstUpstream
 }
 
 // suspect keeps an upstream from getting work until a probe has found it well,
 // and tells the other streams that pass it.
 func (m *Model) suspect(u *upstream, cause Cause, by *request) []Cmd {
-	u.cause = cause
-	if u.suspect && m.now < u.avoidUntil {
+	u.suspicionCause = cause
+	if u.suspected && m.now < u.avoidUntil {
 		return nil
 	}
-	until := u.strike(m.now)
-	cmds := []Cmd{SuspectCmd{Upstream: u.entry.ID, Until: until, Strikes: u.strikes, Cause: cause}}
+	until := u.recordSuspicion(m.now)
+	cmds := []Cmd{SuspectCmd{Upstream: u.entry.ID, Until: until, Failures: u.failures, Cause: cause}}
 	if u.pipeline == nil {
 		return cmds
 	}
-	return append(cmds, m.reconsider(u, by)...)
+	return append(cmds, m.recheckAttempts(u, by)...)
 }
 
-// reconsider tells the streams that pass an engine under suspicion, but for one that
+// recheckAttempts tells the streams that pass an engine under suspicion, but for one that
 // has found it out.
-func (m *Model) reconsider(u *upstream, by *request) []Cmd {
+func (m *Model) recheckAttempts(u *upstream, by *request) []Cmd {
 	var cmds []Cmd
 	for _, id := range slices.Sorted(maps.Keys(m.requests)) {
-		if r := m.requests[id]; r != by && r.passes(u.entry.ID) {
-			cmds = append(cmds, ReconsiderCmd{Request: id, Attempt: r.sends, At: u.entry.Address})
+		if r := m.requests[id]; r != by && r.passesThrough(u.entry.ID) {
+			cmds = append(cmds, RecheckAttemptCmd{Request: id, Attempt: r.attempts, SuspectedAddress: u.entry.Address})
 		}
 	}
 	return cmds
@@ -172,22 +172,22 @@
 
 func (m *Model) attemptDone(msg AttemptDoneMsg) []Cmd {
 	r := m.requests[msg.Request]
-	if r == nil || msg.Attempt != r.sends {
+	if r == nil || msg.Attempt != r.attempts {
 		return nil
 	}
-	first := r.first
+	first := r.firstUpstream
 	if first != nil {
-		first.record(msg.Took, msg.Failed)
+		first.recordAnswer(msg.Took, msg.UpstreamFailed)
 		first.refusals = 0
 	}
 	if r.route.Kind == catalog.Streaming {
-		m.noteLasts(msg.Took)
+		m.recordStreamTime(msg.Took)
 	}
-	for _, p := range r.parts {
+	for _, p := range r.chain {
 		if u := m.upstreams[p.ID]; u != nil {
 			u.refusals = 0
 		}
 	}
-	m.forget(msg.Request)
-	return append(m.tellNews(m.quarantine.RequestAnswered(m.now, r.work, true)), m.takePlaces(r.service.Name, first)...)
+	m.dropRequest(msg.Request)
+	return append(m.quarantineCmds(m.quarantine.RequestAnswered(m.now, r.work, true)), m.slotFreed(r.service.Name, first)...)
 }
--- a/dispatch/given_back_test.go
+++ b/dispatch/given_back_test.go
@@ -15,10 +15,10 @@
 func TestRepeatThatCannotBeMadeSpendsNothing(t *testing.T) {
 	// A young node alone has 0.18 of the slack: one repeat.
 	m := dispatch.New(dispatch.WithPolicy(dispatch.Policy{RetryWindow: 10_000, RetrySlack: 6}))
-	m.Update(0, dispatch.PeersMsg{All: 1})
+	m.Update(0, dispatch.PeersMsg{TotalNodes: 1})
 	m.Update(0, dispatch.CatalogMsg{Catalog: catalog.New(1,
 		catalog.WithRoutes(&catalog.Route{Name: "read", Host: "h", Prefix: "/read/", Kind: catalog.Repeatable, Anonymous: true,
-			Targets: []catalog.Target{{Service: "desk", Weight: 1}}, MaxAttempts: 2, Timeout: 1500, Aim: 100}),
+			Targets: []catalog.Target{{Service: "desk", Weight: 1}}, MaxAttempts: 2, Timeout: 1500, LatencyTarget: 100}),
 		catalog.WithServices(&catalog.Service{Name: "desk"}))})
 	now := clock.Millis(0)
 	list := func(id fleet.Incarnation, leaving bool) {
@@ -27,22 +27,22 @@
 	}
 	refuse := func(request dispatch.RequestID) []dispatch.Cmd {
 		m.Update(now, dispatch.ArriveMsg{Request: request, Host: "h", Path: "/read/a"})
-		return m.Update(now, dispatch.AttemptFailedMsg{Request: request, Attempt: 1, Cause: dispatch.NotRunFull})
+		return m.Update(now, dispatch.AttemptFailedMsg{Request: request, Attempt: 1, Cause: dispatch.CauseFull})
 	}
 	for request := range dispatch.RequestID(5) {
 		now = now.Add(1000)
-		list(fleet.Undated("d1"), false)
-		if _, waits := refuse(request)[0].(dispatch.PlaceCmd); !waits {
+		list(fleet.IncarnationByID("d1"), false)
+		if _, waits := refuse(request)[0].(dispatch.SlotWaitCmd); !waits {
 			t.Fatalf("request %d: got no wait, want one for a place", request)
 		}
-		list(fleet.Undated("d1"), true)
-		if _, finished := m.Update(now, dispatch.TickMsg{})[0].(dispatch.FinishCmd); !finished {
+		list(fleet.IncarnationByID("d1"), true)
+		if _, finished := m.Update(now, dispatch.TickMsg{})[0].(dispatch.RespondCmd); !finished {
 			t.Fatalf("request %d: got no answer, want a refusal: nobody else is there", request)
 		}
 	}
 	now = now.Add(1000)
-	list(fleet.Undated("d1"), false)
-	list(fleet.Undated("d2"), false)
+	list(fleet.IncarnationByID("d1"), false)
+	list(fleet.IncarnationByID("d2"), false)
 	if _, sent := refuse(9)[0].(dispatch.SendCmd); !sent {
 		t.Error("got no repeat, want the one that the budget has")
 	}
--- a/dispatch/identity.go
+++ b/dispatch/identity.go
@@ -7,46 +7,46 @@
 )
 
 const (
-	// askNameAgain is after how long an upstream is asked again who it is that has not
-	// said so, which doubles up to longestAskName: it asks for a slot, and one that is
+	// minIdentifyPause is after how long an upstream is asked again who it is that has not
+	// said so, which doubles up to maxIdentifyPause: it asks for a slot, and one that is
 	// full refuses. A verdict can wait for that; each question costs a health check.
-	askNameAgain   clock.Millis = 400
-	longestAskName clock.Millis = 6400
+	minIdentifyPause clock.Millis = 400
+	maxIdentifyPause clock.Millis = 6400
 )
 
-// foundFate takes in what a probe tells of an upstream's end. Silence speaks of the address,
+// recordProbeFate takes in what a probe tells of an upstream's end. Silence speaks of the address,
 // and so does an answer that bears no name: the next process may have it by then, under
 // another id. Such an answer takes nothing back that speaks against a request; whoever has
 // given it is asked for its name where anything hangs on that.
-func (m *Model) foundFate(u *upstream, msg ProbedMsg) []Cmd {
+func (m *Model) recordProbeFate(u *upstream, msg ProbedMsg) []Cmd {
 	switch {
 	case !msg.Answered:
-		return m.tellNews(m.quarantine.SetUpstreamState(m.now, msg.Upstream, quarantine.Unresponsive))
+		return m.quarantineCmds(m.quarantine.SetUpstreamState(m.now, msg.Upstream, quarantine.Unresponsive))
 	case msg.Named:
-		return m.tellNews(m.quarantine.UpstreamAnswered(msg.Upstream))
+		return m.quarantineCmds(m.quarantine.UpstreamAnswered(msg.Upstream))
 	}
-	return m.askName(u)
+	return m.identify(u)
 }
 
-// askName asks who is at an upstream's address, if that decides about a request.
-func (m *Model) askName(u *upstream) []Cmd {
-	if m.catalog == nil || u.naming || m.now < u.nameAgain || !m.quarantine.NeedsCheck(u.entry.ID) {
+// identify asks who is at an upstream's address, if that decides about a request.
+func (m *Model) identify(u *upstream) []Cmd {
+	if m.catalog == nil || u.identifying || m.now < u.identifyAfter || !m.quarantine.NeedsCheck(u.entry.ID) {
 		return nil
 	}
 	service := m.catalog.Service(u.entry.Service)
 	if service == nil || service.HealthPath == "" {
 		return nil
 	}
-	u.naming = true
+	u.identifying = true
 	return []Cmd{IdentifyCmd{Upstream: u.entry.ID, Address: u.entry.Address, Path: service.HealthPath}}
 }
 
-// askNames asks those again that have not said who they are.
-func (m *Model) askNames() []Cmd {
+// retryIdentify asks those again that have not said who they are.
+func (m *Model) retryIdentify() []Cmd {
 	var cmds []Cmd
 	for _, id := range m.quarantine.UpstreamsToCheck() {
-		if u := m.upstreams[id]; u != nil && u.namesLost > 0 {
-			cmds = append(cmds, m.askName(u)...)
+		if u := m.upstreams[id]; u != nil && u.failedIdentifications > 0 {
+			cmds = append(cmds, m.identify(u)...)
 		}
 	}
 	return cmds
@@ -57,17 +57,17 @@
 func (m *Model) identified(msg IdentifiedMsg) []Cmd {
 	u := m.upstreams[msg.Upstream]
 	if u != nil {
-		u.naming = false
+		u.identifying = false
 	}
 	switch msg.Presence {
-	case fleet.Itself:
-		return m.tellNews(m.quarantine.UpstreamAnswered(msg.Upstream))
-	case fleet.Another:
-		return m.tellNews(m.quarantine.SetUpstreamState(m.now, msg.Upstream, quarantine.Ended))
-	case fleet.Unnamed:
+	case fleet.Present:
+		return m.quarantineCmds(m.quarantine.UpstreamAnswered(msg.Upstream))
+	case fleet.Replaced:
+		return m.quarantineCmds(m.quarantine.SetUpstreamState(m.now, msg.Upstream, quarantine.Ended))
+	case fleet.PresenceUnknown:
 		if u != nil {
-			u.nameAgain = m.now.Add(min(askNameAgain<<min(u.namesLost, 8), longestAskName))
-			u.namesLost++
+			u.identifyAfter = m.now.Add(min(minIdentifyPause<<min(u.failedIdentifications, 8), maxIdentifyPause))
+			u.failedIdentifications++
 		}
 	}
 	return nil
--- a/dispatch/lost.go
+++ b/dispatch/lost.go
@@ -15,72 +15,72 @@
 )
 
 const (
-	// apartCost keeps a request under which an upstream has ended off all but one of the
+	// spreadCost keeps a request under which an upstream has ended off all but one of the
 	// upstreams that could begin it, in ms for each token. It outweighs a crossing, and
 	// not an engine under suspicion.
-	apartCost = 30.0
-	// probed is in what time it is found out whether an upstream has ended at which a
+	spreadCost = 30.0
+	// ownLossWindow is in what time it is found out whether an upstream has ended at which a
 	// request was lost: it is probed 0.4 s after a failure, 0.8 s after a second one, and
 	// a question takes 0.16 s. told is the same for one that another node has found to have
 	// ended: the entries of those that this node does not use go 4.5 s after their end.
-	probed clock.Millis = 1500
-	told   clock.Millis = 5000
-	// leftEarly is the same for one whose caller has left, and which is not asked: callers
+	ownLossWindow  clock.Millis = 1500
+	peerLossWindow clock.Millis = 5000
+	// canceledLossWindow is the same for one whose caller has left, and which is not asked: callers
 	// leave all the time. Others that are served there find its end.
-	leftEarly clock.Millis = 400
-	// reviewEvery is how often losses are dropped that were not found out, and upstreams
+	canceledLossWindow clock.Millis = 400
+	// lossReviewInterval is how often losses are dropped that were not found out, and upstreams
 	// asked that may have ended. A list is up to 1.25 s old, so one that is not in it twice
 	// in a row has gone from it.
-	reviewEvery clock.Millis = 1000
+	lossReviewInterval clock.Millis = 1000
 )
 
-// noteLoss takes in that an attempt has brought nothing. If its upstream is found to have
+// recordLoss takes in that an attempt has brought nothing. If its upstream is found to have
 // ended, the request may have ended it: who has begun to answer has borne the beginning.
-func (m *Model) noteLoss(r *request, msg AttemptFailedMsg) []Cmd {
-	if msg.Cause != Unknown && msg.Cause != Slow {
+func (m *Model) recordLoss(r *request, msg AttemptFailedMsg) []Cmd {
+	if msg.Cause != CauseUnknown && msg.Cause != CauseNoProgress {
 		return nil
 	}
-	if msg.Events > r.events {
-		return m.tellNews(m.quarantine.RequestAnswered(m.now, r.work, true))
+	if msg.Events > r.deliveredEvents {
+		return m.quarantineCmds(m.quarantine.RequestAnswered(m.now, r.work, true))
 	}
-	if at := m.atFault(r, msg); at != nil {
-		return m.lostAt(r, at)
+	if at := m.faultyUpstream(r, msg); at != nil {
+		return m.recordLossAt(r, at)
 	}
 	return nil
 }
 
-// lostAt takes in that a request was lost at an upstream. One that is leaving ends by itself.
+// recordLossAt takes in that a request was lost at an upstream. One that is leaving ends by itself.
 // It is probed after its failure in any case; where the request was lost before, it is asked
 // at once whether it has ended.
-func (m *Model) lostAt(r *request, u *upstream) []Cmd {
+func (m *Model) recordLossAt(r *request, u *upstream) []Cmd {
 	if u.entry.Leaving {
 		return nil
 	}
-	cmds := m.tellNews(m.quarantine.RecordLoss(m.now, r.work, u.entry.ID, m.fate(u.entry.ID), probed, true))
+	cmds := m.quarantineCmds(m.quarantine.RecordLoss(m.now, r.work, u.entry.ID, m.upstreamFate(u.entry.ID), ownLossWindow, true))
 	for _, id := range m.quarantine.Unresolved(r.work) {
 		if at := m.upstreams[id]; at != nil {
-			m.askSoon(at)
+			m.probeNextTick(at)
 		}
 	}
 	return cmds
 }
 
-// askSoon has an upstream asked at the next tick.
-func (m *Model) askSoon(u *upstream) {
-	u.attend()
-	if u.suspect {
-		u.wantsFate = !u.silent
+// probeNextTick has an upstream asked at the next tick.
+func (m *Model) probeNextTick(u *upstream) {
+	u.addProbeCandidate()
+	if u.suspected {
+		u.crashCheckWanted = !u.unresponsive
 		return
 	}
-	u.wantsReport = true
+	u.reportWanted = true
 }
 
-// mostEnded bounds the upstreams that are known to have gone. Twice as many have not been
+// maxCrashed bounds the upstreams that are known to have gone. Twice as many have not been
 // seen to go within a minute.
-const mostEnded = 512
+const maxCrashed = 512
 
-func newEnded() *simplelru.LRU[fleet.Incarnation, bool] {
-	ended, err := simplelru.NewLRU[fleet.Incarnation, bool](mostEnded, nil)
+func newCrashed() *simplelru.LRU[fleet.Incarnation, bool] {
+	ended, err := simplelru.NewLRU[fleet.Incarnation, bool](maxCrashed, nil)
 	if err != nil {
 		// Only a size below one is refused.
 		panic(err)
@@ -88,80 +88,80 @@
 	return ended
 }
 
-// fate is what is believed of an upstream's end. One that was never listed may be newer
+// upstreamFate is what is believed of an upstream's end. One that was never listed may be newer
 // than the list, or have come and gone between two looks at it: it counts as silent, and is
 // asked once it is listed.
-func (m *Model) fate(id fleet.Incarnation) quarantine.UpstreamState {
+func (m *Model) upstreamFate(id fleet.Incarnation) quarantine.UpstreamState {
 	u := m.upstreams[id]
 	switch {
-	case u == nil && m.ended.Contains(id), u != nil && u.ended:
+	case u == nil && m.crashed.Contains(id), u != nil && u.crashed:
 		return quarantine.Ended
 	case u == nil:
 		return quarantine.Unresponsive
-	case u.suspect && u.probesLost > 0:
+	case u.suspected && u.unansweredProbes > 0:
 		return quarantine.Unresponsive
 	}
 	return quarantine.Unknown
 }
 
-// listed takes in that an upstream is in the list. One whose entry had gone may live, and its
+// upstreamListed takes in that an upstream is in the list. One whose entry had gone may live, and its
 // entry have lapsed; or the list is an older one. Of one that was not listed before others
 // may have told.
-func (m *Model) listed(u *upstream) {
+func (m *Model) upstreamListed(u *upstream) {
 	id := u.entry.ID
-	if m.ended.Remove(id) {
+	if m.crashed.Remove(id) {
 		m.quarantine.RevokeCrash(id)
 	}
 	if m.quarantine.HasUncertainLosses(id) {
-		m.askSoon(u)
+		m.probeNextTick(u)
 	}
 }
 
-// gone forgets a request. Its caller may have left while an upstream ended under it.
-func (m *Model) gone(msg GoneMsg) []Cmd {
+// requestEnded forgets a request. Its caller may have left while an upstream ended under it.
+func (m *Model) requestEnded(msg RequestEndedMsg) []Cmd {
 	r := m.requests[msg.Request]
 	var cmds []Cmd
-	if r != nil && r.first != nil && !r.begun() && !r.first.entry.Leaving {
-		id := r.first.entry.ID
-		cmds = m.tellNews(m.quarantine.RecordLoss(m.now, r.work, id, m.fate(id), leftEarly, true))
+	if r != nil && r.firstUpstream != nil && !r.answerBegun() && !r.firstUpstream.entry.Leaving {
+		id := r.firstUpstream.entry.ID
+		cmds = m.quarantineCmds(m.quarantine.RecordLoss(m.now, r.work, id, m.upstreamFate(id), canceledLossWindow, true))
 	}
 	if r == nil {
 		return cmds
 	}
-	first := r.first
-	m.forget(msg.Request)
-	return append(cmds, m.takePlaces(r.service.Name, first)...)
+	first := r.firstUpstream
+	m.dropRequest(msg.Request)
+	return append(cmds, m.slotFreed(r.service.Name, first)...)
 }
 
-// toldLost takes in another node's loss. What has become of the upstream this node finds
+// recordPeerLoss takes in another node's loss. What has become of the upstream this node finds
 // out by itself: the other one may be cut off from it.
-func (m *Model) toldLost(msg ToldLostMsg) []Cmd {
-	fate := m.fate(msg.Upstream)
+func (m *Model) recordPeerLoss(msg PeerLossMsg) []Cmd {
+	fate := m.upstreamFate(msg.Upstream)
 	if u := m.upstreams[msg.Upstream]; u != nil && fate == quarantine.Unknown {
-		m.askSoon(u)
+		m.probeNextTick(u)
 	}
-	return m.tellNews(m.quarantine.RecordLoss(m.now, msg.Work, msg.Upstream, fate, told, false))
+	return m.quarantineCmds(m.quarantine.RecordLoss(m.now, msg.Work, msg.Upstream, fate, peerLossWindow, false))
 }
 
-// learnQuarantined takes requests that others have quarantined. Where it is not certain that
+// mergeQuarantined takes requests that others have quarantined. Where it is not certain that
 // upstreams have ended under one, each counts as far as this node believes that itself: who
 // has told of it may be cut off from them.
-func (m *Model) learnQuarantined(msg QuarantinedMsg) []Cmd {
-	m.awaitsQuarantine = false
+func (m *Model) mergeQuarantined(msg QuarantinedMsg) []Cmd {
+	m.awaitsStoredQuarantine = false
 	var cmds []Cmd
 	for _, w := range msg.Works {
 		if len(w.Ended) == 0 {
-			cmds = append(cmds, m.tellNews(m.quarantine.AdoptConfirmed(m.now, w.Work, w.Age))...)
+			cmds = append(cmds, m.quarantineCmds(m.quarantine.AdoptConfirmed(m.now, w.Work, w.Age))...)
 		}
 		for _, id := range w.Ended {
-			cmds = append(cmds, m.toldLost(ToldLostMsg{Work: w.Work, Upstream: id})...)
+			cmds = append(cmds, m.recordPeerLoss(PeerLossMsg{Work: w.Work, Upstream: id})...)
 		}
-		cmds = append(cmds, m.tellNews(m.quarantine.AdoptUnconfirmed(m.now, w.Work, w.Ended))...)
+		cmds = append(cmds, m.quarantineCmds(m.quarantine.AdoptUnconfirmed(m.now, w.Work, w.Ended))...)
 	}
 	return cmds
 }
 
-func (m *Model) tellNews(news []quarantine.News) []Cmd {
+func (m *Model) quarantineCmds(news []quarantine.News) []Cmd {
 	var cmds []Cmd
 	for _, n := range news {
 		cmds = append(cmds, QuarantineCmd{News: n})
@@ -172,11 +172,11 @@
 // reviewLosses drops losses that were not found out, and has upstreams asked that may have
 // ended.
 func (m *Model) reviewLosses() []Cmd {
-	cmds := m.tellNews(m.quarantine.Review(m.now))
-	if m.now < m.reviewed.Add(reviewEvery) {
+	cmds := m.quarantineCmds(m.quarantine.Review(m.now))
+	if m.now < m.lossesReviewedAt.Add(lossReviewInterval) {
 		return cmds
 	}
-	m.reviewed = m.now
+	m.lossesReviewedAt = m.now
 	m.quarantine.Expire(m.now)
 	before := m.unlisted
 	m.unlisted = make(map[fleet.Incarnation]bool)
@@ -184,9 +184,9 @@
 		u := m.upstreams[id]
 		switch {
 		case u != nil:
-			m.askSoon(u)
-		case m.ended.Contains(id), before[id]:
-			cmds = append(cmds, m.tellNews(m.quarantine.SetUpstreamState(m.now, id, quarantine.Ended))...)
+			m.probeNextTick(u)
+		case m.crashed.Contains(id), before[id]:
+			cmds = append(cmds, m.quarantineCmds(m.quarantine.SetUpstreamState(m.now, id, quarantine.Ended))...)
 		case len(m.upstreams) > 0:
 			// The list may be older than it.
 			m.unlisted[id] = true
@@ -197,35 +197,35 @@
 
 // refuseQuarantined ends a request that has ended upstreams before.
 func (m *Model) refuseQuarantined(r *request, left clock.Millis) []Cmd {
-	id := r.msg.Request
-	if r.runs > 0 {
+	id := r.arrival.Request
+	if r.executions > 0 {
 		return m.refuse(id, http.StatusBadGateway, ReasonQuarantined, 0)
 	}
 	if !m.quarantine.Confirmed(r.work) {
-		left = min(left, backHealing)
+		left = min(left, coverageGapRetryAfter)
 	}
 	return m.refuse(id, http.StatusServiceUnavailable, ReasonQuarantined, left)
 }
 
-// spreadSuspect keeps a request under suspicion off all but one of the engines that could
+// spreadSuspectedWork keeps a request under suspicion off all but one of the engines that could
 // begin it. Requests that were lost together then go to different ones, by a hash that all
 // nodes agree on, so that the next loss tells them apart.
-func spreadSuspect(w work.ID, holders []chain.Holder) {
+func spreadSuspectedWork(w work.ID, holders []chain.Holder) {
 	best, least := -1, math.Inf(1)
 	for i, h := range holders {
-		if at := apart(w, h.ID); h.Held.From == 0 && at < least {
+		if at := spreadOrder(w, h.ID); h.Held.From == 0 && at < least {
 			best, least = i, at
 		}
 	}
 	for i := range holders {
 		if i != best {
-			holders[i].Begin += apartCost
+			holders[i].EntryCost += spreadCost
 		}
 	}
 }
 
-// apart orders upstreams for a request, each request in another way: from 0 up to 1.
-func apart(w work.ID, id fleet.Incarnation) float64 {
+// spreadOrder orders upstreams for a request, each request in another way: from 0 up to 1.
+func spreadOrder(w work.ID, id fleet.Incarnation) float64 {
 	var h xxhash.Digest
 	h.Reset()
 	// Writing to a hash cannot fail.
--- a/dispatch/model.go
+++ b/dispatch/model.go
@@ -20,65 +20,65 @@
 	policy     Policy
 	dataCentre string
 	random     *rand.Rand
-	// luck is drawn once for the node's budgets of repeats.
-	luck float64
-	now  clock.Millis
+	// retryDraw is drawn once for the node's budgets of repeats.
+	retryDraw float64
+	now       clock.Millis
 
-	catalog   *catalog.Catalog
-	confirmed clock.Millis
-	// nodes is how many nodes there are, 0 while that is not known.
-	nodes nodeCount
-	// large tells that there are so many nodes that each has few requests, and seed sets this
+	catalog           *catalog.Catalog
+	configConfirmedAt clock.Millis
+	// nodeCount is how many nodes there are, 0 while that is not known.
+	nodeCount nodeCount
+	// manyNodes tells that there are so many nodes that each has few requests, and seed sets this
 	// one's choices apart from others'.
-	large bool
-	seed  uint64
-	// near is how many other nodes' use is to be known here, and summed tells that it is told
+	manyNodes bool
+	seed      uint64
+	// usagePeers is how many other nodes' use is to be known here, and summed tells that it is told
 	// in one sum.
-	near   int
-	summed bool
+	usagePeers      int
+	usageAggregated bool
 
-	upstreams map[fleet.Incarnation]*upstream
-	watch     watch
-	byService map[string][]*upstream
-	// atHome are those of the own data centre, by service.
-	atHome map[string][]*upstream
-	// fastest is the time of a token through all layers of a service's pipeline on its
+	upstreams       map[fleet.Incarnation]*upstream
+	probeCandidates probeSet
+	byService       map[string][]*upstream
+	// localByService are those of the own data centre, by service.
+	localByService map[string][]*upstream
+	// fastestTokenTime is the time of a token through all layers of a service's pipeline on its
 	// fastest engine, in ms.
-	fastest  map[string]float64
-	requests map[RequestID]*request
-	// early are the requests that wait for the node's start.
-	early   []early
-	budgets map[string]*budget.Window
-	// usage is what other nodes have in use, by their names, and told what this node has told
+	fastestTokenTime map[string]float64
+	requests         map[RequestID]*request
+	// deferred are the requests that wait for the node's start.
+	deferred     []deferredArrival
+	retryBudgets map[string]*budget.Window
+	// peerUsage is what other nodes have in use, by their names, and told what this node has told
 	// last of its own.
-	usage map[string]peerUsage
-	told  map[fleet.Incarnation]fleet.Use
-	// lasts is the mean time of streams, in ms.
-	lasts float64
-	// shortages are by service, and gaps are those among them in which layers had no
+	peerUsage   map[string]nodeUsage
+	sharedUsage map[fleet.Incarnation]fleet.EngineUsage
+	// meanStreamTime is the mean time of streams, in ms.
+	meanStreamTime float64
+	// outages are by service, and gaps are those among them in which layers had no
 	// engine.
-	shortages map[string]*shortage
-	gaps      map[string]*shortage
-	// shared is when this node last told what it has in use.
-	shared clock.Millis
-	// departing are engines that are leaving, and since when.
-	departing map[fleet.Incarnation]clock.Millis
+	outages      map[string]*outage
+	coverageGaps map[string]*outage
+	// sharedAt is when this node last told what it has in use.
+	sharedAt clock.Millis
+	// departingSince are engines that are leaving, and since when.
+	departingSince map[fleet.Incarnation]clock.Millis
 	// quarantine knows the requests that end the upstreams that run them, and reviewed is
 	// when what is not certain in it was last looked at.
-	quarantine *quarantine.Table
-	reviewed   clock.Millis
-	// ended are the upstreams whose entries went lately, and unlisted those that are
+	quarantine       *quarantine.Table
+	lossesReviewedAt clock.Millis
+	// crashed are the upstreams whose entries went lately, and unlisted those that are
 	// thought to have ended under a request and had no entry when that was last looked at.
-	ended    *simplelru.LRU[fleet.Incarnation, bool]
+	crashed  *simplelru.LRU[fleet.Incarnation, bool]
 	unlisted map[fleet.Incarnation]bool
 	// limits are those that upstreams name, and awaiting are the requests that wait for a
 	// permit.
-	limits   *limit.Limiter
-	awaiting map[fleet.Incarnation][]RequestID
-	// places are the requests that await a place, by plain service.
-	places map[string]*placeQueue
-	// awaitsQuarantine tells that what was in it before is not known yet.
-	awaitsQuarantine bool
+	limits        *limit.Limiter
+	permitWaiters map[fleet.Incarnation][]RequestID
+	// slotQueues are the requests that await a place, by plain service.
+	slotQueues map[string]*slotQueue
+	// awaitsStoredQuarantine tells that what was in it before is not known yet.
+	awaitsStoredQuarantine bool
 }
 
 // Option sets up a Model.
@@ -95,16 +95,16 @@
 	return func(m *Model) {
 		m.seed = seed
 		m.random = rand.New(rand.NewPCG(seed, seed))
-		m.luck = rand.New(rand.NewPCG(seed, luckStream)).Float64()
+		m.retryDraw = rand.New(rand.NewPCG(seed, retryDrawStream)).Float64()
 	}
 }
 
-// luckStream sets the draw for budgets of repeats apart from all others.
-const luckStream = 1
+// retryDrawStream sets the draw for budgets of repeats apart from all others.
+const retryDrawStream = 1
 
-// WithKeptQuarantine has the model wait at its start for the requests that were in
+// WithStoredQuarantine has the model wait at its start for the requests that were in
 // quarantine before, as for the configuration and the list.
-func WithKeptQuarantine() Option { return func(m *Model) { m.awaitsQuarantine = true } }
+func WithStoredQuarantine() Option { return func(m *Model) { m.awaitsStoredQuarantine = true } }
 
 // WithLimits sets how limits are kept that hold over all nodes together.
 func WithLimits(k *limit.Limiter) Option { return func(m *Model) { m.limits = k } }
@@ -112,29 +112,29 @@
 // New returns a model that knows no configuration and no upstreams.
 func New(opts ...Option) *Model {
 	m := &Model{
-		upstreams: make(map[fleet.Incarnation]*upstream),
-		watch:     make(watch),
-		byService: make(map[string][]*upstream),
-		atHome:    make(map[string][]*upstream),
-		fastest:   make(map[string]float64),
-		requests:  make(map[RequestID]*request),
-		budgets:   make(map[string]*budget.Window),
-		usage:     make(map[string]peerUsage),
-		departing: make(map[fleet.Incarnation]clock.Millis),
-		shortages: make(map[string]*shortage),
-		gaps:      make(map[string]*shortage),
-		awaiting:  make(map[fleet.Incarnation][]RequestID),
-		places:    make(map[string]*placeQueue),
-		limits:    limit.New(),
-		confirmed: clock.Never,
-		lasts:     firstLasts,
+		upstreams:         make(map[fleet.Incarnation]*upstream),
+		probeCandidates:   make(probeSet),
+		byService:         make(map[string][]*upstream),
+		localByService:    make(map[string][]*upstream),
+		fastestTokenTime:  make(map[string]float64),
+		requests:          make(map[RequestID]*request),
+		retryBudgets:      make(map[string]*budget.Window),
+		peerUsage:         make(map[string]nodeUsage),
+		departingSince:    make(map[fleet.Incarnation]clock.Millis),
+		outages:           make(map[string]*outage),
+		coverageGaps:      make(map[string]*outage),
+		permitWaiters:     make(map[fleet.Incarnation][]RequestID),
+		slotQueues:        make(map[string]*slotQueue),
+		limits:            limit.New(),
+		configConfirmedAt: clock.Never,
+		meanStreamTime:    initialStreamTime,
 	}
 	WithSeed(1)(m)
 	for _, opt := range opts {
 		opt(m)
 	}
-	m.quarantine = quarantine.New(m.policy.quarantineLasts())
-	m.ended = newEnded()
+	m.quarantine = quarantine.New(m.policy.quarantineDuration())
+	m.crashed = newCrashed()
 	return m
 }
 
@@ -144,15 +144,15 @@
 	switch msg := msg.(type) {
 	case CatalogMsg:
 		m.setCatalog(msg)
-		return m.takeEarly()
+		return m.processDeferred()
 	case FleetMsg:
-		return append(m.setFleet(msg), m.takeEarly()...)
+		return append(m.setFleet(msg), m.processDeferred()...)
 	case PeersMsg:
 		m.setPeers(msg)
 	case UsageMsg:
-		return m.noteUsage(msg)
+		return m.recordPeerUsage(msg)
 	case PlacedMsg:
-		m.placed(msg)
+		m.placementChanged(msg)
 	case ArriveMsg:
 		return m.arrive(msg)
 	case AttemptFailedMsg:
@@ -162,79 +162,79 @@
 	case StalledMsg:
 		return m.stalled(msg)
 	case ReportMsg:
-		m.noteReport(msg.Upstream, msg.Report)
-	case MovedMsg:
-		return m.moved(msg)
-	case GoneMsg:
-		m.forgetEarly(msg.Request)
-		return m.gone(msg)
-	case WokeMsg:
-		return m.woke()
+		m.recordReport(msg.Upstream, msg.Report)
+	case MigratedMsg:
+		return m.migrated(msg)
+	case RequestEndedMsg:
+		m.dropDeferred(msg.Request)
+		return m.requestEnded(msg)
+	case VMResumedMsg:
+		return m.vmResumed()
 	case TickMsg:
 		return m.tick()
 	}
-	return m.hear(msg)
+	return m.updateUpstreamState(msg)
 }
 
-// hear takes in what upstreams and other nodes tell beside the requests.
-func (m *Model) hear(msg Msg) []Cmd {
+// updateUpstreamState takes in what upstreams and other nodes tell beside the requests.
+func (m *Model) updateUpstreamState(msg Msg) []Cmd {
 	switch msg := msg.(type) {
-	case RestMsg:
-		return m.rested(msg)
+	case BackOffMsg:
+		return m.backOffRequested(msg)
 	case ProbedMsg:
-		return m.probed(msg)
+		return m.probeDone(msg)
 	case IdentifiedMsg:
 		return m.identified(msg)
-	case ToldLostMsg:
-		return m.toldLost(msg)
-	case ToldAnsweredMsg:
-		return m.tellNews(m.quarantine.RequestAnswered(m.now, msg.Work, false))
+	case PeerLossMsg:
+		return m.recordPeerLoss(msg)
+	case PeerAnswerMsg:
+		return m.quarantineCmds(m.quarantine.RequestAnswered(m.now, msg.Work, false))
 	case QuarantinedMsg:
-		return append(m.learnQuarantined(msg), m.takeEarly()...)
-	case ToldSilentMsg:
-		return m.toldSilent(msg)
+		return append(m.mergeQuarantined(msg), m.processDeferred()...)
+	case PeerUnresponsiveMsg:
+		return m.peerFoundUnresponsive(msg)
 	}
-	return m.hearLimit(msg)
+	return m.updateLimits(msg)
 }
 
 func (m *Model) setPeers(msg PeersMsg) {
-	m.near, m.large = msg.Near, msg.Summed || msg.Here > 0
-	m.nodes.set(m.now, msg)
-	if m.summed != msg.Summed {
-		m.summed = msg.Summed
-		m.forgetUsage()
+	m.usagePeers, m.manyNodes = msg.UsagePeers, msg.Aggregated || msg.LocalNodes > 0
+	m.nodeCount.setPeers(m.now, msg)
+	if m.usageAggregated != msg.Aggregated {
+		m.usageAggregated = msg.Aggregated
+		m.dropPeerUsage()
 	}
 	m.limits.SetMembers(m.now, msg.Members)
-	m.setBudgets()
+	m.updateRetryBudgets()
 }
 
 // Ready tells whether the node can serve: it knows a configuration that is
 // fresh enough, and upstreams.
 func (m *Model) Ready(now clock.Millis) bool {
-	return m.catalog != nil && len(m.upstreams) > 0 && m.fresh(now)
+	return m.catalog != nil && len(m.upstreams) > 0 && m.configFresh(now)
 }
 
 // setCatalog takes the configuration in force. One that is superseded is never taken back,
 // whatever a late answer says, and proves nothing of the one in force.
 func (m *Model) setCatalog(msg CatalogMsg) {
 	if msg.Catalog == nil {
-		m.confirmed = max(m.confirmed, msg.Confirmed)
+		m.configConfirmedAt = max(m.configConfirmedAt, msg.ConfirmedAt)
 		return
 	}
 	if m.catalog != nil && !msg.Catalog.Edition().Supersedes(m.catalog.Edition()) {
 		return
 	}
-	m.catalog, m.confirmed = msg.Catalog, msg.Confirmed
+	m.catalog, m.configConfirmedAt = msg.Catalog, msg.ConfirmedAt
 	for _, u := range m.upstreams {
-		u.measure(m.catalog.Service(u.entry.Service))
+		u.applyService(m.catalog.Service(u.entry.Service))
 	}
-	m.index()
+	m.rebuildIndex()
 }
 
-// fresh tells whether the newest configuration is known well enough for a
+// configFresh tells whether the newest configuration is known well enough for a
 // request with a key.
-func (m *Model) fresh(now clock.Millis) bool {
-	return m.policy.RevokeWithin == 0 || now.Sub(m.confirmed) <= m.policy.RevokeWithin-freshMargin
+func (m *Model) configFresh(now clock.Millis) bool {
+	return m.policy.MaxConfigAge == 0 || now.Sub(m.configConfirmedAt) <= m.policy.MaxConfigAge-freshnessMargin
 }
 
 func (m *Model) setFleet(msg FleetMsg) []Cmd {
@@ -242,48 +242,48 @@
 	for _, c := range msg.Changes {
 		u, known := m.upstreams[c.ID]
 		if known && u.pipeline != nil && (c.Gone || c.Upstream.Leaving) {
-			m.noteDeparture(c.ID)
+			m.markDeparting(c.ID)
 		}
 		switch {
 		case c.Gone:
 			if known {
-				m.noteEnd(u)
+				m.entryRemoved(u)
 			}
-			m.ended.Add(c.ID, true)
-			cmds = append(cmds, m.tellNews(m.quarantine.SetUpstreamState(m.now, c.ID, quarantine.Ended))...)
+			m.crashed.Add(c.ID, true)
+			cmds = append(cmds, m.quarantineCmds(m.quarantine.SetUpstreamState(m.now, c.ID, quarantine.Ended))...)
 			delete(m.upstreams, c.ID)
 			m.limits.Remove(c.ID)
 			if known && c.Ended {
-				cmds = append(cmds, m.endedFor(u)...)
+				cmds = append(cmds, m.crashConfirmed(u)...)
 			}
 		case known:
 			u.update(m.now, c.Upstream)
 		default:
 			u = newUpstream(c.Upstream)
-			u.distance, u.watch = distance(m.seed, c.ID), m.watch
-			u.others = m.usageOf(c.ID)
+			u.preference, u.probeCandidates = nodePreference(m.seed, c.ID), m.probeCandidates
+			u.peerUse = m.peerUseOf(c.ID)
 			m.upstreams[c.ID] = u
-			m.listed(u)
+			m.upstreamListed(u)
 		}
 		if u != nil && m.catalog != nil {
-			u.measure(m.catalog.Service(u.entry.Service))
+			u.applyService(m.catalog.Service(u.entry.Service))
 		}
 	}
-	m.index()
+	m.rebuildIndex()
 	return cmds
 }
 
-func (m *Model) index() {
+func (m *Model) rebuildIndex() {
 	clear(m.byService)
-	clear(m.atHome)
-	clear(m.fastest)
+	clear(m.localByService)
+	clear(m.fastestTokenTime)
 	atAddress := make(map[string]*upstream, len(m.upstreams))
 	for _, u := range m.upstreams {
-		m.noteFastest(u)
+		m.recordFastestTokenTime(u)
 		other := atAddress[u.entry.Address]
-		u.rivals = other != nil
+		u.sharesAddress = other != nil
 		if other != nil {
-			other.rivals = true
+			other.sharesAddress = true
 		}
 		atAddress[u.entry.Address] = u
 		m.byService[u.entry.Service] = append(m.byService[u.entry.Service], u)
@@ -292,20 +292,20 @@
 		slices.SortFunc(list, func(a, b *upstream) int { return a.entry.ID.Compare(b.entry.ID) })
 		for _, u := range list {
 			if u.entry.DataCentre == m.dataCentre {
-				m.atHome[service] = append(m.atHome[service], u)
+				m.localByService[service] = append(m.localByService[service], u)
 			}
 		}
 	}
 }
 
-// noteFastest takes in an engine for the time of a token on the fastest one.
-func (m *Model) noteFastest(u *upstream) {
+// recordFastestTokenTime takes in an engine for the time of a token on the fastest one.
+func (m *Model) recordFastestTokenTime(u *upstream) {
 	if u.pipeline == nil || u.layerTime <= 0 {
 		return
 	}
 	whole := u.layerTime * float64(u.pipeline.Layers)
-	if least, known := m.fastest[u.entry.Service]; !known || whole < least {
-		m.fastest[u.entry.Service] = whole
+	if least, known := m.fastestTokenTime[u.entry.Service]; !known || whole < least {
+		m.fastestTokenTime[u.entry.Service] = whole
 	}
 }
 
@@ -313,7 +313,7 @@
 // off engines that are leaving, takes up those that wait, and tells others what
 // is in use.
 func (m *Model) tick() []Cmd {
-	m.setBudgets()
-	m.expireUsage()
-	return slices.Concat(m.takeEarly(), m.reviewPermits(), m.reviewPlaces(), m.reviewLosses(), m.askNames(), m.probes(), m.depart(), m.resume(), m.share())
+	m.updateRetryBudgets()
+	m.expirePeerUsage()
+	return slices.Concat(m.processDeferred(), m.reviewPermitWaiters(), m.reviewSlotWaiters(), m.reviewLosses(), m.retryIdentify(), m.sendProbes(), m.migrateDeparting(), m.resumeStreams(), m.shareUsage())
 }
--- a/dispatch/msg.go
+++ b/dispatch/msg.go
@@ -18,8 +18,8 @@
 // be the newest. Catalog is nil where only the time is new.
 type CatalogMsg struct {
 	Catalog *catalog.Catalog
-	// Confirmed is when the call that showed it was sent.
-	Confirmed clock.Millis
+	// ConfirmedAt is when the call that showed it was sent.
+	ConfirmedAt clock.Millis
 }
 
 // FleetMsg brings changes of the list of upstreams.
@@ -29,15 +29,15 @@
 
 // PeersMsg tells how many nodes there are, this one included.
 type PeersMsg struct {
-	// All is how many there are; 0 where others tell that.
-	All int
-	// Here is how many there are in the data centre, at a node that adds up how many others
+	// TotalNodes is how many there are; 0 where others tell that.
+	TotalNodes int
+	// LocalNodes is how many there are in the data centre, at a node that adds up how many others
 	// tell of theirs; 0 at all others.
-	Here int
-	// Near is how many others' use is to be known here one by one or, with Summed, in one sum.
-	Near int
-	// Summed tells that one node tells this one what all have in use.
-	Summed bool
+	LocalNodes int
+	// UsagePeers is how many others' use is to be known here one by one or, with Summed, in one sum.
+	UsagePeers int
+	// Aggregated tells that one node tells this one what all have in use.
+	Aggregated bool
 	// Members are the nodes.
 	Members []limit.Member
 }
@@ -46,15 +46,15 @@
 type UsageMsg struct {
 	Node string
 	// Used is by engine.
-	Used map[fleet.Incarnation]fleet.Use
-	// Total tells that it is that of all nodes of another data centre, whose name Node is
+	Used map[fleet.Incarnation]fleet.EngineUsage
+	// WholeDataCentre tells that it is that of all nodes of another data centre, whose name Node is
 	// made of.
-	Total      bool
-	DataCentre string
-	// Whole tells that it is that of all nodes, this one included, in other data centres
-	// those of HeardOf.
-	Whole   bool
-	HeardOf []string
+	WholeDataCentre bool
+	DataCentre      string
+	// AllNodes tells that it is that of all nodes, this one included, in other data centres
+	// those of IncludedDataCentres.
+	AllNodes            bool
+	IncludedDataCentres []string
 	// Nodes is how many nodes these are; 0 where that is not told.
 	Nodes int
 	// Limits are what the node knows of the limits that upstreams name.
@@ -64,9 +64,9 @@
 // PlacedMsg tells that an engine has been ordered to hold other layers, or, with
 // Holds, that it does. It waits for what passes through those that it gives up.
 type PlacedMsg struct {
-	Upstream fleet.Incarnation
-	Layers   fleet.Range
-	Holds    bool
+	Upstream  fleet.Incarnation
+	Layers    fleet.LayerRange
+	Completed bool
 }
 
 // ArriveMsg brings a request that has been read whole.
@@ -74,10 +74,10 @@
 	Request RequestID
 	// CallerID is the name that the caller gave this try.
 	CallerID string
-	// Asked names what is asked for, whoever asks.
-	Asked work.ID
-	Host  string
-	Path  string
+	// Work names what is asked for, whoever asks.
+	Work work.ID
+	Host string
+	Path string
 	// Key is the caller's key; HasKey tells that one was sent.
 	Key    string
 	HasKey bool
@@ -97,8 +97,8 @@
 	Request RequestID
 	Attempt int
 	Cause   Cause
-	// At is the address of the upstream at fault, if the answer named one.
-	At string
+	// FaultyAddress is the address of the upstream at fault, if the answer named one.
+	FaultyAddress string
 	// Delivered says what the caller has of the answer, and Events how many events
 	// of a stream that is.
 	Delivered Delivered
@@ -115,9 +115,9 @@
 	// DeliveredEvents means that the caller has the events of a stream up to one that
 	// can be named, so another attempt may go on after it.
 	DeliveredEvents
-	// DeliveredPart means that the caller has some of an answer that nothing can go on
+	// DeliveredPartial means that the caller has some of an answer that nothing can go on
 	// with.
-	DeliveredPart
+	DeliveredPartial
 )
 
 // AttemptDoneMsg tells that an attempt's answer was passed on whole.
@@ -125,16 +125,16 @@
 	Request RequestID
 	Attempt int
 	Took    clock.Millis
-	// Failed tells that the answer was a failure of the upstream's own.
-	Failed bool
+	// UpstreamFailed tells that the answer was a failure of the upstream's own.
+	UpstreamFailed bool
 }
 
 // StalledMsg tells that engines hold a running stream up.
 type StalledMsg struct {
 	Request RequestID
 	Attempt int
-	// At is the address of the engine that it waits for.
-	At string
+	// FaultyAddress is the address of the engine that it waits for.
+	FaultyAddress string
 	// Slow tells that the engine is alive, and only slow.
 	Slow bool
 }
@@ -147,37 +147,37 @@
 
 // Report is what an engine says of itself, some hundred ms late.
 type Report struct {
-	// Pace is how many times slower than usual it is; zero if it does not say.
-	Pace float64
-	// Free is the memory that it has left, in tokens times layers, and All what
+	// Slowdown is how many times slower than usual it is; zero if it does not say.
+	Slowdown float64
+	// FreeMemory is the memory that it has left, in tokens times layers, and All what
 	// it has in all; All is zero if it does not say.
-	Free float64
-	All  float64
+	FreeMemory  float64
+	TotalMemory float64
 	// Queued is how many requests wait there for a slot.
 	Queued int
 	// Empty tells that it holds no layers and has taken no order since its start.
 	Empty bool
 }
 
-// RestMsg tells that an upstream has turned a request away and wants no other from this
+// BackOffMsg tells that an upstream has turned a request away and wants no other from this
 // node for a time.
-type RestMsg struct {
+type BackOffMsg struct {
 	Upstream fleet.Incarnation
 	For      clock.Millis
 }
 
-// MovedMsg tells what came of a MoveCmd.
-type MovedMsg struct {
+// MigratedMsg tells what came of a MigrateCmd.
+type MigratedMsg struct {
 	Request RequestID
 	Attempt int
-	Result  MoveResult
-	// At is the address of the engine that refused, if the answer named one.
-	At string
+	Result  MigrationResult
+	// FaultyAddress is the address of the engine that refused, if the answer named one.
+	FaultyAddress string
 }
 
-// GoneMsg tells that a request is over: its caller has left, its time is up,
+// RequestEndedMsg tells that a request is over: its caller has left, its time is up,
 // or its answer is out.
-type GoneMsg struct {
+type RequestEndedMsg struct {
 	Request RequestID
 }
 
@@ -191,21 +191,21 @@
 	Report Report
 }
 
-// ToldSilentMsg tells that another node has found an engine that answers neither
+// PeerUnresponsiveMsg tells that another node has found an engine that answers neither
 // streams nor a probe.
-type ToldSilentMsg struct {
+type PeerUnresponsiveMsg struct {
 	Upstream fleet.Incarnation
 }
 
-// ToldLostMsg tells that another node has lost a request at an upstream that has ended.
-type ToldLostMsg struct {
+// PeerLossMsg tells that another node has lost a request at an upstream that has ended.
+type PeerLossMsg struct {
 	Work     work.ID
 	Upstream fleet.Incarnation
 }
 
-// ToldAnsweredMsg tells that another node has brought an upstream's answer to a request
+// PeerAnswerMsg tells that another node has brought an upstream's answer to a request
 // that was under suspicion.
-type ToldAnsweredMsg struct {
+type PeerAnswerMsg struct {
 	Work work.ID
 }
 
@@ -223,8 +223,8 @@
 	Ended []fleet.Incarnation
 }
 
-// WokeMsg tells that the VM goes on after it was suspended.
-type WokeMsg struct{}
+// VMResumedMsg tells that the VM goes on after it was suspended.
+type VMResumedMsg struct{}
 
 // TickMsg drives what depends on time alone.
 type TickMsg struct{}
@@ -234,64 +234,64 @@
 
 // The causes.
 const (
-	// NotSent: no byte of the request was written.
-	NotSent Cause = iota
-	// HeldBack: the node itself did not write it, since the configuration that
+	// CauseNotSent: no byte of the request was written.
+	CauseNotSent Cause = iota
+	// CauseStaleConfig: the node itself did not write it, since the configuration that
 	// decided it was no longer in force or fresh.
-	HeldBack
-	// NotRunFull: the upstream says that it did not run it for want of room.
-	NotRunFull
-	// NotRunElsewhere: the upstream says that it is not the one meant, or does
+	CauseStaleConfig
+	// CauseFull: the upstream says that it did not run it for want of room.
+	CauseFull
+	// CauseMisdirected: the upstream says that it is not the one meant, or does
 	// not hold what was asked of it.
-	NotRunElsewhere
+	CauseMisdirected
 	// Unknown: the request was sent, and there is no answer to trust.
-	Unknown
+	CauseUnknown
 	// Slow: the request was sent, and was taken back for want of an answer.
-	Slow
+	CauseNoProgress
 	// Failed: the upstream ran it and answered with a failure of its own.
-	Failed
+	CauseUpstreamFailed
 )
 
 var causeNames = map[Cause]string{
-	NotSent: "not_sent", HeldBack: "held_back", NotRunFull: "full", NotRunElsewhere: "misdirected",
-	Unknown: "unknown", Slow: "slow", Failed: "upstream_failed",
+	CauseNotSent: "not_sent", CauseStaleConfig: "held_back", CauseFull: "full", CauseMisdirected: "misdirected",
+	CauseUnknown: "unknown", CauseNoProgress: "slow", CauseUpstreamFailed: "upstream_failed",
 }
 
 // String names the cause for logs.
 func (c Cause) String() string { return causeNames[c] }
 
-// MoveResult is what came of moving a stream.
-type MoveResult uint8
+// MigrationResult is what came of moving a stream.
+type MigrationResult uint8
 
 // The results of a move.
 const (
 	// Moved: the stream goes on over the new engines.
-	Moved MoveResult = iota
-	// MoveUnknownStream: the first engine does not know the stream.
-	MoveUnknownStream
-	// MoveRefused: an engine of the new chain lacks the layers or room.
-	MoveRefused
-	// MoveUnanswered: the first engine did not answer.
-	MoveUnanswered
+	MigrationDone MigrationResult = iota
+	// MigrationUnknownStream: the first engine does not know the stream.
+	MigrationUnknownStream
+	// MigrationRefused: an engine of the new chain lacks the layers or room.
+	MigrationRefused
+	// MigrationUnanswered: the first engine did not answer.
+	MigrationUnanswered
 )
 
-func (CatalogMsg) dispatchMsg()       {}
-func (FleetMsg) dispatchMsg()         {}
-func (PeersMsg) dispatchMsg()         {}
-func (UsageMsg) dispatchMsg()         {}
-func (PlacedMsg) dispatchMsg()        {}
-func (ArriveMsg) dispatchMsg()        {}
-func (AttemptFailedMsg) dispatchMsg() {}
-func (AttemptDoneMsg) dispatchMsg()   {}
-func (StalledMsg) dispatchMsg()       {}
-func (ReportMsg) dispatchMsg()        {}
-func (MovedMsg) dispatchMsg()         {}
-func (RestMsg) dispatchMsg()          {}
-func (GoneMsg) dispatchMsg()          {}
-func (ProbedMsg) dispatchMsg()        {}
-func (ToldSilentMsg) dispatchMsg()    {}
-func (ToldLostMsg) dispatchMsg()      {}
-func (ToldAnsweredMsg) dispatchMsg()  {}
-func (QuarantinedMsg) dispatchMsg()   {}
-func (WokeMsg) dispatchMsg()          {}
-func (TickMsg) dispatchMsg()          {}
+func (CatalogMsg) dispatchMsg()          {}
+func (FleetMsg) dispatchMsg()            {}
+func (PeersMsg) dispatchMsg()            {}
+func (UsageMsg) dispatchMsg()            {}
+func (PlacedMsg) dispatchMsg()           {}
+func (ArriveMsg) dispatchMsg()           {}
+func (AttemptFailedMsg) dispatchMsg()    {}
+func (AttemptDoneMsg) dispatchMsg()      {}
+func (StalledMsg) dispatchMsg()          {}
+func (ReportMsg) dispatchMsg()           {}
+func (MigratedMsg) dispatchMsg()         {}
+func (BackOffMsg) dispatchMsg()          {}
+func (RequestEndedMsg) dispatchMsg()     {}
+func (ProbedMsg) dispatchMsg()           {}
+func (PeerUnresponsiveMsg) dispatchMsg() {}
+func (PeerLossMsg) dispatchMsg()         {}
+func (PeerAnswerMsg) dispatchMsg()       {}
+func (QuarantinedMsg) dispatchMsg()      {}
+func (VMResumedMsg) dispatchMsg()        {}
+func (TickMsg) dispatchMsg()             {}
--- a/dispatch/repeats.go
+++ b/dispatch/repeats.go
@@ -9,43 +9,43 @@
 // share all nodes that start in one window have together no more than their part, since
 // each earns it by requests of its own; of the slack each start takes a part.
 const (
-	// matureShare and youngShare are the parts of the share, and sum up to all of it.
-	matureShare = 0.6
-	youngShare  = 1 - matureShare
-	// matureSlack and youngSlack are the parts of the slack. With all nodes started anew
+	// laterShare and firstWindowShare are the parts of the share, and sum up to all of it.
+	laterShare       = 0.6
+	firstWindowShare = 1 - laterShare
+	// laterSlack and firstWindowSlack are the parts of the slack. With all nodes started anew
 	// three times in one window they sum up to 0.99.
-	matureSlack = 0.45
-	youngSlack  = 0.18
+	laterSlack       = 0.45
+	firstWindowSlack = 0.18
 )
 
 // budget returns this node's part of a service's budget of repeats.
 func (m *Model) budget(service string) *budget.Window {
-	b, ok := m.budgets[service]
+	b, ok := m.retryBudgets[service]
 	if !ok {
-		share, slack := m.allowance()
-		b = budget.NewWindow(m.policy.RetryWindow, share, slack, budget.WithLuck(m.luck))
-		m.budgets[service] = b
+		share, slack := m.retryAllowance()
+		b = budget.NewWindow(m.policy.RetryWindow, share, slack, budget.WithDraw(m.retryDraw))
+		m.retryBudgets[service] = b
 	}
 	return b
 }
 
-// allowance is this node's part of the share of repeats, and of the slack: none of the
+// retryAllowance is this node's part of the share of repeats, and of the slack: none of the
 // slack before it knows how many nodes there are, some 10 ms after a start.
-func (m *Model) allowance() (share, slack float64) {
-	ofShare, ofSlack := matureShare, matureSlack
+func (m *Model) retryAllowance() (share, slack float64) {
+	ofShare, ofSlack := laterShare, laterSlack
 	if m.now < m.policy.RetryWindow {
-		ofShare, ofSlack = youngShare, youngSlack
+		ofShare, ofSlack = firstWindowShare, firstWindowSlack
 	}
-	if m.nodes.all > 0 {
-		slack = m.policy.RetrySlack * ofSlack / float64(m.nodes.all)
+	if m.nodeCount.total > 0 {
+		slack = m.policy.RetrySlack * ofSlack / float64(m.nodeCount.total)
 	}
 	return m.policy.RetryShare * ofShare, slack
 }
 
-// setBudgets sets this node's part of all budgets.
-func (m *Model) setBudgets() {
-	share, slack := m.allowance()
-	for _, b := range m.budgets {
-		b.Set(share, slack)
+// updateRetryBudgets sets this node's part of all budgets.
+func (m *Model) updateRetryBudgets() {
+	share, slack := m.retryAllowance()
+	for _, b := range m.retryBudgets {
+		b.SetLimits(share, slack)
 	}
 }
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -13,64 +13,64 @@
 
 // request is a request under way.
 type request struct {
-	msg     ArriveMsg
-	arrived clock.Millis
-	// deadline is when the caller stops waiting, giveUp when the route's time
+	arrival   ArriveMsg
+	arrivedAt clock.Millis
+	// clientDeadline is when the caller stops waiting, giveUp when the route's time
 	// is up.
-	deadline clock.Millis
-	giveUp   clock.Millis
-	route    *catalog.Route
-	service  *catalog.Service
-	account  catalog.Account
-	keyed    bool
+	clientDeadline clock.Millis
+	giveUp         clock.Millis
+	route          *catalog.Route
+	service        *catalog.Service
+	account        catalog.Account
+	requiresKey    bool
 	// work names what the client account asks for.
 	work work.ID
-	// tokens is the size that memory is reserved for.
-	tokens float64
-	// sends counts attempts, and runs those that may have run.
-	sends int
-	runs  int
-	tried map[fleet.Incarnation]bool
-	// ranAt are its runs by upstream. The operator bounds the number of upstreams, not
+	// memoryTokens is the size that memory is reserved for.
+	memoryTokens float64
+	// attempts counts attempts, and runs those that may have run.
+	attempts       int
+	executions     int
+	triedUpstreams map[fleet.Incarnation]bool
+	// executedOn are its runs by upstream. The operator bounds the number of upstreams, not
 	// how often one of them is asked.
-	ranAt map[fleet.Incarnation]run
+	executedOn map[fleet.Incarnation]execution
 	// delivered says what the caller has of the answer, and events how many events
 	// that is.
-	delivered Delivered
-	events    int
-	// waitingFor tells that a stream that has begun waits for something to go on
+	delivered       Delivered
+	deliveredEvents int
+	// waitReason tells that a stream that has begun waits for something to go on
 	// with, until waitUntil.
-	waitingFor Reason
+	waitReason Reason
 	waitUntil  clock.Millis
-	// awaits is the upstream for which it waits for a permit, until awaitsUntil, and
+	// permitUpstream is the upstream for which it waits for a permit, until permitWaitUntil, and
 	// impatient tells that it waits for none any more.
-	awaits      fleet.Incarnation
-	awaitsUntil clock.Millis
-	impatient   bool
-	// awaitsPlace tells that it awaits a place at a plain service, and hasWaited that it has.
-	awaitsPlace, hasWaited bool
-	// placeless counts the attempts that found no place. They end with its time, and with the
+	permitUpstream    fleet.Incarnation
+	permitWaitUntil   clock.Millis
+	permitWaitExpired bool
+	// awaitsSlot tells that it awaits a place at a plain service, and expirePermitWaits that it has.
+	awaitsSlot, waitedForSlot bool
+	// slotRefusals counts the attempts that found no place. They end with its time, and with the
 	// budget of repeats, and not with a number.
-	placeless int
-	// afterRest tells that some of what it could go on at rests.
-	afterRest bool
+	slotRefusals int
+	// afterBackOff tells that some of what it could go on at rests.
+	afterBackOff bool
 
 	// The attempt under way.
-	first *upstream
-	parts []chain.Part
-	held  []reservation
-	// moving tells that a move is under way, and moves counts them.
-	moving bool
-	moves  int
+	firstUpstream *upstream
+	chain         []chain.Stage
+	reservations  []reservation
+	// migrating tells that a move is under way, and moves counts them.
+	migrating  bool
+	migrations int
 }
 
-// at returns the upstream at an address that the attempt under way passes. The address may
+// upstreamAt returns the upstream at an address that the attempt under way passes. The address may
 // be another one's by now.
-func (r *request) at(address string) (fleet.Incarnation, bool) {
-	if r.first != nil && r.first.entry.Address == address {
-		return r.first.entry.ID, true
+func (r *request) upstreamAt(address string) (fleet.Incarnation, bool) {
+	if r.firstUpstream != nil && r.firstUpstream.entry.Address == address {
+		return r.firstUpstream.entry.ID, true
 	}
-	for _, p := range r.parts {
+	for _, p := range r.chain {
 		if p.Address == address {
 			return p.ID, true
 		}
@@ -86,8 +86,8 @@
 	return r.route.Priority
 }
 
-// begun tells whether the caller has some of the answer.
-func (r *request) begun() bool { return r.delivered != DeliveredNothing }
+// answerBegun tells whether the caller has some of the answer.
+func (r *request) answerBegun() bool { return r.delivered != DeliveredNothing }
 
 // reservation is memory that a request takes at an engine.
 type reservation struct {
@@ -95,55 +95,55 @@
 	amount   float64
 }
 
-// left returns the time until the request must be answered.
-func (r *request) left(now clock.Millis) clock.Millis {
-	return min(r.deadline, r.giveUp).Sub(now)
+// timeLeft returns the time until the request must be answered.
+func (r *request) timeLeft(now clock.Millis) clock.Millis {
+	return min(r.clientDeadline, r.giveUp).Sub(now)
 }
 
-// woke tells all requests that more time has passed than their timers count.
-func (m *Model) woke() []Cmd {
+// vmResumed tells all requests that more time has passed than their timers count.
+func (m *Model) vmResumed() []Cmd {
 	var cmds []Cmd
 	for _, id := range slices.Sorted(maps.Keys(m.requests)) {
 		r := m.requests[id]
-		cmds = append(cmds, WakeCmd{Request: id, GiveUp: min(r.deadline, r.giveUp)})
+		cmds = append(cmds, RecheckDeadlineCmd{Request: id, Deadline: min(r.clientDeadline, r.giveUp)})
 	}
 	return cmds
 }
 
 // reserve notes the memory that a chain takes.
-func (m *Model) reserve(r *request, parts []chain.Part) {
+func (m *Model) reserve(r *request, parts []chain.Stage) {
 	m.release(r)
-	r.parts = parts
+	r.chain = parts
 	for _, p := range parts {
 		u := m.upstreams[p.ID]
 		if u == nil {
 			continue
 		}
-		amount := r.tokens * float64(p.Layers.Len())
+		amount := r.memoryTokens * float64(p.Layers.Len())
 		u.reserved += amount
-		r.held = append(r.held, reservation{upstream: u, amount: amount})
+		r.reservations = append(r.reservations, reservation{upstream: u, amount: amount})
 	}
 }
 
 func (m *Model) release(r *request) {
-	for _, h := range r.held {
+	for _, h := range r.reservations {
 		h.upstream.reserved -= h.amount
 	}
-	r.held = r.held[:0]
-	r.parts = nil
+	r.reservations = r.reservations[:0]
+	r.chain = nil
 }
 
 // endAttempt gives back what the attempt under way has taken.
 func (m *Model) endAttempt(r *request) {
 	m.release(r)
-	if r.first != nil {
-		r.first.inFlight--
-		r.first = nil
+	if r.firstUpstream != nil {
+		r.firstUpstream.inFlight--
+		r.firstUpstream = nil
 	}
-	r.moving = false
+	r.migrating = false
 }
 
-func (m *Model) forget(id RequestID) {
+func (m *Model) dropRequest(id RequestID) {
 	r := m.requests[id]
 	if r == nil {
 		return
--- a/dispatch/run.go
+++ b/dispatch/run.go
@@ -8,108 +8,110 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// run is what is known of an upstream's run of a request, or of what may be one.
-type run struct {
+// execution is what is known of an upstream's run of a request, or of what may be one.
+type execution struct {
 	cause Cause
-	// ended tells that the upstream has ended since. The operator's bound is not for
+	// crashed tells that the upstream has ended since. The operator's bound is not for
 	// those.
-	ended bool
+	crashed bool
 }
 
-// noteRun takes in that the upstream of a failed attempt has run the request, or may
+// recordExecution takes in that the upstream of a failed attempt has run the request, or may
 // have. A stream that was taken back for want of an event may have run as well: an
 // engine that has hung says nothing of it.
-func (m *Model) noteRun(r *request, msg AttemptFailedMsg) {
-	if msg.Cause != Unknown && msg.Cause != Slow && msg.Cause != Failed {
+func (m *Model) recordExecution(r *request, msg AttemptFailedMsg) {
+	if msg.Cause != CauseUnknown && msg.Cause != CauseNoProgress && msg.Cause != CauseUpstreamFailed {
 		return
 	}
-	r.runs++
-	if r.first == nil {
+	r.executions++
+	if r.firstUpstream == nil {
 		return
 	}
-	u := r.first
+	u := r.firstUpstream
 	left := u.entry.Leaving || m.upstreams[u.entry.ID] == nil
-	r.ranAt[u.entry.ID] = run{cause: msg.Cause, ended: u.ended || u.silent || left && msg.Cause == Unknown}
+	r.executedOn[u.entry.ID] = execution{cause: msg.Cause, crashed: u.crashed || u.unresponsive || left && msg.Cause == CauseUnknown}
 }
 
-// noteEnd takes in that an upstream's entry has gone. That alone is no end: some serve
+// entryRemoved takes in that an upstream's entry has gone. That alone is no end: some serve
 // on for seconds without one. It is the end of one that broke off what it ran, or that
 // answers nothing.
-func (m *Model) noteEnd(u *upstream) {
+func (m *Model) entryRemoved(u *upstream) {
 	for _, r := range m.requests {
-		if at, ok := r.ranAt[u.entry.ID]; ok && (at.cause == Unknown || u.silent) {
-			at.ended = true
-			r.ranAt[u.entry.ID] = at
+		if at, ok := r.executedOn[u.entry.ID]; ok && (at.cause == CauseUnknown || u.unresponsive) {
+			at.crashed = true
+			r.executedOn[u.entry.ID] = at
 		}
 	}
 }
 
-// endedFor takes in that an upstream's process has ended for certain, and has what is
+// crashConfirmed takes in that an upstream's process has ended for certain, and has what is
 // under way there given up at once: engines that wait for it stand still for seconds, and
 // whoever has its address now knows nothing of the request.
-func (m *Model) endedFor(u *upstream) []Cmd {
-	u.ended = true
-	delete(m.departing, u.entry.ID)
+func (m *Model) crashConfirmed(u *upstream) []Cmd {
+	u.crashed = true
+	delete(m.departingSince, u.entry.ID)
 	var cmds []Cmd
 	for _, id := range slices.Sorted(maps.Keys(m.requests)) {
 		r := m.requests[id]
-		if at, ok := r.ranAt[u.entry.ID]; ok {
-			at.ended = true
-			r.ranAt[u.entry.ID] = at
+		if at, ok := r.executedOn[u.entry.ID]; ok {
+			at.crashed = true
+			r.executedOn[u.entry.ID] = at
 		}
-		if r.first == u || r.passes(u.entry.ID) {
-			cmds = append(cmds, ReconsiderCmd{Request: id, Attempt: r.sends, At: u.entry.Address, Ended: true})
+		if r.firstUpstream == u || r.passesThrough(u.entry.ID) {
+			cmds = append(cmds, RecheckAttemptCmd{Request: id, Attempt: r.attempts, SuspectedAddress: u.entry.Address, Crashed: true})
 		}
 	}
 	return cmds
 }
 
-// hasEnded tells whether an upstream has ended since its run of a request.
-func (m *Model) hasEnded(id fleet.Incarnation, at run) bool {
+// hasCrashed tells whether an upstream has ended since its run of a request.
+func (m *Model) hasCrashed(id fleet.Incarnation, at execution) bool {
 	u := m.upstreams[id]
-	return at.ended || u != nil && u.silent
+	return at.crashed || u != nil && u.unresponsive
 }
 
-// ranOn is how many upstreams have run the request, without those that have ended.
-func (m *Model) ranOn(r *request) int {
+// countedExecutions is how many upstreams have run the request, without those that have ended.
+func (m *Model) countedExecutions(r *request) int {
 	n := 0
-	for id, at := range r.ranAt {
-		if !m.hasEnded(id, at) {
+	for id, at := range r.executedOn {
+		if !m.hasCrashed(id, at) {
 			n++
 		}
 	}
 	return n
 }
 
-// bounded tells whether only upstreams that have run the request may run it.
-func (m *Model) bounded(r *request) bool { return m.ranOn(r) >= r.mostUpstreams() }
+// upstreamBoundReached tells whether only upstreams that have run the request may run it.
+func (m *Model) upstreamBoundReached(r *request) bool {
+	return m.countedExecutions(r) >= r.maxUpstreams()
+}
 
-// mayUse tells whether an upstream may get the request without exceeding the
+// mayExecuteOn tells whether an upstream may get the request without exceeding the
 // number of upstreams that may run it.
-func (r *request) mayUse(u *upstream) bool {
-	return r.ran(u) || len(r.ranAt) < r.mostUpstreams()
+func (r *request) mayExecuteOn(u *upstream) bool {
+	return r.executedBy(u) || len(r.executedOn) < r.maxUpstreams()
 }
 
-// ran tells whether an upstream has run the request.
-func (r *request) ran(u *upstream) bool {
-	_, ok := r.ranAt[u.entry.ID]
+// executedBy tells whether an upstream has run the request.
+func (r *request) executedBy(u *upstream) bool {
+	_, ok := r.executedOn[u.entry.ID]
 	return ok
 }
 
-// mostUpstreams is how many upstreams may run the request.
-func (r *request) mostUpstreams() int { return max(r.route.MaxAttempts, 1) }
+// maxUpstreams is how many upstreams may run the request.
+func (r *request) maxUpstreams() int { return max(r.route.MaxAttempts, 1) }
 
-// mayRunAgain tells whether the operator's bound leaves another attempt. A stream may
-// always be asked of an upstream that has run it, as often as mostSends and the budget
+// mayExecuteAgain tells whether the operator's bound leaves another attempt. A stream may
+// always be asked of an upstream that has run it, as often as maxAttempts and the budget
 // of repeats leave. A plain request that may be repeated can be asked once more of one
 // that has failed it.
-func (r *request) mayRunAgain() bool {
+func (r *request) mayExecuteAgain() bool {
 	switch r.route.Kind {
 	case catalog.Streaming:
 		return true
 	case catalog.Repeatable:
-		return r.runs <= r.mostUpstreams()
+		return r.executions <= r.maxUpstreams()
 	default:
-		return r.runs < r.mostUpstreams()
+		return r.executions < r.maxUpstreams()
 	}
 }
--- a/dispatch/script_test.go
+++ b/dispatch/script_test.go
@@ -17,95 +17,95 @@
 	"github.com/hoistjunction/hoistjunction/work"
 )
 
-func TestScripts(t *testing.T) { playScripts(t, "testdata") }
+func TestScripts(t *testing.T) { runScripts(t, "testdata") }
 
 // The scripts tell how requests were refused beside places that were about to become free.
-func TestPlaceScripts(t *testing.T) { playScripts(t, "testdata/places") }
+func TestPlaceScripts(t *testing.T) { runScripts(t, "testdata/places") }
 
-func playScripts(t *testing.T, folder string) {
+func runScripts(t *testing.T, folder string) {
 	script.Run(t, folder, func(t *testing.T) func(script.Step) []string {
-		p := &player{t: t, model: dispatch.New(
+		p := &scriptRunner{t: t, model: dispatch.New(
 			dispatch.WithDataCentre("a"),
 			dispatch.WithLimits(limit.New(limit.WithSelf("n1"))),
-			dispatch.WithPolicy(dispatch.Policy{RevokeWithin: 5000, RetryWindow: 10_000, RetryShare: 0.2, RetrySlack: 200}),
+			dispatch.WithPolicy(dispatch.Policy{MaxConfigAge: 5000, RetryWindow: 10_000, RetryShare: 0.2, RetrySlack: 200}),
 		)}
 		// The node is the only one unless a line says otherwise.
-		p.model.Update(0, dispatch.PeersMsg{All: 1})
-		return p.do
+		p.model.Update(0, dispatch.PeersMsg{TotalNodes: 1})
+		return p.step
 	})
 }
 
-// player carries out the lines of a script.
-type player struct {
+// scriptRunner carries out the lines of a script.
+type scriptRunner struct {
 	t     *testing.T
 	model *dispatch.Model
 	now   clock.Millis
 }
 
-func (p *player) do(s script.Step) []string {
+func (p *scriptRunner) step(s script.Step) []string {
 	p.now = clock.Millis(s.Int("at", int(p.now)))
 	var lines []string
-	for _, cmd := range p.model.Update(p.now, p.msg(s)) {
+	for _, cmd := range p.model.Update(p.now, p.message(s)) {
 		lines = append(lines, show(cmd))
 	}
 	return lines
 }
 
-func (p *player) msg(s script.Step) dispatch.Msg {
+func (p *scriptRunner) message(s script.Step) dispatch.Msg {
 	if msg := limitMsg(s); msg != nil {
 		return msg
 	}
-	request, attempt := ids(s.Word(0))
+	request, attempt := parseAttempt(s.Word(0))
 	switch s.Verb {
 	case "config":
-		return dispatch.CatalogMsg{Catalog: testCatalog(s), Confirmed: clock.Millis(s.Int("confirmed", int(p.now)))}
+		return dispatch.CatalogMsg{Catalog: testCatalog(s), ConfirmedAt: clock.Millis(s.Int("confirmed", int(p.now)))}
 	case "confirmed":
-		return dispatch.CatalogMsg{Confirmed: p.now}
+		return dispatch.CatalogMsg{ConfirmedAt: p.now}
 	case "upstream":
 		return dispatch.FleetMsg{Changes: []fleet.Change{{ID: script.Incarnation(s.Word(0)), Upstream: testUpstream(s)}}}
 	case "gone", "ended":
 		return dispatch.FleetMsg{Changes: []fleet.Change{{ID: script.Incarnation(s.Word(0)), Gone: true, Ended: s.Verb == "ended"}}}
 	case "peers":
-		return dispatch.PeersMsg{All: s.Int("all", 1), Near: s.Int("near", 0), Here: s.Int("here", 0), Summed: s.Named["summed"] == "yes"}
+		return dispatch.PeersMsg{TotalNodes: s.Int("all", 1), UsagePeers: s.Int("near", 0), LocalNodes: s.Int("here", 0), Aggregated: s.Named["summed"] == "yes"}
 	case "usage":
-		return dispatch.UsageMsg{Node: s.Word(0), Used: map[fleet.Incarnation]fleet.Use{
+		return dispatch.UsageMsg{Node: s.Word(0), Used: map[fleet.Incarnation]fleet.EngineUsage{
 			script.Incarnation(s.Word(1)): {Memory: float64(s.Int("amount", 0)), Streams: s.Int("streams", 0)},
-		}, Total: s.Named["total"] == "yes", Whole: s.Named["whole"] == "yes", Nodes: s.Int("nodes", 0), DataCentre: s.Named["in"]}
+		}, WholeDataCentre: s.Named["total"] == "yes", AllNodes: s.Named["whole"] == "yes", Nodes: s.Int("nodes", 0), DataCentre: s.Named["in"]}
 	case "placed":
-		return dispatch.PlacedMsg{Upstream: script.Incarnation(s.Word(0)), Layers: testUpstream(s).Held, Holds: s.Named["holds"] == "yes"}
+		return dispatch.PlacedMsg{Upstream: script.Incarnation(s.Word(0)), Layers: testUpstream(s).Held, Completed: s.Named["holds"] == "yes"}
 	case "report":
 		return dispatch.ReportMsg{Upstream: script.Incarnation(s.Word(0)), Report: testReport(s)}
 	case "arrive":
-		return arrival(s, request)
+		return arriveMsg(s, request)
 	case "failed":
 		return dispatch.AttemptFailedMsg{
-			Request: request, Attempt: attempt, Cause: cause(p.t, s.Named["cause"]), At: s.Named["by"],
-			Events: s.Int("events", 0), Delivered: delivered(s),
+			Request: request, Attempt: attempt, Cause: parseCause(p.t, s.Named["cause"]), FaultyAddress: s.Named["by"],
+			Events: s.Int("events", 0), Delivered: parseDelivered(s),
 		}
 	case "done":
 		return dispatch.AttemptDoneMsg{Request: request, Attempt: attempt, Took: clock.Millis(s.Int("took", 50))}
 	case "stalled":
-		return dispatch.StalledMsg{Request: request, Attempt: attempt, At: s.Named["by"], Slow: s.Named["slow"] == "yes"}
+		return dispatch.StalledMsg{Request: request, Attempt: attempt, FaultyAddress: s.Named["by"], Slow: s.Named["slow"] == "yes"}
 	case "moved":
-		return dispatch.MovedMsg{Request: request, Attempt: attempt, Result: dispatch.MoveResult(s.Int("result", 0)), At: s.Named["by"]}
+		return dispatch.MigratedMsg{Request: request, Attempt: attempt, Result: dispatch.MigrationResult(s.Int("result", 0)), FaultyAddress: s.Named["by"]}
 	case "rests":
-		return dispatch.RestMsg{Upstream: script.Incarnation(s.Word(0)), For: clock.Millis(s.Int("for", 0))}
+		return dispatch.BackOffMsg{Upstream: script.Incarnation(s.Word(0)), For: clock.Millis(s.Int("for", 0))}
 	case "left":
-		return dispatch.GoneMsg{Request: request}
+		return dispatch.RequestEndedMsg{Request: request}
 	case "probed":
 		return dispatch.ProbedMsg{Upstream: script.Incarnation(s.Word(0)), Answered: s.Named["well"] == "yes", Named: s.Named["named"] == "yes", Report: testReport(s)}
 	case "identified":
-		return dispatch.IdentifiedMsg{Upstream: script.Incarnation(s.Word(0)), Presence: map[string]fleet.Presence{"itself": fleet.Itself, "another": fleet.Another}[s.Named["as"]]}
+		return dispatch.IdentifiedMsg{Upstream: script.Incarnation(s.Word(0)), Presence: map[string]fleet.Presence{"itself": fleet.Present, "another": fleet.Replaced}[s.Named["as"]]}
 	case "told":
-		return dispatch.ToldSilentMsg{Upstream: script.Incarnation(s.Word(0))}
+		return dispatch.PeerUnresponsiveMsg{Upstream: script.Incarnation(s.Word(0))}
 	case "toldlost":
-		return dispatch.ToldLostMsg{Work: workOf(s.Word(0)), Upstream: script.Incarnation(s.Word(1))}
+		return dispatch.PeerLossMsg{Work: clinicWork(s.Word(0)), Upstream: script.Incarnation(s.Word(1))}
 	case "toldanswered":
-		return dispatch.ToldAnsweredMsg{Work: workOf(s.Word(0))}
+		return dispatch.PeerAnswerMsg{Work: clinicWork(s.Word(0))}
 	case "quarantined":
-		return dispatch.QuarantinedMsg{Works: []dispatch.Quarantined{{Work: workOf(s.Word(0)), Age: clock.Millis(s.Int("age", 0)), Ended: incarnations(s.Named["ended"])}}}
+		return dispatch.QuarantinedMsg{Works: []dispatch.Quarantined{{Work: clinicWork(s.Word(0)), Age: clock.Millis(s.Int("age", 0)), Ended: parseIncarnations(s.Named["ended"])}}}
 	case "woke":
-		return dispatch.WokeMsg{}
+		return dispatch.VMResumedMsg{}
 	case "tick":
 		return dispatch.TickMsg{}
 	}
@@ -118,13 +118,13 @@
 	switch s.Verb {
 	case "limits":
 		rate, _ := strconv.ParseFloat(s.Named["rate"], 64)
-		return dispatch.LimitMsg{Upstream: script.Incarnation(s.Word(0)), Rate: rate}
+		return dispatch.AdvertisedLimitMsg{Upstream: script.Incarnation(s.Word(0)), Rate: rate}
 	case "unlimited":
-		return dispatch.NoLimitMsg{Upstream: script.Incarnation(s.Word(0)), Sent: clock.Millis(s.Int("sent", 0))}
+		return dispatch.NoAdvertisedLimitMsg{Upstream: script.Incarnation(s.Word(0)), SentAt: clock.Millis(s.Int("sent", 0))}
 	case "members":
-		return membersOf(s)
+		return membersMsg(s)
 	case "permits":
-		return dispatch.PermitsMsg{From: s.Word(0), Grant: limit.Grant{
+		return dispatch.PermitGrantMsg{From: s.Word(0), Grant: limit.Grant{
 			Upstream: script.Incarnation(s.Word(1)), Number: uint64(s.Int("number", 1)), Permits: s.Int("permits", 0),
 			NextIn: clock.Millis(s.Int("next", 0)), Queue: s.Int("queue", 0),
 		}}
@@ -132,9 +132,9 @@
 	return nil
 }
 
-// membersOf is a message of nodes by their names, this one first.
-func membersOf(s script.Step) dispatch.PeersMsg {
-	msg := dispatch.PeersMsg{All: len(s.Words), Near: len(s.Words) - 1}
+// membersMsg is a message of nodes by their names, this one first.
+func membersMsg(s script.Step) dispatch.PeersMsg {
+	msg := dispatch.PeersMsg{TotalNodes: len(s.Words), UsagePeers: len(s.Words) - 1}
 	for _, name := range s.Words {
 		msg.Members = append(msg.Members, limit.Member{Name: name, DataCentre: "a"})
 	}
@@ -142,29 +142,29 @@
 }
 
 func testReport(s script.Step) dispatch.Report {
-	return dispatch.Report{Pace: float64(s.Int("pace", 0)), Free: float64(s.Int("free", 0)), All: float64(s.Int("all", 0)), Queued: s.Int("queued", 0), Empty: s.Named["empty"] == "yes"}
+	return dispatch.Report{Slowdown: float64(s.Int("pace", 0)), FreeMemory: float64(s.Int("free", 0)), TotalMemory: float64(s.Int("all", 0)), Queued: s.Int("queued", 0), Empty: s.Named["empty"] == "yes"}
 }
 
-func ids(word string) (dispatch.RequestID, int) {
+func parseAttempt(word string) (dispatch.RequestID, int) {
 	first, second, _ := strings.Cut(word, ".")
 	request, _ := strconv.Atoi(first)
 	attempt, _ := strconv.Atoi(second)
 	return dispatch.RequestID(request), attempt
 }
 
-func arrival(s script.Step, request dispatch.RequestID) dispatch.ArriveMsg {
+func arriveMsg(s script.Step, request dispatch.RequestID) dispatch.ArriveMsg {
 	key, hasKey := s.Named["key"]
 	prompt, answer, _ := strings.Cut(s.Named["tokens"], ",")
 	promptTokens, _ := strconv.Atoi(prompt)
 	answerTokens, _ := strconv.Atoi(answer)
 	return dispatch.ArriveMsg{
-		Request: request, CallerID: s.Word(0), Asked: asked(s), Host: "h", Path: s.Named["path"], Key: key, HasKey: hasKey,
+		Request: request, CallerID: s.Word(0), Work: requestPermitsCmds(s), Host: "h", Path: s.Named["path"], Key: key, HasKey: hasKey,
 		Remaining: clock.Millis(s.Int("remaining", 20000)), PromptTokens: promptTokens, AnswerTokens: answerTokens,
 	}
 }
 
-// asked names what a request asks for: what no other does, unless a line says asked=.
-func asked(s script.Step) work.ID {
+// requestPermitsCmds names what a request asks for: what no other does, unless a line says asked=.
+func requestPermitsCmds(s script.Step) work.ID {
 	name := s.Word(0)
 	if same, ok := s.Named["asked"]; ok {
 		name = same
@@ -172,8 +172,8 @@
 	return work.ID{}.ForAccount(name)
 }
 
-// incarnations reads upstreams' names with commas between.
-func incarnations(names string) []fleet.Incarnation {
+// parseIncarnations reads upstreams' names with commas between.
+func parseIncarnations(names string) []fleet.Incarnation {
 	var list []fleet.Incarnation
 	for name := range strings.SplitSeq(names, ",") {
 		if name != "" {
@@ -183,23 +183,23 @@
 	return list
 }
 
-// workOf names what the client account clinic asks for.
-func workOf(asked string) work.ID { return work.ID{}.ForAccount(asked).ForAccount("clinic") }
+// clinicWork names what the client account clinic asks for.
+func clinicWork(asked string) work.ID { return work.ID{}.ForAccount(asked).ForAccount("clinic") }
 
-// delivered is what the caller has: part of an answer that is no stream (part=yes), or
+// parseDelivered is what the caller has: part of an answer that is no stream (part=yes), or
 // the events that a line names.
-func delivered(s script.Step) dispatch.Delivered {
+func parseDelivered(s script.Step) dispatch.Delivered {
 	switch {
 	case s.Named["part"] == "yes":
-		return dispatch.DeliveredPart
+		return dispatch.DeliveredPartial
 	case s.Int("events", 0) > 0:
 		return dispatch.DeliveredEvents
 	}
 	return dispatch.DeliveredNothing
 }
 
-func cause(t *testing.T, name string) dispatch.Cause {
-	for c := dispatch.NotSent; c <= dispatch.Failed; c++ {
+func parseCause(t *testing.T, name string) dispatch.Cause {
+	for c := dispatch.CauseNotSent; c <= dispatch.CauseUpstreamFailed; c++ {
 		if c.String() == name {
 			return c
 		}
@@ -214,8 +214,8 @@
 	writer := &catalog.Service{Name: "writer", HealthPath: "/health", Pipeline: &catalog.Pipeline{
 		Layers: 8, LayerMB: 1000, TokenBytes: 8_000_000, StepMS: 1, LoadMS: float64(s.Int("load", 0)),
 		Accelerators: map[string]catalog.Accelerator{
-			"fast": {Name: "fast", MB: 5000, StepFactor: 1},
-			"slow": {Name: "slow", MB: 5000, StepFactor: 10},
+			"fast": {Name: "fast", MemoryMB: 5000, StepFactor: 1},
+			"slow": {Name: "slow", MemoryMB: 5000, StepFactor: 10},
 		},
 	}}
 	key := "k"
@@ -226,10 +226,10 @@
 	return catalog.New(uint64(s.Int("version", 1)),
 		catalog.WithRoutes(
 			&catalog.Route{Name: "write", Host: "h", Prefix: "/write/", Kind: catalog.Streaming, Resumable: true,
-				Targets: to("writer"), MaxAttempts: 2, Timeout: 20000, Aim: 500},
-			&catalog.Route{Name: "once", Host: "h", Prefix: "/once/", Kind: catalog.Once, Targets: to("desk"), MaxAttempts: 2, Timeout: 1500, Aim: 100},
-			&catalog.Route{Name: "read", Host: "h", Prefix: "/read/", Kind: catalog.Repeatable, Targets: to("desk"), MaxAttempts: 2, Timeout: 1500, Aim: 100},
-			&catalog.Route{Name: "open", Host: "h", Prefix: "/open/", Kind: catalog.Once, Targets: to("desk"), MaxAttempts: 1, Anonymous: true},
+				Targets: to("writer"), MaxAttempts: 2, Timeout: 20000, LatencyTarget: 500},
+			&catalog.Route{Name: "once", Host: "h", Prefix: "/once/", Kind: catalog.AtMostOnce, Targets: to("desk"), MaxAttempts: 2, Timeout: 1500, LatencyTarget: 100},
+			&catalog.Route{Name: "read", Host: "h", Prefix: "/read/", Kind: catalog.Repeatable, Targets: to("desk"), MaxAttempts: 2, Timeout: 1500, LatencyTarget: 100},
+			&catalog.Route{Name: "open", Host: "h", Prefix: "/open/", Kind: catalog.AtMostOnce, Targets: to("desk"), MaxAttempts: 1, Anonymous: true},
 		),
 		catalog.WithServices(writer, &catalog.Service{Name: "desk", HealthPath: "/health"}),
 		catalog.WithAccount(catalog.Account{Name: "clinic"}, key),
@@ -239,7 +239,7 @@
 
 func testUpstream(s script.Step) fleet.Upstream {
 	from, to, _ := strings.Cut(s.Named["held"], "-")
-	held := fleet.Range{}
+	held := fleet.LayerRange{}
 	held.From, _ = strconv.Atoi(from)
 	held.To, _ = strconv.Atoi(to)
 	centre := s.Named["in"]
@@ -275,21 +275,21 @@
 			text += fmt.Sprintf(" priority=%d", c.Priority)
 		}
 		return text
-	case dispatch.FinishCmd:
+	case dispatch.RespondCmd:
 		return fmt.Sprintf("finish %d %d %s back=%d", c.Request, c.Status, c.Reason, c.RetryAfter)
-	case dispatch.RelayCmd:
+	case dispatch.RelayFailureCmd:
 		return fmt.Sprintf("relay %d.%d", c.Request, c.Attempt)
-	case dispatch.CutCmd:
+	case dispatch.AbortResponseCmd:
 		return fmt.Sprintf("cut %d %s", c.Request, c.Reason)
-	case dispatch.MoveCmd:
-		return fmt.Sprintf("move %d.%d off %s over %s", c.Request, c.Attempt, c.Away, showChain(c.Chain))
-	case dispatch.ReconsiderCmd:
-		return fmt.Sprintf("reconsider %d.%d at %s", c.Request, c.Attempt, c.At) + map[bool]string{true: " ended"}[c.Ended]
-	case dispatch.ShareCmd:
-		return fmt.Sprintf("share %v total %v", c.Used, c.Total)
-	case dispatch.SilentCmd:
-		text := fmt.Sprintf("silent %s %v", c.Upstream, c.Silent)
-		if c.Agreed {
+	case dispatch.MigrateCmd:
+		return fmt.Sprintf("move %d.%d off %s over %s", c.Request, c.Attempt, c.FromEngine, showChain(c.Chain))
+	case dispatch.RecheckAttemptCmd:
+		return fmt.Sprintf("reconsider %d.%d at %s", c.Request, c.Attempt, c.SuspectedAddress) + map[bool]string{true: " ended"}[c.Crashed]
+	case dispatch.ShareUsageCmd:
+		return fmt.Sprintf("share %v total %v", c.Used, c.WholeDataCentre)
+	case dispatch.ResponsivenessCmd:
+		text := fmt.Sprintf("silent %s %v", c.Upstream, c.Unresponsive)
+		if c.Confirmed {
 			text += " agreed"
 		}
 		return text
@@ -299,15 +299,15 @@
 		return "identify " + c.Upstream.String()
 	case dispatch.QuarantineCmd:
 		return showNews(c.News)
-	case dispatch.WakeCmd:
-		return fmt.Sprintf("wake %d give_up=%d", c.Request, c.GiveUp)
-	case dispatch.RestCmd:
+	case dispatch.RecheckDeadlineCmd:
+		return fmt.Sprintf("wake %d give_up=%d", c.Request, c.Deadline)
+	case dispatch.BackOffCmd:
 		return fmt.Sprintf("rest %s until %d", c.Upstream, c.Until)
-	case dispatch.LimitCmd:
+	case dispatch.LimitChangedCmd:
 		return fmt.Sprintf("limit %s %v from=%s", c.Upstream, c.Rate, c.From)
-	case dispatch.AskPermitsCmd:
+	case dispatch.RequestPermitsCmd:
 		return fmt.Sprintf("ask %s for %s number=%d want=%d", c.To, c.Ask.Upstream, c.Ask.Number, c.Ask.Want)
-	case dispatch.PlaceCmd:
+	case dispatch.SlotWaitCmd:
 		return fmt.Sprintf("await %d waiting=%d", c.Request, c.Waiting)
 	case dispatch.SuspectCmd:
 		return fmt.Sprintf("suspect %s until %d", c.Upstream, c.Until)
@@ -329,7 +329,7 @@
 	return fmt.Sprintf("%T", news)
 }
 
-func showChain(parts []chain.Part) string {
+func showChain(parts []chain.Stage) string {
 	var words []string
 	for _, p := range parts {
 		words = append(words, fmt.Sprintf("%s:%d-%d", p.ID, p.Layers.From, p.Layers.To))
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -26,93 +26,93 @@
 	} else {
 		cmd, reason = m.sendPlain(r)
 	}
-	if reason == ReasonNoUpstream && m.fullPlain(r) {
-		reason = ReasonNoPlace
+	if reason == ReasonNoUpstream && m.lacksOnlySlot(r) {
+		reason = ReasonNoSlot
 	}
-	if reason == ReasonNoPlace && !r.begun() {
-		return m.awaitPlace(r)
+	if reason == ReasonNoSlot && !r.answerBegun() {
+		return m.awaitSlot(r)
 	}
 	if reason == awaitsPermit {
-		first := r.first
-		r.first = nil
+		first := r.firstUpstream
+		r.firstUpstream = nil
 		return m.awaitPermit(r, first)
 	}
 	if reason != "" {
 		return m.giveUp(r, reason)
 	}
-	r.sends++
-	r.first.inFlight++
-	m.limits.RecordSent(m.now, r.first.entry.ID)
-	named, _ := m.limits.Limit(r.first.entry.ID)
+	r.attempts++
+	r.firstUpstream.inFlight++
+	m.limits.RecordSent(m.now, r.firstUpstream.entry.ID)
+	named, _ := m.limits.Limit(r.firstUpstream.entry.ID)
 	cmd.Limit = named.Rate
-	cmd.Request, cmd.Attempt = r.msg.Request, r.sends
-	cmd.Upstream, cmd.Address = r.first.entry.ID, r.first.entry.Address
-	cmd.Route, cmd.Account, cmd.Keyed, cmd.Priority = r.route, r.account.Name, r.keyed, r.priority()
-	cmd.Deadline, cmd.GiveUp = r.deadline, r.giveUp
-	cmd.Last = m.isLast(r)
-	cmd.Work, cmd.Suspected = r.work, m.quarantine.IsSuspect(r.work)
-	cmd.Config, cmd.ConfigAge = m.catalog.Edition(), clock.AgeOf(m.confirmed, m.now)
-	cmd.InFlight = r.first.inFlight
+	cmd.Request, cmd.Attempt = r.arrival.Request, r.attempts
+	cmd.Upstream, cmd.Address = r.firstUpstream.entry.ID, r.firstUpstream.entry.Address
+	cmd.Route, cmd.Account, cmd.RequiresKey, cmd.Priority = r.route, r.account.Name, r.requiresKey, r.priority()
+	cmd.ClientDeadline, cmd.RouteDeadline = r.clientDeadline, r.giveUp
+	cmd.LastUpstream = m.isLastUpstream(r)
+	cmd.Work, cmd.WorkSuspected = r.work, m.quarantine.IsSuspect(r.work)
+	cmd.Config, cmd.ConfigAge = m.catalog.Edition(), clock.AgeOf(m.configConfirmedAt, m.now)
+	cmd.InFlight = r.firstUpstream.inFlight
 	return []Cmd{cmd}
 }
 
-// isLast tells whether no upstream but those that have run the request, and the one
+// isLastUpstream tells whether no upstream but those that have run the request, and the one
 // that it is being sent to, may run it.
-func (m *Model) isLast(r *request) bool {
-	n := m.ranOn(r)
-	if !r.ran(r.first) {
+func (m *Model) isLastUpstream(r *request) bool {
+	n := m.countedExecutions(r)
+	if !r.executedBy(r.firstUpstream) {
 		n++
 	}
-	return n >= r.mostUpstreams()
+	return n >= r.maxUpstreams()
 }
 
 // giveUp ends a request for which there is nothing left to try.
 func (m *Model) giveUp(r *request, reason Reason) []Cmd {
-	if r.begun() {
-		return m.waitOrCut(r, reason)
+	if r.answerBegun() {
+		return m.waitOrAbort(r, reason)
 	}
-	if r.runs > 0 {
-		return m.refuse(r.msg.Request, http.StatusBadGateway, ReasonUnknown, 0)
+	if r.executions > 0 {
+		return m.refuse(r.arrival.Request, http.StatusBadGateway, ReasonAnswerLost, 0)
 	}
-	if reason == ReasonNoUpstream || reason == ReasonNoHolder || reason == ReasonNoRoom || reason == ReasonNoPlace {
-		if back, why := m.limitEnds(r); why != nil {
-			return m.refuseLimited(r, r.inTimeOf(m.now, back), why)
+	if reason == ReasonNoUpstream || reason == ReasonNoHolder || reason == ReasonNoMemory || reason == ReasonNoSlot {
+		if back, why := m.limitRetryAfter(r); why != nil {
+			return m.refuseRateLimited(r, r.capRetryAfter(m.now, back), why)
 		}
 	}
-	if end, rest := m.restEnds(r); rest {
-		return m.refuseFor(r.msg.Request, ReasonRest, m.backAfter(r, end), nil)
+	if end, rest := m.servableAfterBackOff(r); rest {
+		return m.refuseMissing(r.arrival.Request, ReasonBackOff, m.backOffRetryAfter(r, end), nil)
 	}
-	var lack *Lack
-	if r.service.Pipeline != nil && (reason == ReasonNoRoom || reason == ReasonNoHolder) {
-		lack = m.whatLacks(r)
+	var lack *MissingResource
+	if r.service.Pipeline != nil && (reason == ReasonNoMemory || reason == ReasonNoHolder) {
+		lack = m.missingResource(r)
 	}
-	return m.refuseFor(r.msg.Request, reason, r.inTimeOf(m.now, m.comeBack(r, reason, lack)), lack)
+	return m.refuseMissing(r.arrival.Request, reason, r.capRetryAfter(m.now, m.retryAfter(r, reason, lack)), lack)
 }
 
 // sendPlain takes the upstream that should answer first: by the mean time of
 // its answers and how many of this node's requests it has.
 func (m *Model) sendPlain(r *request) (SendCmd, Reason) {
-	if q := m.places[r.service.Name]; q != nil && q.Len() > 0 && !r.hasWaited && m.fullPlain(r) {
+	if q := m.slotQueues[r.service.Name]; q != nil && q.Len() > 0 && !r.waitedForSlot && m.lacksOnlySlot(r) {
 		// Nobody goes before those that wait.
-		return SendCmd{}, ReasonNoPlace
+		return SendCmd{}, ReasonNoSlot
 	}
 	best := m.cheapest(r, func(u *upstream) bool {
-		return r.mayUse(u) && !r.tried[u.entry.ID] && u.open(m.now) && u.failing <= failTooMany
+		return r.mayExecuteOn(u) && !r.triedUpstreams[u.entry.ID] && u.available(m.now) && u.failureRate <= maxFailureRate
 	})
 	if best == nil {
-		best = m.cheapest(r, func(u *upstream) bool { return r.mayUse(u) && !r.tried[u.entry.ID] && !u.full(m.now) })
+		best = m.cheapest(r, func(u *upstream) bool { return r.mayExecuteOn(u) && !r.triedUpstreams[u.entry.ID] && !u.full(m.now) })
 	}
 	if best == nil {
-		best = m.cheapest(r, func(u *upstream) bool { return r.mayUse(u) && u.open(m.now) })
+		best = m.cheapest(r, func(u *upstream) bool { return r.mayExecuteOn(u) && u.available(m.now) })
 	}
 	if best == nil {
 		return SendCmd{}, ReasonNoUpstream
 	}
-	r.first = best
+	r.firstUpstream = best
 	if m.needsPermit(best) {
 		return SendCmd{}, awaitsPermit
 	}
-	return SendCmd{TryFor: m.tryFor(r, best)}, ""
+	return SendCmd{AttemptTimeout: m.attemptTimeout(r, best)}, ""
 }
 
 func (m *Model) cheapest(r *request, may func(*upstream) bool) *upstream {
@@ -120,12 +120,12 @@
 	bestCost := 0.0
 	suspected := m.quarantine.IsSuspect(r.work)
 	for _, u := range m.byService[r.service.Name] {
-		if !u.usable() || u.resting(m.now) || !may(u) || !m.mayBegin(r, u) {
+		if !u.acceptsWork() || u.inBackOff(m.now) || !may(u) || !m.limitAllows(r, u) {
 			continue
 		}
-		cost := u.took * float64(u.inFlight+1) * (1 + m.random.Float64()*tieSpread)
+		cost := u.meanLatency * float64(u.inFlight+1) * (1 + m.random.Float64()*tieSpread)
 		if suspected {
-			cost = apart(r.work, u.entry.ID)
+			cost = spreadOrder(r.work, u.entry.ID)
 		}
 		if best == nil || cost < bestCost {
 			best, bestCost = u, cost
@@ -137,28 +137,28 @@
 // tieSpread mixes upstreams that are about equally good.
 const tieSpread = 0.3
 
-// tryFor bounds the first attempt of a request that may be repeated, so that a
+// attemptTimeout bounds the first attempt of a request that may be repeated, so that a
 // silent upstream does not use up the caller's time.
-func (m *Model) tryFor(r *request, u *upstream) clock.Millis {
-	if r.route.Kind != catalog.Repeatable || r.runs >= r.mostUpstreams() {
+func (m *Model) attemptTimeout(r *request, u *upstream) clock.Millis {
+	if r.route.Kind != catalog.Repeatable || r.executions >= r.maxUpstreams() {
 		return 0
 	}
-	return max(clock.Millis(u.took*tryFactor), clock.Millis(float64(r.route.Aim)*tryShare))
+	return max(clock.Millis(u.meanLatency*attemptTimeoutFactor), clock.Millis(float64(r.route.LatencyTarget)*attemptTimeoutAimShare))
 }
 
 // sendPipeline builds a chain of engines. Engines under suspicion take no part.
 func (m *Model) sendPipeline(r *request) (SendCmd, Reason) {
 	parts, err := m.chainFor(r)
-	if err != nil && m.bounded(r) {
+	if err != nil && m.upstreamBoundReached(r) {
 		// Its caller may take a cut stream up at once, and anywhere; here it would
 		// have to wait for the engines that have run it.
 		return SendCmd{}, ReasonRefused
 	}
 	if err != nil {
-		return SendCmd{}, chainReason(err)
+		return SendCmd{}, chainErrorReason(err)
 	}
 	first := m.upstreams[parts[0].ID]
-	r.first = first
+	r.firstUpstream = first
 	if m.needsPermit(first) {
 		return SendCmd{}, awaitsPermit
 	}
@@ -168,45 +168,45 @@
 
 // chainFor builds the chain of a request. The engines of other data centres are looked
 // at only where those at home do not give the cheapest: there may be ten times as many.
-func (m *Model) chainFor(r *request) ([]chain.Part, error) {
-	m.expireUsage()
+func (m *Model) chainFor(r *request) ([]chain.Stage, error) {
+	m.expirePeerUsage()
 	layers := r.service.Pipeline.Layers
-	if parts, ok := chain.BuildAtHome(layers, r.tokens, m.dataCentre, m.holders(r, m.atHome[r.service.Name], (*upstream).well), m.fastest[r.service.Name]); ok {
+	if parts, ok := chain.BuildLocal(layers, r.memoryTokens, m.dataCentre, m.holders(r, m.localByService[r.service.Name], (*upstream).healthy), m.fastestTokenTime[r.service.Name]); ok {
 		return parts, nil
 	}
 	all := m.byService[r.service.Name]
-	parts, err := chain.Build(layers, r.tokens, m.dataCentre, m.holders(r, all, (*upstream).well))
+	parts, err := chain.Build(layers, r.memoryTokens, m.dataCentre, m.holders(r, all, (*upstream).healthy))
 	if errors.Is(err, chain.ErrNoHolder) {
 		// Where suspicion has left a layer without an engine it does more harm than
 		// the suspects that still answer.
-		m.probeSoon(r.service.Name)
-		parts, err = chain.Build(layers, r.tokens, m.dataCentre, m.holders(r, all, m.answers))
+		m.probeSuspects(r.service.Name)
+		parts, err = chain.Build(layers, r.memoryTokens, m.dataCentre, m.holders(r, all, m.answersProbes))
 	}
 	return parts, err
 }
 
-// probeSoon has the suspects of a service probed at the next tick, but for those
+// probeSuspects has the suspects of a service probed at the next tick, but for those
 // that have left a probe unanswered.
-func (m *Model) probeSoon(service string) {
+func (m *Model) probeSuspects(service string) {
 	for _, u := range m.byService[service] {
-		if u.suspect && !u.silent && !u.probing {
-			u.wantsProbe = true
+		if u.suspected && !u.unresponsive && !u.probeInFlight {
+			u.earlyProbeWanted = true
 		}
 	}
 }
 
-// answers tells whether an engine may get work where nobody else can: it is well,
+// answersProbes tells whether an engine may get work where nobody else can: it is well,
 // or its connections break off, but it has answered a probe just now.
-func (m *Model) answers(u *upstream) bool {
-	if u.well() {
+func (m *Model) answersProbes(u *upstream) bool {
+	if u.healthy() {
 		return true
 	}
-	return u.usable() && u.cause == Unknown && !u.silent && m.now <= u.answeredAt.Add(answerLasts)
+	return u.acceptsWork() && u.suspicionCause == CauseUnknown && !u.unresponsive && m.now <= u.probeAnsweredAt.Add(probeAnswerWindow)
 }
 
-func chainReason(err error) Reason {
-	if errors.Is(err, chain.ErrNoRoom) {
-		return ReasonNoRoom
+func chainErrorReason(err error) Reason {
+	if errors.Is(err, chain.ErrNoMemory) {
+		return ReasonNoMemory
 	}
 	return ReasonNoHolder
 }
@@ -214,35 +214,35 @@
 // holders returns those of some engines of the request's service that may take part in
 // a chain now, without those named.
 func (m *Model) holders(r *request, list []*upstream, may func(*upstream) bool, without ...fleet.Incarnation) []chain.Holder {
-	return m.holdersAt(r, list, moment{at: m.now}, may, without...)
+	return m.holdersUnder(r, list, chainConditions{backOffsUntil: m.now}, may, without...)
 }
 
-// moment is when a chain is to be built.
-type moment struct {
-	// at is by when rests that end count as over.
-	at clock.Millis
-	// noLimits leaves upstreams' limits out of account.
-	noLimits bool
+// chainConditions is when a chain is to be built.
+type chainConditions struct {
+	// backOffsUntil is by when rests that end count as over.
+	backOffsUntil clock.Millis
+	// ignoreLimits leaves upstreams' limits out of account.
+	ignoreLimits bool
 }
 
-// holdersAt are the holders at a moment.
-func (m *Model) holdersAt(r *request, list []*upstream, at moment, may func(*upstream) bool, without ...fleet.Incarnation) []chain.Holder {
+// holdersUnder are the holders at a moment.
+func (m *Model) holdersUnder(r *request, list []*upstream, at chainConditions, may func(*upstream) bool, without ...fleet.Incarnation) []chain.Holder {
 	holders := make([]chain.Holder, 0, len(list))
-	bounded := m.bounded(r)
+	bounded := m.upstreamBoundReached(r)
 	for _, u := range list {
-		if u.resting(at.at) || !may(u) || slices.Contains(without, u.entry.ID) || u.entry.Held.Empty() || u.pipeline == nil {
+		if u.inBackOff(at.backOffsUntil) || !may(u) || slices.Contains(without, u.entry.ID) || u.entry.Held.Empty() || u.pipeline == nil {
 			continue
 		}
-		if u.rivals && slices.ContainsFunc(holders, func(h chain.Holder) bool { return h.Address == u.entry.Address }) {
+		if u.sharesAddress && slices.ContainsFunc(holders, func(h chain.Holder) bool { return h.Address == u.entry.Address }) {
 			// A chain may name an address once.
 			continue
 		}
-		h := m.holder(r, u)
-		spent := !at.noLimits && !m.mayBegin(r, u)
+		h := m.newHolder(r, u)
+		spent := !at.ignoreLimits && !m.limitAllows(r, u)
 		if spent {
 			h.Penalty += limitedPenalty
 		}
-		if bounded && !r.ran(u) || spent {
+		if bounded && !r.executedBy(u) || spent {
 			// A chain begins at the engine with the first layer, and the bound on upstreams
 			// that run a request is on these, as is a limit: nodes send it requests, and
 			// what passes on the way to later layers comes from other engines.
@@ -251,7 +251,7 @@
 		holders = append(holders, h)
 	}
 	if m.quarantine.IsSuspect(r.work) {
-		spreadSuspect(r.work, holders)
+		spreadSuspectedWork(r.work, holders)
 	}
 	return holders
 }
@@ -268,35 +268,35 @@
 // in ms for each token. It outweighs a crossing.
 const suspectPenalty = 50.0
 
-// distanceCost has the nodes of a large data centre choose different engines among those that
+// preferenceCost has the nodes of a large data centre choose different engines among those that
 // are equally good, in ms for each token. It is less than another hop. All that know the same
 // would choose the same chain until it is a quarter full; an engine of it that refuses, or is
 // lost, is then found out by a request of each.
-const distanceCost = 0.3
+const preferenceCost = 0.3
 
-// distance draws, for a node, how far an engine is from it, from 0 up to 1: always the same.
-func distance(seed uint64, id fleet.Incarnation) float64 {
+// nodePreference draws, for a node, how far an engine is from it, from 0 up to 1: always the same.
+func nodePreference(seed uint64, id fleet.Incarnation) float64 {
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(id.String()))).Float64()
 }
 
-func (m *Model) holder(r *request, u *upstream) chain.Holder {
+func (m *Model) newHolder(r *request, u *upstream) chain.Holder {
 	h := chain.Holder{
 		ID: u.entry.ID, Address: u.entry.Address, DataCentre: u.entry.DataCentre, Held: u.entry.Held,
-		LayerTime: u.layerTime * max(u.pace, 1), Total: u.room, Room: m.free(u),
+		LayerTime: u.layerTime * max(u.slowdown, 1), TotalMemory: u.memory, FreeMemory: m.freeMemory(u),
 	}
-	h.Busy = m.busy(u, h.Room)
-	h.Begin = m.slotCost(u)
-	if r.tried[u.entry.ID] {
+	h.PromptLoad = m.promptLoad(u, h.FreeMemory)
+	h.EntryCost = m.slotCost(u)
+	if r.triedUpstreams[u.entry.ID] {
 		h.Penalty = triedPenalty
 	}
-	if m.large {
-		h.Penalty += distanceCost * u.distance
+	if m.manyNodes {
+		h.Penalty += preferenceCost * u.preference
 	}
-	if u.suspect {
+	if u.suspected {
 		h.Penalty += suspectPenalty
 	}
 	if u.full(m.now) {
-		h.Room = 0
+		h.FreeMemory = 0
 	}
 	return h
 }
--- a/dispatch/wait.go
+++ b/dispatch/wait.go
@@ -10,54 +10,54 @@
 )
 
 // A caller gives a stream up after a pause of this many times its aims, and of
-// leastPatience at least. A stream that waits for something to go on with is kept
+// minPatience at least. A stream that waits for something to go on with is kept
 // until then and patienceMargin longer: cutting it before would take away what
 // the caller still waits for.
 const (
-	aimsOfPatience              = 4
-	gapsOfPatience              = 8
-	leastPatience  clock.Millis = 2000
-	patienceMargin clock.Millis = 600
+	patienceAims                 = 4
+	patienceGapAims              = 8
+	minPatience     clock.Millis = 2000
+	patienceMargin  clock.Millis = 600
 )
 
-// patience is for how long a caller waits for the next event.
-func patience(route *catalog.Route) clock.Millis {
-	return max(leastPatience, aimsOfPatience*route.Aim, gapsOfPatience*route.GapAim) + patienceMargin
+// clientPatience is for how long a caller waits for the next event.
+func clientPatience(route *catalog.Route) clock.Millis {
+	return max(minPatience, patienceAims*route.LatencyTarget, patienceGapAims*route.EventGapTarget) + patienceMargin
 }
 
-// waitOrCut keeps a stream that has begun for a while when nothing can take it
+// waitOrAbort keeps a stream that has begun for a while when nothing can take it
 // up just now: engines are being loaded, others end and leave room, and the
 // budget of repeats is filled again. It is cut only after its caller should have
 // left.
-func (m *Model) waitOrCut(r *request, reason Reason) []Cmd {
+func (m *Model) waitOrAbort(r *request, reason Reason) []Cmd {
 	if r.waitUntil == 0 {
-		r.waitUntil = m.now.Add(patience(r.route))
+		r.waitUntil = m.now.Add(clientPatience(r.route))
 	}
-	passing := reason == ReasonNoRoom || reason == ReasonNoHolder || reason == ReasonNoBudget
+	passing := reason == ReasonNoMemory || reason == ReasonNoHolder || reason == ReasonNoRetryBudget
 	if passing && m.now < r.waitUntil {
-		r.waitingFor = reason
-		r.afterRest = len(m.rests(r)) > 0
+		r.waitReason = reason
+		r.afterBackOff = len(m.backOffEnds(r)) > 0
 		return nil
 	}
-	return m.cut(r.msg.Request, reason)
+	return m.abort(r.arrival.Request, reason)
 }
 
-// resume tries again to send the streams that wait.
-func (m *Model) resume() []Cmd {
+// resumeStreams tries again to send the streams that wait.
+func (m *Model) resumeStreams() []Cmd {
 	var cmds []Cmd
-	left := resumeEach
-	for _, r := range m.waiting() {
-		if r.afterRest && left == 0 {
+	left := resumesPerTick
+	for _, r := range m.waitingStreams() {
+		if r.afterBackOff && left == 0 {
 			continue
 		}
-		reason := r.waitingFor
-		r.waitingFor = ""
-		if reason == ReasonNoBudget && !m.budget(r.service.Name).Spend(m.now) {
-			cmds = append(cmds, m.waitOrCut(r, reason)...)
+		reason := r.waitReason
+		r.waitReason = ""
+		if reason == ReasonNoRetryBudget && !m.budget(r.service.Name).TryWithdraw(m.now) {
+			cmds = append(cmds, m.waitOrAbort(r, reason)...)
 			continue
 		}
 		next := m.resend(r)
-		if r.afterRest && slices.ContainsFunc(next, isSend) {
+		if r.afterBackOff && slices.ContainsFunc(next, isSendCmd) {
 			left--
 		}
 		cmds = append(cmds, next...)
@@ -65,11 +65,11 @@
 	return cmds
 }
 
-// waiting returns the streams that wait, the most urgent first.
-func (m *Model) waiting() []*request {
+// waitingStreams returns the streams that wait, the most urgent first.
+func (m *Model) waitingStreams() []*request {
 	var list []*request
 	for _, id := range slices.Sorted(maps.Keys(m.requests)) {
-		if r := m.requests[id]; r.waitingFor != "" {
+		if r := m.requests[id]; r.waitReason != "" {
 			list = append(list, r)
 		}
 	}
@@ -79,7 +79,7 @@
 
 // resend sends a request again, if its key is still good.
 func (m *Model) resend(r *request) []Cmd {
-	if cmds := m.admitKey(r); cmds != nil {
+	if cmds := m.checkKey(r); cmds != nil {
 		return cmds
 	}
 	return m.send(r)
--- a/dispatch/watch.go
+++ b/dispatch/watch.go
@@ -2,18 +2,18 @@
 
 import "github.com/hoistjunction/hoistjunction/fleet"
 
-// watch holds the upstreams of which something is to be asked, or may soon be. Of thousands
+// probeSet holds the upstreams of which something is to be asked, or may soon be. Of thousands
 // these are a few, and the others are not looked at ten times a second.
-type watch map[fleet.Incarnation]*upstream
+type probeSet map[fleet.Incarnation]*upstream
 
-// attend has the upstream looked at until nothing is to be asked of it.
-func (u *upstream) attend() {
-	if u.watch != nil {
-		u.watch[u.entry.ID] = u
+// addProbeCandidate has the upstream looked at until nothing is to be asked of it.
+func (u *upstream) addProbeCandidate() {
+	if u.probeCandidates != nil {
+		u.probeCandidates[u.entry.ID] = u
 	}
 }
 
-// wanting tells whether something is to be asked of the upstream, now or later.
-func (u *upstream) wanting() bool {
-	return u.probing || u.suspect || u.wantsReport || u.pace > usualPace
+// mayNeedProbe tells whether something is to be asked of the upstream, now or later.
+func (u *upstream) mayNeedProbe() bool {
+	return u.probeInFlight || u.suspected || u.reportWanted || u.slowdown > normalSlowdown
 }
--- a/dispatch/watch_test.go
+++ b/dispatch/watch_test.go
@@ -17,22 +17,22 @@
 		m.Update(0, CatalogMsg{Catalog: catalog.New(1, catalog.WithServices(&catalog.Service{Name: "s", Pipeline: &catalog.Pipeline{Layers: 8}}))})
 		var changes []fleet.Change
 		for i := range upstreams {
-			id := fleet.Undated(fleet.ID(fmt.Sprint("e", i)))
+			id := fleet.IncarnationByID(fleet.ID(fmt.Sprint("e", i)))
 			changes = append(changes, fleet.Change{ID: id, Upstream: fleet.Upstream{ID: id, Service: "s", Address: fmt.Sprint("e", i, ":1")}})
 		}
 		m.Update(0, FleetMsg{Changes: changes})
 		m.Update(100, TickMsg{})
-		if got, want := len(m.watch), 0; got != want {
+		if got, want := len(m.probeCandidates), 0; got != want {
 			t.Errorf("%d upstreams: got %d looked at, want %d", upstreams, got, want)
 		}
-		m.Update(150, ToldSilentMsg{Upstream: changes[3].ID})
+		m.Update(150, PeerUnresponsiveMsg{Upstream: changes[3].ID})
 		cmds := m.Update(200, TickMsg{})
-		if len(cmds) != 1 || len(m.watch) != 1 {
-			t.Errorf("%d upstreams: got %v and %d looked at, want a probe of the one that is suspected", upstreams, cmds, len(m.watch))
+		if len(cmds) != 1 || len(m.probeCandidates) != 1 {
+			t.Errorf("%d upstreams: got %v and %d looked at, want a probe of the one that is suspected", upstreams, cmds, len(m.probeCandidates))
 		}
 		m.Update(210, ProbedMsg{Upstream: changes[3].ID, Answered: true})
 		m.Update(300, TickMsg{})
-		if got, want := len(m.watch), 0; got != want {
+		if got, want := len(m.probeCandidates), 0; got != want {
 			t.Errorf("%d upstreams: got %d looked at after a good answer, want %d", upstreams, got, want)
 		}
 	}
--- a/fleet/identity_test.go
+++ b/fleet/identity_test.go
@@ -12,12 +12,12 @@
 
 const (
 	module = "github.com/hoistjunction/hoistjunction"
-	// idType is what an upstream is called, which its later runs are too.
-	idType = module + "/fleet.ID"
+	// idTypeName is what an upstream is called, which its later runs are too.
+	idTypeName = module + "/fleet.ID"
 )
 
-// translators may turn an ID into text and back: they write and read messages.
-var translators = []string{module + "/fleet", module + "/fleetwire", module + "/platform"}
+// idConverters may turn an ID into text and back: they write and read messages.
+var idConverters = []string{module + "/fleet", module + "/fleetwire", module + "/platform"}
 
 // What is known of an upstream hangs on one run of its process. Outside of this package no
 // table is keyed by the bare ID and none is compared, so nothing of an earlier run can be
@@ -39,34 +39,34 @@
 			continue
 		}
 		for expr, found := range p.TypesInfo.Types {
-			if what := misuse(p, expr, found); what != "" {
+			if what := misuseOfID(p, expr, found); what != "" {
 				t.Errorf("%s: %s", p.Fset.Position(expr.Pos()), what)
 			}
 		}
 	}
 }
 
-// misuse says what is wrong with an expression; nothing if nothing is.
-func misuse(p *packages.Package, expr ast.Expr, found types.TypeAndValue) string {
+// misuseOfID says what is wrong with an expression; nothing if nothing is.
+func misuseOfID(p *packages.Package, expr ast.Expr, found types.TypeAndValue) string {
 	if m, ok := found.Type.Underlying().(*types.Map); ok && isID(m.Key()) {
 		return "a table is keyed by a bare ID"
 	}
 	switch e := expr.(type) {
 	case *ast.BinaryExpr:
-		if compares(e.Op) && (isID(p.TypesInfo.TypeOf(e.X)) || isID(p.TypesInfo.TypeOf(e.Y))) {
+		if isComparison(e.Op) && (isID(p.TypesInfo.TypeOf(e.X)) || isID(p.TypesInfo.TypeOf(e.Y))) {
 			return "a bare ID is compared"
 		}
 	case *ast.CallExpr:
-		if len(e.Args) == 1 && p.TypesInfo.Types[e.Fun].IsType() && isID(p.TypesInfo.TypeOf(e.Args[0])) && !mayTranslate(p.PkgPath) {
+		if len(e.Args) == 1 && p.TypesInfo.Types[e.Fun].IsType() && isID(p.TypesInfo.TypeOf(e.Args[0])) && !mayConvertID(p.PkgPath) {
 			return "a bare ID is converted"
 		}
 	}
 	return ""
 }
 
-func isID(t types.Type) bool { return t != nil && t.String() == idType }
+func isID(t types.Type) bool { return t != nil && t.String() == idTypeName }
 
-func compares(op token.Token) bool {
+func isComparison(op token.Token) bool {
 	switch op {
 	case token.EQL, token.NEQ, token.LSS, token.GTR, token.LEQ, token.GEQ:
 		return true
@@ -75,8 +75,8 @@
 	}
 }
 
-func mayTranslate(path string) bool {
-	for _, p := range translators {
+func mayConvertID(path string) bool {
+	for _, p := range idConverters {
 		if path == p || strings.HasPrefix(path, p+"/") {
 			return true
 		}
--- a/fleet/presence.go
+++ b/fleet/presence.go
@@ -6,11 +6,11 @@
 // The presences.
 const (
 	// Unnamed: whoever answers has not said enough to tell.
-	Unnamed Presence = iota
+	PresenceUnknown Presence = iota
 	// Itself: it is the incarnation.
-	Itself
+	Present
 	// Another: it is another upstream, so the incarnation has ended or was never there.
-	Another
+	Replaced
 )
 
 var presenceNames = [...]string{"unnamed", "itself", "another"}
@@ -24,11 +24,11 @@
 func (i Incarnation) Presence(answerer ID) Presence {
 	switch {
 	case answerer == "":
-		return Unnamed
+		return PresenceUnknown
 	case answerer != i.id:
-		return Another
-	case i.born != 0:
-		return Unnamed
+		return Replaced
+	case i.started != 0:
+		return PresenceUnknown
 	}
-	return Itself
+	return Present
 }
--- a/fleet/upstream.go
+++ b/fleet/upstream.go
@@ -20,7 +20,7 @@
 	// Accelerator names its kind of accelerator; empty for plain services.
 	Accelerator string
 	// Held is the range of layers that it holds; empty for none.
-	Held Range
+	Held LayerRange
 	// Lapsed upstreams had an entry before an outage of the store, and have had none since
 	// its return. Who knows one keeps it for a while; who does not must not learn it.
 	Lapsed bool
@@ -29,29 +29,29 @@
 	Withheld bool
 }
 
-// Range is a run of layers, From included and To not.
-type Range struct {
+// LayerRange is a run of layers, From included and To not.
+type LayerRange struct {
 	From int
 	To   int
 }
 
 // Len returns how many layers the range has.
-func (r Range) Len() int { return max(0, r.To-r.From) }
+func (r LayerRange) Len() int { return max(0, r.To-r.From) }
 
 // Empty tells whether the range has no layers.
-func (r Range) Empty() bool { return r.To <= r.From }
+func (r LayerRange) Empty() bool { return r.To <= r.From }
 
 // Holds tells whether a layer is in the range.
-func (r Range) Holds(layer int) bool { return r.From <= layer && layer < r.To }
+func (r LayerRange) Holds(layer int) bool { return r.From <= layer && layer < r.To }
 
 // Covers tells whether all of another range is in this one.
-func (r Range) Covers(o Range) bool { return o.Empty() || r.From <= o.From && o.To <= r.To }
+func (r LayerRange) Covers(o LayerRange) bool { return o.Empty() || r.From <= o.From && o.To <= r.To }
 
 // Overlap returns the layers that two ranges share.
-func (r Range) Overlap(o Range) Range {
-	shared := Range{From: max(r.From, o.From), To: min(r.To, o.To)}
+func (r LayerRange) Overlap(o LayerRange) LayerRange {
+	shared := LayerRange{From: max(r.From, o.From), To: min(r.To, o.To)}
 	if shared.Empty() {
-		return Range{}
+		return LayerRange{}
 	}
 	return shared
 }
--- a/fleet/use.go
+++ b/fleet/use.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Use is what requests take at an engine.
-type Use struct {
+// EngineUsage is what requests take at an engine.
+type EngineUsage struct {
 	// Memory is in tokens times layers.
 	Memory float64
 	// Streams are those that begin there. An engine works on so many as it has slots; the
@@ -12,15 +12,17 @@
 }
 
 // Plus returns what both take together.
-func (u Use) Plus(o Use) Use { return Use{Memory: u.Memory + o.Memory, Streams: u.Streams + o.Streams} }
+func (u EngineUsage) Plus(o EngineUsage) EngineUsage {
+	return EngineUsage{Memory: u.Memory + o.Memory, Streams: u.Streams + o.Streams}
+}
 
 // Minus returns what is left of a use without another one.
-func (u Use) Minus(o Use) Use {
-	return Use{Memory: u.Memory - o.Memory, Streams: u.Streams - o.Streams}
+func (u EngineUsage) Minus(o EngineUsage) EngineUsage {
+	return EngineUsage{Memory: u.Memory - o.Memory, Streams: u.Streams - o.Streams}
 }
 
 // String writes the memory, and the streams that begin there if there are any.
-func (u Use) String() string {
+func (u EngineUsage) String() string {
 	if u.Streams == 0 {
 		return fmt.Sprint(u.Memory)
 	}
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -7,98 +7,98 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// LapseGrace is how long after the store's return an entry may be missing
+// RemovalGrace is how long after the store's return an entry may be missing
 // although the upstream lives. The users' letter names about two seconds.
-const LapseGrace clock.Millis = 2200
+const RemovalGrace clock.Millis = 2200
 
 // View is the node's picture of all upstreams. It is pure: times are handed
 // in. It is not safe for concurrent use.
 type View struct {
 	upstreams map[Incarnation]*Upstream
-	// departed are incarnations that were seen leaving. They go on leaving, whatever an
+	// seenLeaving are incarnations that were seen leaving. They go on leaving, whatever an
 	// older entry says.
-	departed map[Incarnation]bool
-	// ended are incarnations whose address another one has. They never come back.
-	ended map[Incarnation]bool
-	// replaced are the addresses at which others have answered in place of incarnations.
+	seenLeaving map[Incarnation]bool
+	// terminated are incarnations whose address another one has. They never come back.
+	terminated map[Incarnation]bool
+	// replacedAt are the addresses at which others have answered in place of incarnations.
 	// What says that one is there still is older than that.
-	replaced map[Incarnation]string
-	// latest says which incarnations a later run of their upstream has followed. These
+	replacedAt map[Incarnation]string
+	// newestStarts says which incarnations a later run of their upstream has followed. These
 	// never come back either.
-	latest latest
-	// atAddress names the incarnation at an address.
-	atAddress map[string]Incarnation
-	// missing are entries that vanished around an outage, with the time from
+	newestStarts latestStarts
+	// byAddress names the incarnation at an address.
+	byAddress map[string]Incarnation
+	// missingUntil are entries that vanished around an outage, with the time from
 	// which they are taken as gone.
-	missing map[Incarnation]clock.Millis
-	// gone are upstreams that were taken as gone lately, and when; earlier ones were forgotten
-	// last at forgot. Returned is when the store has come back from a copy last, and heldBack
+	missingUntil map[Incarnation]clock.Millis
+	// removedAt are upstreams that were taken as gone lately, and when; earlier ones were forgotten
+	// last at forgot. Returned is when the store has come back from a copy last, and staleSuspects
 	// are entries that may be the copy's alone.
-	gone     map[Incarnation]clock.Millis
-	forgot   clock.Millis
-	returned clock.Millis
-	heldBack map[Incarnation]Upstream
-	// services are those that there are, nil while that is not known, and strangers the
+	removedAt     map[Incarnation]clock.Millis
+	prunedAt      clock.Millis
+	restoredAt    clock.Millis
+	staleSuspects map[Incarnation]Upstream
+	// knownServices are those that there are, nil while that is not known, and strangers the
 	// entries that name another one.
-	services  map[string]bool
-	strangers map[Incarnation]Upstream
-	away      bool
-	// back is when the store was back last.
-	back clock.Millis
+	knownServices         map[string]bool
+	unknownServiceEntries map[Incarnation]Upstream
+	storeDown             bool
+	// recoveredAt is when the store was back last.
+	recoveredAt clock.Millis
 }
 
 // NewView returns a view without upstreams.
 func NewView() *View {
 	return &View{
-		upstreams: make(map[Incarnation]*Upstream),
-		departed:  make(map[Incarnation]bool),
-		ended:     make(map[Incarnation]bool),
-		replaced:  make(map[Incarnation]string),
-		latest:    make(latest),
-		atAddress: make(map[string]Incarnation),
-		missing:   make(map[Incarnation]clock.Millis),
-		strangers: make(map[Incarnation]Upstream),
-		gone:      make(map[Incarnation]clock.Millis),
-		forgot:    clock.Never,
-		returned:  clock.Never,
-		heldBack:  make(map[Incarnation]Upstream),
+		upstreams:             make(map[Incarnation]*Upstream),
+		seenLeaving:           make(map[Incarnation]bool),
+		terminated:            make(map[Incarnation]bool),
+		replacedAt:            make(map[Incarnation]string),
+		newestStarts:          make(latestStarts),
+		byAddress:             make(map[string]Incarnation),
+		missingUntil:          make(map[Incarnation]clock.Millis),
+		unknownServiceEntries: make(map[Incarnation]Upstream),
+		removedAt:             make(map[Incarnation]clock.Millis),
+		prunedAt:              clock.Never,
+		restoredAt:            clock.Never,
+		staleSuspects:         make(map[Incarnation]Upstream),
 	}
 }
 
 // StoreLost notes that the store does not answer. Entries that vanish from
 // now on may have lapsed.
-func (v *View) StoreLost() { v.away = true }
+func (v *View) StoreLost() { v.storeDown = true }
 
-// StoreBack notes that the store answers, and since when. At the end of an outage,
-// entries that are missing get until LapseGrace later to come back.
-func (v *View) StoreBack(now clock.Millis) {
-	if !v.away {
+// StoreRecovered notes that the store answers, and since when. At the end of an outage,
+// entries that are missing get until RemovalGrace later to come back.
+func (v *View) StoreRecovered(now clock.Millis) {
+	if !v.storeDown {
 		return
 	}
-	v.away, v.back = false, now
-	for id := range v.missing {
-		v.missing[id] = now.Add(LapseGrace)
+	v.storeDown, v.recoveredAt = false, now
+	for id := range v.missingUntil {
+		v.missingUntil[id] = now.Add(RemovalGrace)
 	}
 }
 
 // OutageEnded notes when an outage has ended that others have noticed and this view has
 // not: the grace of entries that vanish counts from then too.
 func (v *View) OutageEnded(at clock.Millis) {
-	if !v.away {
-		v.back = max(v.back, at)
+	if !v.storeDown {
+		v.recoveredAt = max(v.recoveredAt, at)
 	}
 }
 
-// Replace takes a whole list. Entries that it lacks are treated as vanished;
+// ReplaceList takes a whole list. Entries that it lacks are treated as vanished;
 // lapsed tells that the list follows an outage. One that names an earlier run of an
 // upstream says nothing of the latest.
-func (v *View) Replace(now clock.Millis, list []Change, lapsed bool) []Change {
-	clear(v.strangers)
-	clear(v.heldBack)
-	changes := slices.DeleteFunc(slices.Clone(list), func(c Change) bool { return v.copied(now, c) })
+func (v *View) ReplaceList(now clock.Millis, list []Change, lapsed bool) []Change {
+	clear(v.unknownServiceEntries)
+	clear(v.staleSuspects)
+	changes := slices.DeleteFunc(slices.Clone(list), func(c Change) bool { return v.holdBackStale(now, c) })
 	listed := make(map[Incarnation]bool, len(changes))
 	for _, c := range changes {
-		listed[v.latest.run(c.ID)] = true
+		listed[v.newestStarts.newest(c.ID)] = true
 	}
 	for id := range v.upstreams {
 		if !listed[id] {
@@ -109,32 +109,32 @@
 	return v.Apply(now, changes, lapsed)
 }
 
-// Learn takes a whole list from a peer that has the store while this node has
+// ApplyPeerList takes a whole list from a peer that has the store while this node has
 // not. Entries that it lacks are gone.
-func (v *View) Learn(now clock.Millis, list []Upstream) []Change {
-	away := v.away
-	v.away = false
+func (v *View) ApplyPeerList(now clock.Millis, list []Upstream) []Change {
+	away := v.storeDown
+	v.storeDown = false
 	changes := make([]Change, 0, len(list))
 	for _, u := range list {
 		changes = append(changes, Change{ID: u.ID, Upstream: u})
 	}
-	changes = v.Replace(now, changes, false)
-	v.away = away
+	changes = v.ReplaceList(now, changes, false)
+	v.storeDown = away
 	return changes
 }
 
 // Apply takes changes of the list and returns those that made a difference:
 // with Gone for upstreams that get no new work from now on.
 func (v *View) Apply(now clock.Millis, changes []Change, lapsed bool) []Change {
-	effective := v.supersede(changes)
-	effective = append(effective, v.displace(changes)...)
+	effective := v.terminateEarlier(changes)
+	effective = append(effective, v.terminateAtReusedAddress(changes)...)
 	for _, c := range changes {
-		c.ID = v.Resolve(c)
-		if v.stranger(c) {
+		c.ID = v.IncarnationOf(c)
+		if v.setAsideUnknownService(c) {
 			c.Unreadable = true
 		}
 		if c.Unreadable {
-			effective = append(effective, v.withhold(c.ID)...)
+			effective = append(effective, v.markEntryInvalid(c.ID)...)
 			continue
 		}
 		if !v.apply(now, c, lapsed) {
@@ -153,120 +153,120 @@
 func (v *View) apply(now clock.Millis, c Change, lapsed bool) bool {
 	switch {
 	case c.Ended:
-		return v.end(c.ID)
+		return v.markTerminated(c.ID)
 	case c.Gone:
-		return v.vanish(now, c.ID, lapsed)
-	case v.over(c.ID) || c.Upstream.Address != "" && v.replaced[c.ID] == c.Upstream.Address:
+		return v.entryRemoved(now, c.ID, lapsed)
+	case v.isTerminated(c.ID) || c.Upstream.Address != "" && v.replacedAt[c.ID] == c.Upstream.Address:
 		return false
 	}
 	if c.Upstream.Lapsed {
-		return v.vanish(now, c.ID, true)
+		return v.entryRemoved(now, c.ID, true)
 	}
-	delete(v.missing, c.ID)
-	delete(v.gone, c.ID)
-	delete(v.heldBack, c.ID)
+	delete(v.missingUntil, c.ID)
+	delete(v.removedAt, c.ID)
+	delete(v.staleSuspects, c.ID)
 	u := c.Upstream
-	if v.departed[u.ID] {
+	if v.seenLeaving[u.ID] {
 		u.Leaving = true
 	}
 	if u.Leaving {
-		v.departed[u.ID] = true
+		v.seenLeaving[u.ID] = true
 	}
 	known, ok := v.upstreams[u.ID]
 	if ok && *known == u {
 		return false
 	}
 	v.upstreams[u.ID] = &u
-	v.atAddress[u.Address] = u.ID
+	v.byAddress[u.Address] = u.ID
 	return true
 }
 
-// vanish handles an entry that is there no more.
-func (v *View) vanish(now clock.Millis, id Incarnation, lapsed bool) bool {
+// entryRemoved handles an entry that is there no more.
+func (v *View) entryRemoved(now clock.Millis, id Incarnation, lapsed bool) bool {
 	if _, ok := v.upstreams[id]; !ok {
-		delete(v.heldBack, id)
+		delete(v.staleSuspects, id)
 		return false
 	}
-	if lapsed || v.away {
-		if _, waiting := v.missing[id]; !waiting {
-			v.missing[id] = v.graceEnds(now)
+	if lapsed || v.storeDown {
+		if _, waiting := v.missingUntil[id]; !waiting {
+			v.missingUntil[id] = v.removalDeadline(now)
 		}
 		return false
 	}
 	v.remove(id)
-	v.noteGone(now, id)
+	v.recordRemoval(now, id)
 	return true
 }
 
-// graceEnds is until when an entry that vanishes now may come back. Once the store
+// removalDeadline is until when an entry that vanishes now may come back. Once the store
 // is back the grace counts from its return, not from when the entry vanished. Where
 // others have noticed an outage that still lasts, there is no return to count from.
-func (v *View) graceEnds(now clock.Millis) clock.Millis {
-	ends := v.back.Add(LapseGrace)
-	if v.away || now >= ends {
-		return now.Add(LapseGrace)
+func (v *View) removalDeadline(now clock.Millis) clock.Millis {
+	ends := v.recoveredAt.Add(RemovalGrace)
+	if v.storeDown || now >= ends {
+		return now.Add(RemovalGrace)
 	}
 	return ends
 }
 
 func (v *View) remove(id Incarnation) {
-	if u := v.upstreams[id]; u != nil && v.atAddress[u.Address] == id {
-		delete(v.atAddress, u.Address)
+	if u := v.upstreams[id]; u != nil && v.byAddress[u.Address] == id {
+		delete(v.byAddress, u.Address)
 	}
 	delete(v.upstreams, id)
-	delete(v.missing, id)
+	delete(v.missingUntil, id)
 }
 
 // Expire removes entries whose time to come back is over, lists those that were held back for
 // long enough, and returns both. Nothing expires while the store is away.
 func (v *View) Expire(now clock.Millis) []Change {
-	if v.away {
+	if v.storeDown {
 		return nil
 	}
 	var changes []Change
-	for id, until := range v.missing {
+	for id, until := range v.missingUntil {
 		if now >= until {
 			changes = append(changes, Change{ID: id, Gone: true})
 		}
 	}
 	for _, c := range changes {
 		v.remove(c.ID)
-		v.noteGone(now, c.ID)
+		v.recordRemoval(now, c.ID)
 	}
-	changes = append(changes, v.listHeldBack(now)...)
+	changes = append(changes, v.releaseStaleSuspects(now)...)
 	slices.SortFunc(changes, func(a, b Change) int { return a.ID.Compare(b.ID) })
 	return changes
 }
 
-// Waiting tells whether some entry may still come back.
-func (v *View) Waiting() bool { return len(v.missing) > 0 }
+// HasMissing tells whether some entry may still come back.
+func (v *View) HasMissing() bool { return len(v.missingUntil) > 0 }
 
-// Lapsed returns the upstreams whose entries may still come back.
-func (v *View) Lapsed() []Incarnation {
-	return slices.SortedFunc(maps.Keys(v.missing), Incarnation.Compare)
+// Missing returns the upstreams whose entries may still come back.
+func (v *View) Missing() []Incarnation {
+	return slices.SortedFunc(maps.Keys(v.missingUntil), Incarnation.Compare)
 }
 
-// Listed tells whether an upstream is known and has an entry.
-func (v *View) Listed(id Incarnation) bool {
-	_, waiting := v.missing[id]
-	return v.Holds(id) && !waiting
+// HasEntry tells whether an upstream is known and has an entry.
+func (v *View) HasEntry(id Incarnation) bool {
+	_, waiting := v.missingUntil[id]
+	return v.Contains(id) && !waiting
 }
 
 // NextExpiry is when Expire has something to do next; ok is false for never.
 func (v *View) NextExpiry() (at clock.Millis, ok bool) {
-	for _, until := range v.missing {
+	for _, until := range v.missingUntil {
 		if !ok || until < at {
 			at, ok = until, true
 		}
 	}
-	if listed := v.returned.Add(CopyGrace); len(v.heldBack) > 0 && (!ok || listed < at) {
+	if listed := v.restoredAt.Add(RestoreGrace); len(v.staleSuspects) > 0 && (!ok || listed < at) {
 		at, ok = listed, true
 	}
 	return at, ok
 }
 
-// Holds tells whether an upstream is known.
-func (v *View) Holds(id Incarnation) bool { return v.upstreams[id] != nil }
+// Contains tells whether an upstream is known.
+func (v *View) Contains(id Incarnation) bool { return v.upstreams[id] != nil }
 
 // Get returns what is known of an upstream; ok is false for nothing.
 func (v *View) Get(id Incarnation) (u Upstream, ok bool) {
@@ -275,7 +275,7 @@
 		return Upstream{}, false
 	}
 	u = *known
-	_, u.Lapsed = v.missing[id]
+	_, u.Lapsed = v.missingUntil[id]
 	return u, true
 }
 
--- a/fleet/view_returns_test.go
+++ b/fleet/view_returns_test.go
@@ -15,13 +15,13 @@
 	now := clock.Millis(0)
 	const each = 1000
 	for i := range 200 {
-		id := fleet.Undated(fleet.ID(fmt.Sprintf("u%d", i)))
+		id := fleet.IncarnationByID(fleet.ID(fmt.Sprintf("u%d", i)))
 		v.Apply(now, []fleet.Change{{ID: id, Upstream: fleet.Upstream{ID: id, Address: fmt.Sprint(i)}}}, false)
 		v.Apply(now, []fleet.Change{{ID: id, Gone: true}}, false)
 		now += each
 	}
-	most := int((moment.MaxBackupAge + 2*fleet.CopyGrace) / each)
-	if got := v.Remembered(); got > most {
+	most := int((moment.MaxBackupAge + 2*fleet.RestoreGrace) / each)
+	if got := v.RemovedCount(); got > most {
 		t.Errorf("got %d remembered, want %d at most", got, most)
 	}
 }
@@ -34,7 +34,7 @@
 				v := fleet.NewView()
 				var listed, gone []fleet.Change
 				for i := range many {
-					id := fleet.Undated(fleet.ID(fmt.Sprintf("u%d", i)))
+					id := fleet.IncarnationByID(fleet.ID(fmt.Sprintf("u%d", i)))
 					listed = append(listed, fleet.Change{ID: id, Upstream: fleet.Upstream{ID: id, Address: fmt.Sprint(i)}})
 					gone = append(gone, fleet.Change{ID: id, Gone: true})
 				}
--- a/fleet/view_strangers.go
+++ b/fleet/view_strangers.go
@@ -6,21 +6,21 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// mostStrangers bounds the entries that are kept aside. A deployment has some hundred.
-const mostStrangers = 1024
+// maxUnknownServiceEntries bounds the entries that are kept aside. A deployment has some hundred.
+const maxUnknownServiceEntries = 1024
 
 // SetServices sets the services that there are, and takes up the entries that have named
 // one of them before. Others have no place to be used, and entries that name one may come
 // from another writer: they must not take the address of an upstream that is.
 func (v *View) SetServices(now clock.Millis, names []string) []Change {
-	v.services = make(map[string]bool, len(names))
+	v.knownServices = make(map[string]bool, len(names))
 	for _, name := range names {
-		v.services[name] = true
+		v.knownServices[name] = true
 	}
 	var known []Change
-	for id, u := range v.strangers {
-		if v.services[u.Service] {
-			delete(v.strangers, id)
+	for id, u := range v.unknownServiceEntries {
+		if v.knownServices[u.Service] {
+			delete(v.unknownServiceEntries, id)
 			known = append(known, Change{ID: id, Upstream: u})
 		}
 	}
@@ -28,31 +28,31 @@
 	return v.Apply(now, known, false)
 }
 
-// stranger keeps an entry aside that names a service that there is not, and tells whether
+// setAsideUnknownService keeps an entry aside that names a service that there is not, and tells whether
 // it did.
-func (v *View) stranger(c Change) bool {
+func (v *View) setAsideUnknownService(c Change) bool {
 	if c.Gone {
-		delete(v.strangers, c.ID)
+		delete(v.unknownServiceEntries, c.ID)
 		return false
 	}
-	if !v.unserved(c) {
+	if !v.hasUnknownService(c) {
 		return false
 	}
-	if len(v.strangers) < mostStrangers {
-		v.strangers[c.ID] = c.Upstream
+	if len(v.unknownServiceEntries) < maxUnknownServiceEntries {
+		v.unknownServiceEntries[c.ID] = c.Upstream
 	}
 	return true
 }
 
-// unserved tells whether a change brings an entry that names a service that there is not.
-func (v *View) unserved(c Change) bool {
-	return !c.Gone && !c.Unreadable && v.services != nil && !v.services[c.Upstream.Service]
+// hasUnknownService tells whether a change brings an entry that names a service that there is not.
+func (v *View) hasUnknownService(c Change) bool {
+	return !c.Gone && !c.Unreadable && v.knownServices != nil && !v.knownServices[c.Upstream.Service]
 }
 
-// withhold keeps new work from an upstream whose entry cannot be used.
-func (v *View) withhold(id Incarnation) []Change {
+// markEntryInvalid keeps new work from an upstream whose entry cannot be used.
+func (v *View) markEntryInvalid(id Incarnation) []Change {
 	known := v.upstreams[id]
-	delete(v.missing, id)
+	delete(v.missingUntil, id)
 	if known == nil || known.Withheld {
 		return nil
 	}
--- a/fleet/view_test.go
+++ b/fleet/view_test.go
@@ -16,25 +16,25 @@
 		view, now := fleet.NewView(), clock.Millis(0)
 		return func(s script.Step) []string {
 			now = clock.Millis(s.Int("at", int(now)))
-			return show(play(t, view, now, s))
+			return formatChanges(applyStep(t, view, now, s))
 		}
 	})
 }
 
-func play(t *testing.T, v *fleet.View, now clock.Millis, s script.Step) []fleet.Change {
+func applyStep(t *testing.T, v *fleet.View, now clock.Millis, s script.Step) []fleet.Change {
 	lapsing := s.Named["lapsing"] == "yes"
 	switch s.Verb {
 	case "change":
-		return v.Apply(now, changes(s.Words), lapsing)
+		return v.Apply(now, parseChanges(s.Words), lapsing)
 	case "list":
-		return v.Replace(now, changes(s.Words), lapsing)
+		return v.ReplaceList(now, parseChanges(s.Words), lapsing)
 	case "peer":
-		return v.Learn(now, upstreams(s.Words))
+		return v.ApplyPeerList(now, parseUpstreams(s.Words))
 	case "lost":
 		v.StoreLost()
 		return nil
 	case "back":
-		v.StoreBack(now)
+		v.StoreRecovered(now)
 		return nil
 	case "copy":
 		v.Returned(now)
@@ -45,11 +45,11 @@
 	case "services":
 		return v.SetServices(now, s.Words)
 	case "heard":
-		return v.Supersede(script.Incarnation(s.Word(0)))
+		return v.NoteIncarnation(script.Incarnation(s.Word(0)))
 	case "replaced":
-		return v.Replaced(script.Incarnation(s.Word(0)), s.Word(1))
+		return v.NoteReplacement(script.Incarnation(s.Word(0)), s.Word(1))
 	case "says":
-		return v.Leave(script.Incarnation(s.Word(0)))
+		return v.MarkLeaving(script.Incarnation(s.Word(0)))
 	case "expire":
 		return v.Expire(now)
 	}
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// changes reads words like u1, u1/address+service, u1:unreadable, u1@17 for a run that began at 17, u1:leaving, u1:held3, u1:lapsed and u1:gone.
-func changes(words []string) []fleet.Change {
+// parseChanges reads words like u1, u1/address+service, u1:unreadable, u1@17 for a run that began at 17, u1:leaving, u1:held3, u1:lapsed and u1:gone.
+func parseChanges(words []string) []fleet.Change {
 	var list []fleet.Change
 	for _, word := range words {
 		name, state, _ := strings.Cut(word, ":")
@@ -74,15 +74,15 @@
 	return list
 }
 
-func upstreams(words []string) []fleet.Upstream {
+func parseUpstreams(words []string) []fleet.Upstream {
 	var list []fleet.Upstream
-	for _, c := range changes(words) {
+	for _, c := range parseChanges(words) {
 		list = append(list, c.Upstream)
 	}
 	return list
 }
 
-func show(list []fleet.Change) []string {
+func formatChanges(list []fleet.Change) []string {
 	var lines []string
 	for _, c := range list {
 		state := ""
--- a/fleetwire/entry.go
+++ b/fleetwire/entry.go
@@ -15,12 +15,12 @@
 
 // IncarnationOf returns the incarnation in a message.
 func IncarnationOf(msg incarnationMessage) fleet.Incarnation {
-	return fleet.NewIncarnation(fleet.ID(msg.GetId()), fleet.Start(msg.GetBorn()))
+	return fleet.NewIncarnation(fleet.ID(msg.GetId()), fleet.StartTime(msg.GetBorn()))
 }
 
 // IncarnationFields returns the message fields of an incarnation.
 func IncarnationFields(i fleet.Incarnation) (id string, born int64) {
-	return string(i.ID()), int64(i.Born())
+	return string(i.ID()), int64(i.StartedAt())
 }
 
 // Incarnations returns the message form of a list of incarnations.
@@ -57,7 +57,7 @@
 	return fleet.Upstream{
 		ID: IncarnationOf(msg), Service: msg.GetService(), Address: msg.GetAddress(), DataCentre: msg.GetDataCentre(),
 		Slots: int(msg.GetSlots()), Leaving: msg.GetLeaving(), Accelerator: msg.GetAccelerator(),
-		Held: fleet.Range{From: int(msg.GetHeldFrom()), To: int(msg.GetHeldTo())}, Lapsed: msg.GetLapsed(),
+		Held: fleet.LayerRange{From: int(msg.GetHeldFrom()), To: int(msg.GetHeldTo())}, Lapsed: msg.GetLapsed(),
 		Withheld: msg.GetWithheld(),
 	}
 }
--- a/follow/active_config.go
+++ b/follow/active_config.go
@@ -45,7 +45,7 @@
 	case p.Edition.Supersedes(f.Edition) && p.Catalog != nil:
 		*f = ActiveConfig{Edition: p.Edition, Raw: p.Raw, Confirmed: p.Confirmed}
 		return Replaced
-	case p.Edition.Same(f.Edition) && !f.Edition.IsZero():
+	case p.Edition.SameText(f.Edition) && !f.Edition.IsZero():
 		f.Confirmed = max(f.Confirmed, p.Confirmed)
 		return Renewed
 	default:
--- a/follow/doc.go
+++ b/follow/doc.go
@@ -14,7 +14,7 @@
 //
 // An entry that disappears from the list around a store outage or a store restore may be
 // falsely removed. The node holds such an entry, which means that it keeps using it, until its
-// grace period (fleet.LapseGrace) ends.
+// grace period (fleet.RemovalGrace) ends.
 package follow
 
 import (
--- a/follow/fleet.go
+++ b/follow/fleet.go
@@ -16,7 +16,7 @@
 
 // recentReaderPeriod is how long after the first call to a reader that reader may still hold
 // entries that disappeared in an outage of its own.
-const recentReaderPeriod = fleet.LapseGrace + 800
+const recentReaderPeriod = fleet.RemovalGrace + 800
 
 // expiryCheckInterval is the longest wait while entries are held.
 const expiryCheckInterval clock.Millis = 500
@@ -96,7 +96,7 @@
 		reader, pending := f.selectReader(p.hasRead)
 		if pending {
 			f.applyPeerList(f.clock.Now())
-			clock.Pause(ctx, pollInterval(p.hasRead))
+			clock.Sleep(ctx, pollInterval(p.hasRead))
 			continue
 		}
 		p.setReader(reader, f.clock.Now())
@@ -117,7 +117,7 @@
 		p = fleetProgress{asOf: reading.AsOf, hasRead: true, reader: p.reader, readerSince: p.readerSince}
 		if len(reading.Changes) > 0 {
 			p.paused = f.gatherPause(reader != nil)
-			clock.Pause(ctx, p.paused.Duration())
+			clock.Sleep(ctx, p.paused.Duration())
 		}
 	}
 	return ctx.Err()
@@ -183,7 +183,7 @@
 			return
 		}
 		f.applyPeerList(f.clock.Now())
-		clock.Pause(ctx, minRetryPause.Duration())
+		clock.Sleep(ctx, minRetryPause.Duration())
 		lost = lost || f.outage.Ongoing()
 		if f.clock.Now() >= until || lost && !f.outage.Ongoing() {
 			return
@@ -262,7 +262,7 @@
 func (f *Fleet) hasHeldEntries() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.view.Waiting()
+	return f.view.HasMissing()
 }
 
 // nextExpiry returns when the grace period of the next held entry ends; ok is false if there is
--- a/follow/fleet_apply.go
+++ b/follow/fleet_apply.go
@@ -20,11 +20,11 @@
 		f.log.Warn("entry_unreadable", logging.Err(err))
 	}
 	if ended := f.outage.EndedAt(now); ended != clock.Never {
-		f.view.StoreBack(ended)
+		f.view.StoreRecovered(ended)
 		f.view.OutageEnded(ended)
 	}
-	f.view.StoreBack(now)
-	held := f.view.Lapsed()
+	f.view.StoreRecovered(now)
+	held := f.view.Missing()
 	if f.view.Len() == 0 && uncertain {
 		// A node that has started during an outage does not know which entries were falsely
 		// removed in it.
@@ -32,7 +32,7 @@
 	}
 	var changes []fleet.Change
 	if reading.Whole {
-		changes = f.view.Replace(now, entriesIn(reading.Changes), uncertain)
+		changes = f.view.ReplaceList(now, entriesIn(reading.Changes), uncertain)
 	} else {
 		changes = f.view.Apply(now, reading.Changes, uncertain)
 	}
@@ -45,10 +45,10 @@
 // falseRemovalsChanged reports whether the set of held entries differs from before: an entry is
 // listed again, or further ones have disappeared. Followers must get the current set.
 func (f *Fleet) falseRemovalsChanged(before []fleet.Incarnation) bool {
-	if slices.ContainsFunc(before, f.view.Listed) {
+	if slices.ContainsFunc(before, f.view.HasEntry) {
 		return true
 	}
-	return slices.ContainsFunc(f.view.Lapsed(), func(id fleet.Incarnation) bool { return !slices.Contains(before, id) })
+	return slices.ContainsFunc(f.view.Missing(), func(id fleet.Incarnation) bool { return !slices.Contains(before, id) })
 }
 
 // expire removes held entries whose grace period has ended.
@@ -73,7 +73,7 @@
 func (f *Fleet) Supersede(incarnation fleet.Incarnation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	ended := f.view.Supersede(incarnation)
+	ended := f.view.NoteIncarnation(incarnation)
 	if len(ended) == 0 {
 		return
 	}
@@ -88,7 +88,7 @@
 func (f *Fleet) MarkLeaving(id fleet.Incarnation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	left := f.view.Leave(id)
+	left := f.view.MarkLeaving(id)
 	if len(left) == 0 {
 		return
 	}
@@ -101,7 +101,7 @@
 func (f *Fleet) MarkReplaced(id fleet.Incarnation, address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	ended := f.view.Replaced(id, address)
+	ended := f.view.NoteReplacement(id, address)
 	if len(ended) == 0 {
 		return
 	}
@@ -147,10 +147,10 @@
 	for _, c := range changes {
 		included[c.ID] = true
 	}
-	remembers := f.clock.Now() < f.restoredAt.Add(fleet.CopyGrace)
+	remembers := f.clock.Now() < f.restoredAt.Add(fleet.RestoreGrace)
 	var known []fleet.Change
 	for _, c := range reading.Changes {
-		c.ID = f.view.Resolve(c)
+		c.ID = f.view.IncarnationOf(c)
 		switch u, holds := f.view.Get(c.ID); {
 		case included[c.ID]:
 		case c.Gone && !holds:
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -59,7 +59,7 @@
 	if string(raw) == "bad" {
 		return nil, errStoreDown
 	}
-	return catalog.New(uint64(raw[0]-'0'), catalog.WithText(raw, written)), nil
+	return catalog.New(uint64(raw[0]-'0'), catalog.WithSource(raw, written)), nil
 }
 
 func (s *scriptedStore) fleet(call string) (FleetReading, error) {
@@ -138,11 +138,11 @@
 		{"a failure that begins the first outage", func() bool { return o.RecordFailure(10) }, true, 10, true},
 		{"a second failure in a row", func() bool { return o.RecordFailure(20) }, false, 20, true},
 		{"an answer after the outage", func() bool { return o.RecordAnswer(100) }, true, 100, true},
-		{"another answer", func() bool { return o.RecordAnswer(200) }, false, 100 + fleet.LapseGrace - 1, true},
-		{"an answer after the grace period", func() bool { return o.RecordAnswer(9000) }, false, 100 + fleet.LapseGrace, false},
+		{"another answer", func() bool { return o.RecordAnswer(200) }, false, 100 + fleet.RemovalGrace - 1, true},
+		{"an answer after the grace period", func() bool { return o.RecordAnswer(9000) }, false, 100 + fleet.RemovalGrace, false},
 		{"a failure that begins the second outage", func() bool { return o.RecordFailure(10_000) }, true, 10_000, true},
 		{"a reader's answer", func() bool { return o.RecordReaderAnswer(10_100) }, false, 10_100, true},
-		{"a reader's answer after the grace period", func() bool { return o.RecordReaderAnswer(10_100 + fleet.LapseGrace) }, false, 10_100 + fleet.LapseGrace, false},
+		{"a reader's answer after the grace period", func() bool { return o.RecordReaderAnswer(10_100 + fleet.RemovalGrace) }, false, 10_100 + fleet.RemovalGrace, false},
 		{"a reader's answer after the outage has expired", func() bool { return o.RecordReaderAnswer(10_000 + outageExpiry) }, true, 10_000 + outageExpiry, false},
 		{"another answer of the reader", func() bool { return o.RecordReaderAnswer(90_000) }, false, 90_000, false},
 		{"a failure that begins the third outage", func() bool { return o.RecordFailure(100_000) }, true, 100_000, true},
@@ -166,7 +166,7 @@
 func TestFleetReadsFullListAfterOutage(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	up := func(id string) fleet.Change {
-		return fleet.Change{ID: fleet.Undated(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.Undated(fleet.ID(id))}}
+		return fleet.Change{ID: fleet.IncarnationByID(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.IncarnationByID(fleet.ID(id))}}
 	}
 	source := &scriptedStore{t: t, end: cancel, answers: []scriptedAnswer{
 		{changes: []fleet.Change{up("u1"), up("u2")}}, {err: errStoreDown}, {changes: []fleet.Change{up("u2")}},
@@ -185,7 +185,7 @@
 	go func() {
 		for ctx.Err() == nil {
 			outage.RecordAnswer(c.Now())
-			clock.Pause(ctx, minRetryPause.Duration())
+			clock.Sleep(ctx, minRetryPause.Duration())
 		}
 	}()
 	if err := f.Run(ctx); !errors.Is(err, context.Canceled) {
--- a/follow/limits_test.go
+++ b/follow/limits_test.go
@@ -30,7 +30,7 @@
 		{"a repeated call for the list is unresponsive too", StoreMargin + storePause(1) + minRetryPause + slowStoreAnswer, deadline},
 		{"a repeated call for the configuration is unresponsive too", StoreMargin + retryPause(1) + minRetryPause + slowStoreAnswer, deadline},
 		{"the store recovers after a long outage", max(maxRetryPause, minHang) + minRetryPause + slowStoreAnswer, disconnectedFor},
-		{"removals during a long outage are applied", max(maxRetryPause, minHang) + fleet.LapseGrace + minWait, disconnectedFor},
+		{"removals during a long outage are applied", max(maxRetryPause, minHang) + fleet.RemovalGrace + minWait, disconnectedFor},
 		{"the reader is frozen", gatherFollowed + readerListWait - gatherFollowed + 2*ReaderMargin + slowStoreAnswer, deadline},
 		{"the next reader is frozen too", readerLossDelay + slowStoreAnswer, deadline},
 		{"the reader has lost the store", ProofLifetime + ReaderMargin + slowStoreAnswer, deadline},
--- a/follow/outage.go
+++ b/follow/outage.go
@@ -145,9 +145,9 @@
 }
 
 // FalseRemovalsPossible reports whether entries that disappear may be falsely removed, because
-// an outage is ongoing or has ended less than fleet.LapseGrace ago.
+// an outage is ongoing or has ended less than fleet.RemovalGrace ago.
 func (o *Outage) FalseRemovalsPossible(now clock.Millis) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.ongoing && !o.readerHasStore(now) || now < o.lastEnd(now).Add(fleet.LapseGrace)
+	return o.ongoing && !o.readerHasStore(now) || now < o.lastEnd(now).Add(fleet.RemovalGrace)
 }
