--- a/follow/peer_list.go
+++ b/follow/peer_list.go
@@ -29,7 +29,7 @@
 	defer f.mu.Unlock()
 	if l := f.peerList.Swap(nil); l != nil && now <= l.receivedAt.Add(peerListLifetime) {
 		f.confirmedAt.Store(int64(l.receivedAt))
-		changes := f.view.Learn(now, l.upstreams)
+		changes := f.view.ApplyPeerList(now, l.upstreams)
 		// Followers have not got these changes, and the next reading of the store will not
 		// include them as changes.
 		f.publishFull = f.publishFull || len(changes) > 0
--- a/follow/reader_test.go
+++ b/follow/reader_test.go
@@ -168,14 +168,14 @@
 func (l *publishedLog) Suspend() { l.calls = append(l.calls, "suspend") }
 
 func listed(id string) fleet.Change {
-	return fleet.Change{ID: fleet.Undated(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.Undated(fleet.ID(id))}}
+	return fleet.Change{ID: fleet.IncarnationByID(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.IncarnationByID(fleet.ID(id))}}
 }
 
 // endOutageSoon ends an outage as the follower of the configuration does.
 func endOutageSoon(ctx context.Context, outage *Outage, c *clock.Clock) {
 	for ctx.Err() == nil {
 		outage.RecordAnswer(c.Now())
-		clock.Pause(ctx, minRetryPause.Duration())
+		clock.Sleep(ctx, minRetryPause.Duration())
 	}
 }
 
@@ -215,7 +215,7 @@
 			{err: errStoreDown}, {changes: []fleet.Change{listed("u1")}}, {changes: []fleet.Change{listed("u2")}},
 		}, []string{"suspend", "suspend", "suspend", "suspend"}},
 		{"removal of an unknown entry", []scriptedAnswer{
-			{changes: []fleet.Change{listed("u1")}}, {changes: []fleet.Change{{ID: fleet.Undated("u9"), Gone: true}}},
+			{changes: []fleet.Change{listed("u1")}}, {changes: []fleet.Change{{ID: fleet.IncarnationByID("u9"), Gone: true}}},
 		}, []string{"set u1", "add u9true", "suspend"}},
 	}
 	for _, tt := range tests {
@@ -234,7 +234,7 @@
 	f := NewFleet(&scriptedStore{t: t}, clocktest.NewClock(), zap.NewNop(), &Outage{}, func([]fleet.Change) {}, WithReaders(standalone{}, published))
 	now := f.clock.Now()
 	f.apply(now, FleetReading{AsOf: moment.At(0, 1), Whole: true}, false)
-	f.AddPeerList([]fleet.Upstream{{ID: fleet.Undated("u1")}, {ID: fleet.Undated("u2")}})
+	f.AddPeerList([]fleet.Upstream{{ID: fleet.IncarnationByID("u1")}, {ID: fleet.IncarnationByID("u2")}})
 	f.applyPeerList(now)
 	f.apply(now, FleetReading{AsOf: moment.At(0, 4), Changes: []fleet.Change{listed("u1"), listed("u2"), listed("u3")}}, false)
 	checkCalls(t, published.calls, []string{"set", "set u1 u2 u3"})
@@ -259,7 +259,7 @@
 func TestFleetFollowsReaderDuringOutage(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	source := &scriptedStore{t: t, end: cancel, answers: []scriptedAnswer{{changes: []fleet.Change{listed("u1")}}, {err: errStoreDown}}}
-	reader := &scriptedReader{store: source, answers: []scriptedAnswer{{changes: []fleet.Change{listed("u2")}}, {changes: []fleet.Change{{ID: fleet.Undated("u1"), Gone: true}}}}}
+	reader := &scriptedReader{store: source, answers: []scriptedAnswer{{changes: []fleet.Change{listed("u2")}}, {changes: []fleet.Change{{ID: fleet.IncarnationByID("u1"), Gone: true}}}}}
 	outage := &Outage{}
 	var seen []string
 	f := NewFleet(source, clocktest.NewClock(), zap.NewNop(), outage, func(changes []fleet.Change) {
@@ -315,14 +315,14 @@
 		}
 	})
 	f.view.Apply(c.Now(), []fleet.Change{listed("u1"), listed("u2")}, false)
-	f.AddPeerList([]fleet.Upstream{{ID: fleet.Undated("u1")}})
-	f.AddPeerList([]fleet.Upstream{{ID: fleet.Undated("u1")}, {ID: fleet.Undated("u2")}, {ID: fleet.Undated("u3")}})
+	f.AddPeerList([]fleet.Upstream{{ID: fleet.IncarnationByID("u1")}})
+	f.AddPeerList([]fleet.Upstream{{ID: fleet.IncarnationByID("u1")}, {ID: fleet.IncarnationByID("u2")}, {ID: fleet.IncarnationByID("u3")}})
 	f.applyPeerList(c.Now())
 	if got, want := strings.Join(changed, " "), "u3false"; got != want {
 		t.Errorf("got changes %q after two lists, want %q from the last one", got, want)
 	}
 	changed = nil
-	f.AddPeerList([]fleet.Upstream{{ID: fleet.Undated("u1")}})
+	f.AddPeerList([]fleet.Upstream{{ID: fleet.IncarnationByID("u1")}})
 	f.applyPeerList(c.Now().Add(peerListLifetime + 1))
 	if len(changed) > 0 {
 		t.Errorf("got changes %q from an expired list, want none", changed)
--- a/internal/script/script.go
+++ b/internal/script/script.go
@@ -108,7 +108,7 @@
 	id, born, _ := strings.Cut(word, "@")
 	start, err := strconv.ParseInt(born, 10, 64)
 	if err != nil {
-		return fleet.Undated(fleet.ID(id))
+		return fleet.IncarnationByID(fleet.ID(id))
 	}
-	return fleet.NewIncarnation(fleet.ID(id), fleet.Start(start))
+	return fleet.NewIncarnation(fleet.ID(id), fleet.StartTime(start))
 }
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -21,15 +21,15 @@
 )
 
 const (
-	// waiting bounds what waits to be written. What does not fit is known to this node and
+	// maxPending bounds what waits to be written. What does not fit is known to this node and
 	// its peers, and written by those of them that have lost it too.
-	waiting = 256
-	// gatherFor is for how long changes are gathered for one write.
-	gatherFor = 50 * time.Millisecond
-	// firstPause is the pause after a call that failed, which doubles up to longestPause:
+	maxPending = 256
+	// batchDelay is for how long changes are gathered for one write.
+	batchDelay = 50 * time.Millisecond
+	// minRetryDelay is the pause after a call that failed, which doubles up to maxRetryDelay:
 	// the store may be away for half a minute, and each call is priced.
-	firstPause   = 200 * time.Millisecond
-	longestPause = 3 * time.Second
+	minRetryDelay = 200 * time.Millisecond
+	maxRetryDelay = 3 * time.Second
 )
 
 // ErrRefused means that a store refuses a call for good: it will never be done, however
@@ -50,23 +50,23 @@
 type change struct {
 	dispatch.Quarantined
 	release bool
-	// at is as of when its age counts.
-	at clock.Millis
+	// recordedAt is as of when its age counts.
+	recordedAt clock.Millis
 }
 
 // Keeper keeps requests in a store.
 type Keeper struct {
-	store Store
-	log   *zap.Logger
-	learn func([]dispatch.Quarantined)
-	// first tells that the whole system starts for the first time: nothing is kept yet.
-	first   bool
-	clock   *clock.Clock
-	changes *ring.Ring[change]
-	// written are the last words that were written on requests, as long as a copy may lack
+	store  Store
+	log    *zap.Logger
+	onRead func([]dispatch.Quarantined)
+	// firstStart tells that the whole system starts for the first time: nothing is kept yet.
+	firstStart bool
+	clock      *clock.Clock
+	pending    *ring.Ring[change]
+	// recentWrites are the last words that were written on requests, as long as a copy may lack
 	// them, and returned tells that the store has come back from one. Only Run uses written.
-	written  map[work.ID]change
-	returned chan struct{}
+	recentWrites map[work.ID]change
+	restored     chan struct{}
 	// refused counts the changes that the store refuses for good.
 	refused expvar.Int
 }
@@ -74,8 +74,8 @@
 // New returns a keeper. Learn takes what was kept.
 func New(store Store, c *clock.Clock, log *zap.Logger, firstStart bool, learn func([]dispatch.Quarantined)) *Keeper {
 	return &Keeper{
-		store: store, clock: c, log: log, learn: learn, first: firstStart, changes: ring.New[change](waiting),
-		written: make(map[work.ID]change), returned: make(chan struct{}, 1),
+		store: store, clock: c, log: log, onRead: learn, firstStart: firstStart, pending: ring.New[change](maxPending),
+		recentWrites: make(map[work.ID]change), restored: make(chan struct{}, 1),
 	}
 }
 
@@ -83,17 +83,17 @@
 func (k *Keeper) Refused() *expvar.Int { return &k.refused }
 
 // Keep has a request kept. It does not wait for that.
-func (k *Keeper) Keep(w dispatch.Quarantined) { k.offer(change{Quarantined: w}) }
+func (k *Keeper) Keep(w dispatch.Quarantined) { k.enqueue(change{Quarantined: w}) }
 
 // Release has a request kept no longer. It does not wait for that.
 func (k *Keeper) Release(id work.ID) {
-	k.offer(change{Quarantined: dispatch.Quarantined{Work: id}, release: true})
+	k.enqueue(change{Quarantined: dispatch.Quarantined{Work: id}, release: true})
 }
 
-func (k *Keeper) offer(c change) {
-	c.at = k.clock.Now()
-	if !k.changes.Offer(c) {
-		k.log.Warn("quarantine_not_kept", zap.Stringer("work", c.Work), zap.Int("waiting", waiting))
+func (k *Keeper) enqueue(c change) {
+	c.recordedAt = k.clock.Now()
+	if !k.pending.Offer(c) {
+		k.log.Warn("quarantine_not_kept", zap.Stringer("work", c.Work), zap.Int("waiting", maxPending))
 	}
 }
 
@@ -104,13 +104,13 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case c := <-k.changes.Items():
-			clock.Pause(ctx, gatherFor)
-			changes := k.gather(c)
+		case c := <-k.pending.Items():
+			clock.Sleep(ctx, batchDelay)
+			changes := k.collectBatch(c)
 			k.write(ctx, changes)
-			k.note(changes)
-		case <-k.returned:
-			k.write(ctx, k.lost())
+			k.rememberWrites(changes)
+		case <-k.restored:
+			k.write(ctx, k.possiblyLost())
 		}
 	}
 }
@@ -119,31 +119,31 @@
 // written last.
 func (k *Keeper) StoreReturned() {
 	select {
-	case k.returned <- struct{}{}:
+	case k.restored <- struct{}{}:
 	default:
 	}
 }
 
-// note notes changes that were written.
-func (k *Keeper) note(changes map[work.ID]change) {
+// rememberWrites notes changes that were written.
+func (k *Keeper) rememberWrites(changes map[work.ID]change) {
 	now := k.clock.Now()
-	maps.DeleteFunc(k.written, func(_ work.ID, c change) bool { return now >= c.at.Add(moment.MaxBackupAge) })
+	maps.DeleteFunc(k.recentWrites, func(_ work.ID, c change) bool { return now >= c.recordedAt.Add(moment.MaxBackupAge) })
 	for id, c := range changes {
-		if _, known := k.written[id]; !known && len(k.written) >= waiting {
-			k.log.Warn("quarantine_not_remembered", zap.Stringer("work", id), zap.Int("most", waiting))
+		if _, known := k.recentWrites[id]; !known && len(k.recentWrites) >= maxPending {
+			k.log.Warn("quarantine_not_remembered", zap.Stringer("work", id), zap.Int("most", maxPending))
 			continue
 		}
-		k.written[id] = c
+		k.recentWrites[id] = c
 	}
 }
 
-// lost returns what a copy may lack, with the ages that requests have now.
-func (k *Keeper) lost() map[work.ID]change {
-	k.note(nil)
+// possiblyLost returns what a copy may lack, with the ages that requests have now.
+func (k *Keeper) possiblyLost() map[work.ID]change {
+	k.rememberWrites(nil)
 	now := k.clock.Now()
-	changes := make(map[work.ID]change, len(k.written))
-	for id, c := range k.written {
-		c.Age, c.at = c.Age+now.Sub(c.at), now
+	changes := make(map[work.ID]change, len(k.recentWrites))
+	for id, c := range k.recentWrites {
+		c.Age, c.recordedAt = c.Age+now.Sub(c.recordedAt), now
 		changes[id] = c
 	}
 	return changes
@@ -151,11 +151,11 @@
 
 // read reads what is kept, and tells also of nothing: the node waits for it.
 func (k *Keeper) read(ctx context.Context) {
-	if k.first {
-		k.learn(nil)
+	if k.firstStart {
+		k.onRead(nil)
 		return
 	}
-	err := k.until(ctx, "quarantine_not_read", func() error {
+	err := k.retry(ctx, "quarantine_not_read", func() error {
 		list, unreadable, err := k.store.Quarantined(ctx)
 		if err != nil {
 			return err
@@ -164,22 +164,22 @@
 			k.log.Warn("quarantine_unreadable", logging.Err(err))
 		}
 		k.log.Info("quarantine_read", zap.Int("requests", len(list)), zap.Int("unreadable", len(unreadable)))
-		k.learn(list)
+		k.onRead(list)
 		return nil
 	})
 	if err != nil {
 		k.log.Error("quarantine_not_read", logging.Err(err))
-		k.learn(nil)
+		k.onRead(nil)
 	}
 }
 
-// gather returns a change and those that wait behind it; the last word on each request
+// collectBatch returns a change and those that wait behind it; the last word on each request
 // counts.
-func (k *Keeper) gather(first change) map[work.ID]change {
+func (k *Keeper) collectBatch(first change) map[work.ID]change {
 	changes := map[work.ID]change{first.Work: first}
 	for {
 		select {
-		case c := <-k.changes.Items():
+		case c := <-k.pending.Items():
 			changes[c.Work] = c
 		default:
 			return changes
@@ -207,7 +207,7 @@
 	if len(list) == 0 {
 		return
 	}
-	err := k.until(ctx, "quarantine_not_written", func() error { return call(ctx, list) })
+	err := k.retry(ctx, "quarantine_not_written", func() error { return call(ctx, list) })
 	if err == nil {
 		return
 	}
@@ -221,16 +221,16 @@
 	}
 }
 
-// until tries a call until it succeeds or the context ends. It returns an error that wraps
+// retry tries a call until it succeeds or the context ends. It returns an error that wraps
 // ErrRefused for one that never will.
-func (k *Keeper) until(ctx context.Context, event string, call func() error) error {
-	for pause := firstPause; ctx.Err() == nil; pause = min(2*pause, longestPause) {
+func (k *Keeper) retry(ctx context.Context, event string, call func() error) error {
+	for pause := minRetryDelay; ctx.Err() == nil; pause = min(2*pause, maxRetryDelay) {
 		err := call()
 		if err == nil || errors.Is(err, ErrRefused) {
 			return err
 		}
 		k.log.Info(event, logging.Err(err))
-		clock.Pause(ctx, pause)
+		clock.Sleep(ctx, pause)
 	}
 	return nil
 }
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -18,15 +18,15 @@
 	"github.com/hoistjunction/hoistjunction/work"
 )
 
-var errAway = errors.New("the store is away")
+var errUnavailable = errors.New("the store is away")
 
 // fakeStore notes what it is asked, and fails as often as it is told to.
 type fakeStore struct {
-	mu    sync.Mutex
-	fails int
-	// refuses is a work that it refuses for good.
-	refuses work.ID
-	calls   []string
+	mu       sync.Mutex
+	failures int
+	// refusedWork is a work that it refuses for good.
+	refusedWork work.ID
+	calls       []string
 	// lastAge is that of the request that was kept last.
 	lastAge clock.Millis
 	kept    []dispatch.Quarantined
@@ -36,9 +36,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls = append(f.calls, name)
-	if f.fails > 0 {
-		f.fails--
-		return errAway
+	if f.failures > 0 {
+		f.failures--
+		return errUnavailable
 	}
 	return nil
 }
@@ -48,22 +48,22 @@
 }
 
 func (f *fakeStore) Quarantine(_ context.Context, works []dispatch.Quarantined) error {
-	err := f.call("keep" + names(len(works)))
+	err := f.call("keep" + callSuffix(len(works)))
 	f.lastAge = works[len(works)-1].Age
-	if err == nil && slices.ContainsFunc(works, func(w dispatch.Quarantined) bool { return w.Work == f.refuses }) {
-		return errors.Mark(errAway, ErrRefused)
+	if err == nil && slices.ContainsFunc(works, func(w dispatch.Quarantined) bool { return w.Work == f.refusedWork }) {
+		return errors.Mark(errUnavailable, ErrRefused)
 	}
 	return err
 }
 
 func (f *fakeStore) Release(_ context.Context, works []work.ID) error {
-	return f.call("release" + names(len(works)))
+	return f.call("release" + callSuffix(len(works)))
 }
 
-func names(n int) string { return string(rune('0' + n)) }
+func callSuffix(n int) string { return string(rune('0' + n)) }
 
-// run runs a keeper for a time, and returns what the store was asked and how much was learnt.
-func run(t *testing.T, store *fakeStore, first bool, feed func(*Keeper), d time.Duration) (calls []string, learnt []int) {
+// runKeeper runs a keeper for a time, and returns what the store was asked and how much was learnt.
+func runKeeper(t *testing.T, store *fakeStore, first bool, feed func(*Keeper), d time.Duration) (calls []string, learnt []int) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		k := New(store, clocktest.NewClock(), zap.NewNop(), first, func(list []dispatch.Quarantined) { learnt = append(learnt, len(list)) })
@@ -93,7 +93,7 @@
 	}{
 		{"reads what is kept", &fakeStore{kept: []dispatch.Quarantined{{Work: a}}}, false, nothing, []string{"read"}, []int{1}},
 		{"asks nothing at the first start", &fakeStore{}, true, nothing, nil, []int{0}},
-		{"reads until the store is back", &fakeStore{fails: 2}, false, nothing, []string{"read", "read", "read"}, []int{0}},
+		{"reads until the store is back", &fakeStore{failures: 2}, false, nothing, []string{"read", "read", "read"}, []int{0}},
 		{
 			"writes changes of a moment together, the last word on each", &fakeStore{}, true, func(k *Keeper) {
 				k.Keep(dispatch.Quarantined{Work: a})
@@ -103,17 +103,17 @@
 			}, []string{"keep1", "release1"}, []int{0},
 		},
 		{
-			"one that is refused for good does not hold up others", &fakeStore{refuses: b}, true, func(k *Keeper) {
+			"one that is refused for good does not hold up others", &fakeStore{refusedWork: b}, true, func(k *Keeper) {
 				k.Keep(dispatch.Quarantined{Work: b})
 				k.Keep(dispatch.Quarantined{Work: a})
 				k.Release(work.ID{}.ForAccount("c"))
 			}, []string{"keep2", "keep1", "keep1", "release1"}, []int{0},
 		},
-		{"writes until the store is back", &fakeStore{fails: 1}, true, func(k *Keeper) { k.Keep(dispatch.Quarantined{Work: a}) }, []string{"keep1", "keep1"}, []int{0}},
+		{"writes until the store is back", &fakeStore{failures: 1}, true, func(k *Keeper) { k.Keep(dispatch.Quarantined{Work: a}) }, []string{"keep1", "keep1"}, []int{0}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			calls, learnt := run(t, tt.store, tt.first, tt.feed, 2*time.Second)
+			calls, learnt := runKeeper(t, tt.store, tt.first, tt.feed, 2*time.Second)
 			if !slices.Equal(calls, tt.calls) {
 				t.Errorf("got calls %v, want %v", calls, tt.calls)
 			}
@@ -126,13 +126,13 @@
 
 // A thousand verdicts while the store is away leave a bounded number to be written.
 func TestKeeperIsBounded(t *testing.T) {
-	store := &fakeStore{fails: 1 << 20}
-	run(t, store, true, func(k *Keeper) {
+	store := &fakeStore{failures: 1 << 20}
+	runKeeper(t, store, true, func(k *Keeper) {
 		for i := range 1000 {
 			k.Keep(dispatch.Quarantined{Work: work.ID{byte(i), byte(i >> 8)}})
 		}
-		if got := k.changes.Len(); got > waiting {
-			t.Errorf("got %d waiting, want %d at most", got, waiting)
+		if got := k.pending.Len(); got > maxPending {
+			t.Errorf("got %d waiting, want %d at most", got, maxPending)
 		}
 	}, time.Second)
 }
@@ -142,7 +142,7 @@
 func TestKeeperPutsBackWhatACopyLacks(t *testing.T) {
 	a, b := work.ID{}.ForAccount("a"), work.ID{}.ForAccount("b")
 	store := &fakeStore{}
-	calls, _ := run(t, store, true, func(k *Keeper) {
+	calls, _ := runKeeper(t, store, true, func(k *Keeper) {
 		k.Keep(dispatch.Quarantined{Work: a})
 		k.Keep(dispatch.Quarantined{Work: b})
 		time.Sleep(time.Second)
--- a/lab/attempt.go
+++ b/lab/attempt.go
@@ -39,7 +39,7 @@
 // hop is a part of an attempt's chain.
 type hop struct {
 	engine *engine
-	layers fleet.Range
+	layers fleet.LayerRange
 }
 
 // attempt is one sending of a request, from a node's side and the engines'.
@@ -74,7 +74,7 @@
 	w.result.Sends++
 	a := &attempt{world: w, session: s, cmd: cmd, tokens: s.caller.tokens(), last: w.now, sent: s.node.age()}
 	s.attempt = a
-	if !chain.Check(w.pipeline.Layers, cmd.Chain) {
+	if !chain.Valid(w.pipeline.Layers, cmd.Chain) {
 		w.result.breach("layers", "a chain that does not run each layer once")
 	}
 	w.after(onTheWay, a.arrive)
@@ -89,11 +89,11 @@
 	first := w.at[a.cmd.Address]
 	switch {
 	case first == nil || !first.up:
-		a.fail(dispatch.NotSent, "")
+		a.fail(dispatch.CauseNotSent, "")
 		return
 	case first.id != a.cmd.Upstream:
 		a.session.node.replaced(a.cmd.Upstream, a.cmd.Address)
-		a.fail(dispatch.NotRunElsewhere, "")
+		a.fail(dispatch.CauseMisdirected, "")
 		return
 	}
 	w.count(a.session)
@@ -102,7 +102,7 @@
 	if first.turnsAway() {
 		first.ask(a.session.node)
 		first.answers(a.session.node, a.sent)
-		a.fail(dispatch.NotRunFull, "")
+		a.fail(dispatch.CauseFull, "")
 		return
 	}
 	if cause, at, ok := a.build(a.cmd.Chain); !ok {
@@ -114,19 +114,19 @@
 }
 
 // build finds the engines of a chain, or tells what is wrong with it.
-func (a *attempt) build(parts []chain.Part) (cause dispatch.Cause, at string, ok bool) {
+func (a *attempt) build(parts []chain.Stage) (cause dispatch.Cause, at string, ok bool) {
 	var hops []hop
 	for _, p := range parts {
 		e := a.world.at[p.Address]
 		if e == nil || !e.up {
-			return dispatch.NotRunFull, p.Address, false
+			return dispatch.CauseFull, p.Address, false
 		}
 		if e.id != p.ID || !e.held.Covers(p.Layers) {
-			return dispatch.NotRunElsewhere, p.Address, false
+			return dispatch.CauseMisdirected, p.Address, false
 		}
 		need := a.tokens * float64(p.Layers.Len())
 		if !slices.ContainsFunc(a.parts, func(h hop) bool { return h.engine == e }) && e.used+need > e.room() {
-			return dispatch.NotRunFull, p.Address, false
+			return dispatch.CauseFull, p.Address, false
 		}
 		hops = append(hops, hop{engine: e, layers: p.Layers})
 	}
@@ -224,7 +224,7 @@
 	}
 	a.drop()
 	s := a.session
-	msg := dispatch.AttemptFailedMsg{Request: s.id, Attempt: a.cmd.Attempt, Cause: cause, At: at, Events: s.events}
+	msg := dispatch.AttemptFailedMsg{Request: s.id, Attempt: a.cmd.Attempt, Cause: cause, FaultyAddress: at, Events: s.events}
 	if s.events > 0 {
 		msg.Delivered = dispatch.DeliveredEvents
 	}
--- a/lab/attempt_stall.go
+++ b/lab/attempt_stall.go
@@ -14,7 +14,7 @@
 	}
 	slowest := slices.MaxFunc(a.parts, func(x, y hop) int { return int(100 * (x.engine.slow - y.engine.slow)) })
 	if slowest.engine.slow >= slowPace && slowest.engine != a.parts[0].engine {
-		a.session.node.tell(dispatch.StalledMsg{Request: a.session.id, Attempt: a.cmd.Attempt, At: slowest.engine.address, Slow: true})
+		a.session.node.tell(dispatch.StalledMsg{Request: a.session.id, Attempt: a.cmd.Attempt, FaultyAddress: slowest.engine.address, Slow: true})
 	}
 }
 
@@ -24,7 +24,7 @@
 		switch quiet := a.world.now.Sub(a.last); {
 		case a.over || a.session.events > 0 && a.still == nil:
 		case quiet >= abandonAfter:
-			a.fail(dispatch.Slow, "")
+			a.fail(dispatch.CauseNoProgress, "")
 		default:
 			a.watch(askAgain)
 		}
@@ -43,7 +43,7 @@
 	a.world.after(find+silentAsk/2, func() { a.found(plan) })
 	a.world.after(engineCuts, func() {
 		if !a.over && a.plan == plan && a.still != nil {
-			a.fail(dispatch.Unknown, "")
+			a.fail(dispatch.CauseUnknown, "")
 		}
 	})
 }
@@ -54,27 +54,27 @@
 		return
 	}
 	if a.session.events == 0 || a.world.variant.NoMoves {
-		a.fail(dispatch.Slow, a.still.address)
+		a.fail(dispatch.CauseNoProgress, a.still.address)
 		return
 	}
 	if a.world.now.Sub(a.last) >= abandonAfter {
-		a.fail(dispatch.Slow, "")
+		a.fail(dispatch.CauseNoProgress, "")
 		return
 	}
-	a.session.node.tell(dispatch.StalledMsg{Request: a.session.id, Attempt: a.cmd.Attempt, At: a.still.address})
+	a.session.node.tell(dispatch.StalledMsg{Request: a.session.id, Attempt: a.cmd.Attempt, FaultyAddress: a.still.address})
 	a.world.after(askAgain, func() { a.found(plan) })
 }
 
 // move sends the stream over other engines, which read all its tokens first.
-func (a *attempt) move(cmd dispatch.MoveCmd) {
+func (a *attempt) move(cmd dispatch.MigrateCmd) {
 	a.world.after(2*onTheWay, func() {
 		if a.over {
 			return
 		}
-		msg := dispatch.MovedMsg{Request: a.session.id, Attempt: a.cmd.Attempt, Result: dispatch.Moved}
+		msg := dispatch.MigratedMsg{Request: a.session.id, Attempt: a.cmd.Attempt, Result: dispatch.MigrationDone}
 		before := a.parts
 		if _, at, ok := a.build(cmd.Chain); !ok {
-			msg.Result, msg.At = dispatch.MoveRefused, at
+			msg.Result, msg.FaultyAddress = dispatch.MigrationRefused, at
 		} else {
 			a.world.result.Moves++
 			a.still = nil
--- a/lab/caller.go
+++ b/lab/caller.go
@@ -56,7 +56,7 @@
 		path = "/urgent/"
 	}
 	n.tell(dispatch.ArriveMsg{
-		Request: s.id, CallerID: fmt.Sprint(c.number, ".", c.tries), Asked: c.asked, Host: host, Path: path + "a",
+		Request: s.id, CallerID: fmt.Sprint(c.number, ".", c.tries), Work: c.asked, Host: host, Path: path + "a",
 		Remaining: c.deadline.Sub(c.world.now), PromptTokens: c.prompt, AnswerTokens: c.events * c.world.scenario.Load.EventTokens,
 		HintTokens: c.events * c.world.scenario.Load.EventTokens,
 	})
--- a/lab/engine.go
+++ b/lab/engine.go
@@ -20,11 +20,11 @@
 	kind    catalog.Accelerator
 	up      bool
 
-	held fleet.Range
+	held fleet.LayerRange
 	// busy tells that an order is being carried out, coming what it asks for, and loading that
 	// its load has begun.
 	busy    bool
-	coming  fleet.Range
+	coming  fleet.LayerRange
 	loading bool
 
 	// passing are the streams that pass it, in the order in which they came, and begun how
@@ -56,7 +56,7 @@
 }
 
 func (w *world) newEngine(name, address, centre string, kind catalog.Accelerator) *engine {
-	e := &engine{world: w, id: fleet.Undated(fleet.ID(name)), address: address, centre: centre, kind: kind, up: true, slow: 1, told: make(map[*node]restAsked)}
+	e := &engine{world: w, id: fleet.IncarnationByID(fleet.ID(name)), address: address, centre: centre, kind: kind, up: true, slow: 1, told: make(map[*node]restAsked)}
 	w.at[address] = e
 	return e
 }
@@ -72,7 +72,7 @@
 // room is its memory for requests, in tokens times layers. Layers that are being loaded take
 // theirs at once.
 func (e *engine) room() float64 {
-	return e.world.pipeline.Room(e.kind, max(e.held.Len(), e.coming.Len()))
+	return e.world.pipeline.RequestMemory(e.kind, max(e.held.Len(), e.coming.Len()))
 }
 
 // stepTime is the time of a token through some layers here, in ms: that of a step, which
@@ -132,16 +132,16 @@
 
 // report is its word on itself.
 func (e *engine) report() dispatch.Report {
-	r := dispatch.Report{Pace: e.slow}
+	r := dispatch.Report{Slowdown: e.slow}
 	if !e.world.variant.NoReports {
-		r.Free, r.All = e.room()-e.used, e.room()
+		r.FreeMemory, r.TotalMemory = e.room()-e.used, e.room()
 	}
 	return r
 }
 
 // place begins to carry out an order. Layers that it gives up take nothing new, and the load
 // begins once what passes them has left.
-func (e *engine) place(layers fleet.Range) {
+func (e *engine) place(layers fleet.LayerRange) {
 	e.busy, e.coming = true, layers
 	e.held = e.held.Overlap(layers)
 	e.world.list.publish(e)
@@ -166,7 +166,7 @@
 	w.after(clock.Millis(math.Ceil(took)), func() {
 		w.loads--
 		if e.up {
-			e.held, e.coming, e.busy, e.loading = layers, fleet.Range{}, false, false
+			e.held, e.coming, e.busy, e.loading = layers, fleet.LayerRange{}, false, false
 			w.list.publish(e)
 		}
 	})
@@ -183,7 +183,7 @@
 	w.result.Ended++
 	for _, a := range slices.Clone(e.passing) {
 		if a.parts[0].engine == e {
-			a.fail(dispatch.Unknown, "")
+			a.fail(dispatch.CauseUnknown, "")
 		} else {
 			a.standStill(e)
 		}
--- a/lab/limit.go
+++ b/lab/limit.go
@@ -95,9 +95,9 @@
 		switch {
 		case !n.up || n.life != started:
 		case rate > 0:
-			n.tell(dispatch.LimitMsg{Upstream: id, Rate: rate})
+			n.tell(dispatch.AdvertisedLimitMsg{Upstream: id, Rate: rate})
 		default:
-			n.tell(dispatch.NoLimitMsg{Upstream: id, Sent: sent})
+			n.tell(dispatch.NoAdvertisedLimitMsg{Upstream: id, SentAt: sent})
 		}
 	})
 }
@@ -125,16 +125,16 @@
 	n.one(cmd.To, func(o *node) {
 		ask := cmd.Ask
 		ask.Named = n.namedFor(o, ask.Named)
-		o.tell(dispatch.PermitAskMsg{From: n.name, Ask: ask})
+		o.tell(dispatch.PermitRequestMsg{From: n.name, Ask: ask})
 	})
 }
 
 // givePermits answers another node's question.
-func (n *node) givePermits(cmd dispatch.GivePermitsCmd) {
+func (n *node) givePermits(cmd dispatch.GrantPermitsCmd) {
 	n.one(cmd.To, func(o *node) {
 		grant := cmd.Grant
 		grant.Named = n.namedFor(o, grant.Named)
-		o.tell(dispatch.PermitsMsg{From: n.name, Grant: grant})
+		o.tell(dispatch.PermitGrantMsg{From: n.name, Grant: grant})
 	})
 }
 
--- a/lab/node.go
+++ b/lab/node.go
@@ -61,13 +61,13 @@
 	n.life++
 	life := n.life
 	s := w.scenario
-	n.model = dispatch.New(dispatch.WithDataCentre(n.centre), dispatch.WithSeed(uint64(n.rank)+1), dispatch.WithKeptQuarantine(),
+	n.model = dispatch.New(dispatch.WithDataCentre(n.centre), dispatch.WithSeed(uint64(n.rank)+1), dispatch.WithStoredQuarantine(),
 		dispatch.WithLimits(limit.New(limit.WithSelf(n.name), limit.WithBootID(uint64(n.life)))),
 		dispatch.WithPolicy(dispatch.Policy{RetryWindow: s.Nodes.WindowMS, RetryShare: w.retryShare(), RetrySlack: w.retrySlack()}))
 	n.planner = placement.New(placement.WithDelay(clock.Millis(n.rank)*planSlot), placement.WithStart(0))
 	n.view = fleet.NewView()
 	n.sessions = make(map[dispatch.RequestID]*session)
-	n.tell(dispatch.CatalogMsg{Catalog: w.catalog, Confirmed: 0})
+	n.tell(dispatch.CatalogMsg{Catalog: w.catalog, ConfirmedAt: 0})
 	n.plan(placement.CatalogMsg{Catalog: w.catalog})
 	n.hear(w.list.all())
 	n.seen = len(w.list.changes)
@@ -156,7 +156,7 @@
 
 // replaced takes in that another engine has answered at the address of one.
 func (n *node) replaced(id fleet.Incarnation, address string) {
-	if ended := n.view.Replaced(id, address); len(ended) > 0 {
+	if ended := n.view.NoteReplacement(id, address); len(ended) > 0 {
 		n.pass(ended)
 	}
 }
@@ -164,14 +164,14 @@
 // carry does what the model says.
 func (n *node) carry(cmd dispatch.Cmd) {
 	switch cmd := cmd.(type) {
-	case dispatch.ShareCmd:
+	case dispatch.ShareUsageCmd:
 		n.share(cmd)
-	case dispatch.SilentCmd:
-		n.plan(placement.SilentMsg{Upstream: cmd.Upstream, Silent: cmd.Silent, Agreed: cmd.Agreed})
-		if cmd.Silent && !cmd.Agreed && !n.world.variant.NoSilence {
+	case dispatch.ResponsivenessCmd:
+		n.plan(placement.ResponsivenessMsg{Upstream: cmd.Upstream, Unresponsive: cmd.Unresponsive, Confirmed: cmd.Confirmed})
+		if cmd.Unresponsive && !cmd.Confirmed && !n.world.variant.NoSilence {
 			n.others(func(o *node) {
 				if o.centre == n.centre || len(n.world.nodes) < nearAll {
-					o.tell(dispatch.ToldSilentMsg{Upstream: cmd.Upstream})
+					o.tell(dispatch.PeerUnresponsiveMsg{Upstream: cmd.Upstream})
 				}
 			})
 		}
@@ -181,11 +181,11 @@
 		n.identify(cmd)
 	case dispatch.QuarantineCmd:
 		n.spread(cmd.News)
-	case dispatch.AskPermitsCmd:
+	case dispatch.RequestPermitsCmd:
 		n.askPermits(cmd.AskCmd)
-	case dispatch.GivePermitsCmd:
+	case dispatch.GrantPermitsCmd:
 		n.givePermits(cmd)
-	case dispatch.SuspectCmd, dispatch.RestCmd, dispatch.WakeCmd, dispatch.LimitCmd:
+	case dispatch.SuspectCmd, dispatch.BackOffCmd, dispatch.RecheckDeadlineCmd, dispatch.LimitChangedCmd:
 	default:
 		if s := n.sessions[requestOf(cmd)]; s != nil {
 			s.obey(cmd)
@@ -198,15 +198,15 @@
 	switch cmd := cmd.(type) {
 	case dispatch.SendCmd:
 		return cmd.Request
-	case dispatch.FinishCmd:
+	case dispatch.RespondCmd:
 		return cmd.Request
-	case dispatch.RelayCmd:
+	case dispatch.RelayFailureCmd:
 		return cmd.Request
-	case dispatch.CutCmd:
+	case dispatch.AbortResponseCmd:
 		return cmd.Request
-	case dispatch.MoveCmd:
+	case dispatch.MigrateCmd:
 		return cmd.Request
-	case dispatch.ReconsiderCmd:
+	case dispatch.RecheckAttemptCmd:
 		return cmd.Request
 	}
 	return 0
--- a/lab/node_share.go
+++ b/lab/node_share.go
@@ -30,14 +30,14 @@
 		return
 	}
 	n.circle = circle
-	msg := dispatch.PeersMsg{All: len(w.nodes), Near: w.near(n), Members: w.members()}
+	msg := dispatch.PeersMsg{TotalNodes: len(w.nodes), UsagePeers: w.near(n), Members: w.members()}
 	rank := placement.RankMsg{Delay: planSlot * clock.Millis(n.rank)}
 	if !circle.FullMesh {
-		msg.Summed = !circle.IsHub
+		msg.Aggregated = !circle.IsHub
 		if circle.IsHub {
-			msg.Here = circle.PeerCount + 1
+			msg.LocalNodes = circle.PeerCount + 1
 		}
-		rank = placement.RankMsg{Delay: planSlot * clock.Millis(circle.HubIndex), Rests: !circle.IsHub, Elsewhere: w.elsewhere(n)}
+		rank = placement.RankMsg{Delay: planSlot * clock.Millis(circle.HubIndex), Standby: !circle.IsHub, ExcludedDataCentres: w.elsewhere(n)}
 	}
 	n.tell(msg)
 	n.plan(rank)
@@ -56,7 +56,7 @@
 
 // share tells others what the node has in use. In larger systems each tells its own data
 // centre, or the hubs there, and one of them others what it has in all.
-func (n *node) share(cmd dispatch.ShareCmd) {
+func (n *node) share(cmd dispatch.ShareUsageCmd) {
 	w := n.world
 	if w.variant.NoUsage {
 		return
@@ -83,7 +83,7 @@
 }
 
 // shareTotal tells other data centres what the nodes of this one's have in use.
-func (n *node) shareTotal(cmd dispatch.ShareCmd) {
+func (n *node) shareTotal(cmd dispatch.ShareUsageCmd) {
 	w := n.world
 	told := make(map[string]int)
 	for _, o := range w.nodes {
@@ -93,7 +93,7 @@
 		told[o.centre]++
 		n.to(o, func(o *node) {
 			o.tell(dispatch.UsageMsg{
-				Node: "all of " + n.centre, Used: cmd.Total, Total: true, DataCentre: n.centre,
+				Node: "all of " + n.centre, Used: cmd.WholeDataCentre, WholeDataCentre: true, DataCentre: n.centre,
 				Nodes: n.circle.PeerCount + 1, Limits: n.limitsFor(o, cmd.Limits),
 			})
 		})
@@ -101,11 +101,11 @@
 }
 
 // shareWhole tells a leaf that a hub is there and, if it is the first, what all have in use.
-func (n *node) shareWhole(o *node, cmd dispatch.ShareCmd) {
+func (n *node) shareWhole(o *node, cmd dispatch.ShareUsageCmd) {
 	o.roster.Heard(n.world.now, n.name, true)
 	if n.circle.IsFirstHub() {
 		o.tell(dispatch.UsageMsg{
-			Node: n.name, DataCentre: n.centre, Used: cmd.Whole, Whole: true, HeardOf: cmd.HeardOf,
+			Node: n.name, DataCentre: n.centre, Used: cmd.AllNodes, AllNodes: true, IncludedDataCentres: cmd.IncludedDataCentres,
 			Nodes: cmd.Nodes, Limits: n.limitsFor(o, cmd.Limits),
 		})
 	}
--- a/lab/node_tell.go
+++ b/lab/node_tell.go
@@ -74,7 +74,7 @@
 		if e := w.at[cmd.Address]; e != nil && e.up {
 			msg.Presence = cmd.Upstream.Presence(e.id.ID())
 		}
-		if msg.Presence == fleet.Another {
+		if msg.Presence == fleet.Replaced {
 			n.replaced(cmd.Upstream, cmd.Address)
 		}
 		n.tell(msg)
@@ -92,11 +92,11 @@
 	}
 	switch news := news.(type) {
 	case quarantine.LossNews:
-		n.others(func(o *node) { o.tell(dispatch.ToldLostMsg{Work: news.Work, Upstream: news.Upstream}) })
+		n.others(func(o *node) { o.tell(dispatch.PeerLossMsg{Work: news.Work, Upstream: news.Upstream}) })
 	case quarantine.ClearedNews:
 		delete(w.verdicts, news.Work)
 		if news.Local {
-			n.others(func(o *node) { o.tell(dispatch.ToldAnsweredMsg{Work: news.Work}) })
+			n.others(func(o *node) { o.tell(dispatch.PeerAnswerMsg{Work: news.Work}) })
 		}
 	case quarantine.QuarantinedNews:
 		w.keep(dispatch.Quarantined{Work: news.Work, Ended: news.Ended})
@@ -118,11 +118,11 @@
 		if !n.up || n.life != life {
 			return
 		}
-		msg := placement.OrderedMsg{Upstream: cmd.Upstream, Result: placement.Unanswered}
+		msg := placement.OrderResultMsg{Upstream: cmd.Upstream, Result: placement.Unanswered}
 		e := w.at[cmd.Address]
 		switch {
 		case e == nil || !e.up:
-		case e.busy || e.held != cmd.Believed || e.id != cmd.Upstream:
+		case e.busy || e.held != cmd.ExpectedHeld || e.id != cmd.Upstream:
 			msg.Result, msg.Held = placement.Busy, e.held
 		default:
 			w.result.Orders++
@@ -138,8 +138,8 @@
 // placed tells all nodes of an order that was taken or carried out.
 func (n *node) placed(cmd placement.OrderCmd, holds bool) {
 	take := func(o *node) {
-		o.tell(dispatch.PlacedMsg{Upstream: cmd.Upstream, Layers: cmd.Layers, Holds: holds})
-		o.plan(placement.PlacedMsg{Upstream: cmd.Upstream, Layers: cmd.Layers, Holds: holds})
+		o.tell(dispatch.PlacedMsg{Upstream: cmd.Upstream, Layers: cmd.Layers, Completed: holds})
+		o.plan(placement.PlacedMsg{Upstream: cmd.Upstream, Layers: cmd.Layers, Completed: holds})
 	}
 	take(n)
 	n.others(take)
--- a/lab/session.go
+++ b/lab/session.go
@@ -28,7 +28,7 @@
 // end ends the try at its node.
 func (s *session) end() {
 	delete(s.node.sessions, s.id)
-	s.node.tell(dispatch.GoneMsg{Request: s.id})
+	s.node.tell(dispatch.RequestEndedMsg{Request: s.id})
 }
 
 // obey does what the node's model says.
@@ -36,30 +36,30 @@
 	switch cmd := cmd.(type) {
 	case dispatch.SendCmd:
 		s.send(cmd)
-	case dispatch.MoveCmd:
+	case dispatch.MigrateCmd:
 		if s.attempt != nil && s.attempt.cmd.Attempt == cmd.Attempt {
 			s.attempt.move(cmd)
 		}
-	case dispatch.ReconsiderCmd:
+	case dispatch.RecheckAttemptCmd:
 		s.reconsider(cmd)
-	case dispatch.FinishCmd:
+	case dispatch.RespondCmd:
 		s.end()
 		if cmd.Status == http.StatusServiceUnavailable {
 			s.caller.refused(cmd.Reason, cmd.RetryAfter)
 		} else {
 			s.caller.failed(string(cmd.Reason))
 		}
-	case dispatch.CutCmd:
+	case dispatch.AbortResponseCmd:
 		s.end()
 		s.caller.failed(string(cmd.Reason))
-	case dispatch.RelayCmd:
+	case dispatch.RelayFailureCmd:
 		s.end()
 		s.caller.failed("failed by its engine")
 	}
 }
 
 // reconsider looks after a stream that passes an engine under suspicion.
-func (s *session) reconsider(cmd dispatch.ReconsiderCmd) {
+func (s *session) reconsider(cmd dispatch.RecheckAttemptCmd) {
 	a := s.attempt
 	if a == nil || a.over || a.cmd.Attempt != cmd.Attempt || a.still == nil {
 		return
--- a/lab/troubles.go
+++ b/lab/troubles.go
@@ -125,7 +125,7 @@
 	}
 	if !w.variant.NoRest {
 		id, asks := e.id, e.asks
-		w.after(onTheWay, func() { n.tell(dispatch.RestMsg{Upstream: id, For: asks}) })
+		w.after(onTheWay, func() { n.tell(dispatch.BackOffMsg{Upstream: id, For: asks}) })
 	}
 }
 
--- a/lab/world.go
+++ b/lab/world.go
@@ -117,7 +117,7 @@
 		return &catalog.Route{
 			Name: name, Host: host, Prefix: "/" + name + "/", Kind: catalog.Streaming, Resumable: true, Anonymous: true, Priority: priority,
 			Targets: []catalog.Target{{Service: serviceName, Weight: 1}}, MaxAttempts: s.Nodes.MostAttempts,
-			Timeout: s.Load.PatienceMS, Aim: s.Load.AimMS, GapAim: s.Load.GapMS,
+			Timeout: s.Load.PatienceMS, LatencyTarget: s.Load.AimMS, EventGapTarget: s.Load.GapMS,
 		}
 	}
 	return catalog.New(1, catalog.WithRoutes(route("urgent", 0), route("other", 1)),
--- a/limit/handover_test.go
+++ b/limit/handover_test.go
@@ -12,7 +12,7 @@
 // upstreamOwnedBy returns an upstream that a node owns under each of some lists of nodes.
 func upstreamOwnedBy(t *testing.T, owner string, lists ...[]string) fleet.Incarnation {
 	for i := range 1000 {
-		id := fleet.Undated(fleet.ID(fmt.Sprint("u", i)))
+		id := fleet.IncarnationByID(fleet.ID(fmt.Sprint("u", i)))
 		owned := true
 		for _, names := range lists {
 			owned = owned && limit.Candidates(names, id)[0] == owner
@@ -96,7 +96,7 @@
 // limit of zero.
 func TestPermitIsGrantedUnderZeroLimit(t *testing.T) {
 	const atMost = clock.Millis(5000)
-	upstream := fleet.Undated("u")
+	upstream := fleet.IncarnationByID("u")
 	limiter := limit.New(limit.WithSelf("a"), limit.WithBootID(1))
 	limiter.Named(0, upstream, 0)
 	for now := clock.Millis(0); now <= atMost; now += 100 {
--- a/limit/sim_test.go
+++ b/limit/sim_test.go
@@ -50,7 +50,7 @@
 	simCentres  = 3
 )
 
-var simUpstream = fleet.Undated("u")
+var simUpstream = fleet.IncarnationByID("u")
 
 type simScript struct {
 	events []simEvent
--- a/member/mark.go
+++ b/member/mark.go
@@ -5,29 +5,29 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// markLife is how long a leaving mark is passed on. It is long enough for
+// markTTL is how long a leaving mark is passed on. It is long enough for
 // hundreds of rounds; the platform's list has the upstream as leaving or gone
 // well before.
-const markLife clock.Millis = 60_000
+const markTTL clock.Millis = 60_000
 
 // maxMarks bounds the marks that go with a heartbeat, newest first.
 const maxMarks = 32
 
-// mark is a leaving mark on its way through the fleet.
-type mark struct {
-	leaving *wire.LeavingMark
-	since   clock.Millis
+// leavingMark is a leaving mark on its way through the fleet.
+type leavingMark struct {
+	mark    *wire.LeavingMark
+	addedAt clock.Millis
 }
 
-// Mark adds a leaving mark to what the node passes on. It returns false for
+// AddMark adds a leaving mark to what the node passes on. It returns false for
 // one that it passes on already.
-func (t *Table) Mark(now clock.Millis, m *wire.LeavingMark) bool {
+func (t *Table) AddMark(now clock.Millis, m *wire.LeavingMark) bool {
 	for _, known := range t.marks {
-		if known.leaving.GetUpstream() == m.GetUpstream() && known.leaving.GetIncarnation() == m.GetIncarnation() {
+		if known.mark.GetUpstream() == m.GetUpstream() && known.mark.GetIncarnation() == m.GetIncarnation() {
 			return false
 		}
 	}
-	t.marks = append(t.marks, mark{leaving: m, since: now})
+	t.marks = append(t.marks, leavingMark{mark: m, addedAt: now})
 	return true
 }
 
@@ -36,7 +36,7 @@
 	from := max(len(t.marks)-maxMarks, 0)
 	marks := make([]*wire.LeavingMark, 0, len(t.marks)-from)
 	for _, m := range t.marks[from:] {
-		marks = append(marks, m.leaving)
+		marks = append(marks, m.mark)
 	}
 	return marks
 }
--- a/member/table.go
+++ b/member/table.go
@@ -19,24 +19,24 @@
 const (
 	// DefaultFanout is how many peers are told in a round.
 	DefaultFanout = 3
-	// DefaultDigest is how many records about others go with a heartbeat.
-	DefaultDigest = 8
-	// DefaultForget is how long an unheard node is kept.
-	DefaultForget clock.Millis = 120_000
-	// DefaultSilent is how long a node may be unheard and still be counted
+	// DefaultDigestSize is how many records about others go with a heartbeat.
+	DefaultDigestSize = 8
+	// DefaultExpiry is how long an unheard node is kept.
+	DefaultExpiry clock.Millis = 120_000
+	// DefaultLiveness is how long a node may be unheard and still be counted
 	// as running.
-	DefaultSilent clock.Millis = 5_000
+	DefaultLiveness clock.Millis = 5_000
 )
 
 // Table holds the peers. It is not safe for concurrent use.
 type Table struct {
-	self   *wire.NodeRecord
-	peers  []*Peer
-	fanout int
-	digest int
-	forget clock.Millis
-	silent clock.Millis
-	marks  []mark
+	self       *wire.NodeRecord
+	peers      []*Peer
+	fanout     int
+	digestSize int
+	expiry     clock.Millis
+	liveness   clock.Millis
+	marks      []leavingMark
 }
 
 // Option sets up a Table.
@@ -48,11 +48,11 @@
 // New returns a table that knows only the node itself.
 func New(self *wire.NodeRecord, opts ...Option) *Table {
 	t := &Table{
-		self:   self,
-		fanout: DefaultFanout,
-		digest: DefaultDigest,
-		forget: DefaultForget,
-		silent: DefaultSilent,
+		self:       self,
+		fanout:     DefaultFanout,
+		digestSize: DefaultDigestSize,
+		expiry:     DefaultExpiry,
+		liveness:   DefaultLiveness,
 	}
 	for _, opt := range opts {
 		opt(t)
@@ -69,11 +69,11 @@
 // Peers returns the other nodes in the order of their names.
 func (t *Table) Peers() []*Peer { return t.peers }
 
-// Running returns how many nodes have been heard of lately, this one included.
-func (t *Table) Running(now clock.Millis) int {
+// LiveNodes returns how many nodes have been heard of lately, this one included.
+func (t *Table) LiveNodes(now clock.Millis) int {
 	n := 1
 	for _, p := range t.peers {
-		if now.Sub(p.heard) <= t.silent {
+		if now.Sub(p.lastSeen) <= t.liveness {
 			n++
 		}
 	}
@@ -100,7 +100,7 @@
 func (t *Table) Successor(now clock.Millis, rng *rand.Rand) *Peer {
 	var fit []*Peer
 	for _, p := range t.peers {
-		if now.Sub(p.heard) <= t.silent && !p.record.GetDraining() {
+		if now.Sub(p.lastSeen) <= t.liveness && !p.record.GetDraining() {
 			fit = append(fit, p)
 		}
 	}
@@ -110,10 +110,10 @@
 	return fit[rng.IntN(len(fit))]
 }
 
-// Learn takes in a record about another node. A record counts if it is newer
+// Update takes in a record about another node. A record counts if it is newer
 // than what is known: a later beat of the same incarnation, or another
 // incarnation heard from directly or named by the platform's table.
-func (t *Table) Learn(now clock.Millis, r *wire.NodeRecord) {
+func (t *Table) Update(now clock.Millis, r *wire.NodeRecord) {
 	if r.GetName() == "" || r.GetName() == t.self.GetName() {
 		return
 	}
@@ -121,35 +121,35 @@
 		return strings.Compare(p.record.GetName(), name)
 	})
 	if !found {
-		t.peers = slices.Insert(t.peers, at, &Peer{record: r, heard: now})
+		t.peers = slices.Insert(t.peers, at, &Peer{record: r, lastSeen: now})
 		return
 	}
-	t.peers[at].learn(now, r)
+	t.peers[at].update(now, r)
 }
 
-// Targets draws the peers to tell in this round.
-func (t *Table) Targets(rng *rand.Rand) []*Peer {
+// GossipTargets draws the peers to tell in this round.
+func (t *Table) GossipTargets(rng *rand.Rand) []*Peer {
 	return draw(t.peers, t.fanout, rng)
 }
 
 // Digest draws records about other nodes to send along.
 func (t *Table) Digest(rng *rand.Rand) []*wire.NodeRecord {
 	var records []*wire.NodeRecord
-	for _, p := range draw(t.peers, t.digest, rng) {
+	for _, p := range draw(t.peers, t.digestSize, rng) {
 		records = append(records, p.record)
 	}
 	return records
 }
 
-// Forget drops nodes that have not been heard of for long.
-func (t *Table) Forget(now clock.Millis) {
-	t.peers = slices.DeleteFunc(t.peers, func(p *Peer) bool { return now.Sub(p.heard) > t.forget })
-	t.marks = slices.DeleteFunc(t.marks, func(m mark) bool { return now.Sub(m.since) > markLife })
+// Expire drops nodes that have not been heard of for long.
+func (t *Table) Expire(now clock.Millis) {
+	t.peers = slices.DeleteFunc(t.peers, func(p *Peer) bool { return now.Sub(p.lastSeen) > t.expiry })
+	t.marks = slices.DeleteFunc(t.marks, func(m leavingMark) bool { return now.Sub(m.addedAt) > markTTL })
 }
 
-// Holding returns the number of data centres in which a node, this one
+// DataCentresWithVersion returns the number of data centres in which a node, this one
 // included, has a version in force.
-func (t *Table) Holding(version uint64) int {
+func (t *Table) DataCentresWithVersion(version uint64) int {
 	seen := make(map[string]struct{})
 	if t.self.GetVersion() >= version {
 		seen[t.self.GetDataCentre()] = struct{}{}
--- a/momentwire/momentwire.go
+++ b/momentwire/momentwire.go
@@ -25,5 +25,5 @@
 
 // EditionOf returns the edition in a message; a nil message gives the zero edition.
 func EditionOf(msg *wire.Edition) catalog.Edition {
-	return catalog.EditionOf(msg.GetVersion(), msg.GetDigest(), MomentOf(msg.GetWritten()))
+	return catalog.EditionFromParts(msg.GetVersion(), msg.GetDigest(), MomentOf(msg.GetWritten()))
 }
--- a/peering/coalesced.go
+++ b/peering/coalesced.go
@@ -5,44 +5,44 @@
 	"time"
 )
 
-// coalesced makes a call when it is asked for, and not again until a pause is over: what is
+// coalescer makes a call when it is asked for, and not again until a pause is over: what is
 // asked for meanwhile is one call. It is safe for concurrent use.
-type coalesced struct {
-	call  func()
+type coalescer struct {
+	run   func()
 	pause time.Duration
 
 	mu sync.Mutex
-	// pauses tells that a pause is under way, and again that there is a call to make after it.
-	pauses bool
-	again  bool
+	// pausing tells that a pause is under way, and again that there is a call to make after it.
+	pausing bool
+	pending bool
 }
 
-// ask asks for the call. The first one is made before it returns.
-func (c *coalesced) ask() {
+// trigger asks for the call. The first one is made before it returns.
+func (c *coalescer) trigger() {
 	c.mu.Lock()
-	if c.pauses {
-		c.again = true
+	if c.pausing {
+		c.pending = true
 		c.mu.Unlock()
 		return
 	}
-	c.pauses = true
+	c.pausing = true
 	c.mu.Unlock()
-	c.begin()
+	c.start()
 }
 
-// begin makes the call, and begins a pause.
-func (c *coalesced) begin() {
-	c.call()
-	time.AfterFunc(c.pause, c.end)
+// start makes the call, and begins a pause.
+func (c *coalescer) start() {
+	c.run()
+	time.AfterFunc(c.pause, c.endPause)
 }
 
-// end ends a pause.
-func (c *coalesced) end() {
+// endPause ends a pause.
+func (c *coalescer) endPause() {
 	c.mu.Lock()
-	c.pauses, c.again = c.again, false
-	pauses := c.pauses
+	c.pausing, c.pending = c.pending, false
+	pauses := c.pausing
 	c.mu.Unlock()
 	if pauses {
-		c.begin()
+		c.start()
 	}
 }
--- a/peering/coalesced_test.go
+++ b/peering/coalesced_test.go
@@ -23,9 +23,9 @@
 			for i := range nodes {
 				p.Heard(&wire.Member{Name: fmt.Sprint("n", i), Address: fmt.Sprint("n", i, ":1")})
 			}
-			time.Sleep(2 * membersPause)
+			time.Sleep(2 * memberUpdatePause)
 			synctest.Wait()
-			if got, want := node.told, 2; got != want {
+			if got, want := node.memberReports, 2; got != want {
 				t.Errorf("got %d nodes told %d times, want %d", nodes, got, want)
 			}
 			if got, want := node.others, nodes; got != want {
--- a/peering/directory.go
+++ b/peering/directory.go
@@ -12,13 +12,13 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// registrationLasts is for how long a registration counts that is not renewed:
+// registrationTTL is for how long a registration counts that is not renewed:
 // two renewals and a half.
-const registrationLasts clock.Millis = 300_000
+const registrationTTL clock.Millis = 300_000
 
-// wordLasts is the same for a node that is not registered and tells of itself a few times a
+// announcementTTL is the same for a node that is not registered and tells of itself a few times a
 // second.
-const wordLasts clock.Millis = 60_000
+const announcementTTL clock.Millis = 60_000
 
 // directory holds the nodes that are known. It is safe for concurrent use.
 type directory struct {
@@ -31,8 +31,8 @@
 	// replaced under other names all the time, and nothing in the store runs out
 	// by itself.
 	renewals map[string]renewal
-	// heardAt are the nodes that are known by their own word alone, and when that came last.
-	heardAt map[string]clock.Millis
+	// announcedAt are the nodes that are known by their own word alone, and when that came last.
+	announcedAt map[string]clock.Millis
 	// expired are the addresses of nodes whose registrations have run out, by
 	// name. Hearsay does not bring them back.
 	expired map[string]string
@@ -40,14 +40,14 @@
 
 // renewal is when the store was told of a registration last, and when that was first seen.
 type renewal struct {
-	at   moment.Moment
-	seen clock.Millis
+	writtenAt moment.Moment
+	seenAt    clock.Millis
 }
 
 func newDirectory(self *wire.Member, seeds []string) *directory {
 	d := &directory{
 		self: self, byName: make(map[string]*wire.Member),
-		renewals: make(map[string]renewal), heardAt: make(map[string]clock.Millis), expired: make(map[string]string),
+		renewals: make(map[string]renewal), announcedAt: make(map[string]clock.Millis), expired: make(map[string]string),
 	}
 	for _, address := range seeds {
 		if address != self.GetAddress() {
@@ -57,9 +57,9 @@
 	return d
 }
 
-// add notes nodes of which others have told, and returns whether any of them is
+// addReported notes nodes of which others have told, and returns whether any of them is
 // new or has moved.
-func (d *directory) add(members ...*wire.Member) bool {
+func (d *directory) addReported(members ...*wire.Member) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	news := false
@@ -67,31 +67,31 @@
 		if address, ok := d.expired[m.GetName()]; ok && address == m.GetAddress() {
 			continue
 		}
-		news = d.note(m) || news
+		news = d.put(m) || news
 	}
 	return news
 }
 
-// heard notes a node that has spoken itself.
-func (d *directory) heard(now clock.Millis, m *wire.Member) bool {
+// addSender notes a node that has spoken itself.
+func (d *directory) addSender(now clock.Millis, m *wire.Member) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.expired, m.GetName())
 	if _, registered := d.renewals[m.GetName()]; !registered {
-		d.heardAt[m.GetName()] = now
+		d.announcedAt[m.GetName()] = now
 	}
-	return d.noteItself(m)
+	return d.putOwnRecord(m)
 }
 
-// forgetUnheard forgets the nodes that are not registered and have not been heard for long.
+// dropUnannounced forgets the nodes that are not registered and have not been heard for long.
 // The caller holds the lock.
-func (d *directory) forgetUnheard(now clock.Millis) (news bool) {
-	for name, at := range d.heardAt {
+func (d *directory) dropUnannounced(now clock.Millis) (news bool) {
+	for name, at := range d.announcedAt {
 		_, registered := d.renewals[name]
-		if !registered && now < at.Add(wordLasts) {
+		if !registered && now < at.Add(announcementTTL) {
 			continue
 		}
-		delete(d.heardAt, name)
+		delete(d.announcedAt, name)
 		if !registered {
 			news = true
 			delete(d.byName, name)
@@ -100,8 +100,8 @@
 	return news
 }
 
-// note takes in a node. The caller holds the lock.
-func (d *directory) note(m *wire.Member) bool {
+// put takes in a node. The caller holds the lock.
+func (d *directory) put(m *wire.Member) bool {
 	if m.GetName() == "" || m.GetName() == d.self.GetName() {
 		return false
 	}
@@ -113,20 +113,20 @@
 	return true
 }
 
-// noteItself takes in a node by its own word, which also counts where it can do more or less
+// putOwnRecord takes in a node by its own word, which also counts where it can do more or less
 // than was known: its VM was changed, or its program before did not tell. The caller holds
 // the lock.
-func (d *directory) noteItself(m *wire.Member) bool {
+func (d *directory) putOwnRecord(m *wire.Member) bool {
 	if known, ok := d.byName[m.GetName()]; ok && known.GetStrength() != m.GetStrength() {
 		delete(d.byName, m.GetName())
 	}
-	return d.note(m)
+	return d.put(m)
 }
 
-// registered notes all registrations, and returns whether the nodes have
+// applyRegistrations notes all registrations, and returns whether the nodes have
 // changed, and the registrations that have not been renewed for too long. What
 // counts is when this node saw them change, so no two clocks are compared.
-func (d *directory) registered(now clock.Millis, list []Registration) (news bool, expired []Registration) {
+func (d *directory) applyRegistrations(now clock.Millis, list []Registration) (news bool, expired []Registration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	listed := make(map[string]bool, len(list))
@@ -135,11 +135,11 @@
 		listed[name] = true
 		known, ok := d.renewals[name]
 		switch {
-		case !ok || known.at != r.Renewed:
-			d.renewals[name] = renewal{at: r.Renewed, seen: now}
+		case !ok || known.writtenAt != r.Renewed:
+			d.renewals[name] = renewal{writtenAt: r.Renewed, seenAt: now}
 			delete(d.expired, name)
-			news = d.noteItself(r.Member) || news
-		case name != d.self.GetName() && now >= known.seen.Add(registrationLasts):
+			news = d.putOwnRecord(r.Member) || news
+		case name != d.self.GetName() && now >= known.seenAt.Add(registrationTTL):
 			expired = append(expired, r)
 			d.expired[name] = r.Member.GetAddress()
 			_, had := d.byName[name]
@@ -148,7 +148,7 @@
 		}
 	}
 	maps.DeleteFunc(d.renewals, func(name string, _ renewal) bool { return !listed[name] })
-	return d.forgetUnheard(now) || news, expired
+	return d.dropUnannounced(now) || news, expired
 }
 
 // others returns the other nodes, in the order of their names.
@@ -165,14 +165,14 @@
 	return list
 }
 
-// told returns the nodes of which others are told: not those that tell of themselves to whom
+// shared returns the nodes of which others are told: not those that tell of themselves to whom
 // they are to be known, of which there may be hundreds.
-func (d *directory) told() []*wire.Member {
+func (d *directory) shared() []*wire.Member {
 	list := d.others()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.DeleteFunc(list, func(m *wire.Member) bool {
-		_, heard := d.heardAt[m.GetName()]
+		_, heard := d.announcedAt[m.GetName()]
 		return heard
 	})
 }
--- a/peering/directory_test.go
+++ b/peering/directory_test.go
@@ -26,7 +26,7 @@
 // it. One that is renewed, or that speaks itself, counts again.
 func TestRegistrationsRunOut(t *testing.T) {
 	d := newDirectory(member("me"), nil)
-	const later = registrationLasts / 2
+	const later = registrationTTL / 2
 	steps := []struct {
 		name        string
 		at          clock.Millis
@@ -37,11 +37,11 @@
 	}{
 		{"all are new", 0, []Registration{registration("a", 1), registration("b", 2), registration("me", 3)}, true, 0, "a b "},
 		{"b renews", later, []Registration{registration("a", 1), registration("b", 4), registration("me", 3)}, false, 0, "a b "},
-		{"a runs out", registrationLasts, []Registration{registration("a", 1), registration("b", 4), registration("me", 3)}, true, 1, "b "},
-		{"and goes on being listed", registrationLasts + 1, []Registration{registration("a", 1), registration("b", 4), registration("me", 3)}, false, 1, "b "},
+		{"a runs out", registrationTTL, []Registration{registration("a", 1), registration("b", 4), registration("me", 3)}, true, 1, "b "},
+		{"and goes on being listed", registrationTTL + 1, []Registration{registration("a", 1), registration("b", 4), registration("me", 3)}, false, 1, "b "},
 	}
 	for _, s := range steps {
-		news, expired := d.registered(s.at, s.list)
+		news, expired := d.applyRegistrations(s.at, s.list)
 		if news != s.wantNews || len(expired) != s.wantExpired {
 			t.Errorf("%s: got news=%v and %d expired, want %v and %d", s.name, news, len(expired), s.wantNews, s.wantExpired)
 		}
@@ -49,21 +49,21 @@
 			t.Errorf("%s: got nodes %q, want %q", s.name, got, s.want)
 		}
 	}
-	if d.add(member("a")) {
+	if d.addReported(member("a")) {
 		t.Error("got a node back by hearsay, want it gone")
 	}
-	if !d.heard(registrationLasts+1, member("a")) {
+	if !d.addSender(registrationTTL+1, member("a")) {
 		t.Error("got a node that speaks itself ignored, want it back")
 	}
-	if news, expired := d.registered(registrationLasts+2, []Registration{registration("a", 9), registration("b", 4)}); news || len(expired) != 0 {
+	if news, expired := d.applyRegistrations(registrationTTL+2, []Registration{registration("a", 9), registration("b", 4)}); news || len(expired) != 0 {
 		t.Errorf("got news=%v and %d expired after a renewal, want neither", news, len(expired))
 	}
 	stronger := member("a")
 	stronger.Strength = 8
-	if !d.heard(registrationLasts+1, stronger) || d.byName["a"].GetStrength() != 8 {
+	if !d.addSender(registrationTTL+1, stronger) || d.byName["a"].GetStrength() != 8 {
 		t.Error("got a node's word that it can do more ignored")
 	}
-	if d.add(member("a")) || d.byName["a"].GetStrength() != 8 {
+	if d.addReported(member("a")) || d.byName["a"].GetStrength() != 8 {
 		t.Error("got hearsay on what a node can do taken")
 	}
 }
@@ -74,11 +74,11 @@
 	if got, want := names(d.others()), "  "; got != want {
 		t.Errorf("got %q, want two seeds without names", got)
 	}
-	d.add(member("a"))
-	if !d.add(&wire.Member{Name: "a", Address: "a:2"}) {
+	d.addReported(member("a"))
+	if !d.addReported(&wire.Member{Name: "a", Address: "a:2"}) {
 		t.Error("got a moved node ignored")
 	}
-	if d.add(member("me")) || d.add(&wire.Member{Address: "x:1"}) {
+	if d.addReported(member("me")) || d.addReported(&wire.Member{Address: "x:1"}) {
 		t.Error("got the node itself or a nameless one taken in")
 	}
 	if got, want := d.rank(), 1; got != want {
--- a/peering/doc.go
+++ b/peering/doc.go
@@ -37,8 +37,8 @@
 	Renewed moment.Moment
 }
 
-// Knowledge is what a node knows and can tell others.
-type Knowledge interface {
+// LocalState is what a node knows and can tell others.
+type LocalState interface {
 	// Config returns the configuration in force.
 	Config() follow.ActiveConfig
 	// Fleet returns the list of upstreams; ok is false while the node cannot
@@ -51,8 +51,8 @@
 	Quarantined() []dispatch.Quarantined
 }
 
-// Learner takes in what a peer has told.
-type Learner interface {
+// Receiver takes in what a peer has told.
+type Receiver interface {
 	// LearnConfig takes an edition of the configuration that was the newest at a time, and
 	// its text; none where it is the one in force.
 	LearnConfig(edition catalog.Edition, raw []byte, confirmed clock.Millis)
--- a/peering/peering.go
+++ b/peering/peering.go
@@ -18,82 +18,82 @@
 )
 
 const (
-	// lookEvery is how often a node looks whether it needs its peers.
-	lookEvery = 150 * time.Millisecond
-	// askAfter is how old the proof of freshness may get before peers are
+	// checkInterval is how often a node looks whether it needs its peers.
+	checkInterval = 150 * time.Millisecond
+	// queryAfter is how old the proof of freshness may get before peers are
 	// asked. With the store well it stays under 3.6 s, twice a wait there.
-	askAfter clock.Millis = 3700
-	// askUnborn is how long after its start a node without a configuration
+	queryAfter clock.Millis = 3700
+	// startupWait is how long after its start a node without a configuration
 	// leaves its peers alone; the store answers within some 10 ms. It counts from when
 	// the node may read at all.
-	askUnborn clock.Millis = 1000
-	// longestLook bounds the pause between two rounds of questions that brought
+	startupWait clock.Millis = 1000
+	// maxQueryPause bounds the pause between two rounds of questions that brought
 	// nothing newer: the store is then away for everybody, and all nodes ask.
-	longestLook clock.Millis = 1200
-	// askSome is how many peers are asked at a time.
-	askSome = 3
-	// askTimeout bounds a question. Between data centres an answer takes a few
+	maxQueryPause clock.Millis = 1200
+	// peersPerQuery is how many peers are asked at a time.
+	peersPerQuery = 3
+	// queryTimeout bounds a question. Between data centres an answer takes a few
 	// ms; a frozen peer gives none.
-	askTimeout = 500 * time.Millisecond
-	// fleetAfter is how old the proof of freshness may get before peers are
+	queryTimeout = 500 * time.Millisecond
+	// listQueryAfter is how old the proof of freshness may get before peers are
 	// asked for the list of upstreams too: by then the store is lost.
-	fleetAfter clock.Millis = 4200
-	// fleetEvery is how often they are asked for it while they vouch for the
+	listQueryAfter clock.Millis = 4200
+	// listQueryInterval is how often they are asked for it while they vouch for the
 	// configuration, which keeps the proof younger than that. What leaves must be
 	// known within 2 s.
-	fleetEvery clock.Millis = 1200
-	// membersEvery is how often the registry is read again. Between that, nodes
+	listQueryInterval clock.Millis = 1200
+	// registryReadInterval is how often the registry is read again. Between that, nodes
 	// learn of new ones of their data centre from what those tell.
-	membersEvery = 60 * time.Second
-	// membersPause is how long others that become known are gathered: where all nodes start
+	registryReadInterval = 60 * time.Second
+	// memberUpdatePause is how long others that become known are gathered: where all nodes start
 	// together each hears of hundreds within a second, one by one.
-	membersPause = 150 * time.Millisecond
-	// renewReads is after how many readings a node renews its own registration.
-	renewReads = 2
-	// registerAgain is the pause after a registration that failed, and
-	// membersSoon the time after which nodes that start together have all
+	memberUpdatePause = 150 * time.Millisecond
+	// readsPerRenewal is after how many readings a node renews its own registration.
+	readsPerRenewal = 2
+	// registryRetryPause is the pause after a registration that failed, and
+	// othersRegisteredAfter the time after which nodes that start together have all
 	// registered.
-	registerAgain = time.Second
-	membersSoon   = 2500 * time.Millisecond
-	// registerSpread is the time over which the nodes of a system that starts for
+	registryRetryPause    = time.Second
+	othersRegisteredAfter = 2500 * time.Millisecond
+	// registrationSpread is the time over which the nodes of a system that starts for
 	// the first time register: the store takes 200 writes a second to one table,
 	// and refuses what would wait for over a second.
-	registerSpread clock.Millis = 1500
+	registrationSpread clock.Millis = 1500
 )
 
 // Peering asks and answers peers.
 type Peering struct {
-	clock     *clock.Clock
-	log       *zap.Logger
-	registry  Registry
-	knowledge Knowledge
-	learner   Learner
-	directory *directory
-	random    *rand.Rand
-	http      *http.Client
+	clock      *clock.Clock
+	log        *zap.Logger
+	registry   Registry
+	local      LocalState
+	receiver   Receiver
+	directory  *directory
+	rng        *rand.Rand
+	httpClient *http.Client
 	// firstStart tells that the whole system starts for the first time, and
-	// registerAfter is this node's part of registerSpread.
-	firstStart    bool
-	registerAfter clock.Millis
-	// unborn is how long after its start the node leaves its peers alone if it knows nothing.
-	unborn clock.Millis
-	// news has this node told which others there are.
-	news coalesced
+	// registrationDelay is this node's part of registrationSpread.
+	firstStart        bool
+	registrationDelay clock.Millis
+	// startupWait is how long after its start the node leaves its peers alone if it knows nothing.
+	startupWait clock.Millis
+	// memberUpdates has this node told which others there are.
+	memberUpdates coalescer
 	// registeredAt is when the node was registered last, a clock.Millis, and returned tells
 	// that the store has come back from a copy.
-	registeredAt atomic.Int64
-	returned     chan struct{}
-	// counted tells that the registry was read, and how many nodes there are was told. One
+	registeredAt  atomic.Int64
+	storeRestored chan struct{}
+	// membersReported tells that the registry was read, and how many nodes there are was told. One
 	// that is alone has to know that too. Only the loop of Register uses it.
-	counted bool
-	// compared tells that peers were asked for the configuration since the start.
-	compared bool
+	membersReported bool
+	// comparedConfig tells that peers were asked for the configuration since the start.
+	comparedConfig bool
 	// Of the rounds of questions; only the loop of Run uses them.
-	nextLook clock.Millis
-	pause    clock.Millis
-	best     clock.Millis
-	// listAsked is when peers were last asked for the list of upstreams.
-	listAsked clock.Millis
+	nextQueryAt clock.Millis
+	queryPause  clock.Millis
+	newestProof clock.Millis
+	// listQueriedAt is when peers were last asked for the list of upstreams.
+	listQueriedAt clock.Millis
 }
 
 // Option sets up a Peering.
@@ -104,40 +104,40 @@
 func WithFirstStart(first bool) Option { return func(p *Peering) { p.firstStart = first } }
 
 // New returns a node's peering. Seeds are addresses where peers may be.
-func New(self *wire.Member, seeds []string, registry Registry, knowledge Knowledge, learner Learner,
+func New(self *wire.Member, seeds []string, registry Registry, knowledge LocalState, learner Receiver,
 	c *clock.Clock, log *zap.Logger, transport http.RoundTripper, seed uint64, opts ...Option,
 ) *Peering {
 	p := &Peering{
-		clock: c, log: log, registry: registry, knowledge: knowledge, learner: learner,
-		directory: newDirectory(self, seeds), random: rand.New(rand.NewPCG(seed, seed)), best: clock.Never,
-		http:          &http.Client{Transport: transport, Timeout: askTimeout},
-		registerAfter: clock.Millis(seed % uint64(registerSpread)),
+		clock: c, log: log, registry: registry, local: knowledge, receiver: learner,
+		directory: newDirectory(self, seeds), rng: rand.New(rand.NewPCG(seed, seed)), newestProof: clock.Never,
+		httpClient:        &http.Client{Transport: transport, Timeout: queryTimeout},
+		registrationDelay: clock.Millis(seed % uint64(registrationSpread)),
 	}
 	p.registeredAt.Store(int64(clock.Never))
-	p.returned = make(chan struct{}, 1)
-	p.news = coalesced{call: p.learnMembers, pause: membersPause}
-	p.unborn = askUnborn
+	p.storeRestored = make(chan struct{}, 1)
+	p.memberUpdates = coalescer{run: p.reportMembers, pause: memberUpdatePause}
+	p.startupWait = startupWait
 	for _, opt := range opts {
 		opt(p)
 	}
 	if p.firstStart {
-		p.unborn += StartWait(self.GetStrength())
+		p.startupWait += MaxStartWait(self.GetStrength())
 	}
 	return p
 }
 
-// Register leaves the node's address at the registry, if it is needed there, and reads those
+// MaintainRegistration leaves the node's address at the registry, if it is needed there, and reads those
 // of others from time to time.
-func (p *Peering) Register(ctx context.Context) error {
-	registered := p.join(ctx)
+func (p *Peering) MaintainRegistration(ctx context.Context) error {
+	registered := p.registerInitially(ctx)
 	for reads := 1; ctx.Err() == nil; reads++ {
-		clock.Pause(ctx, membersEvery)
+		clock.Sleep(ctx, registryReadInterval)
 		standing, err := p.readRegistry(ctx)
 		if err != nil {
 			p.log.Info("members_not_read", logging.Err(err))
 		}
-		due := reads%renewReads == 0
-		if err == nil && !standing.registered && !standing.enough || registered && due {
+		due := reads%readsPerRenewal == 0
+		if err == nil && !standing.registered && !standing.notNeeded || registered && due {
 			registered = true
 			if err := p.register(ctx); err != nil {
 				p.log.Info("not_renewed", logging.Err(err))
@@ -147,17 +147,17 @@
 	return ctx.Err()
 }
 
-// join registers the node unless it is registered since an earlier life, and then so are the
+// registerInitially registers the node unless it is registered since an earlier life, and then so are the
 // others, or there is no need. It tells whether it is registered.
-func (p *Peering) join(ctx context.Context) (registered bool) {
-	turn, weak := startTurn(p.directory.self.GetStrength())
+func (p *Peering) registerInitially(ctx context.Context) (registered bool) {
+	turn, weak := startDelay(p.directory.self.GetStrength())
 	switch {
 	case p.firstStart && !weak:
-		clock.Pause(ctx, (p.registerAfter % strongSpread(p.directory.self.GetStrength())).Duration())
-		p.registerAnew(ctx)
+		clock.Sleep(ctx, (p.registrationDelay % spreadFor(p.directory.self.GetStrength())).Duration())
+		p.registerAndRead(ctx)
 		return true
 	case p.firstStart:
-		clock.Pause(ctx, (turn + p.registerAfter%weakSpread).Duration())
+		clock.Sleep(ctx, (turn + p.registrationDelay%lowCapacitySpread).Duration())
 	}
 	standing, err := p.readRegistry(ctx)
 	if err != nil {
@@ -166,52 +166,52 @@
 	switch {
 	case standing.registered:
 		return true
-	case standing.enough:
+	case standing.notNeeded:
 		return false
 	}
-	p.registerAnew(ctx)
+	p.registerAndRead(ctx)
 	return true
 }
 
-// registerAnew registers the node and, when those that start with it have
+// registerAndRead registers the node and, when those that start with it have
 // registered too, reads the registry.
-func (p *Peering) registerAnew(ctx context.Context) {
-	p.until(ctx, "not_registered", func() error { return p.register(ctx) })
-	clock.Pause(ctx, membersSoon)
-	p.until(ctx, "members_not_read", func() error {
+func (p *Peering) registerAndRead(ctx context.Context) {
+	p.retry(ctx, "not_registered", func() error { return p.register(ctx) })
+	clock.Sleep(ctx, othersRegisteredAfter)
+	p.retry(ctx, "members_not_read", func() error {
 		_, err := p.readRegistry(ctx)
 		return err
 	})
 }
 
-// until tries a call until it succeeds or the context ends.
-func (p *Peering) until(ctx context.Context, event string, call func() error) {
+// retry tries a call until it succeeds or the context ends.
+func (p *Peering) retry(ctx context.Context, event string, call func() error) {
 	for ctx.Err() == nil {
 		err := call()
 		if err == nil {
 			return
 		}
 		p.log.Info(event, logging.Err(err))
-		clock.Pause(ctx, registerAgain)
+		clock.Sleep(ctx, registryRetryPause)
 	}
 }
 
 // readRegistry reads all registrations, and removes those of nodes that have not
 // renewed theirs for long. Several nodes may do so at once; each removes only
 // what has not changed since. It tells how this node stands in it.
-func (p *Peering) readRegistry(ctx context.Context) (standing, error) {
+func (p *Peering) readRegistry(ctx context.Context) (registryStatus, error) {
 	list, unreadable, err := p.registry.Registrations(ctx)
 	if err != nil {
-		return standing{}, err
+		return registryStatus{}, err
 	}
 	for _, err := range unreadable {
 		p.log.Warn("member_unreadable", logging.Err(err))
 	}
-	stands := standingIn(list, p.directory.self)
-	news, expired := p.directory.registered(p.clock.Now(), list)
-	if news || !p.counted {
-		p.counted = true
-		p.news.ask()
+	stands := statusIn(list, p.directory.self)
+	news, expired := p.directory.applyRegistrations(p.clock.Now(), list)
+	if news || !p.membersReported {
+		p.membersReported = true
+		p.memberUpdates.trigger()
 	}
 	if len(expired) == 0 {
 		return stands, nil
@@ -221,8 +221,8 @@
 	return stands, nil
 }
 
-// Others returns how many other nodes are known by name.
-func (p *Peering) Others() int {
+// NamedPeers returns how many other nodes are known by name.
+func (p *Peering) NamedPeers() int {
 	named := 0
 	for _, m := range p.directory.others() {
 		if m.GetName() != "" {
@@ -234,105 +234,105 @@
 
 // Heard notes a node that has told something.
 func (p *Peering) Heard(m *wire.Member) {
-	if p.directory.heard(p.clock.Now(), m) {
-		p.news.ask()
+	if p.directory.addSender(p.clock.Now(), m) {
+		p.memberUpdates.trigger()
 	}
 }
 
-// Told notes nodes of which another one has told.
-func (p *Peering) Told(members []*wire.Member) { p.noteMembers(members...) }
+// AddReported notes nodes of which another one has told.
+func (p *Peering) AddReported(members []*wire.Member) { p.addMembers(members...) }
 
-func (p *Peering) noteMembers(members ...*wire.Member) {
-	if p.directory.add(members...) {
-		p.news.ask()
+func (p *Peering) addMembers(members ...*wire.Member) {
+	if p.directory.addReported(members...) {
+		p.memberUpdates.trigger()
 	}
 }
 
-// learnMembers tells this node which others there are.
-func (p *Peering) learnMembers() {
+// reportMembers tells this node which others there are.
+func (p *Peering) reportMembers() {
 	others, rank := p.directory.others(), p.directory.rank()
 	p.log.Info("members", zap.Int("others", len(others)), zap.Int("rank", rank))
-	p.learner.LearnMembers(others, rank)
+	p.receiver.LearnMembers(others, rank)
 }
 
 // Run asks peers while the store does not tell how fresh the configuration is.
 func (p *Peering) Run(ctx context.Context) error {
-	tick := time.NewTicker(lookEvery)
+	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-tick.C:
-			p.look(ctx)
+			p.queryIfNeeded(ctx)
 		}
 	}
 }
 
-func (p *Peering) look(ctx context.Context) {
-	inForce := p.knowledge.Config()
+func (p *Peering) queryIfNeeded(ctx context.Context) {
+	inForce := p.local.Config()
 	now := p.clock.Now()
 	age := now.Sub(inForce.Confirmed)
-	needs := p.needs(now, inForce.Edition, age)
-	if now < p.nextLook || !needs && !p.isNew(inForce.Edition) {
+	needs := p.needsPeers(now, inForce.Edition, age)
+	if now < p.nextQueryAt || !needs && !p.needsComparison(inForce.Edition) {
 		return
 	}
 	peers := p.directory.others()
 	if !needs && len(peers) == 0 {
 		return
 	}
-	p.compared = p.compared || !inForce.Edition.IsZero() && len(peers) > 0
+	p.comparedConfig = p.comparedConfig || !inForce.Edition.IsZero() && len(peers) > 0
 	p.backOff(now, inForce.Confirmed)
-	wantFleet := needs && p.wantsFleet(now, age)
-	p.random.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	for _, peer := range peers[:min(askSome, len(peers))] {
-		go p.ask(ctx, peer, inForce.Edition, wantFleet)
+	wantFleet := needs && p.needsList(now, age)
+	p.rng.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
+	for _, peer := range peers[:min(peersPerQuery, len(peers))] {
+		go p.query(ctx, peer, inForce.Edition, wantFleet)
 	}
 }
 
-// wantsFleet tells whether peers are to be asked for the list of upstreams too. A
+// needsList tells whether peers are to be asked for the list of upstreams too. A
 // list may have been a part of the whole, and gets old.
-func (p *Peering) wantsFleet(now, age clock.Millis) bool {
-	if p.knowledge.Listed() && age < fleetAfter && now < p.listAsked.Add(fleetEvery) {
+func (p *Peering) needsList(now, age clock.Millis) bool {
+	if p.local.Listed() && age < listQueryAfter && now < p.listQueriedAt.Add(listQueryInterval) {
 		return false
 	}
-	p.listAsked = now
+	p.listQueriedAt = now
 	return true
 }
 
-// needs tells whether the node needs its peers. A peer may know the
+// needsPeers tells whether the node needs its peers. A peer may know the
 // configuration before it knows the list, so each may be lacking by itself.
-func (p *Peering) needs(now clock.Millis, have catalog.Edition, age clock.Millis) bool {
-	if have.IsZero() || !p.knowledge.Listed() {
-		return now >= p.unborn
+func (p *Peering) needsPeers(now clock.Millis, have catalog.Edition, age clock.Millis) bool {
+	if have.IsZero() || !p.local.Listed() {
+		return now >= p.startupWait
 	}
-	return age >= askAfter
+	return age >= queryAfter
 }
 
-// isNew tells whether the node has started, knows a configuration, and has not compared it with
+// needsComparison tells whether the node has started, knows a configuration, and has not compared it with
 // a peer's yet: what it has read may be of a copy that the store has just come back from, and
 // they remember. Where the whole system starts for the first time nobody does.
-func (p *Peering) isNew(have catalog.Edition) bool {
-	return !p.compared && !p.firstStart && !have.IsZero()
+func (p *Peering) needsComparison(have catalog.Edition) bool {
+	return !p.comparedConfig && !p.firstStart && !have.IsZero()
 }
 
 // backOff lengthens the pause while questions bring nothing newer.
 func (p *Peering) backOff(now, confirmed clock.Millis) {
-	p.pause = min(max(2*p.pause, clock.FromDuration(lookEvery)), longestLook)
-	if confirmed > p.best {
-		p.best, p.pause = confirmed, clock.FromDuration(lookEvery)
+	p.queryPause = min(max(2*p.queryPause, clock.FromDuration(checkInterval)), maxQueryPause)
+	if confirmed > p.newestProof {
+		p.newestProof, p.queryPause = confirmed, clock.FromDuration(checkInterval)
 	}
-	p.nextLook = now.Add(p.pause)
+	p.nextQueryAt = now.Add(p.queryPause)
 }
 
-// AskAt asks the peer at an address, which knows a newer configuration.
-func (p *Peering) AskAt(ctx context.Context, address string) {
-	p.ask(ctx, &wire.Member{Address: address}, p.knowledge.Config().Edition, false)
+// QueryAddress asks the peer at an address, which knows a newer configuration.
+func (p *Peering) QueryAddress(ctx context.Context, address string) {
+	p.query(ctx, &wire.Member{Address: address}, p.local.Config().Edition, false)
 }
 
-// ask asks one peer and takes in what it tells.
-func (p *Peering) ask(ctx context.Context, peer *wire.Member, have catalog.Edition, wantFleet bool) {
-	client := wireconnect.NewFreshnessClient(p.http, "http://"+peer.GetAddress())
+// query asks one peer and takes in what it tells.
+func (p *Peering) query(ctx context.Context, peer *wire.Member, have catalog.Edition, wantFleet bool) {
+	client := wireconnect.NewFreshnessClient(p.httpClient, "http://"+peer.GetAddress())
 	sent := p.clock.Now()
 	resp, err := client.Ask(ctx, connect.NewRequest(&wire.AskRequest{
 		Asker: p.directory.self, Have: momentwire.Edition(have), WantFleet: wantFleet,
@@ -341,24 +341,24 @@
 		p.log.Debug("peer_silent", zap.String("peer", peer.GetName()), zap.String("address", peer.GetAddress()), logging.Err(err))
 		return
 	}
-	p.noteMembers(resp.Msg.GetMembers()...)
-	p.take(sent, peer, resp.Msg)
+	p.addMembers(resp.Msg.GetMembers()...)
+	p.applyAnswer(sent, peer, resp.Msg)
 }
 
-func (p *Peering) take(sent clock.Millis, peer *wire.Member, answer *wire.AskResponse) {
-	edition, inForce := momentwire.EditionOf(answer.GetEdition()), p.knowledge.Config()
+func (p *Peering) applyAnswer(sent clock.Millis, peer *wire.Member, answer *wire.AskResponse) {
+	edition, inForce := momentwire.EditionOf(answer.GetEdition()), p.local.Config()
 	if edition.IsZero() || answer.GetAgeMs() < 0 || inForce.Edition.Supersedes(edition) {
 		return
 	}
-	confirmed := confirmedBy(sent, answer)
+	confirmed := confirmedAt(sent, answer)
 	if confirmed <= inForce.Confirmed && len(answer.GetConfig()) == 0 && !answer.GetHasFleet() {
 		return
 	}
 	p.log.Info("freshness_from_peer", zap.String("peer", peer.GetName()), zap.Uint64("version", answer.GetEdition().GetVersion()),
 		zap.Int64("age_ms", int64(p.clock.Now().Sub(confirmed))), zap.Bool("newer", len(answer.GetConfig()) > 0),
 		zap.Int("upstreams", len(answer.GetFleet())))
-	p.learner.LearnConfig(edition, answer.GetConfig(), confirmed)
+	p.receiver.LearnConfig(edition, answer.GetConfig(), confirmed)
 	if answer.GetHasFleet() {
-		p.learner.LearnFleet(upstreamsOf(answer.GetFleet()))
+		p.receiver.LearnFleet(decodeList(answer.GetFleet()))
 	}
 }
--- a/peering/put_back.go
+++ b/peering/put_back.go
@@ -19,25 +19,25 @@
 // StoreReturned notes that the store has come back from a copy.
 func (p *Peering) StoreReturned() {
 	select {
-	case p.returned <- struct{}{}:
+	case p.storeRestored <- struct{}{}:
 	default:
 	}
 }
 
-// PutBack registers the node again whenever the store may have lost its registration. Nodes
+// RestoreRegistration registers the node again whenever the store may have lost its registration. Nodes
 // that were registered for longer than a copy reaches back stand in it. The others were few,
 // and take the same turns as at a start.
-func (p *Peering) PutBack(ctx context.Context) error {
+func (p *Peering) RestoreRegistration(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-p.returned:
+		case <-p.storeRestored:
 		}
 		if p.clock.Now() >= clock.Millis(p.registeredAt.Load()).Add(moment.MaxBackupAge) {
 			continue
 		}
-		clock.Pause(ctx, (p.registerAfter % strongSpread(p.directory.self.GetStrength())).Duration())
-		p.until(ctx, "not_registered", func() error { return p.register(ctx) })
+		clock.Sleep(ctx, (p.registrationDelay % spreadFor(p.directory.self.GetStrength())).Duration())
+		p.retry(ctx, "not_registered", func() error { return p.register(ctx) })
 	}
 }
--- a/peering/put_back_test.go
+++ b/peering/put_back_test.go
@@ -35,7 +35,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				const many = 100
-				registry := &scriptedRegistry{end: cancel, most: many}
+				registry := &scriptedRegistry{cancel: cancel, maxCalls: many}
 				node := &fakeNode{}
 				p := New(member("me"), nil, registry, node, node, clocktest.NewClock(), zap.NewNop(), http.DefaultTransport, 1)
 				if tt.registered {
@@ -44,11 +44,11 @@
 					}
 				}
 				ended := make(chan error, 1)
-				go func() { ended <- p.PutBack(ctx) }()
+				go func() { ended <- p.RestoreRegistration(ctx) }()
 				for range tt.returns {
 					time.Sleep(tt.after)
 					p.StoreReturned()
-					time.Sleep(registerSpread.Duration())
+					time.Sleep(registrationSpread.Duration())
 				}
 				cancel()
 				if err := <-ended; !errors.Is(err, context.Canceled) {
--- a/peering/quarantined.go
+++ b/peering/quarantined.go
@@ -15,28 +15,28 @@
 	"github.com/hoistjunction/hoistjunction/work"
 )
 
-// AskQuarantined asks a peer for the requests that it knows to be in quarantine.
-func (p *Peering) AskQuarantined(ctx context.Context, peer *wire.Member) {
-	client := wireconnect.NewFreshnessClient(p.http, "http://"+peer.GetAddress())
+// QueryQuarantined asks a peer for the requests that it knows to be in quarantine.
+func (p *Peering) QueryQuarantined(ctx context.Context, peer *wire.Member) {
+	client := wireconnect.NewFreshnessClient(p.httpClient, "http://"+peer.GetAddress())
 	resp, err := client.Ask(ctx, connect.NewRequest(&wire.AskRequest{Asker: p.directory.self, WantQuarantined: true}))
 	if err != nil {
 		p.log.Info("quarantine_not_told", zap.String("peer", peer.GetName()), logging.Err(err))
 		return
 	}
-	list := quarantinedOf(resp.Msg.GetQuarantined())
+	list := decodeQuarantined(resp.Msg.GetQuarantined())
 	p.log.Info("quarantine_from_peer", zap.String("peer", peer.GetName()), zap.Int("requests", len(list)))
-	p.learner.LearnQuarantined(list)
+	p.receiver.LearnQuarantined(list)
 }
 
-func (p *Peering) quarantined() []*wire.QuarantinedWork {
+func (p *Peering) encodeQuarantined() []*wire.QuarantinedWork {
 	var out []*wire.QuarantinedWork
-	for _, w := range p.knowledge.Quarantined() {
+	for _, w := range p.local.Quarantined() {
 		out = append(out, &wire.QuarantinedWork{Work: w.Work.Bytes(), AgeMs: int64(w.Age), Ended: fleetwire.Incarnations(w.Ended)})
 	}
 	return out
 }
 
-func quarantinedOf(told []*wire.QuarantinedWork) []dispatch.Quarantined {
+func decodeQuarantined(told []*wire.QuarantinedWork) []dispatch.Quarantined {
 	var list []dispatch.Quarantined
 	for _, w := range told {
 		if id, ok := work.FromBytes(w.GetWork()); ok {
--- a/peering/register_test.go
+++ b/peering/register_test.go
@@ -18,33 +18,35 @@
 // scriptedRegistry holds registrations, and ends the test's context after so many
 // calls.
 type scriptedRegistry struct {
-	list  []Registration
-	most  int
-	end   context.CancelFunc
-	calls []string
+	list     []Registration
+	maxCalls int
+	cancel   context.CancelFunc
+	calls    []string
 }
 
-func (r *scriptedRegistry) note(call string) error {
+func (r *scriptedRegistry) recordCall(call string) error {
 	r.calls = append(r.calls, call)
-	if len(r.calls) > r.most {
+	if len(r.calls) > r.maxCalls {
 		return errors.New("down")
 	}
-	if len(r.calls) == r.most {
-		r.end()
+	if len(r.calls) == r.maxCalls {
+		r.cancel()
 	}
 	return nil
 }
 
 func (r *scriptedRegistry) Register(_ context.Context, m *wire.Member) error {
 	r.list = append(r.list, Registration{Member: m, Renewed: moment.At(0, uint64(len(r.calls)+1))})
-	return r.note("register")
+	return r.recordCall("register")
 }
 
 func (r *scriptedRegistry) Registrations(context.Context) ([]Registration, []error, error) {
-	return r.list, nil, r.note("read")
+	return r.list, nil, r.recordCall("read")
 }
 
-func (r *scriptedRegistry) Remove(context.Context, []Registration) error { return r.note("remove") }
+func (r *scriptedRegistry) Remove(context.Context, []Registration) error {
+	return r.recordCall("remove")
+}
 
 // A node whose registration of an earlier life still stands knows the others with
 // one call. Only where the whole system starts, and nobody can be registered yet,
@@ -66,20 +68,20 @@
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			ctx, cancel := context.WithCancel(context.Background())
-			registry := &scriptedRegistry{end: cancel, most: len(strings.Fields(tt.want))}
+			registry := &scriptedRegistry{cancel: cancel, maxCalls: len(strings.Fields(tt.want))}
 			for i, m := range tt.registered {
 				registry.list = append(registry.list, Registration{Member: m, Renewed: moment.At(0, uint64(i+1))})
 			}
 			node := &fakeNode{}
 			p := New(member("me"), nil, registry, node, node, clocktest.NewClock(), zap.NewNop(), http.DefaultTransport, 1, WithFirstStart(tt.first))
-			if err := p.Register(ctx); !errors.Is(err, context.Canceled) {
+			if err := p.MaintainRegistration(ctx); !errors.Is(err, context.Canceled) {
 				t.Errorf("got error %v, want %v", err, context.Canceled)
 			}
 			if got := strings.Join(registry.calls, " "); got != tt.want {
 				t.Errorf("got calls %q, want %q", got, tt.want)
 			}
-			if node.told != 1 {
-				t.Errorf("got the nodes told %d times, want once, also where there are no others", node.told)
+			if node.memberReports != 1 {
+				t.Errorf("got the nodes told %d times, want once, also where there are no others", node.memberReports)
 			}
 			if got := fmt.Sprint(node.others); got != fmt.Sprint(tt.wantOthers) {
 				t.Errorf("got %s others, want %d", got, tt.wantOthers)
--- a/peering/server.go
+++ b/peering/server.go
@@ -18,12 +18,12 @@
 func (p *Peering) Ask(_ context.Context, req *connect.Request[wire.AskRequest]) (*connect.Response[wire.AskResponse], error) {
 	p.Heard(req.Msg.GetAsker())
 	if req.Msg.GetWantQuarantined() {
-		return connect.NewResponse(&wire.AskResponse{AgeMs: -1, Quarantined: p.quarantined()}), nil
+		return connect.NewResponse(&wire.AskResponse{AgeMs: -1, Quarantined: p.encodeQuarantined()}), nil
 	}
-	inForce := p.knowledge.Config()
+	inForce := p.local.Config()
 	answer := &wire.AskResponse{
 		Edition: momentwire.Edition(inForce.Edition), AgeMs: int64(p.clock.Now().Sub(inForce.Confirmed)),
-		Members: append(p.directory.told(), p.directory.self),
+		Members: append(p.directory.shared(), p.directory.self),
 	}
 	if inForce.Edition.IsZero() {
 		answer.AgeMs = -1
@@ -32,7 +32,7 @@
 		answer.Config = inForce.Raw
 	}
 	if req.Msg.GetWantFleet() {
-		answer.Fleet, answer.HasFleet = p.fleet()
+		answer.Fleet, answer.HasFleet = p.encodeList()
 	}
 	return connect.NewResponse(answer), nil
 }
@@ -42,8 +42,8 @@
 	return wireconnect.NewFreshnessHandler(p)
 }
 
-func (p *Peering) fleet() ([]*wire.ListedUpstream, bool) {
-	list, ok := p.knowledge.Fleet()
+func (p *Peering) encodeList() ([]*wire.ListedUpstream, bool) {
+	list, ok := p.local.Fleet()
 	if !ok {
 		return nil, false
 	}
@@ -54,7 +54,7 @@
 	return out, true
 }
 
-func upstreamsOf(list []*wire.ListedUpstream) []fleet.Upstream {
+func decodeList(list []*wire.ListedUpstream) []fleet.Upstream {
 	out := make([]fleet.Upstream, 0, len(list))
 	for _, u := range list {
 		out = append(out, fleetwire.Upstream(u))
@@ -62,9 +62,9 @@
 	return out
 }
 
-// confirmedBy works out since when an answer shows the asker's configuration
+// confirmedAt works out since when an answer shows the asker's configuration
 // to be the newest. The answer was made after the question was sent, so
 // counting its age from the sending errs on the safe side.
-func confirmedBy(sent clock.Millis, answer *wire.AskResponse) clock.Millis {
+func confirmedAt(sent clock.Millis, answer *wire.AskResponse) clock.Millis {
 	return sent.Sub(clock.Millis(answer.GetAgeMs()))
 }
--- a/peering/silent_connections_test.go
+++ b/peering/silent_connections_test.go
@@ -25,15 +25,15 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// knowing is a node that has a configuration, and learns how fresh it is.
-type knowing struct {
+// testNode is a node that has a configuration, and learns how fresh it is.
+type testNode struct {
 	mu        sync.Mutex
 	confirmed clock.Millis
 	// store is the clock of a node that has the store; nil for one that lost it.
 	store *clock.Clock
 }
 
-func (k *knowing) Config() follow.ActiveConfig {
+func (k *testNode) Config() follow.ActiveConfig {
 	inForce := follow.ActiveConfig{Edition: catalog.New(1).Edition(), Raw: []byte("c")}
 	if k.store != nil {
 		inForce.Confirmed = k.store.Now()
@@ -45,21 +45,21 @@
 	return inForce
 }
 
-func (k *knowing) LearnConfig(_ catalog.Edition, _ []byte, confirmed clock.Millis) {
+func (k *testNode) LearnConfig(_ catalog.Edition, _ []byte, confirmed clock.Millis) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.confirmed = max(k.confirmed, confirmed)
 }
 
-func (*knowing) Fleet() ([]fleet.Upstream, bool) {
-	return []fleet.Upstream{{ID: fleet.Undated("u")}}, true
+func (*testNode) Fleet() ([]fleet.Upstream, bool) {
+	return []fleet.Upstream{{ID: fleet.IncarnationByID("u")}}, true
 }
-func (*knowing) Listed() bool                     { return true }
-func (*knowing) LearnFleet([]fleet.Upstream)      {}
-func (*knowing) LearnMembers([]*wire.Member, int) {}
+func (*testNode) Listed() bool                     { return true }
+func (*testNode) LearnFleet([]fleet.Upstream)      {}
+func (*testNode) LearnMembers([]*wire.Member, int) {}
 
-func (*knowing) Quarantined() []dispatch.Quarantined     { return nil }
-func (*knowing) LearnQuarantined([]dispatch.Quarantined) {}
+func (*testNode) Quarantined() []dispatch.Quarantined     { return nil }
+func (*testNode) LearnQuarantined([]dispatch.Quarantined) {}
 
 // slowPeers are nodes that have the store and may be slow to answer.
 type slowPeers struct {
@@ -79,7 +79,7 @@
 		address := fmt.Sprintf("p%d:80", i)
 		s.seeds = append(s.seeds, address)
 		self := &wire.Member{Name: address, Address: address}
-		_, handler := peering.New(self, nil, nil, &knowing{store: c}, &knowing{}, c, zap.NewNop(), nil, 1).Handler()
+		_, handler := peering.New(self, nil, nil, &testNode{store: c}, &testNode{}, c, zap.NewNop(), nil, 1).Handler()
 		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if s.slow.Load() {
 				time.Sleep(slowAnswer)
@@ -101,10 +101,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := clocktest.NewClock()
 		peers := startSlowPeers(t, c, 3)
-		transport := platform.NewQuestionTransport()
+		transport := platform.NewOneShotTransport()
 		transport.DialContext = peers.network.DialContext
 		t.Cleanup(transport.CloseIdleConnections)
-		asker := &knowing{}
+		asker := &testNode{}
 		p := peering.New(&wire.Member{Name: "asker", Address: "asker:80"}, peers.seeds, nil, asker, asker, c, zap.NewNop(), transport, 1)
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan struct{})
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -10,15 +10,15 @@
 )
 
 // benchShape is a model of 80 layers.
-var benchShape = placement.Shape{Layers: 80, LayerTokens: 237_000, LoadTime: 175, Prompt: 775, Answer: 220, Pass: catalog.Pass{Slowdown: 0.01}}
+var benchShape = placement.Shape{Layers: 80, LayerTokens: 237_000, LoadTime: 175, Prompt: 775, Answer: 220, Pass: catalog.Pass{StreamSlowdown: 0.01}}
 
 func benchEngines(n int, placed bool) []placement.Engine {
 	engines := make([]placement.Engine, n)
 	for i := range engines {
-		engines[i] = placement.Engine{ID: fleet.Undated(fleet.ID(fmt.Sprintf("e%04d", i))), DataCentre: fmt.Sprintf("dc-%d", i/33), Most: 10, Memory: 10.5, LayerTime: 0.1, ReadTime: 0.0005}
+		engines[i] = placement.Engine{ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%04d", i))), DataCentre: fmt.Sprintf("dc-%d", i/33), MaxLayers: 10, MemoryLayers: 10.5, LayerTime: 0.1, ReadTime: 0.0005}
 		if placed {
 			from := (i * 8) % 80
-			engines[i].Held = fleet.Range{From: from, To: from + 8}
+			engines[i].Held = fleet.LayerRange{From: from, To: from + 8}
 		}
 	}
 	return engines
@@ -37,8 +37,8 @@
 	}
 }
 
-// knowing returns a planner that knows engines which hold all layers.
-func knowing(n int) *placement.Model {
+// modelWithEngines returns a planner that knows engines which hold all layers.
+func modelWithEngines(n int) *placement.Model {
 	m := placement.New()
 	m.Update(0, placement.CatalogMsg{Catalog: testCatalog(benchShape.Layers)})
 	var changes []fleet.Change
@@ -55,7 +55,7 @@
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{38, 99, 330, 990} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			m := knowing(n)
+			m := modelWithEngines(n)
 			for b.Loop() {
 				m.Update(10_000, placement.TickMsg{})
 			}
@@ -68,7 +68,7 @@
 func BenchmarkCoverage(b *testing.B) {
 	for _, n := range []int{38, 330, 990, 7100} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			m := knowing(n)
+			m := modelWithEngines(n)
 			for b.Loop() {
 				m.Coverage(10_000)
 			}
--- a/placement/coverage.go
+++ b/placement/coverage.go
@@ -13,48 +13,48 @@
 // no holder there, as "writer dc-1 missing=0-9,32-40 empty=2". It is for the
 // log, and worked out again only after something has changed.
 func (m *Model) Coverage(now clock.Millis) []string {
-	if m.covered.changes != m.changes {
-		m.covered = covered{changes: m.changes, lines: m.coverage(now)}
+	if m.coverageCache.changeCount != m.changeCount {
+		m.coverageCache = coverageCache{changeCount: m.changeCount, lines: m.computeCoverage(now)}
 	}
-	return m.covered.lines
+	return m.coverageCache.lines
 }
 
-// covered is what Coverage returned last, and after how many changes.
-type covered struct {
-	changes uint64
-	lines   []string
+// coverageCache is what Coverage returned last, and after how many changes.
+type coverageCache struct {
+	changeCount uint64
+	lines       []string
 }
 
-func (m *Model) coverage(now clock.Millis) []string {
-	if m.catalog == nil || m.rests {
+func (m *Model) computeCoverage(now clock.Millis) []string {
+	if m.catalog == nil || m.standby {
 		return nil
 	}
 	var lines []string
-	m.catalog.Services(func(s *catalog.Service) {
+	m.catalog.EachService(func(s *catalog.Service) {
 		if s.Pipeline == nil {
 			return
 		}
 		p := newPlan(ShapeOf(s.Pipeline), m.engines(now, s))
 		empty := make(map[string]int)
 		for _, e := range p.engines {
-			if e.standing().Empty() {
+			if e.assigned().Empty() {
 				empty[e.DataCentre]++
 			}
 		}
-		for _, centre := range p.centres {
-			lines = append(lines, fmt.Sprintf("%s %s missing=%s empty=%d", s.Name, centre, p.gaps(centre), empty[centre]))
+		for _, centre := range p.dataCentres {
+			lines = append(lines, fmt.Sprintf("%s %s missing=%s empty=%d", s.Name, centre, p.missingRanges(centre), empty[centre]))
 		}
 	})
 	slices.Sort(lines)
 	return lines
 }
 
-// gaps lists the runs of layers without a holder in a data centre.
-func (p *plan) gaps(centre string) string {
+// missingRanges lists the runs of layers without a holder in a data centre.
+func (p *plan) missingRanges(centre string) string {
 	var gaps []string
 	for from := 0; from < p.shape.Layers; from++ {
 		to := from
-		for to < p.shape.Layers && p.local[centre][to] == 0 {
+		for to < p.shape.Layers && p.holderCounts[centre][to] == 0 {
 			to++
 		}
 		if to > from {
--- a/placement/model.go
+++ b/placement/model.go
@@ -8,100 +8,100 @@
 
 // Figures of the planner, in ms.
 const (
-	// stillFor is how long the list must have stood still before the first orders,
+	// emptyListStableFor is how long the list must have stood still before the first orders,
 	// where no engine holds anything yet: servers write their entries within a
 	// heartbeat of 1.2 s, and the list shows them up to 0.8 s late, in batches that
 	// came 1.5 s apart. A first plan from one such batch had engines filled to the
 	// last layer for the whole day (docs/CUSTOMER.md).
-	stillFor clock.Millis = 2500
-	// takenOverFor is the same where engines hold layers already, for a node that
+	emptyListStableFor clock.Millis = 2500
+	// populatedListStableFor is the same where engines hold layers already, for a node that
 	// has started again: the list is there as a whole.
-	takenOverFor clock.Millis = 1500
-	// longestWait bounds the wait for a list that never stands still.
-	longestWait clock.Millis = 5000
-	// orderLasts is how long an order that was taken may take to show in the
+	populatedListStableFor clock.Millis = 1500
+	// maxListWait bounds the wait for a list that never stands still.
+	maxListWait clock.Millis = 5000
+	// orderTimeout is how long an order that was taken may take to show in the
 	// list: a load of a quarter of the layers, slowed by others, and the lag.
-	orderLasts clock.Millis = 9000
-	// busyLasts is how long an engine that another node's order keeps busy is
+	orderTimeout clock.Millis = 9000
+	// busyRetryDelay is how long an engine that another node's order keeps busy is
 	// left alone.
-	busyLasts clock.Millis = 3000
-	// retryIn is how soon an order that got no answer is tried again. It may
+	busyRetryDelay clock.Millis = 3000
+	// orderRetryDelay is how soon an order that got no answer is tried again. It may
 	// still be carried out; the engine's count of orders guards against both.
-	retryIn clock.Millis = 2500
-	// rejectedFor is for how long an engine that cannot read an order gets none. The same
+	orderRetryDelay clock.Millis = 2500
+	// rejectedRetryDelay is for how long an engine that cannot read an order gets none. The same
 	// order would say the same to it; only another program at one of the two ends mends that.
-	rejectedFor clock.Millis = 30_000
-	// reserveFor is for how long a new engine is kept for layers that lose their
+	rejectedRetryDelay clock.Millis = 30_000
+	// reserveDuration is for how long a new engine is kept for layers that lose their
 	// holder: servers of a service are replaced about a second apart, and the old
 	// one states that it is leaving after the new one has started.
-	reserveFor clock.Millis = 4000
-	// heldLasts is for how long word of what an engine holds counts more than
+	reserveDuration clock.Millis = 4000
+	// heldReportLifetime is for how long word of what an engine holds counts more than
 	// the list: its lag and a heartbeat.
-	heldLasts clock.Millis = 3000
-	// withheldFor is for how long an engine whose entry cannot be used counts as holding
+	heldReportLifetime clock.Millis = 3000
+	// withheldGracePeriod is for how long an engine whose entry cannot be used counts as holding
 	// its layers: it writes its entry again within a heartbeat of 1.2 s, and the list shows
 	// that up to 0.8 s late. Moving other engines for it costs seconds of their work.
-	withheldFor clock.Millis = 3000
-	// healAfter is how long layers must have been without a holder before an
+	withheldGracePeriod clock.Millis = 3000
+	// healDelay is how long layers must have been without a holder before an
 	// engine that is in use is moved to them, so that one change of the list is
 	// seen whole.
-	healAfter clock.Millis = 300
-	// idleFor is for how long at the most a planner that has found nothing to do looks
+	healDelay clock.Millis = 300
+	// maxIdle is for how long at the most a planner that has found nothing to do looks
 	// at nothing while nothing happens. A look costs some 2 µs an engine, four times
 	// a second, and five times that on the smallest VMs.
-	idleFor clock.Millis = 1000
-	// mostSilent is how many engines of a service may be silent to this node alone at
+	maxIdle clock.Millis = 1000
+	// maxUnresponsive is how many engines of a service may be silent to this node alone at
 	// a time. With more it is the node that is cut off, and only the list and what
 	// other nodes have found too counts.
-	mostSilent = 4
+	maxUnresponsive = 4
 )
 
 // Model plans for every pipeline service. It is pure and not safe for
 // concurrent use.
 type Model struct {
 	delay clock.Millis
-	// rests tells that other nodes plan, and elsewhere are the data centres whose own nodes
+	// standby tells that other nodes plan, and elsewhere are the data centres whose own nodes
 	// do so. A plan takes a second for hundreds of engines, and the nodes of another data
 	// centre would find the same one.
-	rests     bool
-	elsewhere []string
-	started   clock.Millis
-	changed   clock.Millis
-	// confirmed is when the list was last confirmed.
-	confirmed clock.Millis
-	planned   bool
-	plannedAt clock.Millis
-	catalog   *catalog.Catalog
-	upstreams map[fleet.Incarnation]fleet.Upstream
-	// silent are engines that are in the list and do not answer this node alone, and
+	standby             bool
+	excludedDataCentres []string
+	startedAt           clock.Millis
+	listChangedAt       clock.Millis
+	// listConfirmedAt is when the list was last confirmed.
+	listConfirmedAt clock.Millis
+	ready           bool
+	readyAt         clock.Millis
+	catalog         *catalog.Catalog
+	upstreams       map[fleet.Incarnation]fleet.Upstream
+	// unresponsive are engines that are in the list and do not answer this node alone, and
 	// agreed those that do not answer others either.
-	silent  map[fleet.Incarnation]bool
-	agreed  map[fleet.Incarnation]bool
-	pending map[fleet.Incarnation]pending
-	// heldSure is until when word of what an engine holds counts more than an
+	unresponsive          map[fleet.Incarnation]bool
+	confirmedUnresponsive map[fleet.Incarnation]bool
+	pending               map[fleet.Incarnation]pendingOrder
+	// heldReportedUntil is until when word of what an engine holds counts more than an
 	// entry without layers.
-	heldSure map[fleet.Incarnation]clock.Millis
-	// seen is when an engine was first in the list.
-	seen map[fleet.Incarnation]clock.Millis
+	heldReportedUntil map[fleet.Incarnation]clock.Millis
+	// firstSeen is when an engine was first in the list.
+	firstSeen map[fleet.Incarnation]clock.Millis
 	// withheldSince is since when an engine's entry cannot be used.
 	withheldSince map[fleet.Incarnation]clock.Millis
-	// needSince is since when a service has had layers without a holder.
-	needSince map[string]clock.Millis
+	// uncoveredSince is since when a service has had layers without a holder.
+	uncoveredSince map[string]clock.Millis
 	// plans are by service.
-	plans map[string]planned
+	plans map[string]cachedPlan
 	// dueSince is since when there have been orders to give and nobody else gave any.
 	dueSince clock.Millis
 	// idleUntil is until when nothing is to be looked at if nothing happens.
 	idleUntil clock.Millis
-	// changes counts what may have changed who holds what, and covered is for Coverage.
-	changes uint64
-	covered covered
+	// changeCount counts what may have changed who holds what, and covered is for Coverage.
+	changeCount   uint64
+	coverageCache coverageCache
 }
 
-// pending is an order that has been given. Its layers are none where the engine could not read
+// pendingOrder is an order that has been given. Its layers are none where the engine could not read
 // it.
-type pending struct {
-	layers fleet.Range
+type pendingOrder struct {
+	layers fleet.LayerRange
 	until  clock.Millis
 }
 
@@ -114,22 +114,22 @@
 
 // WithStart sets the time at which the planner begins.
 func WithStart(now clock.Millis) Option {
-	return func(m *Model) { m.started, m.changed = now, now }
+	return func(m *Model) { m.startedAt, m.listChangedAt = now, now }
 }
 
 // New returns a planner that knows nothing.
 func New(opts ...Option) *Model {
 	m := &Model{
-		upstreams: make(map[fleet.Incarnation]fleet.Upstream),
-		silent:    make(map[fleet.Incarnation]bool),
-		agreed:    make(map[fleet.Incarnation]bool),
-		heldSure:  make(map[fleet.Incarnation]clock.Millis),
-		seen:      make(map[fleet.Incarnation]clock.Millis),
-		pending:   make(map[fleet.Incarnation]pending),
-		needSince: make(map[string]clock.Millis),
+		upstreams:             make(map[fleet.Incarnation]fleet.Upstream),
+		unresponsive:          make(map[fleet.Incarnation]bool),
+		confirmedUnresponsive: make(map[fleet.Incarnation]bool),
+		heldReportedUntil:     make(map[fleet.Incarnation]clock.Millis),
+		firstSeen:             make(map[fleet.Incarnation]clock.Millis),
+		pending:               make(map[fleet.Incarnation]pendingOrder),
+		uncoveredSince:        make(map[string]clock.Millis),
 
 		withheldSince: make(map[fleet.Incarnation]clock.Millis),
-		plans:         make(map[string]planned),
+		plans:         make(map[string]cachedPlan),
 	}
 	for _, opt := range opts {
 		opt(m)
@@ -141,54 +141,54 @@
 func (m *Model) Update(now clock.Millis, msg Msg) []OrderCmd {
 	if _, tick := msg.(TickMsg); !tick {
 		m.idleUntil = 0
-		m.changes++
+		m.changeCount++
 	}
 	switch msg := msg.(type) {
 	case CatalogMsg:
 		m.catalog = msg.Catalog
 	case FleetMsg:
-		m.setFleet(now, msg.Changes)
+		m.applyFleetChanges(now, msg.Changes)
 	case RankMsg:
-		m.delay, m.rests, m.elsewhere = msg.Delay, msg.Rests, msg.Elsewhere
-	case SilentMsg:
-		m.setSilent(msg)
-	case OrderedMsg:
-		m.ordered(now, msg)
+		m.delay, m.standby, m.excludedDataCentres = msg.Delay, msg.Standby, msg.ExcludedDataCentres
+	case ResponsivenessMsg:
+		m.setUnresponsive(msg)
+	case OrderResultMsg:
+		m.applyOrderResult(now, msg)
 	case PlacedMsg:
-		m.placed(now, msg)
+		m.applyPlaced(now, msg)
 	case TickMsg:
-		m.confirmed = now.Sub(msg.ListAge)
+		m.listConfirmedAt = now.Sub(msg.ListAge)
 		return m.tick(now)
 	}
 	return nil
 }
 
-func (m *Model) setFleet(now clock.Millis, changes []fleet.Change) {
+func (m *Model) applyFleetChanges(now clock.Millis, changes []fleet.Change) {
 	for _, c := range changes {
 		before, known := m.upstreams[c.ID]
 		if c.Gone {
 			delete(m.upstreams, c.ID)
 			delete(m.pending, c.ID)
-			delete(m.silent, c.ID)
-			delete(m.agreed, c.ID)
-			delete(m.heldSure, c.ID)
-			delete(m.seen, c.ID)
+			delete(m.unresponsive, c.ID)
+			delete(m.confirmedUnresponsive, c.ID)
+			delete(m.heldReportedUntil, c.ID)
+			delete(m.firstSeen, c.ID)
 			delete(m.withheldSince, c.ID)
-			m.changed = now
+			m.listChangedAt = now
 			continue
 		}
 		if !known {
-			m.seen[c.ID] = now
+			m.firstSeen[c.ID] = now
 		}
 		if !known || before.Leaving != c.Upstream.Leaving {
-			m.changed = now
+			m.listChangedAt = now
 		}
 		if !c.Upstream.Withheld {
 			delete(m.withheldSince, c.ID)
 		} else if !before.Withheld {
 			m.withheldSince[c.ID] = now
 		}
-		if known && c.Upstream.Held.Empty() && now < m.heldSure[c.ID] {
+		if known && c.Upstream.Held.Empty() && now < m.heldReportedUntil[c.ID] {
 			// The list still shows what was before an order was carried out.
 			c.Upstream.Held = before.Held
 		}
@@ -199,64 +199,64 @@
 	}
 }
 
-func (m *Model) placed(now clock.Millis, msg PlacedMsg) {
+func (m *Model) applyPlaced(now clock.Millis, msg PlacedMsg) {
 	u, known := m.upstreams[msg.Upstream]
 	switch {
 	case !known:
-	case msg.Holds:
+	case msg.Completed:
 		u.Held = msg.Layers
 		m.upstreams[msg.Upstream] = u
-		m.heldSure[msg.Upstream] = now.Add(heldLasts)
+		m.heldReportedUntil[msg.Upstream] = now.Add(heldReportLifetime)
 		delete(m.pending, msg.Upstream)
 	case u.Held != msg.Layers:
 		if m.pending[msg.Upstream].layers != msg.Layers {
 			// Another node is at it. Its plan goes on, and would be sought here in vain.
 			m.dueSince = 0
 		}
-		m.pending[msg.Upstream] = pending{layers: msg.Layers, until: now.Add(orderLasts)}
+		m.pending[msg.Upstream] = pendingOrder{layers: msg.Layers, until: now.Add(orderTimeout)}
 	}
 }
 
-func (m *Model) setSilent(msg SilentMsg) {
-	delete(m.silent, msg.Upstream)
-	delete(m.agreed, msg.Upstream)
+func (m *Model) setUnresponsive(msg ResponsivenessMsg) {
+	delete(m.unresponsive, msg.Upstream)
+	delete(m.confirmedUnresponsive, msg.Upstream)
 	_, known := m.upstreams[msg.Upstream]
 	switch {
-	case !known || !msg.Silent:
-	case msg.Agreed:
-		m.agreed[msg.Upstream] = true
+	case !known || !msg.Unresponsive:
+	case msg.Confirmed:
+		m.confirmedUnresponsive[msg.Upstream] = true
 	default:
-		m.silent[msg.Upstream] = true
+		m.unresponsive[msg.Upstream] = true
 	}
 }
 
-// withheld tells whether an engine's entry has not been usable for so long that it counts
+// withheldTooLong tells whether an engine's entry has not been usable for so long that it counts
 // as lost.
-func (m *Model) withheld(now clock.Millis, id fleet.Incarnation) bool {
+func (m *Model) withheldTooLong(now clock.Millis, id fleet.Incarnation) bool {
 	since, ok := m.withheldSince[id]
-	return ok && now >= since.Add(withheldFor)
+	return ok && now >= since.Add(withheldGracePeriod)
 }
 
-// lost tells whether an engine counts as lost for its silence.
-func (m *Model) lost(id fleet.Incarnation) bool {
-	return m.agreed[id] || m.silent[id] && len(m.silent) <= mostSilent
+// isLost tells whether an engine counts as lost for its silence.
+func (m *Model) isLost(id fleet.Incarnation) bool {
+	return m.confirmedUnresponsive[id] || m.unresponsive[id] && len(m.unresponsive) <= maxUnresponsive
 }
 
-func (m *Model) ordered(now clock.Millis, msg OrderedMsg) {
+func (m *Model) applyOrderResult(now clock.Millis, msg OrderResultMsg) {
 	p, ok := m.pending[msg.Upstream]
 	if !ok {
 		return
 	}
 	switch msg.Result {
 	case Taken:
-		p.until = now.Add(orderLasts)
+		p.until = now.Add(orderTimeout)
 	case Busy:
-		p.until = now.Add(busyLasts)
+		p.until = now.Add(busyRetryDelay)
 	case Refused, Unanswered:
-		p.until = now.Add(retryIn)
+		p.until = now.Add(orderRetryDelay)
 	case Rejected:
 		// It is not on its way to hold them: others are planned for.
-		p.layers, p.until = fleet.Range{}, now.Add(rejectedFor)
+		p.layers, p.until = fleet.LayerRange{}, now.Add(rejectedRetryDelay)
 	}
 	m.pending[msg.Upstream] = p
 	if u, known := m.upstreams[msg.Upstream]; known && msg.Result == Busy && u.Held != msg.Held && !msg.Held.Empty() {
--- a/placement/msg.go
+++ b/placement/msg.go
@@ -19,33 +19,33 @@
 // node has learnt of them.
 type RankMsg struct {
 	Delay clock.Millis
-	// Rests tells that other nodes plan and this one does not.
-	Rests bool
-	// Elsewhere are the data centres whose engines their own nodes plan for.
-	Elsewhere []string
+	// Standby tells that other nodes plan and this one does not.
+	Standby bool
+	// ExcludedDataCentres are the data centres whose engines their own nodes plan for.
+	ExcludedDataCentres []string
 }
 
-// SilentMsg tells that an engine does not answer this node, or does again.
-type SilentMsg struct {
-	Upstream fleet.Incarnation
-	Silent   bool
-	// Agreed tells that another node has found it silent too.
-	Agreed bool
+// ResponsivenessMsg tells that an engine does not answer this node, or does again.
+type ResponsivenessMsg struct {
+	Upstream     fleet.Incarnation
+	Unresponsive bool
+	// Confirmed tells that another node has found it silent too.
+	Confirmed bool
 }
 
-// OrderedMsg tells what came of an OrderCmd.
-type OrderedMsg struct {
+// OrderResultMsg tells what came of an OrderCmd.
+type OrderResultMsg struct {
 	Upstream fleet.Incarnation
 	Result   Result
-	Held     fleet.Range
+	Held     fleet.LayerRange
 }
 
 // PlacedMsg tells of an order that another node has given, or, with Holds, that
 // an engine has carried one out.
 type PlacedMsg struct {
-	Upstream fleet.Incarnation
-	Layers   fleet.Range
-	Holds    bool
+	Upstream  fleet.Incarnation
+	Layers    fleet.LayerRange
+	Completed bool
 }
 
 // TickMsg drives what depends on time alone.
@@ -54,13 +54,13 @@
 	ListAge clock.Millis
 }
 
-func (CatalogMsg) placementMsg() {}
-func (FleetMsg) placementMsg()   {}
-func (RankMsg) placementMsg()    {}
-func (SilentMsg) placementMsg()  {}
-func (OrderedMsg) placementMsg() {}
-func (PlacedMsg) placementMsg()  {}
-func (TickMsg) placementMsg()    {}
+func (CatalogMsg) placementMsg()        {}
+func (FleetMsg) placementMsg()          {}
+func (RankMsg) placementMsg()           {}
+func (ResponsivenessMsg) placementMsg() {}
+func (OrderResultMsg) placementMsg()    {}
+func (PlacedMsg) placementMsg()         {}
+func (TickMsg) placementMsg()           {}
 
 // Result is what came of an order.
 type Result uint8
@@ -88,9 +88,9 @@
 type OrderCmd struct {
 	Upstream fleet.Incarnation
 	Address  string
-	Layers   fleet.Range
-	// Believed is what the list says that the engine holds.
-	Believed fleet.Range
+	Layers   fleet.LayerRange
+	// ExpectedHeld is what the list says that the engine holds.
+	ExpectedHeld fleet.LayerRange
 	// Missing is how many of them have no holder in the data centre.
 	Missing int
 }
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -25,31 +25,31 @@
 type Engine struct {
 	ID         fleet.Incarnation
 	DataCentre string
-	// Most is how many layers fit into its memory, and Memory the same with the
+	// MaxLayers is how many layers fit into its memory, and Memory the same with the
 	// part of a layer that is left over.
-	Most   int
-	Memory float64
+	MaxLayers    int
+	MemoryLayers float64
 	// LayerTime is the time of one token through one layer, and ReadTime that of
 	// one token of a prompt, in ms.
 	LayerTime float64
 	ReadTime  float64
 	// Held is what it holds, and Coming what it has been ordered to hold.
-	Held   fleet.Range
-	Coming fleet.Range
+	Held    fleet.LayerRange
+	Ordered fleet.LayerRange
 	// Fixed engines get no orders now.
 	Fixed bool
-	// Reserve engines are new; they are kept for layers without a holder.
-	Reserve bool
+	// Reserved engines are new; they are kept for layers without a holder.
+	Reserved bool
 }
 
-// serving is how many layers an engine can hold and serve. One that its layers fill to the
+// servingLayers is how many layers an engine can hold and serve. One that its layers fill to the
 // last byte has no memory for a request: its layers look held, and nobody is served.
-func (e *Engine) serving() int { return int(math.Ceil(e.Memory)) - 1 }
+func (e *Engine) servingLayers() int { return int(math.Ceil(e.MemoryLayers)) - 1 }
 
-// standing is the range that the engine holds or will.
-func (e *Engine) standing() fleet.Range {
-	if !e.Coming.Empty() {
-		return e.Coming
+// assigned is the range that the engine holds or will.
+func (e *Engine) assigned() fleet.LayerRange {
+	if !e.Ordered.Empty() {
+		return e.Ordered
 	}
 	return e.Held
 }
@@ -57,27 +57,27 @@
 // Order tells an engine which layers to hold.
 type Order struct {
 	ID     fleet.Incarnation
-	Layers fleet.Range
+	Layers fleet.LayerRange
 	// Missing is how many of the layers had no holder in the data centre.
 	Missing int
 }
 
-// fills are the shares of an engine's memory that layers may take when a first
+// searchFills are the shares of an engine's memory that layers may take when a first
 // plan is sought, and from which the best is improved on.
-var fills = []float64{0.55, 0.6, 0.65, 0.7, 0.75, 0.8, 0.85, 0.9, 0.95, 1}
+var searchFills = []float64{0.55, 0.6, 0.65, 0.7, 0.75, 0.8, 0.85, 0.9, 0.95, 1}
 
 // Plan returns the orders to be given now, most urgent first.
-func Plan(shape Shape, engines []Engine) []Order { return newPlan(shape, engines).seek() }
+func Plan(shape Shape, engines []Engine) []Order { return newPlan(shape, engines).computeOrders() }
 
-// seek returns the orders to be given now.
-func (p *plan) seek() []Order {
+// computeOrders returns the orders to be given now.
+func (p *plan) computeOrders() []Order {
 	var orders []Order
-	for _, centre := range p.centres {
-		if p.untouched(centre) {
-			orders = append(orders, p.design(centre)...)
+	for _, centre := range p.dataCentres {
+		if p.isEmpty(centre) {
+			orders = append(orders, p.planInitial(centre)...)
 			continue
 		}
-		orders = append(orders, p.fill(centre)...)
+		orders = append(orders, p.fillEmpty(centre)...)
 		orders = append(orders, p.heal(centre)...)
 	}
 	slices.SortStableFunc(orders, func(a, b Order) int { return cmp.Compare(b.Missing, a.Missing) })
@@ -86,92 +86,92 @@
 
 // plan counts the holders of each layer while orders are added.
 type plan struct {
-	shape   Shape
-	engines []Engine
-	centres []string
-	local   map[string][]int
-	// weighed counts the engines that have been looked at for the values of layouts.
-	weighed int
+	shape        Shape
+	engines      []Engine
+	dataCentres  []string
+	holderCounts map[string][]int
+	// evaluatedEngines counts the engines that have been looked at for the values of layouts.
+	evaluatedEngines int
 }
 
 func newPlan(shape Shape, engines []Engine) *plan {
-	p := &plan{shape: shape, engines: slices.Clone(engines), local: make(map[string][]int)}
+	p := &plan{shape: shape, engines: slices.Clone(engines), holderCounts: make(map[string][]int)}
 	slices.SortFunc(p.engines, func(a, b Engine) int { return a.ID.Compare(b.ID) })
 	for i := range p.engines {
 		e := &p.engines[i]
-		if p.local[e.DataCentre] == nil {
-			p.local[e.DataCentre] = make([]int, shape.Layers)
-			p.centres = append(p.centres, e.DataCentre)
+		if p.holderCounts[e.DataCentre] == nil {
+			p.holderCounts[e.DataCentre] = make([]int, shape.Layers)
+			p.dataCentres = append(p.dataCentres, e.DataCentre)
 		}
-		p.count(e.DataCentre, e.standing(), 1)
+		p.addHolders(e.DataCentre, e.assigned(), 1)
 	}
-	slices.Sort(p.centres)
+	slices.Sort(p.dataCentres)
 	return p
 }
 
-func (p *plan) count(centre string, r fleet.Range, by int) {
+func (p *plan) addHolders(centre string, r fleet.LayerRange, by int) {
 	for layer := max(r.From, 0); layer < min(r.To, p.shape.Layers); layer++ {
-		p.local[centre][layer] += by
+		p.holderCounts[centre][layer] += by
 	}
 }
 
-// whole is the range of all layers.
-func (p *plan) whole() fleet.Range { return fleet.Range{To: p.shape.Layers} }
+// allLayers is the range of all layers.
+func (p *plan) allLayers() fleet.LayerRange { return fleet.LayerRange{To: p.shape.Layers} }
 
-// of returns the engines of a data centre that can hold a layer.
-func (p *plan) of(centre string) []*Engine {
+// enginesIn returns the engines of a data centre that can hold a layer.
+func (p *plan) enginesIn(centre string) []*Engine {
 	var list []*Engine
 	for i := range p.engines {
-		if e := &p.engines[i]; e.DataCentre == centre && e.Most > 0 {
+		if e := &p.engines[i]; e.DataCentre == centre && e.MaxLayers > 0 {
 			list = append(list, e)
 		}
 	}
 	return list
 }
 
-// untouched tells whether no engine of a data centre holds anything or is to.
-func (p *plan) untouched(centre string) bool {
-	for _, e := range p.of(centre) {
-		if !e.standing().Empty() || e.Fixed {
+// isEmpty tells whether no engine of a data centre holds anything or is to.
+func (p *plan) isEmpty(centre string) bool {
+	for _, e := range p.enginesIn(centre) {
+		if !e.assigned().Empty() || e.Fixed {
 			return false
 		}
 	}
 	return true
 }
 
-// capacity is how many layers an engine is given at a fill, if that leaves memory for
+// layersAtFill is how many layers an engine is given at a fill, if that leaves memory for
 // requests.
-func capacity(e *Engine, fill float64) int {
-	return max(1, min(int(float64(e.Most)*fill), e.serving()))
+func layersAtFill(e *Engine, fill float64) int {
+	return max(1, min(int(float64(e.MaxLayers)*fill), e.servingLayers()))
 }
 
-// design plans a data centre whose engines are all empty.
-func (p *plan) design(centre string) []Order {
+// planInitial plans a data centre whose engines are all empty.
+func (p *plan) planInitial(centre string) []Order {
 	var orders []Order
 	var found []*layout
 	for _, group := range p.groups(centre) {
 		l := newLayout(p.shape, group)
-		if i := slices.IndexFunc(found, l.alike); i >= 0 {
+		if i := slices.IndexFunc(found, l.sameKinds); i >= 0 {
 			copy(l.ranges, found[i].ranges)
 		} else {
 			l.search()
 			found = append(found, l)
-			p.weighed += l.weighed
+			p.evaluatedEngines += l.evaluatedEngines
 		}
 		for i, e := range l.engines {
 			if !l.ranges[i].Empty() {
-				orders = append(orders, p.order(e, l.ranges[i]))
+				orders = append(orders, p.addOrder(e, l.ranges[i]))
 			}
 		}
 	}
 	return orders
 }
 
-// wants tells whether some layer lacks a holder in a data centre, and whether some
+// needs tells whether some layer lacks a holder in a data centre, and whether some
 // engine is to be filled.
-func (p *plan) wants() (missing, empty bool) {
-	for _, centre := range p.centres {
-		missing = missing || p.missing(centre, p.whole()) > 0
+func (p *plan) needs() (missing, empty bool) {
+	for _, centre := range p.dataCentres {
+		missing = missing || p.missingLayers(centre, p.allLayers()) > 0
 	}
 	for i := range p.engines {
 		empty = empty || p.fillable(&p.engines[i])
@@ -181,11 +181,11 @@
 
 // fillable tells whether an engine is empty and may get an order now.
 func (p *plan) fillable(e *Engine) bool {
-	return e.Most > 0 && e.standing().Empty() && !e.Fixed && !p.keep(e)
+	return e.MaxLayers > 0 && e.assigned().Empty() && !e.Fixed && !p.isReserved(e)
 }
 
-// fill gives the empty engines of a data centre the ranges that are worth most.
-func (p *plan) fill(centre string) []Order {
+// fillEmpty gives the empty engines of a data centre the ranges that are worth most.
+func (p *plan) fillEmpty(centre string) []Order {
 	var orders []Order
 	for _, group := range p.groups(centre) {
 		if slices.ContainsFunc(group, p.fillable) {
@@ -198,33 +198,33 @@
 func (p *plan) fillGroup(engines []*Engine) []Order {
 	var orders []Order
 	l := newLayout(p.shape, engines)
-	if open := p.open(l); len(open) > 1 && 2*l.count() > p.shape.Layers {
+	if open := p.fillableIndexes(l); len(open) > 1 && 2*l.countHolders() > p.shape.Layers {
 		// One after the other, the first would be filled to the last layer, since each layer
 		// without a holder outweighs all else, and have no memory for requests.
-		l.searchOver(open)
+		l.searchEngines(open)
 		for _, i := range open {
-			orders = append(orders, p.order(l.engines[i], l.ranges[i]))
+			orders = append(orders, p.addOrder(l.engines[i], l.ranges[i]))
 		}
-		p.weighed += l.weighed
+		p.evaluatedEngines += l.evaluatedEngines
 		return orders
 	}
 	for i, e := range l.engines {
 		if !p.fillable(e) {
 			continue
 		}
-		r := l.roomiest(i)
+		r := l.bestInitialRange(i)
 		if r.Empty() {
 			continue
 		}
 		l.ranges[i] = r
-		orders = append(orders, p.order(e, r))
+		orders = append(orders, p.addOrder(e, r))
 	}
-	p.weighed += l.weighed
+	p.evaluatedEngines += l.evaluatedEngines
 	return orders
 }
 
-// open are the places of the engines of a layout that may be filled.
-func (p *plan) open(l *layout) []int {
+// fillableIndexes are the places of the engines of a layout that may be filled.
+func (p *plan) fillableIndexes(l *layout) []int {
 	var open []int
 	for i, e := range l.engines {
 		if p.fillable(e) {
@@ -234,22 +234,24 @@
 	return open
 }
 
-// keep tells whether an engine is held in reserve: servers are replaced one
+// isReserved tells whether an engine is held in reserve: servers are replaced one
 // after the other, the new one first, so layers will soon want a holder.
-func (p *plan) keep(e *Engine) bool { return e.Reserve && p.missing(e.DataCentre, p.whole()) == 0 }
+func (p *plan) isReserved(e *Engine) bool {
+	return e.Reserved && p.missingLayers(e.DataCentre, p.allLayers()) == 0
+}
 
-func (p *plan) order(e *Engine, r fleet.Range) Order {
-	o := Order{ID: e.ID, Layers: r, Missing: p.missing(e.DataCentre, r)}
-	p.count(e.DataCentre, e.standing(), -1)
-	p.count(e.DataCentre, r, 1)
-	e.Coming = r
+func (p *plan) addOrder(e *Engine, r fleet.LayerRange) Order {
+	o := Order{ID: e.ID, Layers: r, Missing: p.missingLayers(e.DataCentre, r)}
+	p.addHolders(e.DataCentre, e.assigned(), -1)
+	p.addHolders(e.DataCentre, r, 1)
+	e.Ordered = r
 	return o
 }
 
-func (p *plan) missing(centre string, r fleet.Range) int {
+func (p *plan) missingLayers(centre string, r fleet.LayerRange) int {
 	n := 0
 	for layer := r.From; layer < r.To; layer++ {
-		if p.local[centre][layer] == 0 {
+		if p.holderCounts[centre][layer] == 0 {
 			n++
 		}
 	}
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -10,27 +10,27 @@
 	"github.com/hoistjunction/hoistjunction/placement"
 )
 
-// kind is a kind of accelerator of the tests: its memory in layers, and the time
+// accelerator is a kind of accelerator of the tests: its memory in layers, and the time
 // of a token and of reading one through a layer, in ms.
-type kind struct {
-	name   string
-	memory float64
-	step   float64
-	read   float64
+type accelerator struct {
+	name      string
+	memory    float64
+	layerTime float64
+	readTime  float64
 }
 
 var (
-	largeFast = kind{"large", 41.1, 0.031, 0.00024}
-	smallFast = kind{"small", 8.2, 0.068, 0.0006}
-	slow      = kind{"slow", 12.3, 0.2, 0.0006}
+	largeFast = accelerator{"large", 41.1, 0.031, 0.00024}
+	smallFast = accelerator{"small", 8.2, 0.068, 0.0006}
+	slow      = accelerator{"slow", 12.3, 0.2, 0.0006}
 )
 
-func engines(centre string, k kind, n int) []placement.Engine {
+func engines(centre string, k accelerator, n int) []placement.Engine {
 	list := make([]placement.Engine, n)
 	for i := range list {
 		list[i] = placement.Engine{
-			ID: fleet.Undated(fleet.ID(fmt.Sprintf("%s-%s-%02d", centre, k.name, i))), DataCentre: centre,
-			Most: int(k.memory), Memory: k.memory, LayerTime: k.step, ReadTime: k.read,
+			ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("%s-%s-%02d", centre, k.name, i))), DataCentre: centre,
+			MaxLayers: int(k.memory), MemoryLayers: k.memory, LayerTime: k.layerTime, ReadTime: k.readTime,
 		}
 	}
 	return list
@@ -55,10 +55,10 @@
 	fast := 0
 	for _, o := range orders {
 		i := slices.IndexFunc(list, func(e placement.Engine) bool { return e.ID == o.ID })
-		if share := float64(o.Layers.Len()) / list[i].Memory; share > 0.9 {
+		if share := float64(o.Layers.Len()) / list[i].MemoryLayers; share > 0.9 {
 			t.Errorf("%s: got %v of its memory for layers, want at most 0.9", o.ID, share)
 		}
-		if list[i].LayerTime < slow.step {
+		if list[i].LayerTime < slow.layerTime {
 			fast += o.Layers.Len()
 		}
 	}
@@ -75,15 +75,15 @@
 func TestPlanOfAnyEngines(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	for range 60 {
-		list := anyEngines(random)
+		list := randomEngines(random)
 		most, room := 0, 0
 		orders := placement.Plan(benchShape, list)
 		for _, e := range list {
-			room += e.Most
-			most = max(most, e.Most)
+			room += e.MaxLayers
+			most = max(most, e.MaxLayers)
 			for _, o := range orders {
-				if o.ID == e.ID && (o.Layers.Len() > e.Most || o.Layers.From < 0 || o.Layers.To > benchShape.Layers) {
-					t.Errorf("got order %v for an engine of %d layers", o, e.Most)
+				if o.ID == e.ID && (o.Layers.Len() > e.MaxLayers || o.Layers.From < 0 || o.Layers.To > benchShape.Layers) {
+					t.Errorf("got order %v for an engine of %d layers", o, e.MaxLayers)
 				}
 			}
 		}
@@ -97,7 +97,7 @@
 	}
 }
 
-func anyEngines(random *rand.Rand) []placement.Engine {
+func randomEngines(random *rand.Rand) []placement.Engine {
 	list := make([]placement.Engine, 1+random.IntN(30))
 	for i := range list {
 		memory := 14 * random.Float64()
@@ -105,7 +105,7 @@
 			memory = 50 * random.Float64()
 		}
 		list[i] = placement.Engine{
-			ID: fleet.Undated(fleet.ID(fmt.Sprintf("e%02d", i))), DataCentre: "a", Most: int(memory), Memory: memory,
+			ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%02d", i))), DataCentre: "a", MaxLayers: int(memory), MemoryLayers: memory,
 			LayerTime: 0.02 + random.Float64(), ReadTime: 0.001 * random.Float64(),
 		}
 	}
--- a/placement/refill_test.go
+++ b/placement/refill_test.go
@@ -19,18 +19,18 @@
 		engines = 13
 	)
 	shape := ShapeOf(&catalog.Pipeline{
-		Layers: layers, LayerMB: 1750, TokenBytes: 459_000, StepMS: 0.85, SequenceMS: 0.00297, ContextMS: 0.00398, ReadRate: 252, ReadInPass: 512,
-		StepsInPass: 2, LoadMS: 14_000, UsualPrompt: 772, UsualAnswer: 154,
+		Layers: layers, LayerMB: 1750, TokenBytes: 459_000, StepMS: 0.85, SequenceMS: 0.00297, ContextMS: 0.00398, ReadRate: 252, PromptTokensPerPass: 512,
+		StepsPerPass: 2, LoadMS: 14_000, MeanPromptTokens: 772, MeanAnswerTokens: 154,
 	})
 	build := func() []Engine {
 		var list []Engine
 		for i := range engines {
-			e := Engine{ID: fleet.Undated(fleet.ID(fmt.Sprintf("e%02d", i))), DataCentre: "a", Most: 8, Memory: 8.2, LayerTime: 0.16, ReadTime: 0.0007}
+			e := Engine{ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%02d", i))), DataCentre: "a", MaxLayers: 8, MemoryLayers: 8.2, LayerTime: 0.16, ReadTime: 0.0007}
 			switch {
 			case i == 0:
-				e.Most, e.Memory, e.LayerTime, e.ReadTime = 20, 20.5, 0.03, 0.0002
+				e.MaxLayers, e.MemoryLayers, e.LayerTime, e.ReadTime = 20, 20.5, 0.03, 0.0002
 			case i < 6:
-				e.Most, e.Memory, e.LayerTime, e.ReadTime = 12, 12.3, 0.17, 0.0004
+				e.MaxLayers, e.MemoryLayers, e.LayerTime, e.ReadTime = 12, 12.3, 0.17, 0.0004
 			}
 			list = append(list, e)
 		}
@@ -49,14 +49,14 @@
 			refs = append(refs, &list[i])
 		}
 		l := newLayout(shape, refs)
-		if missing := l.count(); missing > 0 {
+		if missing := l.countHolders(); missing > 0 {
 			t.Fatalf("got %d layers without an engine, want none", missing)
 		}
-		return l.room()
+		return l.requestCapacity()
 	}
 	anew := roomAfter(build())
 	begun := build()
-	begun[5].Held = fleet.Range{From: 0, To: 9}
+	begun[5].Held = fleet.LayerRange{From: 0, To: 9}
 	if got, want := roomAfter(begun), roomOf*anew; got < want {
 		t.Errorf("got room for %.0f tokens, want %.0f at least: from nothing there is %.0f", got, want, anew)
 	}
--- a/placement/script_test.go
+++ b/placement/script_test.go
@@ -13,26 +13,26 @@
 	"github.com/hoistjunction/hoistjunction/placement"
 )
 
-func TestScripts(t *testing.T) { playScripts(t, "testdata") }
+func TestScripts(t *testing.T) { runScripts(t, "testdata") }
 
 // The scripts tell how streams were never served since no engine could read an order.
-func TestRejectedOrders(t *testing.T) { playScripts(t, "testdata/rejected") }
+func TestRejectedOrders(t *testing.T) { runScripts(t, "testdata/rejected") }
 
-func playScripts(t *testing.T, folder string) {
+func runScripts(t *testing.T, folder string) {
 	script.Run(t, folder, func(t *testing.T) func(script.Step) []string {
-		p := &player{t: t, model: placement.New()}
-		return p.do
+		p := &scriptRunner{t: t, model: placement.New()}
+		return p.run
 	})
 }
 
-// player carries out the lines of a script.
-type player struct {
+// scriptRunner carries out the lines of a script.
+type scriptRunner struct {
 	t     *testing.T
 	model *placement.Model
 	now   clock.Millis
 }
 
-func (p *player) do(s script.Step) []string {
+func (p *scriptRunner) run(s script.Step) []string {
 	p.now = clock.Millis(s.Int("at", int(p.now)))
 	var lines []string
 	for _, o := range p.model.Update(p.now, p.msg(s)) {
@@ -41,25 +41,25 @@
 	return lines
 }
 
-func (p *player) msg(s script.Step) placement.Msg {
+func (p *scriptRunner) msg(s script.Step) placement.Msg {
 	switch s.Verb {
 	case "config":
 		return placement.CatalogMsg{Catalog: testCatalog(s.Int("layers", 10))}
 	case "engine":
 		return placement.FleetMsg{Changes: []fleet.Change{{ID: script.Incarnation(s.Word(0)), Upstream: fleet.Upstream{
 			ID: script.Incarnation(s.Word(0)), Service: "writer", Address: s.Word(0) + ":80", DataCentre: s.Named["in"], Accelerator: s.Named["kind"],
-			Held: heldOf(s.Named["held"]), Leaving: s.Named["state"] == "leaving", Withheld: s.Named["state"] == "withheld",
+			Held: parseRange(s.Named["held"]), Leaving: s.Named["state"] == "leaving", Withheld: s.Named["state"] == "withheld",
 		}}}}
 	case "gone":
 		return placement.FleetMsg{Changes: []fleet.Change{{ID: script.Incarnation(s.Word(0)), Gone: true}}}
 	case "rank":
 		return placement.RankMsg{Delay: clock.Millis(s.Int("delay", 0))}
 	case "silent":
-		return placement.SilentMsg{Upstream: script.Incarnation(s.Word(0)), Silent: s.Named["silent"] != "no", Agreed: s.Named["agreed"] == "yes"}
+		return placement.ResponsivenessMsg{Upstream: script.Incarnation(s.Word(0)), Unresponsive: s.Named["silent"] != "no", Confirmed: s.Named["agreed"] == "yes"}
 	case "ordered":
-		return placement.OrderedMsg{Upstream: script.Incarnation(s.Word(0)), Result: resultOf(p.t, s.Named["result"]), Held: heldOf(s.Named["held"])}
+		return placement.OrderResultMsg{Upstream: script.Incarnation(s.Word(0)), Result: parseResult(p.t, s.Named["result"]), Held: parseRange(s.Named["held"])}
 	case "placed":
-		return placement.PlacedMsg{Upstream: script.Incarnation(s.Word(0)), Layers: heldOf(s.Named["layers"]), Holds: s.Named["holds"] == "yes"}
+		return placement.PlacedMsg{Upstream: script.Incarnation(s.Word(0)), Layers: parseRange(s.Named["layers"]), Completed: s.Named["holds"] == "yes"}
 	case "tick":
 		return placement.TickMsg{ListAge: clock.Millis(s.Int("list_age", 0))}
 	}
@@ -67,15 +67,15 @@
 	return nil
 }
 
-func heldOf(text string) fleet.Range {
+func parseRange(text string) fleet.LayerRange {
 	from, to, _ := strings.Cut(text, "-")
-	var r fleet.Range
+	var r fleet.LayerRange
 	r.From, _ = strconv.Atoi(from)
 	r.To, _ = strconv.Atoi(to)
 	return r
 }
 
-func resultOf(t *testing.T, name string) placement.Result {
+func parseResult(t *testing.T, name string) placement.Result {
 	for r := placement.Taken; r <= placement.Rejected; r++ {
 		if r.String() == name {
 			return r
@@ -91,10 +91,10 @@
 	return catalog.New(1, catalog.WithServices(&catalog.Service{Name: "writer", Pipeline: &catalog.Pipeline{
 		Layers: layers, LayerMB: 100, TokenBytes: 1000, StepMS: 1,
 		Accelerators: map[string]catalog.Accelerator{
-			"fast": {Name: "fast", MB: 500, StepFactor: 1},
-			"slow": {Name: "slow", MB: 500, StepFactor: 10},
-			"big":  {Name: "big", MB: 1000, StepFactor: 1},
-			"tiny": {Name: "tiny", MB: 100, StepFactor: 10},
+			"fast": {Name: "fast", MemoryMB: 500, StepFactor: 1},
+			"slow": {Name: "slow", MemoryMB: 500, StepFactor: 10},
+			"big":  {Name: "big", MemoryMB: 1000, StepFactor: 1},
+			"tiny": {Name: "tiny", MemoryMB: 100, StepFactor: 10},
 		},
 	}}))
 }
--- a/placement/search.go
+++ b/placement/search.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// sweeps bounds how often all engines of a data centre are looked at for a
+	// maxSweeps bounds how often all engines of a data centre are looked at for a
 	// better range; a sweep without a change ends the search.
-	sweeps = 6
-	// leastGain is the least gain in value for which a range is changed while a
+	maxSweeps = 6
+	// minGain is the least gain in value for which a range is changed while a
 	// first plan is sought.
-	leastGain = 1e-6
-	// stride is the step of the ranges that lie elsewhere in the model.
-	stride = 8
+	minGain = 1e-6
+	// searchStride is the step of the ranges that lie elsewhere in the model.
+	searchStride = 8
 )
 
 // search seeks the best layout: of those that fill engines in the same part, fast ones
 // first, the best is improved on.
-func (l *layout) search() { l.searchOver(l.all()) }
+func (l *layout) search() { l.searchEngines(l.allIndexes()) }
 
-// searchOver seeks it for some of the engines; the others keep what they have.
-func (l *layout) searchOver(some []int) {
-	var best []fleet.Range
+// searchEngines seeks it for some of the engines; the others keep what they have.
+func (l *layout) searchEngines(some []int) {
+	var best []fleet.LayerRange
 	most := 0.0
-	for _, fill := range fills {
-		l.spreadOver(some, fill)
+	for _, fill := range searchFills {
+		l.spreadEngines(some, fill)
 		if v := l.value(); best == nil || v > most {
 			best, most = slices.Clone(l.ranges), v
 		}
@@ -38,10 +38,10 @@
 // improve changes ranges of some engines for as long as each change raises the value,
 // within bounds.
 func (l *layout) improve(some []int) {
-	for range sweeps {
+	for range maxSweeps {
 		changed := false
 		for _, i := range some {
-			if r, gain := l.bestFor(i); gain > leastGain {
+			if r, gain := l.bestRange(i); gain > minGain {
 				l.ranges[i] = r
 				changed = true
 			}
@@ -52,13 +52,13 @@
 	}
 }
 
-// bestFor returns the range for an engine that raises the value most, and by how
+// bestRange returns the range for an engine that raises the value most, and by how
 // much; that is nothing where none does.
-func (l *layout) bestFor(i int) (best fleet.Range, most float64) {
+func (l *layout) bestRange(i int) (best fleet.LayerRange, most float64) {
 	was, before := l.ranges[i], l.value()
 	best = was
-	try := func(r fleet.Range) {
-		if r.Empty() || r.From < 0 || r.To > l.shape.Layers || r.Len() > l.engines[i].Most || r == was {
+	try := func(r fleet.LayerRange) {
+		if r.Empty() || r.From < 0 || r.To > l.shape.Layers || r.Len() > l.engines[i].MaxLayers || r == was {
 			return
 		}
 		l.ranges[i] = r
@@ -66,51 +66,51 @@
 			best, most = r, gain
 		}
 	}
-	l.nearby(was, try)
-	l.elsewhere(was, try)
+	l.tryNearby(was, try)
+	l.tryElsewhere(was, try)
 	l.ranges[i] = was
 	return best, most
 }
 
-// nearby tries a range's ends a layer further in or out, and the range shifted by
+// tryNearby tries a range's ends a layer further in or out, and the range shifted by
 // a layer or two.
-func (l *layout) nearby(r fleet.Range, try func(fleet.Range)) {
+func (l *layout) tryNearby(r fleet.LayerRange, try func(fleet.LayerRange)) {
 	for from := -1; from <= 1; from++ {
 		for to := -1; to <= 1; to++ {
-			try(fleet.Range{From: r.From + from, To: r.To + to})
+			try(fleet.LayerRange{From: r.From + from, To: r.To + to})
 		}
 	}
-	try(fleet.Range{From: r.From - 2, To: r.To - 2})
-	try(fleet.Range{From: r.From + 2, To: r.To + 2})
+	try(fleet.LayerRange{From: r.From - 2, To: r.To - 2})
+	try(fleet.LayerRange{From: r.From + 2, To: r.To + 2})
 }
 
-// elsewhere tries ranges of the same length and of half of it all over the model.
-func (l *layout) elsewhere(r fleet.Range, try func(fleet.Range)) {
+// tryElsewhere tries ranges of the same length and of half of it all over the model.
+func (l *layout) tryElsewhere(r fleet.LayerRange, try func(fleet.LayerRange)) {
 	for _, size := range []int{r.Len(), r.Len() / 2} {
-		for from := 0; from+size <= l.shape.Layers; from += stride {
-			try(fleet.Range{From: from, To: from + size})
+		for from := 0; from+size <= l.shape.Layers; from += searchStride {
+			try(fleet.LayerRange{From: from, To: from + size})
 		}
-		try(fleet.Range{From: l.shape.Layers - size, To: l.shape.Layers})
+		try(fleet.LayerRange{From: l.shape.Layers - size, To: l.shape.Layers})
 	}
 }
 
-// roomiest returns the range for an empty engine with the highest value.
-func (l *layout) roomiest(i int) fleet.Range {
-	best, most := fleet.Range{}, l.value()
+// bestInitialRange returns the range for an empty engine with the highest value.
+func (l *layout) bestInitialRange(i int) fleet.LayerRange {
+	best, most := fleet.LayerRange{}, l.value()
 	tried := 0
-	for _, fill := range fills {
-		size := min(capacity(l.engines[i], fill), l.shape.Layers)
+	for _, fill := range searchFills {
+		size := min(layersAtFill(l.engines[i], fill), l.shape.Layers)
 		if size == tried {
 			continue
 		}
 		tried = size
 		for from := 0; from+size <= l.shape.Layers; from++ {
-			l.ranges[i] = fleet.Range{From: from, To: from + size}
-			if v := l.value(); v > most+leastGain {
+			l.ranges[i] = fleet.LayerRange{From: from, To: from + size}
+			if v := l.value(); v > most+minGain {
 				best, most = l.ranges[i], v
 			}
 		}
 	}
-	l.ranges[i] = fleet.Range{}
+	l.ranges[i] = fleet.LayerRange{}
 	return best
 }
--- a/placement/shape.go
+++ b/placement/shape.go
@@ -23,9 +23,9 @@
 		Layers: p.Layers, LayerTokens: p.LayerTokens(), LoadTime: p.LoadMS / float64(max(p.Layers, 1)),
 		Pass: p.Pass(),
 	}
-	s.Prompt, s.Answer = p.Usual()
+	s.Prompt, s.Answer = p.MeanTokens()
 	return s
 }
 
-// tokens is the memory that a usual request takes at each layer.
-func (s *Shape) tokens() float64 { return s.Prompt + s.Answer }
+// requestTokens is the memory that a usual request takes at each layer.
+func (s *Shape) requestTokens() float64 { return s.Prompt + s.Answer }
--- a/placement/size_bench_test.go
+++ b/placement/size_bench_test.go
@@ -23,7 +23,7 @@
 	for _, n := range []int{13, 38, 73, 100, 333} {
 		list := mixedEngines(n)
 		begun := slices.Clone(list)
-		begun[0].Held = fleet.Range{To: begun[0].Most / 2}
+		begun[0].Held = fleet.LayerRange{To: begun[0].MaxLayers / 2}
 		for name, list := range map[string][]placement.Engine{"first": list, "begun": begun} {
 			b.Run(fmt.Sprintf("%s-%d", name, n), func(b *testing.B) {
 				for b.Loop() {
--- a/placement/size_test.go
+++ b/placement/size_test.go
@@ -14,12 +14,12 @@
 var (
 	sizeShape = Shape{
 		Layers: 80, LayerTokens: 4000, LoadTime: 175, Prompt: 740, Answer: 77,
-		Pass: catalog.Pass{Slowdown: 0.004, Steps: 1, Read: 100, Prompt: 740},
+		Pass: catalog.Pass{StreamSlowdown: 0.004, DecodeSteps: 1, MaxPromptTokens: 100, Prompt: 740},
 	}
 	sizeKinds = []Engine{
-		{Most: 20, Memory: 20.6, LayerTime: 0.033, ReadTime: 0.00016},
-		{Most: 12, Memory: 12.3, LayerTime: 0.17, ReadTime: 0.0004},
-		{Most: 8, Memory: 8.2, LayerTime: 0.16, ReadTime: 0.0007},
+		{MaxLayers: 20, MemoryLayers: 20.6, LayerTime: 0.033, ReadTime: 0.00016},
+		{MaxLayers: 12, MemoryLayers: 12.3, LayerTime: 0.17, ReadTime: 0.0004},
+		{MaxLayers: 8, MemoryLayers: 8.2, LayerTime: 0.16, ReadTime: 0.0007},
 	}
 )
 
@@ -33,7 +33,7 @@
 			kind = 0
 		}
 		list[i] = sizeKinds[kind]
-		list[i].ID, list[i].DataCentre = fleet.Undated(fleet.ID(fmt.Sprintf("e%04d", i))), "a"
+		list[i].ID, list[i].DataCentre = fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%04d", i))), "a"
 	}
 	return list
 }
@@ -47,14 +47,14 @@
 func TestPlanWeighsAsManyEnginesForEach(t *testing.T) {
 	begun := func(n int) []Engine {
 		list := sizeEngines(n)
-		list[0].Held = fleet.Range{To: 12}
+		list[0].Held = fleet.LayerRange{To: 12}
 		return list
 	}
 	for name, list := range map[string]func(int) []Engine{"first": sizeEngines, "begun": begun} {
 		t.Run(name, func(t *testing.T) {
-			few := weighedForEach(list(48))
+			few := evaluationsPerEngine(list(48))
 			for _, n := range []int{96, 333, 960} {
-				if got := weighedForEach(list(n)); got > 2*few {
+				if got := evaluationsPerEngine(list(n)); got > 2*few {
 					t.Errorf("%d engines: got %d weighed for each, want %d at most, twice what 48 take", n, got, 2*few)
 				}
 			}
@@ -62,41 +62,41 @@
 	}
 }
 
-func weighedForEach(list []Engine) int {
+func evaluationsPerEngine(list []Engine) int {
 	p := newPlan(sizeShape, list)
-	p.seek()
-	return p.weighed / len(list)
+	p.computeOrders()
+	return p.evaluatedEngines / len(list)
 }
 
-// mostGivenUp is by how much the value of a plan in groups may be lower, as a part of the
+// maxValueLoss is by how much the value of a plan in groups may be lower, as a part of the
 // requests served.
-const mostGivenUp = 0.02
+const maxValueLoss = 0.02
 
 // Planned in groups, a data centre of any engines has a holder for each layer, and is
 // worth about as much as planned whole, which takes far longer.
 func TestPlanInGroupsIsWorthAsMuch(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 7))
 	for range 8 {
-		list := anySizeEngines(random, mostTogether+1+random.IntN(40))
+		list := randomSizeEngines(random, maxGroupSize+1+random.IntN(40))
 		inGroups, whole := newPlan(sizeShape, list), newPlan(sizeShape, list)
-		inGroups.seek()
-		want := newLayout(sizeShape, whole.of("a"))
+		inGroups.computeOrders()
+		want := newLayout(sizeShape, whole.enginesIn("a"))
 		want.search()
-		got := newLayout(sizeShape, inGroups.of("a"))
-		if n := got.count(); n > 0 {
+		got := newLayout(sizeShape, inGroups.enginesIn("a"))
+		if n := got.countHolders(); n > 0 {
 			t.Errorf("%d engines: got %d layers without a holder, want none", len(list), n)
 		}
-		if got, want := got.value(), want.value(); got < want-mostGivenUp {
-			t.Errorf("%d engines: got a plan worth %.4f, want %.4f at least, where one of all is worth %.4f", len(list), got, want-mostGivenUp, want)
+		if got, want := got.value(), want.value(); got < want-maxValueLoss {
+			t.Errorf("%d engines: got a plan worth %.4f, want %.4f at least, where one of all is worth %.4f", len(list), got, want-maxValueLoss, want)
 		}
 	}
 }
 
 // A data centre that is planned whole has the plan that it had.
 func TestFewEnginesArePlannedTogether(t *testing.T) {
-	p := newPlan(sizeShape, sizeEngines(mostTogether))
+	p := newPlan(sizeShape, sizeEngines(maxGroupSize))
 	if got := len(p.groups("a")); got != 1 {
-		t.Errorf("got %d groups of %d engines, want 1", got, mostTogether)
+		t.Errorf("got %d groups of %d engines, want 1", got, maxGroupSize)
 	}
 }
 
@@ -105,7 +105,7 @@
 func TestGroupsCanHoldTheModel(t *testing.T) {
 	list := sizeEngines(200)
 	for i := range list {
-		list[i].Most, list[i].Memory = 1, 1.3
+		list[i].MaxLayers, list[i].MemoryLayers = 1, 1.3
 	}
 	p := newPlan(sizeShape, list)
 	if got := len(p.groups("a")); got != 1 {
@@ -113,17 +113,17 @@
 	}
 }
 
-// anySizeEngines are engines of up to four kinds drawn at random.
-func anySizeEngines(random *rand.Rand, n int) []Engine {
+// randomSizeEngines are engines of up to four kinds drawn at random.
+func randomSizeEngines(random *rand.Rand, n int) []Engine {
 	kinds := make([]Engine, 1+random.IntN(4))
 	for i := range kinds {
 		memory := 6 + 20*random.Float64()
-		kinds[i] = Engine{Most: int(memory), Memory: memory, LayerTime: 0.02 + 0.2*random.Float64(), ReadTime: 0.001 * random.Float64()}
+		kinds[i] = Engine{MaxLayers: int(memory), MemoryLayers: memory, LayerTime: 0.02 + 0.2*random.Float64(), ReadTime: 0.001 * random.Float64()}
 	}
 	list := make([]Engine, n)
 	for i := range list {
 		list[i] = kinds[random.IntN(len(kinds))]
-		list[i].ID, list[i].DataCentre = fleet.Undated(fleet.ID(fmt.Sprintf("e%04d", i))), "a"
+		list[i].ID, list[i].DataCentre = fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%04d", i))), "a"
 	}
 	return list
 }
--- a/placement/spread.go
+++ b/placement/spread.go
@@ -10,20 +10,20 @@
 // matters more the more layers would be lost with the first, since they take that
 // much longer to be loaded again.
 const (
-	needFirst  = 1e5
-	needSecond = 1.0
-	needThird  = 1e-3
+	firstHolderWeight  = 1e5
+	secondHolderWeight = 1.0
+	extraHolderWeight  = 1e-3
 )
 
 // spread gives each engine, the fast ones first, the run of layers that needs a
 // holder most, as long as the fill lets it be.
-func (l *layout) spread(fill float64) { l.spreadOver(l.all(), fill) }
+func (l *layout) spread(fill float64) { l.spreadEngines(l.allIndexes(), fill) }
 
-// spreadOver does so with some of the engines; the others keep what they have.
-func (l *layout) spreadOver(some []int, fill float64) {
+// spreadEngines does so with some of the engines; the others keep what they have.
+func (l *layout) spreadEngines(some []int, fill float64) {
 	spans := make([]int, l.shape.Layers)
 	holders := make([]int, l.shape.Layers)
-	hold := func(r fleet.Range) {
+	hold := func(r fleet.LayerRange) {
 		for layer := r.From; layer < r.To; layer++ {
 			holders[layer]++
 			spans[layer] += r.Len()
@@ -35,13 +35,13 @@
 		}
 	}
 	for _, i := range some {
-		l.ranges[i] = neediest(holders, spans, min(capacity(l.engines[i], fill), l.shape.Layers))
+		l.ranges[i] = neediestRange(holders, spans, min(layersAtFill(l.engines[i], fill), l.shape.Layers))
 		hold(l.ranges[i])
 	}
 }
 
-// all are the places of all engines.
-func (l *layout) all() []int {
+// allIndexes are the places of all engines.
+func (l *layout) allIndexes() []int {
 	list := make([]int, len(l.engines))
 	for i := range list {
 		list[i] = i
@@ -49,23 +49,23 @@
 	return list
 }
 
-// neediest returns the run of layers of a size whose layers need a holder most.
-func neediest(holders, spans []int, size int) fleet.Range {
-	best, most := fleet.Range{}, 0.0
+// neediestRange returns the run of layers of a size whose layers need a holder most.
+func neediestRange(holders, spans []int, size int) fleet.LayerRange {
+	best, most := fleet.LayerRange{}, 0.0
 	for from := 0; from+size <= len(holders); from++ {
 		need := 0.0
 		for layer := from; layer < from+size; layer++ {
 			switch holders[layer] {
 			case 0:
-				need += needFirst
+				need += firstHolderWeight
 			case 1:
-				need += needSecond * float64(spans[layer])
+				need += secondHolderWeight * float64(spans[layer])
 			default:
-				need += needThird / float64(holders[layer])
+				need += extraHolderWeight / float64(holders[layer])
 			}
 		}
 		if need > most+1e-9 {
-			best, most = fleet.Range{From: from, To: from + size}, need
+			best, most = fleet.LayerRange{From: from, To: from + size}, need
 		}
 	}
 	return best
--- a/placement/turn_test.go
+++ b/placement/turn_test.go
@@ -9,9 +9,9 @@
 	"github.com/hoistjunction/hoistjunction/placement"
 )
 
-// mostAllocations is far under what seeking a plan for so many engines takes, which
+// maxAllocations is far under what seeking a plan for so many engines takes, which
 // is some thousands.
-const mostAllocations = 300
+const maxAllocations = 300
 
 // A node that leaves the orders to others does not seek a plan either: on the
 // smallest VMs that takes a quarter of a second, and the node answers late for it.
@@ -21,7 +21,7 @@
 	var changes []fleet.Change
 	for i := range 90 {
 		id := fmt.Sprintf("e%02d", i)
-		changes = append(changes, fleet.Change{ID: fleet.Undated(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.Undated(fleet.ID(id)), Service: "writer", DataCentre: "a", Accelerator: "slow"}})
+		changes = append(changes, fleet.Change{ID: fleet.IncarnationByID(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.IncarnationByID(fleet.ID(id)), Service: "writer", DataCentre: "a", Accelerator: "slow"}})
 	}
 	m.Update(0, placement.FleetMsg{Changes: changes})
 	now := clock.Millis(10_000)
@@ -31,7 +31,7 @@
 			t.Fatalf("got %d orders, want none yet", len(cmds))
 		}
 	})
-	if got > mostAllocations {
-		t.Errorf("got %v allocations a tick, want at most %d", got, mostAllocations)
+	if got > maxAllocations {
+		t.Errorf("got %v allocations a tick, want at most %d", got, maxAllocations)
 	}
 }
--- a/placer/inbox.go
+++ b/placer/inbox.go
@@ -13,11 +13,11 @@
 type inbox struct {
 	mu   sync.Mutex
 	msgs []placement.Msg
-	// some has an item while there are messages.
-	some chan struct{}
+	// ready has an item while there are messages.
+	ready chan struct{}
 }
 
-func newInbox() *inbox { return &inbox{some: make(chan struct{}, 1)} }
+func newInbox() *inbox { return &inbox{ready: make(chan struct{}, 1)} }
 
 // put adds a message.
 func (i *inbox) put(msg placement.Msg) {
@@ -25,7 +25,7 @@
 	i.msgs = append(i.msgs, msg)
 	i.mu.Unlock()
 	select {
-	case i.some <- struct{}{}:
+	case i.ready <- struct{}{}:
 	default:
 	}
 }
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -16,54 +16,54 @@
 	"github.com/hoistjunction/hoistjunction/placer"
 )
 
-// promptEngines carry out every order at once.
-type promptEngines struct {
+// immediateEngines carry out every order at once.
+type immediateEngines struct {
 	mu   sync.Mutex
-	held map[string]fleet.Range
+	held map[string]fleet.LayerRange
 }
 
-func (e *promptEngines) State(_ context.Context, address string, _ fleet.Incarnation) (placer.State, error) {
+func (e *immediateEngines) State(_ context.Context, address string, _ fleet.Incarnation) (placer.State, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return placer.State{Held: e.held[address]}, nil
 }
 
-func (e *promptEngines) Place(_ context.Context, address string, _ fleet.Incarnation, layers fleet.Range, _ uint64) (placer.Result, error) {
+func (e *immediateEngines) Place(_ context.Context, address string, _ fleet.Incarnation, layers fleet.LayerRange, _ uint64) (placer.Result, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.held[address] = layers
 	return placer.Taken, nil
 }
 
-func (e *promptEngines) ordered() int {
+func (e *immediateEngines) orderedCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.held)
 }
 
 const (
-	// manyEngines are more than the orders and messages that waited for each other.
-	manyEngines = 600
-	// aCentre is how many of them stand in a data centre.
-	aCentre = 6
+	// engineCount are more than the orders and messages that waited for each other.
+	engineCount = 600
+	// enginesPerDataCentre is how many of them stand in a data centre.
+	enginesPerDataCentre = 6
 )
 
-// emptyEngines are the entries of engines that hold nothing.
-func emptyEngines() []fleet.Change {
-	changes := make([]fleet.Change, manyEngines)
+// emptyEngineChanges are the entries of engines that hold nothing.
+func emptyEngineChanges() []fleet.Change {
+	changes := make([]fleet.Change, engineCount)
 	for i := range changes {
 		id := fmt.Sprintf("e%03d", i)
-		changes[i] = fleet.Change{ID: fleet.Undated(fleet.ID(id)), Upstream: fleet.Upstream{
-			ID: fleet.Undated(fleet.ID(id)), Address: id, Service: "writer", Accelerator: "k", DataCentre: fmt.Sprintf("dc-%d", i/aCentre),
+		changes[i] = fleet.Change{ID: fleet.IncarnationByID(fleet.ID(id)), Upstream: fleet.Upstream{
+			ID: fleet.IncarnationByID(fleet.ID(id)), Address: id, Service: "writer", Accelerator: "k", DataCentre: fmt.Sprintf("dc-%d", i/enginesPerDataCentre),
 		}}
 	}
 	return changes
 }
 
-func smallModel() *catalog.Catalog {
+func smallCatalog() *catalog.Catalog {
 	return catalog.New(1, catalog.WithServices(&catalog.Service{Name: "writer", Pipeline: &catalog.Pipeline{
 		Layers: 10, LayerMB: 100, TokenBytes: 1000, StepMS: 1,
-		Accelerators: map[string]catalog.Accelerator{"k": {Name: "k", MB: 500, StepFactor: 1}},
+		Accelerators: map[string]catalog.Accelerator{"k": {Name: "k", MemoryMB: 500, StepFactor: 1}},
 	}}))
 }
 
@@ -78,18 +78,18 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		c := clocktest.NewClock()
-		engines := &promptEngines{held: make(map[string]fleet.Range)}
+		engines := &immediateEngines{held: make(map[string]fleet.LayerRange)}
 		var p *placer.Placer
-		placed := func(upstream fleet.Incarnation, layers fleet.Range, holds bool) {
-			p.Tell(placement.PlacedMsg{Upstream: upstream, Layers: layers, Holds: holds})
+		placed := func(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool) {
+			p.Send(placement.PlacedMsg{Upstream: upstream, Layers: layers, Completed: holds})
 		}
 		p = placer.New(placement.New(placement.WithStart(c.Now())), engines, c, logging.Nop().Logger, placed)
 		go func() { _ = p.Run(ctx) }()
-		p.Tell(placement.CatalogMsg{Catalog: smallModel()})
-		p.Tell(placement.FleetMsg{Changes: emptyEngines()})
+		p.Send(placement.CatalogMsg{Catalog: smallCatalog()})
+		p.Send(placement.FleetMsg{Changes: emptyEngineChanges()})
 		time.Sleep(time.Minute)
-		if got := engines.ordered(); got != manyEngines {
-			t.Errorf("got %d engines ordered to hold something, want %d", got, manyEngines)
+		if got := engines.orderedCount(); got != engineCount {
+			t.Errorf("got %d engines ordered to hold something, want %d", got, engineCount)
 		}
 	})
 }
@@ -100,41 +100,41 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := clocktest.NewClock()
 		// Nobody runs this one, as if it sought a plan all the while.
-		p := placer.New(placement.New(), &promptEngines{}, c, logging.Nop().Logger, func(fleet.Incarnation, fleet.Range, bool) {})
+		p := placer.New(placement.New(), &immediateEngines{}, c, logging.Nop().Logger, func(fleet.Incarnation, fleet.LayerRange, bool) {})
 		told := 0
 		go func() {
-			for _, change := range emptyEngines() {
-				p.Tell(placement.FleetMsg{Changes: []fleet.Change{change}})
+			for _, change := range emptyEngineChanges() {
+				p.Send(placement.FleetMsg{Changes: []fleet.Change{change}})
 				told++
 			}
 		}()
 		synctest.Wait()
-		if told != manyEngines {
-			t.Errorf("got %d changes told, want %d", told, manyEngines)
+		if told != engineCount {
+			t.Errorf("got %d changes told, want %d", told, engineCount)
 		}
 	})
 }
 
 // slowEngines take an order after a while, and count the orders.
 type slowEngines struct {
-	promptEngines
-	orders int
+	immediateEngines
+	orderCount int
 }
 
-// orderTakes is how long an engine takes to answer.
-const orderTakes = 2 * time.Millisecond
+// responseDelay is how long an engine takes to answer.
+const responseDelay = 2 * time.Millisecond
 
 func (e *slowEngines) State(ctx context.Context, address string, upstream fleet.Incarnation) (placer.State, error) {
-	time.Sleep(orderTakes)
-	return e.promptEngines.State(ctx, address, upstream)
+	time.Sleep(responseDelay)
+	return e.immediateEngines.State(ctx, address, upstream)
 }
 
-func (e *slowEngines) Place(ctx context.Context, address string, upstream fleet.Incarnation, layers fleet.Range, taken uint64) (placer.Result, error) {
-	time.Sleep(orderTakes)
+func (e *slowEngines) Place(ctx context.Context, address string, upstream fleet.Incarnation, layers fleet.LayerRange, taken uint64) (placer.Result, error) {
+	time.Sleep(responseDelay)
 	e.mu.Lock()
-	e.orders++
+	e.orderCount++
 	e.mu.Unlock()
-	return e.promptEngines.Place(ctx, address, upstream, layers, taken)
+	return e.immediateEngines.Place(ctx, address, upstream, layers, taken)
 }
 
 // Where a plan takes longer than a turn, several nodes find the same one. 912 engines
@@ -146,11 +146,11 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		c := clocktest.NewClock()
-		engines := &slowEngines{promptEngines: promptEngines{held: make(map[string]fleet.Range)}}
+		engines := &slowEngines{immediateEngines: immediateEngines{held: make(map[string]fleet.LayerRange)}}
 		var placers []*placer.Placer
-		placed := func(upstream fleet.Incarnation, layers fleet.Range, holds bool) {
+		placed := func(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool) {
 			for _, p := range placers {
-				p.Tell(placement.PlacedMsg{Upstream: upstream, Layers: layers, Holds: holds})
+				p.Send(placement.PlacedMsg{Upstream: upstream, Layers: layers, Completed: holds})
 			}
 		}
 		for seed := range uint64(3) {
@@ -159,15 +159,15 @@
 		}
 		for _, p := range placers {
 			go func() { _ = p.Run(ctx) }()
-			p.Tell(placement.CatalogMsg{Catalog: smallModel()})
-			p.Tell(placement.FleetMsg{Changes: emptyEngines()})
+			p.Send(placement.CatalogMsg{Catalog: smallCatalog()})
+			p.Send(placement.FleetMsg{Changes: emptyEngineChanges()})
 		}
 		time.Sleep(time.Minute)
-		if got := engines.ordered(); got != manyEngines {
-			t.Errorf("got %d engines ordered to hold something, want %d", got, manyEngines)
+		if got := engines.orderedCount(); got != engineCount {
+			t.Errorf("got %d engines ordered to hold something, want %d", got, engineCount)
 		}
-		if got := engines.orders; got > manyEngines {
-			t.Errorf("got %d orders to %d engines, want one each", got, manyEngines)
+		if got := engines.orderCount; got > engineCount {
+			t.Errorf("got %d orders to %d engines, want one each", got, engineCount)
 		}
 	})
 }
--- a/placer/queue.go
+++ b/placer/queue.go
@@ -13,9 +13,9 @@
 	// the same plan, and share its orders if each begins elsewhere.
 	seed   uint64
 	orders []placement.OrderCmd
-	// moot are engines that have been ordered since the last orders were added, by
+	// alreadyOrdered are engines that have been ordered since the last orders were added, by
 	// whichever node.
-	moot map[fleet.Incarnation]bool
+	alreadyOrdered map[fleet.Incarnation]bool
 }
 
 // add adds the orders of a new plan.
@@ -23,23 +23,23 @@
 	if len(orders) == 0 {
 		return
 	}
-	q.orders = slices.DeleteFunc(q.orders, func(o placement.OrderCmd) bool { return q.moot[o.Upstream] })
-	q.moot = make(map[fleet.Incarnation]bool)
+	q.orders = slices.DeleteFunc(q.orders, func(o placement.OrderCmd) bool { return q.alreadyOrdered[o.Upstream] })
+	q.alreadyOrdered = make(map[fleet.Incarnation]bool)
 	begin := int(q.seed % uint64(len(orders)))
 	q.orders = append(append(q.orders, orders[begin:]...), orders[:begin]...)
 }
 
-// ordered notes that an engine has been ordered to hold something: it takes no second
+// markOrdered notes that an engine has been ordered to hold something: it takes no second
 // order that believes what was before.
-func (q *queue) ordered(upstream fleet.Incarnation) {
+func (q *queue) markOrdered(upstream fleet.Incarnation) {
 	if len(q.orders) > 0 {
-		q.moot[upstream] = true
+		q.alreadyOrdered[upstream] = true
 	}
 }
 
 // first returns the order that is to be given next, if there is one.
 func (q *queue) first() (order placement.OrderCmd, ok bool) {
-	for len(q.orders) > 0 && q.moot[q.orders[0].Upstream] {
+	for len(q.orders) > 0 && q.alreadyOrdered[q.orders[0].Upstream] {
 		q.orders = q.orders[1:]
 	}
 	if len(q.orders) == 0 {
--- a/placer/runs_test.go
+++ b/placer/runs_test.go
@@ -17,15 +17,15 @@
 
 // restartedEngines answer as a later run than is asked.
 type restartedEngines struct {
-	promptEngines
-	asked int
+	immediateEngines
+	stateRequests int
 }
 
 func (e *restartedEngines) State(context.Context, string, fleet.Incarnation) (placer.State, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.asked++
-	return placer.State{}, errors.Mark(errors.New("as another run"), placer.ErrOtherRun)
+	e.stateRequests++
+	return placer.State{}, errors.Mark(errors.New("as another run"), placer.ErrOtherIncarnation)
 }
 
 // An engine starts again between a plan and its order. Its count of orders begins anew, so
@@ -36,14 +36,14 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		c := clocktest.NewClock()
-		engines := &restartedEngines{promptEngines: promptEngines{held: make(map[string]fleet.Range)}}
-		p := placer.New(placement.New(placement.WithStart(c.Now())), engines, c, logging.Nop().Logger, func(fleet.Incarnation, fleet.Range, bool) {})
+		engines := &restartedEngines{immediateEngines: immediateEngines{held: make(map[string]fleet.LayerRange)}}
+		p := placer.New(placement.New(placement.WithStart(c.Now())), engines, c, logging.Nop().Logger, func(fleet.Incarnation, fleet.LayerRange, bool) {})
 		go func() { _ = p.Run(ctx) }()
-		p.Tell(placement.CatalogMsg{Catalog: smallModel()})
-		p.Tell(placement.FleetMsg{Changes: emptyEngines()})
+		p.Send(placement.CatalogMsg{Catalog: smallCatalog()})
+		p.Send(placement.FleetMsg{Changes: emptyEngineChanges()})
 		time.Sleep(time.Minute)
-		if engines.asked == 0 || engines.ordered() != 0 {
-			t.Errorf("got %d engines asked and %d ordered, want some asked and none ordered", engines.asked, engines.ordered())
+		if engines.stateRequests == 0 || engines.orderedCount() != 0 {
+			t.Errorf("got %d engines asked and %d ordered, want some asked and none ordered", engines.stateRequests, engines.orderedCount())
 		}
 	})
 }
--- a/quarantine/cluster_test.go
+++ b/quarantine/cluster_test.go
@@ -163,7 +163,7 @@
 	if !by.IsZero() {
 		c.crashes[by] = append(c.crashes[by], c.now)
 	}
-	next := fleet.NewIncarnation(id.ID(), id.Born()+1)
+	next := fleet.NewIncarnation(id.ID(), id.StartedAt()+1)
 	c.schedule(restartDelay, func() { c.up = append(c.up, next) })
 	interrupted := c.inFlight[id]
 	delete(c.inFlight, id)
--- a/quarantine/script_test.go
+++ b/quarantine/script_test.go
@@ -52,7 +52,7 @@
 	case "answered":
 		return p.show(t.RequestAnswered(p.now, w, local))
 	case "agree":
-		return p.show(t.AdoptUnconfirmed(p.now, w, []fleet.Incarnation{fleet.Undated("x1"), fleet.Undated("x2"), fleet.Undated("x3")}))
+		return p.show(t.AdoptUnconfirmed(p.now, w, []fleet.Incarnation{fleet.IncarnationByID("x1"), fleet.IncarnationByID("x2"), fleet.IncarnationByID("x3")}))
 	case "learn":
 		return p.show(t.AdoptConfirmed(p.now, w, clock.Millis(s.Int("age", 0))))
 	case "review":
--- a/reading/full_list_test.go
+++ b/reading/full_list_test.go
@@ -31,7 +31,7 @@
 		l := newLog(t)
 		var list []fleet.Upstream
 		for i := range upstreams {
-			id := fleet.Undated(fleet.ID(fmt.Sprintf("u%04d", i)))
+			id := fleet.IncarnationByID(fleet.ID(fmt.Sprintf("u%04d", i)))
 			list = append(list, fleet.Upstream{ID: id, Service: "writer", Address: "10.0.0.1:80", DataCentre: "a"})
 		}
 		l.SetFleet(at(10), list)
--- a/reading/log.go
+++ b/reading/log.go
@@ -39,7 +39,7 @@
 	endedRetention clock.Millis = 60_000
 	// restoreGrace is how long after a restore the store may list upstreams that this node
 	// knows to be removed.
-	restoreGrace = fleet.CopyGrace
+	restoreGrace = fleet.RestoreGrace
 	// endedReplay is how long after such a removal a request returns immediately with it. It
 	// exceeds a follower's pause between two requests.
 	endedReplay clock.Millis = 700
@@ -105,7 +105,7 @@
 func (l *Log) SetConfig(config follow.PublishedConfig) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	changed := config.AnsweredAt > l.config.AnsweredAt || config.Confirmed > l.config.Confirmed || !config.Edition.Same(l.config.Edition)
+	changed := config.AnsweredAt > l.config.AnsweredAt || config.Confirmed > l.config.Confirmed || !config.Edition.SameText(l.config.Edition)
 	config.AnsweredAt = max(config.AnsweredAt, l.config.AnsweredAt)
 	l.config = config
 	if changed {
--- a/reading/log_test.go
+++ b/reading/log_test.go
@@ -46,7 +46,9 @@
 	return catalog.NewEdition(version, []byte(text), at(version))
 }
 
-func removed(id fleet.ID) []fleet.Change { return []fleet.Change{{ID: fleet.Undated(id), Gone: true}} }
+func removed(id fleet.ID) []fleet.Change {
+	return []fleet.Change{{ID: fleet.IncarnationByID(id), Gone: true}}
+}
 
 // newLog returns a log with configuration v1 and an empty list at revision 10.
 func newLog(t *testing.T) *reading.Log {
@@ -258,11 +260,11 @@
 	for i := range uint64(many) {
 		l.AddFleet(at(11+i), removed("u"))
 	}
-	l.AddFleet(at(11+many), []fleet.Change{{ID: fleet.Undated("u1"), Upstream: fleet.Upstream{ID: fleet.Undated("u1")}}})
+	l.AddFleet(at(11+many), []fleet.Change{{ID: fleet.IncarnationByID("u1"), Upstream: fleet.Upstream{ID: fleet.IncarnationByID("u1")}}})
 	source := newSource(t, l)
 	for _, after := range []uint64{0, 10} {
 		got, err := source.AwaitUpstreams(context.Background(), at(after), 0)
-		if err != nil || !got.Whole || len(got.Changes) != 1 || got.Changes[0].ID != fleet.Undated("u1") {
+		if err != nil || !got.Whole || len(got.Changes) != 1 || got.Changes[0].ID != fleet.IncarnationByID("u1") {
 			t.Errorf("after revision %d: got full=%v, %v and error %v, want a full list of u1", after, got.Whole, got.Changes, err)
 		}
 	}
@@ -337,7 +339,7 @@
 		}
 		return r
 	}
-	listed := []fleet.Change{{ID: fleet.Undated("u1"), Upstream: fleet.Upstream{ID: fleet.Undated("u1")}}}
+	listed := []fleet.Change{{ID: fleet.IncarnationByID("u1"), Upstream: fleet.Upstream{ID: fleet.IncarnationByID("u1")}}}
 	l.AddFleet(at(12), listed)
 	if got := await(12); len(got.Changes) != 0 {
 		t.Fatalf("got %+v after the newest revision, want no change", got)
@@ -385,7 +387,7 @@
 // once. That list includes what the backup has lost, such as an upstream that is leaving.
 func TestFullListAfterRestore(t *testing.T) {
 	l := newLog(t)
-	l.SetFleet(moment.At(2, 5), []fleet.Upstream{{ID: fleet.Undated("u1"), Leaving: true}})
+	l.SetFleet(moment.At(2, 5), []fleet.Upstream{{ID: fleet.IncarnationByID("u1"), Leaving: true}})
 	l.Returned()
 	source := newSource(t, l)
 	first, err := source.AwaitUpstreams(t.Context(), moment.At(2, 5), 0)
--- a/reading/roster.go
+++ b/reading/roster.go
@@ -34,9 +34,9 @@
 	// for all, or the node is disconnected from the others.
 	maxFailedReaders = 2
 	// recoveryPeriod is how long a node that has recovered from a store outage is followed only
-	// if no other node can be. It holds removed entries until fleet.LapseGrace after the
+	// if no other node can be. It holds removed entries until fleet.RemovalGrace after the
 	// outage, and needs a little longer to report their removal.
-	recoveryPeriod = fleet.LapseGrace + 500
+	recoveryPeriod = fleet.RemovalGrace + 500
 )
 
 // If no node can be followed, the store is unreachable for some nodes or for all of them. Since
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -132,7 +132,7 @@
 // beforeWrite implements writeGuard. An attempt is written at most once, since only the decider
 // decides on retries.
 func (a *attempt) beforeWrite() error {
-	if a.cmd.Keyed && !a.gate.allows(a.cmd.Config) {
+	if a.cmd.RequiresKey && !a.gate.allows(a.cmd.Config) {
 		a.cancel(errConfigTooOld)
 		return errConfigTooOld
 	}
@@ -154,11 +154,11 @@
 func (a *attempt) failureCause(ctx context.Context) dispatch.Cause {
 	switch {
 	case a.written.Load():
-		return dispatch.Unknown
+		return dispatch.CauseUnknown
 	case errors.IsAny(context.Cause(ctx), errConfigTooOld, errUpstreamBlocked):
-		return dispatch.HeldBack
+		return dispatch.CauseStaleConfig
 	default:
-		return dispatch.NotSent
+		return dispatch.CauseNotSent
 	}
 }
 
@@ -168,29 +168,29 @@
 	a.recordStatus(head)
 	switch {
 	case head.ID != "" && head.ID != a.callerID:
-		a.fail(ctx, dispatch.Unknown, "", errAnswerMismatch)
+		a.fail(ctx, dispatch.CauseUnknown, "", errAnswerMismatch)
 		return
 	case head.Misdirected:
 		if head.At == "" || head.At == a.cmd.Address {
 			a.handlePresence(a.cmd.Upstream, a.cmd.Address, a.cmd.Upstream.Presence(head.Responder))
 		}
-		a.fail(ctx, dispatch.NotRunElsewhere, head.At, errors.Newf("status %d", resp.StatusCode))
+		a.fail(ctx, dispatch.CauseMisdirected, head.At, errors.Newf("status %d", resp.StatusCode))
 		return
 	case head.NotExecuted:
-		a.fail(ctx, dispatch.NotRunFull, head.At, errors.Newf("status %d", resp.StatusCode))
+		a.fail(ctx, dispatch.CauseFull, head.At, errors.Newf("status %d", resp.StatusCode))
 		return
 	case !head.Sealed:
-		a.fail(ctx, dispatch.Unknown, "", errAnswerNotSealed)
+		a.fail(ctx, dispatch.CauseUnknown, "", errAnswerNotSealed)
 		return
 	case resp.Header.Get("Content-Encoding") != "":
-		a.fail(ctx, dispatch.Unknown, "", errAnswerEncoded)
+		a.fail(ctx, dispatch.CauseUnknown, "", errAnswerEncoded)
 		return
 	}
 	switch {
 	case isEvents(resp) && a.cmd.Route.Kind == catalog.Streaming:
 		a.readEvents(ctx, resp)
 	case a.resuming:
-		a.fail(ctx, dispatch.Failed, "", errors.Wrapf(errNotResumable, "status %d", resp.StatusCode))
+		a.fail(ctx, dispatch.CauseUpstreamFailed, "", errors.Wrapf(errNotResumable, "status %d", resp.StatusCode))
 	default:
 		a.readBuffered(ctx, resp)
 	}
@@ -240,7 +240,7 @@
 			return
 		}
 		if err != nil {
-			a.fail(ctx, dispatch.Unknown, "", err)
+			a.fail(ctx, dispatch.CauseUnknown, "", err)
 			return
 		}
 		if !a.emit(ctx, attemptUpdate{head: head, event: ev}) {
@@ -254,7 +254,7 @@
 func (a *attempt) readBuffered(ctx context.Context, resp *http.Response) {
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer))
 	if err != nil {
-		a.fail(ctx, dispatch.Unknown, "", err)
+		a.fail(ctx, dispatch.CauseUnknown, "", err)
 		return
 	}
 	if len(data) < maxBufferedAnswer {
@@ -273,7 +273,7 @@
 		n, err := body.Read(data)
 		end := errors.Is(err, io.EOF)
 		if err != nil && !end {
-			a.fail(ctx, dispatch.Unknown, "", err)
+			a.fail(ctx, dispatch.CauseUnknown, "", err)
 			return
 		}
 		if !a.emit(ctx, attemptUpdate{data: data[:n], end: end}) || end {
--- a/relay/attempt_test.go
+++ b/relay/attempt_test.go
@@ -88,7 +88,7 @@
 	}
 	a := &attempt{
 		protocol: plainProtocol{}, blocked: func() bool { return ta.pool.blocked(ta.pool.get(ta.upstream)) }, handleStatus: func(fleet.Incarnation, UpstreamStatus) {}, handleNoLimit: func(fleet.Incarnation, clock.Millis) {}, handlePresence: func(fleet.Incarnation, string, fleet.Presence) {}, conns: ta.pool.get(ta.upstream), gate: ta.gate, cancel: cancel,
-		cmd:     dispatch.SendCmd{Route: &catalog.Route{Kind: ta.kind}, Keyed: true, Config: catalog.New(1).Edition()},
+		cmd:     dispatch.SendCmd{Route: &catalog.Route{Kind: ta.kind}, RequiresKey: true, Config: catalog.New(1).Edition()},
 		updates: make(chan attemptUpdate, maxQueuedUpdates),
 	}
 	a.req = outgoing(ctx, caller, address, nil)
@@ -105,7 +105,7 @@
 			address := u.listener.Addr().String()
 			pool := newUpstreamPool((&net.Dialer{}).DialContext, clocktest.NewClock())
 			t.Cleanup(pool.closeIdle)
-			ta := testAttempt{upstream: fleet.Undated("u1"), pool: pool, gate: newConfigGate(clocktest.NewClock(), 0), kind: catalog.Once}
+			ta := testAttempt{upstream: fleet.IncarnationByID("u1"), pool: pool, gate: newConfigGate(clocktest.NewClock(), 0), kind: catalog.AtMostOnce}
 
 			if first := ta.run(t, method, address); first.failed {
 				t.Fatalf("got %v at the first request, want an answer", first.err)
@@ -114,7 +114,7 @@
 			if got, want := u.requestsRead.Load(), int64(2); got != want {
 				t.Errorf("got %d requests read, want %d", got, want)
 			}
-			if !second.failed || second.cause != dispatch.Unknown {
+			if !second.failed || second.cause != dispatch.CauseUnknown {
 				t.Errorf("got failed=%v cause=%v, want a failure with cause unknown", second.failed, second.cause)
 			}
 		})
@@ -135,8 +135,8 @@
 	}, clocktest.NewClock())
 	t.Cleanup(pool.closeIdle)
 
-	got := testAttempt{upstream: fleet.Undated("u1"), pool: pool, gate: g, kind: catalog.Repeatable}.run(t, http.MethodPost, u.listener.Addr().String())
-	if !got.failed || got.cause != dispatch.HeldBack {
+	got := testAttempt{upstream: fleet.IncarnationByID("u1"), pool: pool, gate: g, kind: catalog.Repeatable}.run(t, http.MethodPost, u.listener.Addr().String())
+	if !got.failed || got.cause != dispatch.CauseStaleConfig {
 		t.Errorf("got failed=%v cause=%v, want a failure with cause held_back", got.failed, got.cause)
 	}
 	if got, want := u.requestsRead.Load(), int64(0); got != want {
@@ -149,7 +149,7 @@
 // again.
 func TestAttemptIsNotWrittenDuringBackOffOrLeaving(t *testing.T) {
 	for _, status := range []UpstreamStatus{{BackOff: 3000}, {Leaving: true}} {
-		u, id := newOneAnswerUpstream(t), fleet.Undated("u1")
+		u, id := newOneAnswerUpstream(t), fleet.IncarnationByID("u1")
 		var pool *upstreamPool
 		pool = newUpstreamPool(func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
@@ -158,7 +158,7 @@
 		}, clocktest.NewClock())
 		t.Cleanup(pool.closeIdle)
 		got := testAttempt{upstream: id, pool: pool, gate: newConfigGate(clocktest.NewClock(), 0), kind: catalog.Repeatable}.run(t, http.MethodPost, u.listener.Addr().String())
-		if !got.failed || got.cause != dispatch.HeldBack {
+		if !got.failed || got.cause != dispatch.CauseStaleConfig {
 			t.Errorf("%+v: got failed=%v cause=%v, want a failure with cause held_back", status, got.failed, got.cause)
 		}
 		if got, want := u.requestsRead.Load(), int64(0); got != want {
@@ -171,14 +171,14 @@
 // the address, and its time passes while the VM is suspended.
 func TestLongestBackOffApplies(t *testing.T) {
 	vm := clocktest.NewVM()
-	pool, id := newUpstreamPool((&net.Dialer{}).DialContext, clock.New(clock.WithVM(vm))), fleet.Undated("u1")
+	pool, id := newUpstreamPool((&net.Dialer{}).DialContext, clock.New(clock.WithVM(vm))), fleet.IncarnationByID("u1")
 	pool.block(id, UpstreamStatus{BackOff: 3_600_000})
 	pool.block(id, UpstreamStatus{BackOff: 10})
 	vm.Suspend(time.Hour / 2)
 	if !pool.blocked(pool.get(id)) {
 		t.Error("got no back-off after half an hour, want one of an hour")
 	}
-	if pool.blocked(pool.get(fleet.Undated("u2"))) {
+	if pool.blocked(pool.get(fleet.IncarnationByID("u2"))) {
 		t.Error("got a back-off of an upstream that requested none, want none")
 	}
 	vm.Suspend(time.Hour / 2)
@@ -191,8 +191,8 @@
 // chain that the refusal names. In a late answer to another request only the leaving flag
 // applies.
 func TestStatusIsRecordedForItsUpstream(t *testing.T) {
-	first, second := fleet.Undated("e1"), fleet.Undated("e2")
-	parts := []chain.Part{{ID: first, Address: "a1"}, {ID: second, Address: "a2"}}
+	first, second := fleet.IncarnationByID("e1"), fleet.IncarnationByID("e2")
+	parts := []chain.Stage{{ID: first, Address: "a1"}, {ID: second, Address: "a2"}}
 	backOff := UpstreamStatus{BackOff: 3000}
 	tests := []struct {
 		name string
--- a/relay/body.go
+++ b/relay/body.go
@@ -26,8 +26,8 @@
 		return nil, 0
 	}
 	maxBytes := int64(defaultMaxBody)
-	if limits := r.limits.Load(); limits != nil && limits.BodyBytes > 0 {
-		maxBytes = limits.BodyBytes
+	if limits := r.limits.Load(); limits != nil && limits.MaxBodyBytes > 0 {
+		maxBytes = limits.MaxBodyBytes
 	}
 	control := http.NewResponseController(w)
 	if err := control.SetReadDeadline(time.Now().Add(bodyReadTimeout)); err != nil {
--- a/relay/decider.go
+++ b/relay/decider.go
@@ -49,10 +49,10 @@
 	identify func(dispatch.IdentifyCmd)
 	// onResponsiveness is called when an engine becomes unresponsive or responsive again; the
 	// placement of layers uses it.
-	onResponsiveness func(dispatch.SilentCmd)
+	onResponsiveness func(dispatch.ResponsivenessCmd)
 	// shareUsage sends this node's usage and the totals aggregated from other nodes to its
 	// peers.
-	shareUsage func(dispatch.ShareCmd)
+	shareUsage func(dispatch.ShareUsageCmd)
 	// requestPermits sends requests for rate-limit permits to other nodes, and grantPermits the
 	// answers to the requests of others.
 	requestPermits func(limit.AskCmd)
@@ -72,8 +72,8 @@
 
 func newDecider(model *dispatch.Model, c *clock.Clock, log *zap.Logger, probe func(dispatch.ProbeCmd), identify func(dispatch.IdentifyCmd)) *decider {
 	return &decider{
-		model: model, clock: c, log: log, probe: probe, identify: identify, onResponsiveness: func(dispatch.SilentCmd) {},
-		shareUsage:     func(dispatch.ShareCmd) {},
+		model: model, clock: c, log: log, probe: probe, identify: identify, onResponsiveness: func(dispatch.ResponsivenessCmd) {},
+		shareUsage:     func(dispatch.ShareUsageCmd) {},
 		requestPermits: func(limit.AskCmd) {},
 		grantPermits:   func(string, limit.Grant) {},
 		onLimitChanged: func(fleet.Incarnation, bool) {},
@@ -119,7 +119,7 @@
 	for _, cmd := range d.model.Update(d.clock.Now(), e.msg) {
 		d.execute(cmd)
 	}
-	if ended, ok := e.msg.(dispatch.GoneMsg); ok {
+	if ended, ok := e.msg.(dispatch.RequestEndedMsg); ok {
 		delete(d.commands, ended.Request)
 	}
 }
@@ -129,23 +129,23 @@
 	switch cmd := cmd.(type) {
 	case dispatch.SendCmd:
 		d.deliver(cmd.Request, cmd)
-	case dispatch.PlaceCmd:
+	case dispatch.SlotWaitCmd:
 		d.deliver(cmd.Request, cmd)
-	case dispatch.FinishCmd:
+	case dispatch.RespondCmd:
 		d.deliver(cmd.Request, cmd)
-	case dispatch.RelayCmd:
+	case dispatch.RelayFailureCmd:
 		d.deliver(cmd.Request, cmd)
-	case dispatch.CutCmd:
+	case dispatch.AbortResponseCmd:
 		d.deliver(cmd.Request, cmd)
-	case dispatch.MoveCmd:
+	case dispatch.MigrateCmd:
 		d.deliver(cmd.Request, cmd)
-	case dispatch.ReconsiderCmd:
+	case dispatch.RecheckAttemptCmd:
 		d.deliver(cmd.Request, cmd)
-	case dispatch.WakeCmd:
+	case dispatch.RecheckDeadlineCmd:
 		d.deliver(cmd.Request, cmd)
-	case dispatch.ShareCmd:
+	case dispatch.ShareUsageCmd:
 		d.shareUsage(cmd)
-	case dispatch.SilentCmd:
+	case dispatch.ResponsivenessCmd:
 		d.onResponsiveness(cmd)
 	case dispatch.ProbeCmd:
 		d.probe(cmd)
@@ -153,25 +153,25 @@
 		d.identify(cmd)
 	case dispatch.QuarantineCmd:
 		d.onQuarantine(cmd.News)
-	case dispatch.AskPermitsCmd:
+	case dispatch.RequestPermitsCmd:
 		d.requestPermits(cmd.AskCmd)
-	case dispatch.GivePermitsCmd:
+	case dispatch.GrantPermitsCmd:
 		d.grantPermits(cmd.To, cmd.Grant)
-	case dispatch.LimitCmd:
+	case dispatch.LimitChangedCmd:
 		d.onLimitChanged(cmd.Upstream, cmd.Rate > 0)
 		d.logLimit(cmd)
-	case dispatch.RestCmd:
-		d.log.Info("rest", zap.Stringer("upstream", cmd.Upstream), zap.Int64("asked_ms", int64(cmd.Asked)),
+	case dispatch.BackOffCmd:
+		d.log.Info("rest", zap.Stringer("upstream", cmd.Upstream), zap.Int64("asked_ms", int64(cmd.Requested)),
 			zap.Int64("for_ms", int64(cmd.Until.Sub(d.clock.Now()))))
 	case dispatch.SuspectCmd:
-		d.log.Info("suspect", zap.Stringer("upstream", cmd.Upstream), zap.Int("strikes", cmd.Strikes),
+		d.log.Info("suspect", zap.Stringer("upstream", cmd.Upstream), zap.Int("strikes", cmd.Failures),
 			zap.Stringer("cause", cmd.Cause), zap.Int64("for_ms", int64(cmd.Until.Sub(d.clock.Now()))))
 	}
 }
 
 // logLimit logs that a rate limit has started, changed or ended. An upstream that advertises
 // another limit in every answer gets at most one line per limitLogInterval.
-func (d *decider) logLimit(cmd dispatch.LimitCmd) {
+func (d *decider) logLimit(cmd dispatch.LimitChangedCmd) {
 	now := d.clock.Now()
 	if last, ok := d.limitLoggedAt[cmd.Upstream]; ok && now < last.Add(limitLogInterval) && cmd.Rate > 0 {
 		d.unloggedLimits++
--- a/relay/fixture_test.go
+++ b/relay/fixture_test.go
@@ -53,12 +53,12 @@
 	return EngineReport{}, errAttemptAbandoned
 }
 
-func (unresponsiveEngines) Move(context.Context, string, string, []chain.Part) (result dispatch.MoveResult, at string) {
-	return dispatch.MoveUnanswered, ""
+func (unresponsiveEngines) Move(context.Context, string, string, []chain.Stage) (result dispatch.MigrationResult, at string) {
+	return dispatch.MigrationUnanswered, ""
 }
 
 func (unresponsiveEngines) Identify(context.Context, string, string, fleet.Incarnation) (fleet.Presence, error) {
-	return fleet.Unnamed, errAttemptAbandoned
+	return fleet.PresenceUnknown, errAttemptAbandoned
 }
 
 func (unresponsiveEngines) Probe(context.Context, string, fleet.Incarnation) error { return nil }
@@ -253,11 +253,11 @@
 		<-stopped
 	})
 	r.SetCatalog(testCatalog(), r.clock.Now())
-	r.SetPeers(dispatch.PeersMsg{All: 1, Members: []limit.Member{{}}})
+	r.SetPeers(dispatch.PeersMsg{TotalNodes: 1, Members: []limit.Member{{}}})
 	for i := range testUpstreams {
 		server := httptest.NewServer(upstreams)
 		t.Cleanup(server.Close)
-		id := fleet.Undated(fleet.ID("u" + strconv.Itoa(i)))
+		id := fleet.IncarnationByID(fleet.ID("u" + strconv.Itoa(i)))
 		r.UpdateFleet([]fleet.Change{{ID: id, Upstream: fleet.Upstream{
 			ID: id, Service: "desk", Address: server.Listener.Addr().String(),
 		}}})
@@ -273,7 +273,7 @@
 		return &catalog.Route{
 			Name: name, Host: "h", Prefix: "/" + name + "/", Kind: kind, Resumable: resumable, Anonymous: true,
 			Targets: []catalog.Target{{Service: "desk", Weight: 1}}, MaxAttempts: testUpstreams,
-			Timeout: 10_000, Aim: 10_000,
+			Timeout: 10_000, LatencyTarget: 10_000,
 		}
 	}
 	few := route("few", catalog.Streaming, true)
@@ -281,7 +281,7 @@
 	return catalog.New(1,
 		catalog.WithRoutes(few,
 			route("write", catalog.Streaming, true), route("tell", catalog.Streaming, false),
-			route("read", catalog.Repeatable, false), route("once", catalog.Once, false),
+			route("read", catalog.Repeatable, false), route("once", catalog.AtMostOnce, false),
 		),
 		catalog.WithServices(&catalog.Service{Name: "desk"}),
 	)
--- a/relay/log.go
+++ b/relay/log.go
@@ -38,7 +38,7 @@
 		zap.String("chain", chainText(cmd.Chain)), zap.Int("in_flight", cmd.InFlight), zap.Int("priority", cmd.Priority),
 		zap.Stringer("config", cmd.Config), zap.Int64("config_age_ms", int64(cmd.ConfigAge)),
 		zap.Int64("list_age_ms", int64(s.relay.listAge())),
-		zap.Int64("remaining_ms", int64(remaining)), zap.String("resume_after", s.lastEventID), zap.Bool("suspected", cmd.Suspected), rateLimitField(cmd.Limit))
+		zap.Int64("remaining_ms", int64(remaining)), zap.String("resume_after", s.lastEventID), zap.Bool("suspected", cmd.WorkSuspected), rateLimitField(cmd.Limit))
 }
 
 func (s *session) logAnswer(status int) {
@@ -75,11 +75,11 @@
 	switch {
 	case s.route == nil:
 		return ""
-	case s.route.Kind == catalog.Streaming && s.route.Aim > 0 && s.firstEvent > s.route.Aim:
+	case s.route.Kind == catalog.Streaming && s.route.LatencyTarget > 0 && s.firstEvent > s.route.LatencyTarget:
 		return aimFirstEvent
-	case s.route.Kind == catalog.Streaming && s.route.GapAim > 0 && s.longestPause > s.route.GapAim:
+	case s.route.Kind == catalog.Streaming && s.route.EventGapTarget > 0 && s.longestPause > s.route.EventGapTarget:
 		return aimPause
-	case s.route.Kind != catalog.Streaming && s.route.Aim > 0 && s.age() > s.route.Aim:
+	case s.route.Kind != catalog.Streaming && s.route.LatencyTarget > 0 && s.age() > s.route.LatencyTarget:
 		return aimWholeAnswer
 	}
 	return ""
@@ -91,18 +91,18 @@
 	s.log.Info("caller_left", s.outcomeFields()...)
 }
 
-func (s *session) logSlotWait(cmd dispatch.PlaceCmd) {
+func (s *session) logSlotWait(cmd dispatch.SlotWaitCmd) {
 	s.relay.stats.count("awaited_places")
 	s.log.Info("awaits_place", zap.String("id", s.head.ID), zap.String("service", cmd.Service), zap.Int("waiting", cmd.Waiting),
 		zap.Int64("for_ms", int64(cmd.Until.Sub(s.relay.clock.Now()))), zap.Int64("after_ms", int64(s.age())))
 }
 
-func (s *session) logRefusal(cmd dispatch.FinishCmd) {
+func (s *session) logRefusal(cmd dispatch.RespondCmd) {
 	s.log.Info("refused", zap.String("id", s.head.ID), zap.Stringer("work", cmd.Work), zap.String("host", s.request.Host), zap.String("path", s.request.URL.Path),
 		zap.Int("status", cmd.Status), zap.String("reason", string(cmd.Reason)),
 		zap.Int64("retry_after_ms", int64(cmd.RetryAfter)), zap.Int("attempts", s.attempts),
 		zap.Stringer("config", cmd.Config), zap.Int64("config_age_ms", int64(cmd.ConfigAge)),
-		zap.Int64("after_ms", int64(s.age())), missingResourceField(cmd.Lack), limitRefusalField(cmd.Limited))
+		zap.Int64("after_ms", int64(s.age())), missingResourceField(cmd.Missing), limitRefusalField(cmd.RateLimit))
 }
 
 // rateLimitField returns the log field for the rate limit of an upstream, in requests per
@@ -115,22 +115,22 @@
 }
 
 // limitRefusalField returns the log fields for the rate limit that caused a refusal.
-func limitRefusalField(refusal *dispatch.Limited) zap.Field {
+func limitRefusalField(refusal *dispatch.LimitRefusal) zap.Field {
 	if refusal == nil {
 		return zap.Skip()
 	}
 	return zap.Inline(zapcore.ObjectMarshalerFunc(func(e zapcore.ObjectEncoder) error {
 		e.AddString("at", refusal.Upstream.String())
 		e.AddFloat64("limit", refusal.Rate)
-		e.AddInt("limited", refusal.Upstreams)
-		e.AddInt("queue", refusal.Queue)
+		e.AddInt("limited", refusal.LimitedUpstreams)
+		e.AddInt("queue", refusal.RecentDenials)
 		return nil
 	}))
 }
 
 // missingResourceField returns the log fields for the memory that an upstream lacked and the
 // source of that figure.
-func missingResourceField(missing *dispatch.Lack) zap.Field {
+func missingResourceField(missing *dispatch.MissingResource) zap.Field {
 	if missing == nil {
 		return zap.Skip()
 	}
@@ -138,10 +138,10 @@
 		e.AddString("lacks", string(appendRange(nil, missing.Layers.From, missing.Layers.To)))
 		e.AddInt("holders", missing.Holders)
 		e.AddString("at", missing.ID.String())
-		e.AddInt64("left", int64(missing.Room))
-		e.AddInt64("asked", int64(missing.Need))
-		e.AddString("word_of", string(missing.Word))
-		e.AddInt64("word_age_ms", int64(missing.Age))
+		e.AddInt64("left", int64(missing.FreeMemory))
+		e.AddInt64("asked", int64(missing.RequiredMemory))
+		e.AddString("word_of", string(missing.Source))
+		e.AddInt64("word_age_ms", int64(missing.SourceAge))
 		return nil
 	}))
 }
--- a/relay/protocol.go
+++ b/relay/protocol.go
@@ -36,7 +36,7 @@
 	Priority int
 	// Remaining is the time that the upstream has for the request.
 	Remaining clock.Millis
-	Chain     []chain.Part
+	Chain     []chain.Stage
 	// LastEventID is the id of the last event that the caller has received; empty for none.
 	LastEventID string
 }
@@ -90,7 +90,7 @@
 // address.
 type Engines interface {
 	Report(ctx context.Context, address string, upstream fleet.Incarnation) (EngineReport, error)
-	Move(ctx context.Context, address, callerID string, parts []chain.Part) (result dispatch.MoveResult, at string)
+	Move(ctx context.Context, address, callerID string, parts []chain.Stage) (result dispatch.MigrationResult, at string)
 	Probe(ctx context.Context, address string, upstream fleet.Incarnation) error
 	Identify(ctx context.Context, address, path string, upstream fleet.Incarnation) (fleet.Presence, error)
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -64,13 +64,13 @@
 
 // WithResponsivenessHandler sets the function that is called when an engine becomes
 // unresponsive or responsive again.
-func WithResponsivenessHandler(handle func(dispatch.SilentCmd)) Option {
+func WithResponsivenessHandler(handle func(dispatch.ResponsivenessCmd)) Option {
 	return func(r *Relay) { r.decider.onResponsiveness = handle }
 }
 
 // WithUsageSharing sets the function that sends this node's usage and the totals aggregated
 // from other nodes to its peers.
-func WithUsageSharing(share func(dispatch.ShareCmd)) Option {
+func WithUsageSharing(share func(dispatch.ShareUsageCmd)) Option {
 	return func(r *Relay) { r.decider.shareUsage = share }
 }
 
@@ -132,7 +132,7 @@
 	}
 	// The decider is notified first: a request that the gate rejects is decided again, which
 	// must not happen with the old configuration.
-	r.decider.notify(r.lifetime, dispatch.CatalogMsg{Catalog: c, Confirmed: confirmed})
+	r.decider.notify(r.lifetime, dispatch.CatalogMsg{Catalog: c, ConfirmedAt: confirmed})
 	r.gate.confirm(edition, confirmed)
 }
 
@@ -154,7 +154,7 @@
 // they may have died meanwhile without a FIN or reset.
 func (r *Relay) HandleVMResumed() {
 	r.upstreams.closeIdle()
-	r.decider.notify(r.lifetime, dispatch.WokeMsg{})
+	r.decider.notify(r.lifetime, dispatch.VMResumedMsg{})
 }
 
 // SetPeers sets the nodes of the fleet and the peers that report their usage to this node.
@@ -162,18 +162,18 @@
 
 // HandlePermitRequest handles another node's request for rate-limit permits.
 func (r *Relay) HandlePermitRequest(from string, ask limit.Ask) {
-	r.decider.notify(r.lifetime, dispatch.PermitAskMsg{From: from, Ask: ask})
+	r.decider.notify(r.lifetime, dispatch.PermitRequestMsg{From: from, Ask: ask})
 }
 
 // HandlePermitGrant handles the answer to a request for rate-limit permits.
 func (r *Relay) HandlePermitGrant(from string, grant limit.Grant) {
-	r.decider.notify(r.lifetime, dispatch.PermitsMsg{From: from, Grant: grant})
+	r.decider.notify(r.lifetime, dispatch.PermitGrantMsg{From: from, Grant: grant})
 }
 
 // HandleUsage handles a usage report, which also contains the rate limits known to its sender.
 // A report covers one node, all nodes of another data centre, or all nodes.
 func (r *Relay) HandleUsage(msg dispatch.UsageMsg) {
-	if msg.Total {
+	if msg.WholeDataCentre {
 		msg.Node = "all of " + msg.DataCentre
 	}
 	r.decider.notify(r.lifetime, msg)
@@ -181,17 +181,17 @@
 
 // HandlePeerUnresponsive handles a peer report of an unresponsive engine.
 func (r *Relay) HandlePeerUnresponsive(upstream fleet.Incarnation) {
-	r.decider.notify(r.lifetime, dispatch.ToldSilentMsg{Upstream: upstream})
+	r.decider.notify(r.lifetime, dispatch.PeerUnresponsiveMsg{Upstream: upstream})
 }
 
 // HandlePeerLoss handles a peer report of a request that was lost at a crashed upstream.
 func (r *Relay) HandlePeerLoss(id work.ID, upstream fleet.Incarnation) {
-	r.decider.notify(r.lifetime, dispatch.ToldLostMsg{Work: id, Upstream: upstream})
+	r.decider.notify(r.lifetime, dispatch.PeerLossMsg{Work: id, Upstream: upstream})
 }
 
 // HandlePeerAnswer handles a peer report of an answer to a suspected request.
 func (r *Relay) HandlePeerAnswer(id work.ID) {
-	r.decider.notify(r.lifetime, dispatch.ToldAnsweredMsg{Work: id})
+	r.decider.notify(r.lifetime, dispatch.PeerAnswerMsg{Work: id})
 }
 
 // UpdateQuarantine sets the requests that are quarantined.
@@ -201,8 +201,8 @@
 
 // HandlePlacement handles a placement order that an engine has accepted or, if loaded is
 // set, completed.
-func (r *Relay) HandlePlacement(upstream fleet.Incarnation, layers fleet.Range, loaded bool) {
-	r.decider.notify(r.lifetime, dispatch.PlacedMsg{Upstream: upstream, Layers: layers, Holds: loaded})
+func (r *Relay) HandlePlacement(upstream fleet.Incarnation, layers fleet.LayerRange, loaded bool) {
+	r.decider.notify(r.lifetime, dispatch.PlacedMsg{Upstream: upstream, Layers: layers, Completed: loaded})
 }
 
 // Stop makes Ready report false and closes each connection after its answer. Requests in
--- a/relay/session.go
+++ b/relay/session.go
@@ -65,7 +65,7 @@
 	silenceTimer     *time.Timer
 	stallTimer       *time.Timer
 	stallReports     chan stallReport
-	migrationResults chan dispatch.MovedMsg
+	migrationResults chan dispatch.MigratedMsg
 	queryingChain    bool
 	timing           eventTiming
 	// stallQueries counts the stall queries since the last event.
@@ -82,10 +82,10 @@
 // run handles the request from arrival to end.
 func (s *session) run() {
 	s.deadlineTimer, s.attemptTimer, s.silenceTimer, s.stallTimer = stoppedTimer(), stoppedTimer(), stoppedTimer(), stoppedTimer()
-	s.stallReports, s.migrationResults = make(chan stallReport, 1), make(chan dispatch.MovedMsg, mailboxSize)
+	s.stallReports, s.migrationResults = make(chan stallReport, 1), make(chan dispatch.MigratedMsg, mailboxSize)
 	defer s.release()
 	if !s.relay.decider.offerArrival(s.arrival(), s.commands) {
-		s.respondError(http.StatusServiceUnavailable, dispatch.ReasonNoRoom, overloadRetryAfter)
+		s.respondError(http.StatusServiceUnavailable, dispatch.ReasonNoMemory, overloadRetryAfter)
 		return
 	}
 	for {
@@ -100,7 +100,7 @@
 
 func (s *session) arrival() dispatch.ArriveMsg {
 	return dispatch.ArriveMsg{
-		Request: s.id, CallerID: s.head.ID, Asked: work.FromRequest(s.request, s.body), Host: normalizeHost(s.request.Host), Path: s.request.URL.Path,
+		Request: s.id, CallerID: s.head.ID, Work: work.FromRequest(s.request, s.body), Host: normalizeHost(s.request.Host), Path: s.request.URL.Path,
 		Key: s.head.Key, HasKey: s.head.HasKey, Remaining: s.head.Remaining,
 		PromptTokens: s.head.PromptTokens, AnswerTokens: s.head.AnswerTokens, HintTokens: s.head.HintTokens,
 	}
@@ -143,22 +143,22 @@
 	switch cmd := cmd.(type) {
 	case dispatch.SendCmd:
 		s.startAttempt(cmd)
-	case dispatch.PlaceCmd:
+	case dispatch.SlotWaitCmd:
 		s.logSlotWait(cmd)
-	case dispatch.FinishCmd:
+	case dispatch.RespondCmd:
 		s.logRefusal(cmd)
 		s.respondError(cmd.Status, cmd.Reason, cmd.RetryAfter)
 		return true
-	case dispatch.RelayCmd:
+	case dispatch.RelayFailureCmd:
 		return s.relayUpstreamFailure()
-	case dispatch.CutCmd:
+	case dispatch.AbortResponseCmd:
 		s.abortAnswer(cmd.Reason)
 		return true
-	case dispatch.MoveCmd:
+	case dispatch.MigrateCmd:
 		s.migrate(cmd)
-	case dispatch.ReconsiderCmd:
+	case dispatch.RecheckAttemptCmd:
 		s.recheckAttempt(cmd)
-	case dispatch.WakeCmd:
+	case dispatch.RecheckDeadlineCmd:
 		s.recheckDeadline(cmd)
 	}
 	return false
@@ -167,7 +167,7 @@
 // relayUpstreamFailure forwards the 5xx answer of an upstream to the caller.
 func (s *session) relayUpstreamFailure() bool {
 	if s.upstreamFailure == nil {
-		s.respondError(http.StatusBadGateway, dispatch.ReasonUnknown, 0)
+		s.respondError(http.StatusBadGateway, dispatch.ReasonAnswerLost, 0)
 		return true
 	}
 	if err := s.answer.complete(s.upstreamFailure.head, s.upstreamFailure.data); err != nil {
@@ -187,6 +187,6 @@
 	case s.events > 0 && !s.eventWithoutID:
 		return dispatch.DeliveredEvents
 	default:
-		return dispatch.DeliveredPart
+		return dispatch.DeliveredPartial
 	}
 }
--- a/relay/session_answer.go
+++ b/relay/session_answer.go
@@ -38,7 +38,7 @@
 // decider, which may try another upstream.
 func (s *session) holdUpstreamFailure(update attemptUpdate) bool {
 	s.upstreamFailure = &update
-	s.failAttempt(dispatch.Failed, "", update.status, nil)
+	s.failAttempt(dispatch.CauseUpstreamFailed, "", update.status, nil)
 	return false
 }
 
@@ -98,7 +98,7 @@
 	}
 	s.relay.decider.notify(s.relay.lifetime, dispatch.AttemptDoneMsg{
 		Request: s.id, Attempt: s.attempt.cmd.Attempt, Took: s.relay.clock.Now().Sub(s.sentAt),
-		Failed: status >= http.StatusInternalServerError,
+		UpstreamFailed: status >= http.StatusInternalServerError,
 	})
 	s.logAnswer(status)
 }
--- a/relay/session_attempt.go
+++ b/relay/session_attempt.go
@@ -18,15 +18,15 @@
 // startAttempt sends the request to the upstream chosen by the decider.
 func (s *session) startAttempt(cmd dispatch.SendCmd) {
 	now := s.relay.clock.Now()
-	remaining := min(cmd.Deadline, cmd.GiveUp).Sub(now)
+	remaining := min(cmd.ClientDeadline, cmd.RouteDeadline).Sub(now)
 	s.attempts++
 	s.route = cmd.Route
 	s.logSend(cmd, remaining)
 	if s.attempts == 1 {
 		s.deadlineTimer.Reset(max(remaining, 1).Duration())
 	}
-	if cmd.TryFor > 0 && cmd.TryFor < remaining {
-		s.attemptTimer.Reset(cmd.TryFor.Duration())
+	if cmd.AttemptTimeout > 0 && cmd.AttemptTimeout < remaining {
+		s.attemptTimer.Reset(cmd.AttemptTimeout.Duration())
 	}
 	s.silenceTimer.Reset(maxConnectionSilence.Duration())
 	conns := s.relay.upstreams.get(cmd.Upstream)
@@ -48,8 +48,8 @@
 
 // recheckDeadline resets the timers after a suspension of the VM, during which they do not
 // advance. The stream may have stalled meanwhile, and its idle connections may be dead.
-func (s *session) recheckDeadline(cmd dispatch.WakeCmd) {
-	s.deadlineTimer.Reset(max(cmd.GiveUp.Sub(s.relay.clock.Now()), 0).Duration())
+func (s *session) recheckDeadline(cmd dispatch.RecheckDeadlineCmd) {
+	s.deadlineTimer.Reset(max(cmd.Deadline.Sub(s.relay.clock.Now()), 0).Duration())
 	if s.attempt == nil {
 		return
 	}
@@ -74,7 +74,7 @@
 // failAttempt ends the attempt and reports the failure to the decider.
 func (s *session) failAttempt(cause dispatch.Cause, faultyAddress string, status UpstreamStatus, err error) {
 	s.logFailure(cause, faultyAddress, status, err)
-	msg := dispatch.AttemptFailedMsg{Request: s.id, Attempt: s.attempt.cmd.Attempt, Cause: cause, At: faultyAddress, Events: s.events, Delivered: s.delivered()}
+	msg := dispatch.AttemptFailedMsg{Request: s.id, Attempt: s.attempt.cmd.Attempt, Cause: cause, FaultyAddress: faultyAddress, Events: s.events, Delivered: s.delivered()}
 	s.cancelAttempt()
 	s.relay.decider.notify(s.relay.lifetime, msg)
 }
@@ -83,12 +83,12 @@
 // may resume is kept, since it may still continue, whereas abandoning it would truncate it for
 // certain.
 func (s *session) abandon(faultyAddress, reason string) {
-	if s.attempt == nil || s.answer.started() && (s.attempt.cmd.Last || s.delivered() == dispatch.DeliveredPart) {
+	if s.attempt == nil || s.answer.started() && (s.attempt.cmd.LastUpstream || s.delivered() == dispatch.DeliveredPartial) {
 		return
 	}
 	s.unanswered = true
 	s.closeSilentConnections()
-	s.failAttempt(dispatch.Slow, faultyAddress, UpstreamStatus{}, errors.Wrap(errAttemptAbandoned, reason))
+	s.failAttempt(dispatch.CauseNoProgress, faultyAddress, UpstreamStatus{}, errors.Wrap(errAttemptAbandoned, reason))
 }
 
 // closeSilentConnections closes the idle connections to the upstream of the current attempt if
