--- a/relay/session_end.go
+++ b/relay/session_end.go
@@ -19,7 +19,7 @@
 	if s.attempt == nil && s.attempts == 0 {
 		status, retryAfter = http.StatusServiceUnavailable, overloadRetryAfter
 	}
-	s.logRefusal(dispatch.FinishCmd{Request: s.id, Status: status, Reason: dispatch.ReasonTimeout, RetryAfter: retryAfter})
+	s.logRefusal(dispatch.RespondCmd{Request: s.id, Status: status, Reason: dispatch.ReasonTimeout, RetryAfter: retryAfter})
 	s.respondError(status, dispatch.ReasonTimeout, retryAfter)
 	return true
 }
@@ -44,5 +44,5 @@
 func (s *session) release() {
 	s.cancelAttempt()
 	s.deadlineTimer.Stop()
-	s.relay.decider.notify(s.relay.lifetime, dispatch.GoneMsg{Request: s.id})
+	s.relay.decider.notify(s.relay.lifetime, dispatch.RequestEndedMsg{Request: s.id})
 }
--- a/relay/silent_connections_test.go
+++ b/relay/silent_connections_test.go
@@ -64,7 +64,7 @@
 		<-stopped
 		engines.Close()
 	})
-	s.relay.SetPeers(dispatch.PeersMsg{All: 1, Members: []limit.Member{{}}})
+	s.relay.SetPeers(dispatch.PeersMsg{TotalNodes: 1, Members: []limit.Member{{}}})
 	catalog, err := platform.DecodeCatalog(standin.SiteConfig(1, "k1"), moment.Moment{})
 	if err != nil {
 		t.Fatal(err)
@@ -82,7 +82,7 @@
 	listener := s.network.Listen(address)
 	go func() { _ = server.Serve(listener) }()
 	s.t.Cleanup(func() { _ = server.Close() })
-	s.relay.UpdateFleet([]fleet.Change{{ID: fleet.Undated(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.Undated(fleet.ID(id)), Service: standin.SiteDesk, Address: address, Slots: 6}}})
+	s.relay.UpdateFleet([]fleet.Change{{ID: fleet.IncarnationByID(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.IncarnationByID(fleet.ID(id)), Service: standin.SiteDesk, Address: address, Slots: 6}}})
 }
 
 // request sends a request in the background and returns a channel for its status.
--- a/relay/silent_streams_test.go
+++ b/relay/silent_streams_test.go
@@ -88,15 +88,15 @@
 func eventText(n int) string { return fmt.Sprintf("id: %d\ndata: x\n\n", n) }
 
 // startEngine starts an engine that holds a range of layers.
-func (s *blackholeSite) startEngine(id string, held fleet.Range) *streamEngine {
+func (s *blackholeSite) startEngine(id string, held fleet.LayerRange) *streamEngine {
 	address := id + ":80"
 	engine := &streamEngine{}
 	server := &http.Server{Handler: engine}
 	listener := s.network.Listen(address)
 	go func() { _ = server.Serve(listener) }()
 	s.t.Cleanup(func() { _ = server.Close() })
-	s.relay.UpdateFleet([]fleet.Change{{ID: fleet.Undated(fleet.ID(id)), Upstream: fleet.Upstream{
-		ID: fleet.Undated(fleet.ID(id)), Service: standin.SiteWriter, Address: address, Slots: 64, Accelerator: standin.SiteKind, Held: held,
+	s.relay.UpdateFleet([]fleet.Change{{ID: fleet.IncarnationByID(fleet.ID(id)), Upstream: fleet.Upstream{
+		ID: fleet.IncarnationByID(fleet.ID(id)), Service: standin.SiteWriter, Address: address, Slots: 64, Accelerator: standin.SiteKind, Held: held,
 	}}})
 	return engine
 }
@@ -138,8 +138,8 @@
 func TestStreamsOnSilentConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newBlackholeSite(t, 0)
-		s.startEngine("e1", fleet.Range{From: 0, To: 6})
-		s.startEngine("e2", fleet.Range{From: 6, To: 12})
+		s.startEngine("e1", fleet.LayerRange{From: 0, To: 6})
+		s.startEngine("e2", fleet.LayerRange{From: 6, To: 12})
 		const concurrent = 4
 		var warm []<-chan *pauseRecorder
 		for i := range concurrent {
@@ -179,11 +179,11 @@
 func TestStreamStallsAfterMigration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newBlackholeSite(t, 0)
-		first := s.startEngine("e1", fleet.Range{From: 0, To: 6})
-		s.startEngine("e2", fleet.Range{From: 6, To: 12})
+		first := s.startEngine("e1", fleet.LayerRange{From: 0, To: 6})
+		s.startEngine("e2", fleet.LayerRange{From: 6, To: 12})
 		running := s.stream("running")
 		time.Sleep(10 * eventInterval)
-		s.startEngine("e3", fleet.Range{From: 6, To: 12})
+		s.startEngine("e3", fleet.LayerRange{From: 6, To: 12})
 		s.network.Mute()
 		// The engines' reports lag by some hundred ms.
 		time.Sleep(600 * time.Millisecond)
--- a/relay/stall.go
+++ b/relay/stall.go
@@ -57,8 +57,8 @@
 	stalled []StalledStream
 	// unresponsive are the parts of the chain whose engines did not answer. slowest is the part
 	// with the largest slowdown.
-	unresponsive []chain.Part
-	slowest      chain.Part
+	unresponsive []chain.Stage
+	slowest      chain.Stage
 	slowdown     float64
 }
 
@@ -112,8 +112,8 @@
 			continue
 		}
 		r.decider.notify(r.lifetime, dispatch.ReportMsg{Upstream: part.ID, Report: reports[i].report.Report})
-		if reports[i].report.Pace > report.slowdown {
-			report.slowest, report.slowdown = part, reports[i].report.Pace
+		if reports[i].report.Slowdown > report.slowdown {
+			report.slowest, report.slowdown = part, reports[i].report.Slowdown
 		}
 	}
 	return report
@@ -137,7 +137,7 @@
 	case pause >= slowEngineStall && report.slowdown >= slowEngineFactor && s.events > 0 && report.slowest.Address != s.attemptAddress():
 		s.logStall("slow", report.slowest.Address, pause, report)
 		s.relay.decider.notify(s.relay.lifetime, dispatch.StalledMsg{
-			Request: s.id, Attempt: s.attempt.cmd.Attempt, At: report.slowest.Address, Slow: true,
+			Request: s.id, Attempt: s.attempt.cmd.Attempt, FaultyAddress: report.slowest.Address, Slow: true,
 		})
 	case now.Sub(s.lastUpdateAt) >= abandonAfter:
 		// The pause counts from the last update even after a migration, since that is how long
@@ -171,15 +171,15 @@
 
 // recheckAttempt handles a suspected or crashed engine in the attempt's chain. A stream that
 // still receives events is left alone; its own stall check applies if it stops.
-func (s *session) recheckAttempt(cmd dispatch.ReconsiderCmd) {
+func (s *session) recheckAttempt(cmd dispatch.RecheckAttemptCmd) {
 	if s.attempt == nil || s.attempt.cmd.Attempt != cmd.Attempt {
 		return
 	}
 	switch {
-	case cmd.Ended && cmd.At == s.attempt.cmd.Address:
+	case cmd.Crashed && cmd.SuspectedAddress == s.attempt.cmd.Address:
 		s.abandonCrashed()
-	case cmd.Ended || s.relay.clock.Now().Sub(s.quietSince) >= flowingWithin:
-		s.leaveEngine(cmd.At)
+	case cmd.Crashed || s.relay.clock.Now().Sub(s.quietSince) >= flowingWithin:
+		s.leaveEngine(cmd.SuspectedAddress)
 	}
 }
 
@@ -187,7 +187,7 @@
 // neither start nor continue.
 func (s *session) abandonCrashed() {
 	s.unanswered = true
-	s.failAttempt(dispatch.Slow, "", UpstreamStatus{}, errUpstreamCrashed)
+	s.failAttempt(dispatch.CauseNoProgress, "", UpstreamStatus{}, errUpstreamCrashed)
 }
 
 // leaveEngine asks the decider to migrate the stream off an engine, or abandons the attempt if
@@ -197,11 +197,11 @@
 		s.abandon(address, "engine_holds_it_up")
 		return
 	}
-	s.relay.decider.notify(s.relay.lifetime, dispatch.StalledMsg{Request: s.id, Attempt: s.attempt.cmd.Attempt, At: address})
+	s.relay.decider.notify(s.relay.lifetime, dispatch.StalledMsg{Request: s.id, Attempt: s.attempt.cmd.Attempt, FaultyAddress: address})
 }
 
 // migrate orders the first engine to send the stream through another chain.
-func (s *session) migrate(cmd dispatch.MoveCmd) {
+func (s *session) migrate(cmd dispatch.MigrateCmd) {
 	if s.attempt == nil || s.attempt.cmd.Attempt != cmd.Attempt {
 		return
 	}
@@ -209,15 +209,15 @@
 	address := s.attempt.cmd.Address
 	go func() {
 		result, refusedBy := s.relay.engines.Move(s.relay.lifetime, address, s.head.ID, cmd.Chain)
-		s.log.Info("move", zap.String("id", s.head.ID), zap.Stringer("away_from", cmd.Away),
+		s.log.Info("move", zap.String("id", s.head.ID), zap.Stringer("away_from", cmd.FromEngine),
 			zap.String("chain", chainText(cmd.Chain)), zap.Int("result", int(result)), zap.String("at", refusedBy))
-		s.migrationResults <- dispatch.MovedMsg{Request: s.id, Attempt: cmd.Attempt, Result: result, At: refusedBy}
+		s.migrationResults <- dispatch.MigratedMsg{Request: s.id, Attempt: cmd.Attempt, Result: result, FaultyAddress: refusedBy}
 	}()
 }
 
 // handleMigrationResult reports the result of a migration to the decider. A stream whose first
 // engine does not know it or does not respond is abandoned and resumed at another upstream.
-func (s *session) handleMigrationResult(msg dispatch.MovedMsg) {
+func (s *session) handleMigrationResult(msg dispatch.MigratedMsg) {
 	s.migrations++
 	s.relay.stats.count("moved")
 	s.relay.decider.notify(s.relay.lifetime, msg)
@@ -225,15 +225,15 @@
 		return
 	}
 	switch msg.Result {
-	case dispatch.MoveUnknownStream:
+	case dispatch.MigrationUnknownStream:
 		s.abandon("", "stream_is_unknown_there")
-	case dispatch.MoveUnanswered:
+	case dispatch.MigrationUnanswered:
 		s.abandon(s.attemptAddress(), "first_engine_is_silent")
-	case dispatch.Moved:
+	case dispatch.MigrationDone:
 		// The new engines process all tokens first, so a pause does not indicate a stall yet.
 		s.quietSince = s.relay.clock.Now()
 		s.stallTimer.Reset(migrationStall.Duration())
-	case dispatch.MoveRefused:
+	case dispatch.MigrationRefused:
 		// The decider chooses another chain.
 	}
 }
@@ -252,7 +252,7 @@
 		}
 		msg.Answered = err == nil
 		r.log.Info("probe", zap.Stringer("upstream", cmd.Upstream), zap.String("address", cmd.Address),
-			zap.Float64("pace", msg.Report.Pace), zap.Float64("free", msg.Report.Free), zap.Float64("all", msg.Report.All), logging.Err(err))
+			zap.Float64("pace", msg.Report.Slowdown), zap.Float64("free", msg.Report.FreeMemory), zap.Float64("all", msg.Report.TotalMemory), logging.Err(err))
 		r.decider.notify(r.lifetime, msg)
 	}()
 }
@@ -271,12 +271,12 @@
 // handlePresence handles the result of an identification. Another incarnation at the address
 // proves that the upstream has terminated or never ran there.
 func (r *Relay) handlePresence(upstream fleet.Incarnation, address string, presence fleet.Presence) {
-	if presence == fleet.Another {
+	if presence == fleet.Replaced {
 		r.onReplaced(upstream, address)
 	}
 }
 
-func chainText(parts []chain.Part) string {
+func chainText(parts []chain.Stage) string {
 	text := make([]byte, 0, len(parts)*chainPartTextBytes)
 	for i, p := range parts {
 		if i > 0 {
--- a/relay/upstream_restart_test.go
+++ b/relay/upstream_restart_test.go
@@ -43,7 +43,7 @@
 func restartUpstream(r *Relay, address string) {
 	var changes []fleet.Change
 	for i := range testUpstreams {
-		changes = append(changes, fleet.Change{ID: fleet.Undated(fleet.ID("u" + strconv.Itoa(i))), Gone: true, Ended: true})
+		changes = append(changes, fleet.Change{ID: fleet.IncarnationByID(fleet.ID("u" + strconv.Itoa(i))), Gone: true, Ended: true})
 	}
 	restarted := fleet.NewIncarnation("u0", 200)
 	r.UpdateFleet(append(changes, fleet.Change{ID: restarted, Upstream: fleet.Upstream{ID: restarted, Service: "desk", Address: address}}))
--- a/relay/upstream_status.go
+++ b/relay/upstream_status.go
@@ -54,11 +54,11 @@
 	}
 	if status.HasLimit {
 		r.stats.count("limits_named")
-		r.decider.notify(r.lifetime, dispatch.LimitMsg{Upstream: upstream, Rate: status.Limit})
+		r.decider.notify(r.lifetime, dispatch.AdvertisedLimitMsg{Upstream: upstream, Rate: status.Limit})
 	}
 	if status.BackOff > 0 {
 		r.stats.count("rests_asked")
-		r.decider.notify(r.lifetime, dispatch.RestMsg{Upstream: upstream, For: status.BackOff})
+		r.decider.notify(r.lifetime, dispatch.BackOffMsg{Upstream: upstream, For: status.BackOff})
 	}
 	if status.Leaving {
 		r.onLeaving(upstream)
@@ -70,6 +70,6 @@
 // advertised one. sentAt is the time at which the request was sent.
 func (r *Relay) handleNoLimit(upstream fleet.Incarnation, sentAt clock.Millis) {
 	if r.upstreams.get(upstream).endsLimit(sentAt) {
-		r.decider.notify(r.lifetime, dispatch.NoLimitMsg{Upstream: upstream, Sent: sentAt})
+		r.decider.notify(r.lifetime, dispatch.NoAdvertisedLimitMsg{Upstream: upstream, SentAt: sentAt})
 	}
 }
--- a/sizing/fleet.go
+++ b/sizing/fleet.go
@@ -83,11 +83,11 @@
 	set.Float("model", "sequence_ms", &p.SequenceMS, 0, mostNumber, settings.WithDefault("0"))
 	set.Float("model", "context_ms", &p.ContextMS, 0, mostNumber, settings.WithDefault("0"))
 	set.Float("model", "read_tokens_in_ms", &p.ReadRate, 0, mostNumber, settings.Required())
-	set.Float("model", "read_in_pass", &p.ReadInPass, 0, mostNumber, settings.WithDefault("0"))
-	set.Float("model", "steps_in_pass", &p.StepsInPass, 1, mostNumber, settings.WithDefault("1"))
+	set.Float("model", "read_in_pass", &p.PromptTokensPerPass, 0, mostNumber, settings.WithDefault("0"))
+	set.Float("model", "steps_in_pass", &p.StepsPerPass, 1, mostNumber, settings.WithDefault("1"))
 	set.Float("model", "load_ms", &p.LoadMS, 0, mostNumber, settings.Required())
-	set.Float("model", "prompt_tokens", &p.UsualPrompt, 0, mostNumber, settings.Required())
-	set.Float("model", "answer_tokens", &p.UsualAnswer, 0, mostNumber, settings.Required())
+	set.Float("model", "prompt_tokens", &p.MeanPromptTokens, 0, mostNumber, settings.Required())
+	set.Float("model", "answer_tokens", &p.MeanAnswerTokens, 0, mostNumber, settings.Required())
 	set.Map("accelerators", kinds)
 	set.Map("engines", centres)
 	return func() error { return errors.CombineErrors(f.readKinds(kinds), f.readEngines(centres)) }
@@ -99,7 +99,7 @@
 	f.pipeline.Accelerators = make(map[string]catalog.Accelerator)
 	for name, text := range kinds {
 		a := catalog.Accelerator{Name: name}
-		if _, err := fmt.Sscan(text, &a.MB, &a.StepFactor, &a.ReadFactor); err != nil || a.MB <= 0 || a.StepFactor <= 0 || a.ReadFactor <= 0 {
+		if _, err := fmt.Sscan(text, &a.MemoryMB, &a.StepFactor, &a.ReadFactor); err != nil || a.MemoryMB <= 0 || a.StepFactor <= 0 || a.ReadFactor <= 0 {
 			return errors.Wrapf(ErrFleet, "[accelerators] %s = %q: write its memory in MB, its factor on a step and its factor on reading, as in 72000 2.4 3.2", name, text)
 		}
 		f.pipeline.Accelerators[name] = a
@@ -138,8 +138,8 @@
 		a := f.pipeline.Accelerators[kind]
 		for i := range n {
 			list = append(list, placement.Engine{
-				ID: fleet.Undated(fleet.ID(fmt.Sprintf("%s-%s-%d", centre, kind, i+1))), DataCentre: centre,
-				Most: f.pipeline.MostLayers(a), Memory: f.pipeline.LayersOf(a),
+				ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("%s-%s-%d", centre, kind, i+1))), DataCentre: centre,
+				MaxLayers: f.pipeline.MaxLayers(a), MemoryLayers: f.pipeline.MemoryInLayers(a),
 				LayerTime: f.pipeline.StepTime(a, 1), ReadTime: f.pipeline.ReadTime(a, 1),
 			})
 		}
--- a/sizing/report.go
+++ b/sizing/report.go
@@ -22,10 +22,10 @@
 
 // outlook returns a data centre's outlook, with one more engine of a kind; extra may
 // be empty.
-func (f *Fleet) outlook(centre, extra string) placement.Outlook {
-	list := placement.Outlooks(placement.ShapeOf(&f.pipeline), f.list(centre, extra))
+func (f *Fleet) outlook(centre, extra string) placement.Forecast {
+	list := placement.Forecasts(placement.ShapeOf(&f.pipeline), f.list(centre, extra))
 	if len(list) == 0 {
-		return placement.Outlook{DataCentre: centre, Missing: f.pipeline.Layers}
+		return placement.Forecast{DataCentre: centre, Missing: f.pipeline.Layers}
 	}
 	return list[0]
 }
@@ -41,7 +41,7 @@
 		if o.Missing > 0 {
 			_, err = fmt.Fprintf(w, "%s\t%d\tnone: %d layers fit nowhere\t\t\n", centre, o.Engines, o.Missing)
 		} else {
-			_, err = fmt.Fprintf(w, "%s\t%d\t%.1f\t%.0f\t%d ms\n", centre, o.Engines, o.Rate, o.AtOnce, o.Lasts)
+			_, err = fmt.Fprintf(w, "%s\t%d\t%.1f\t%.0f\t%d ms\n", centre, o.Engines, o.Rate, o.Concurrent, o.Duration)
 		}
 		if err != nil {
 			return err
@@ -57,10 +57,10 @@
 	}
 	for _, centre := range f.centres() {
 		o := f.outlook(centre, "")
-		if o.Worst.IsZero() {
+		if o.WorstCrash.IsZero() {
 			continue
 		}
-		if _, err := fmt.Fprintf(w, "%s\t%s\t%d\t%.0f%%\t%d ms\n", centre, o.Worst, o.Alone, o.Left*percent, o.Replaced); err != nil {
+		if _, err := fmt.Fprintf(w, "%s\t%s\t%d\t%.0f%%\t%d ms\n", centre, o.WorstCrash, o.SoleLayers, o.RemainingShare*percent, o.ReplacementTime); err != nil {
 			return err
 		}
 	}
--- a/standin/chain_engine.go
+++ b/standin/chain_engine.go
@@ -47,7 +47,7 @@
 	yard *Yard
 
 	mu      sync.Mutex
-	held    fleet.Range
+	held    fleet.LayerRange
 	loading bool
 	orders  uint64
 	streams map[string]*engineStream
@@ -73,7 +73,7 @@
 // enginePart is a stage as the chain's header names it.
 type enginePart struct {
 	address string
-	layers  fleet.Range
+	layers  fleet.LayerRange
 }
 
 // NewChainEngine returns an empty engine.
@@ -136,7 +136,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (e *ChainEngine) holds(r fleet.Range) bool {
+func (e *ChainEngine) holds(r fleet.LayerRange) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return !r.Empty() && e.held.Covers(r)
@@ -233,9 +233,9 @@
 	return parts
 }
 
-func parseRange(text string) fleet.Range {
+func parseRange(text string) fleet.LayerRange {
 	from, to, _ := strings.Cut(text, "-")
-	var r fleet.Range
+	var r fleet.LayerRange
 	// What is no number leaves an empty range, which no engine holds.
 	r.From, _ = strconv.Atoi(from)
 	r.To, _ = strconv.Atoi(to)
--- a/standin/chain_engine_order.go
+++ b/standin/chain_engine_order.go
@@ -66,13 +66,13 @@
 	default:
 		e.orders++
 		e.loading = true
-		e.held = fleet.Range{}
-		time.AfterFunc(e.model.load(int(*o.To)-int(*o.From)), func() { e.loaded(fleet.Range{From: int(*o.From), To: int(*o.To)}) })
+		e.held = fleet.LayerRange{}
+		time.AfterFunc(e.model.load(int(*o.To)-int(*o.From)), func() { e.loaded(fleet.LayerRange{From: int(*o.From), To: int(*o.To)}) })
 		w.WriteHeader(http.StatusAccepted)
 	}
 }
 
-func (e *ChainEngine) loaded(r fleet.Range) {
+func (e *ChainEngine) loaded(r fleet.LayerRange) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.held, e.loading = r, false
--- a/standin/deployment_config.go
+++ b/standin/deployment_config.go
@@ -64,11 +64,11 @@
 	e := &platformpb.Engine{
 		Slots: float64(s.Slots), KvTokenBytes: p.TokenBytes, StepMs: p.StepMS, PerSequenceMs: p.SequenceMS, ContextMsPerK: p.ContextMS,
 		ReadPerSecond: p.ReadRate * perSecond, LoadsAtOnce: float64(s.LoadsAtOnce), Layers: float64(p.Layers), LayerMb: p.LayerMB,
-		Stride: p.StepsInPass, Chunk: p.ReadInPass, Usual: &platformpb.Usual{Prompt: p.UsualPrompt, Answer: p.UsualAnswer},
+		Stride: p.StepsPerPass, Chunk: p.PromptTokensPerPass, Usual: &platformpb.Usual{Prompt: p.MeanPromptTokens, Answer: p.MeanAnswerTokens},
 		Models: []*platformpb.ModelOption{{Name: "m", LoadSeconds: p.LoadMS / perSecond}},
 	}
 	for name, a := range p.Accelerators {
-		e.Kinds = append(e.Kinds, &platformpb.Kind{Name: name, Mb: a.MB, StepFactor: a.StepFactor, ReadFactor: a.ReadFactor})
+		e.Kinds = append(e.Kinds, &platformpb.Kind{Name: name, Mb: a.MemoryMB, StepFactor: a.StepFactor, ReadFactor: a.ReadFactor})
 	}
 	return e
 }
--- a/standin/engine_model.go
+++ b/standin/engine_model.go
@@ -65,7 +65,9 @@
 	return millis(m.Pipeline.LoadMS * float64(layers) / float64(m.Pipeline.Layers))
 }
 
-func (m *PipelineModel) room(layers int) float64 { return m.Pipeline.Room(m.Accelerator, layers) }
+func (m *PipelineModel) room(layers int) float64 {
+	return m.Pipeline.RequestMemory(m.Accelerator, layers)
+}
 
 // answerHeld is the part of an answer that a stream takes memory for, on average while it lasts.
 const answerHeld = 0.5
@@ -84,7 +86,7 @@
 }
 
 func (m *PipelineModel) step(layers, streams int) time.Duration {
-	batch := 1 + m.Pipeline.Pass().Slowdown*float64(streams)
+	batch := 1 + m.Pipeline.Pass().StreamSlowdown*float64(streams)
 	return millis(m.Pipeline.StepTime(m.Accelerator, layers) * batch * float64(m.EventTokens))
 }
 
--- a/standin/report_test.go
+++ b/standin/report_test.go
@@ -23,8 +23,8 @@
 	t.Cleanup(server.Close)
 	engines := platform.NewEngines()
 	t.Cleanup(engines.Close)
-	address, run := server.Listener.Addr().String(), fleet.Undated("e1")
-	if _, err := engines.Place(context.Background(), address, run, fleet.Range{To: 4}, 0); err != nil {
+	address, run := server.Listener.Addr().String(), fleet.IncarnationByID("e1")
+	if _, err := engines.Place(context.Background(), address, run, fleet.LayerRange{To: 4}, 0); err != nil {
 		t.Fatal(err)
 	}
 	state, err := engines.State(context.Background(), address, run)
@@ -32,11 +32,11 @@
 		time.Sleep(loadTime / 10)
 		state, err = engines.State(context.Background(), address, run)
 	}
-	want := placer.State{OrdersTaken: 1, Held: fleet.Range{To: 4}}
+	want := placer.State{OrdersTaken: 1, Held: fleet.LayerRange{To: 4}}
 	if err != nil || state != want {
 		t.Errorf("got %+v, %v after an order, want %+v", state, err, want)
 	}
-	if _, err := engines.Place(context.Background(), address, run, fleet.Range{From: 2, To: 6}, 0); err == nil {
+	if _, err := engines.Place(context.Background(), address, run, fleet.LayerRange{From: 2, To: 6}, 0); err == nil {
 		t.Error("got an order taken that names an older count, want it refused")
 	}
 }
--- a/usage/gathering.go
+++ b/usage/gathering.go
@@ -6,65 +6,65 @@
 	"time"
 )
 
-// gatherFor is for how long news is gathered for one datagram. Many engines are lost at
+// batchDelay is for how long news is gathered for one datagram. Many engines are lost at
 // the same moment, and all nodes find them out within a probe's time; as many are ordered
 // at once at a start. A datagram for each would keep the smallest VMs busy for seconds.
-const gatherFor = 30 * time.Millisecond
+const batchDelay = 30 * time.Millisecond
 
-// gathering gathers news for a moment. It is safe for concurrent use.
-type gathering[T comparable] struct {
-	tell func([]T)
-	// atOnce tells that the first of some news is told at once, and only what follows
+// batcher gathers news for a moment. It is safe for concurrent use.
+type batcher[T comparable] struct {
+	send func([]T)
+	// sendFirstAtOnce tells that the first of some news is told at once, and only what follows
 	// within a moment is gathered.
-	atOnce bool
-	mu     sync.Mutex
-	news   []T
-	// gathers tells that a moment is under way.
-	gathers bool
+	sendFirstAtOnce bool
+	mu              sync.Mutex
+	items           []T
+	// pending tells that a moment is under way.
+	pending bool
 }
 
-func newGathering[T comparable](tell func([]T)) *gathering[T] { return &gathering[T]{tell: tell} }
+func newBatcher[T comparable](tell func([]T)) *batcher[T] { return &batcher[T]{send: tell} }
 
-// newGatheringAtOnce returns a gathering that tells the first news at once.
-func newGatheringAtOnce[T comparable](tell func([]T)) *gathering[T] {
-	return &gathering[T]{tell: tell, atOnce: true}
+// newImmediateBatcher returns a gathering that tells the first news at once.
+func newImmediateBatcher[T comparable](tell func([]T)) *batcher[T] {
+	return &batcher[T]{send: tell, sendFirstAtOnce: true}
 }
 
 // add adds news, which is told with that of the same moment.
-func (g *gathering[T]) add(news T) {
+func (g *batcher[T]) add(news T) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if slices.Contains(g.news, news) {
+	if slices.Contains(g.items, news) {
 		return
 	}
-	g.news = append(g.news, news)
-	if g.gathers {
+	g.items = append(g.items, news)
+	if g.pending {
 		return
 	}
-	g.gathers = true
-	if g.atOnce {
+	g.pending = true
+	if g.sendFirstAtOnce {
 		go g.flush()
 	} else {
-		time.AfterFunc(gatherFor, g.flush)
+		time.AfterFunc(batchDelay, g.flush)
 	}
 }
 
 // flush tells what has been gathered.
-func (g *gathering[T]) flush() {
+func (g *batcher[T]) flush() {
 	if news := g.take(); len(news) > 0 {
-		g.tell(news)
+		g.send(news)
 	}
 }
 
 // take ends a moment, and begins the next one where it may bring news that waits.
-func (g *gathering[T]) take() []T {
+func (g *batcher[T]) take() []T {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	news := g.news
-	g.news = nil
-	g.gathers = g.atOnce && len(news) > 0
-	if g.gathers {
-		time.AfterFunc(gatherFor, g.flush)
+	news := g.items
+	g.items = nil
+	g.pending = g.sendFirstAtOnce && len(news) > 0
+	if g.pending {
+		time.AfterFunc(batchDelay, g.flush)
 	}
 	return news
 }
--- a/usage/gathering_test.go
+++ b/usage/gathering_test.go
@@ -13,11 +13,11 @@
 func TestNewsOfAMomentIsToldTogether(t *testing.T) {
 	tests := []struct {
 		name   string
-		make   func(tell func([]int)) *gathering[int]
+		make   func(tell func([]int)) *batcher[int]
 		counts []int
 	}{
-		{"gathered first", newGathering[int], []int{40, 1}},
-		{"first at once", newGatheringAtOnce[int], []int{1, 39, 1}},
+		{"gathered first", newBatcher[int], []int{40, 1}},
+		{"first at once", newImmediateBatcher[int], []int{1, 39, 1}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/usage/placed.go
+++ b/usage/placed.go
@@ -10,44 +10,44 @@
 )
 
 const (
-	// placedTimes is how often an order is told, and placedEvery the pause
+	// placementSends is how often an order is told, and placementInterval the pause
 	// between: a datagram in thirty is lost on a bad link.
-	placedTimes = 3
-	placedEvery = 100 * time.Millisecond
-	// placedTogether is how many orders a datagram tells at the most. One takes some 25
+	placementSends    = 3
+	placementInterval = 100 * time.Millisecond
+	// placementsPerDatagram is how many orders a datagram tells at the most. One takes some 25
 	// bytes, and so they fit into a packet.
-	placedTogether = 50
+	placementsPerDatagram = 50
 )
 
-// placed is an order that an engine has taken or, with holds, carried out.
-type placed struct {
+// placement is an order that an engine has taken or, with holds, carried out.
+type placement struct {
 	upstream fleet.Incarnation
-	layers   fleet.Range
-	holds    bool
+	layers   fleet.LayerRange
+	loaded   bool
 }
 
-// Placed tells peers of an order that an engine has taken or, with holds,
+// SendPlacement tells peers of an order that an engine has taken or, with holds,
 // carried out. It does not wait for that.
-func (s *Sharing) Placed(upstream fleet.Incarnation, layers fleet.Range, holds bool) {
-	s.placed.add(placed{upstream: upstream, layers: layers, holds: holds})
+func (s *Exchange) SendPlacement(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool) {
+	s.placements.add(placement{upstream: upstream, layers: layers, loaded: holds})
 }
 
-func (s *Sharing) tellPlaced(orders []placed) {
+func (s *Exchange) sendPlacements(orders []placement) {
 	var msgs []*wire.Usage
-	for some := range slices.Chunk(orders, placedTogether) {
+	for some := range slices.Chunk(orders, placementsPerDatagram) {
 		msg := &wire.Usage{From: s.self}
 		for _, o := range some {
 			id, born := fleetwire.IncarnationFields(o.upstream)
 			msg.Placed = append(msg.Placed, &wire.PlacedEngine{
-				Id: id, Born: born, From: int32(o.layers.From), To: int32(o.layers.To), Holds: o.holds,
+				Id: id, Born: born, From: int32(o.layers.From), To: int32(o.layers.To), Holds: o.loaded,
 			})
 		}
 		msgs = append(msgs, msg)
 	}
-	for range placedTimes {
+	for range placementSends {
 		for _, msg := range msgs {
-			s.send(msg, s.routes.Load().orders)
+			s.send(msg, s.recipients.Load().placements)
 		}
-		time.Sleep(placedEvery)
+		time.Sleep(placementInterval)
 	}
 }
--- a/usage/recent.go
+++ b/usage/recent.go
@@ -8,46 +8,46 @@
 )
 
 const (
-	// recentFor is for how long nodes that become known are told what was lost before: when
+	// recentCrashTTL is for how long nodes that become known are told what was lost before: when
 	// all nodes start together, they know each other after 2.5 s.
-	recentFor clock.Millis = 4000
-	// mostRecent bounds that.
-	mostRecent = 2 * triedTogether
+	recentCrashTTL clock.Millis = 4000
+	// maxRecentCrashes bounds that.
+	maxRecentCrashes = 2 * outcomesPerDatagram
 )
 
-// recent is what was told a moment ago. It is safe for concurrent use.
-type recent struct {
-	mu   sync.Mutex
-	told []recentlyTried
+// crashLog is what was told a moment ago. It is safe for concurrent use.
+type crashLog struct {
+	mu      sync.Mutex
+	crashes []recentCrash
 }
 
-type recentlyTried struct {
-	tried
+type recentCrash struct {
+	outcome
 	at clock.Millis
 }
 
-// note adds what is told now.
-func (r *recent) note(now clock.Millis, t tried) {
+// record adds what is told now.
+func (r *crashLog) record(now clock.Millis, t outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.expire(now)
-	if len(r.told) < mostRecent {
-		r.told = append(r.told, recentlyTried{tried: t, at: now})
+	if len(r.crashes) < maxRecentCrashes {
+		r.crashes = append(r.crashes, recentCrash{outcome: t, at: now})
 	}
 }
 
-// list returns what was told within recentFor.
-func (r *recent) list(now clock.Millis) []tried {
+// list returns what was told within recentCrashTTL.
+func (r *crashLog) list(now clock.Millis) []outcome {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.expire(now)
-	var list []tried
-	for _, t := range r.told {
-		list = append(list, t.tried)
+	var list []outcome
+	for _, t := range r.crashes {
+		list = append(list, t.outcome)
 	}
 	return list
 }
 
-func (r *recent) expire(now clock.Millis) {
-	r.told = slices.DeleteFunc(r.told, func(t recentlyTried) bool { return now > t.at.Add(recentFor) })
+func (r *crashLog) expire(now clock.Millis) {
+	r.crashes = slices.DeleteFunc(r.crashes, func(t recentCrash) bool { return now > t.at.Add(recentCrashTTL) })
 }
--- a/usage/silent.go
+++ b/usage/silent.go
@@ -8,20 +8,20 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// tellAgain is when a datagram on silent engines is repeated: one in thirty is
+// unresponsiveResendDelay is when a datagram on silent engines is repeated: one in thirty is
 // lost on a bad link, and each node finds out by itself a little later.
-const tellAgain = 50 * time.Millisecond
+const unresponsiveResendDelay = 50 * time.Millisecond
 
 // Silent tells peers soon that this node has found an engine silent.
-func (s *Sharing) Silent(upstream fleet.Incarnation) { s.silent.add(upstream) }
+func (s *Exchange) Silent(upstream fleet.Incarnation) { s.unresponsive.add(upstream) }
 
-func (s *Sharing) tellSilent(upstreams []fleet.Incarnation) {
+func (s *Exchange) sendUnresponsive(upstreams []fleet.Incarnation) {
 	msg := &wire.Usage{From: s.self}
 	for _, u := range upstreams {
 		id, born := fleetwire.IncarnationFields(u)
 		msg.Silent = append(msg.Silent, &wire.Incarnation{Id: id, Born: born})
 	}
-	s.send(msg, s.routes.Load().silences)
-	time.Sleep(tellAgain)
-	s.send(msg, s.routes.Load().silences)
+	s.send(msg, s.recipients.Load().unresponsive)
+	time.Sleep(unresponsiveResendDelay)
+	s.send(msg, s.recipients.Load().unresponsive)
 }
--- a/usage/tried.go
+++ b/usage/tried.go
@@ -15,54 +15,54 @@
 )
 
 const (
-	// triedTogether is how many requests a datagram tells of at the most. One takes some 45
+	// outcomesPerDatagram is how many requests a datagram tells of at the most. One takes some 45
 	// bytes, and so they fit into a packet.
-	triedTogether = 28
-	// mostTried bounds what is told of one moment. An upstream that ends has some ten
+	outcomesPerDatagram = 28
+	// maxOutcomes bounds what is told of one moment. An upstream that ends has some ten
 	// requests that have just begun; of more, each node learns by what it loses itself.
-	mostTried = 10 * triedTogether
+	maxOutcomes = 10 * outcomesPerDatagram
 )
 
-// errNoWork is why a datagram is not read that should name a request's work.
-var errNoWork = errors.New("usage: no name of a work")
+// errMissingWorkID is why a datagram is not read that should name a request's work.
+var errMissingWorkID = errors.New("usage: no name of a work")
 
-// tried is what has become of a request: it was lost at an upstream that has ended, or,
+// outcome is what has become of a request: it was lost at an upstream that has ended, or,
 // without one, answered.
-type tried struct {
+type outcome struct {
 	work     work.ID
 	upstream fleet.Incarnation
 }
 
-// Lost tells all peers soon of a request that this node has lost at an upstream that has
+// SendCrash tells all peers soon of a request that this node has lost at an upstream that has
 // ended.
-func (s *Sharing) Lost(id work.ID, upstream fleet.Incarnation) {
-	t := tried{work: id, upstream: upstream}
-	s.recent.note(s.clock.Now(), t)
-	s.works.add(t)
+func (s *Exchange) SendCrash(id work.ID, upstream fleet.Incarnation) {
+	t := outcome{work: id, upstream: upstream}
+	s.recentCrashes.record(s.clock.Now(), t)
+	s.outcomes.add(t)
 }
 
-// Answered tells all peers soon of a request under suspicion that an upstream has answered.
-func (s *Sharing) Answered(id work.ID) { s.works.add(tried{work: id}) }
+// SendAnswered tells all peers soon of a request under suspicion that an upstream has answered.
+func (s *Exchange) SendAnswered(id work.ID) { s.outcomes.add(outcome{work: id}) }
 
-// tellTried tells it as often as an order is told.
-func (s *Sharing) tellTried(news []tried) {
-	if len(news) > mostTried {
-		s.log.Warn("not_all_told", zap.Int("requests", len(news)), zap.Int("told", mostTried))
-		news = news[:mostTried]
+// sendOutcomes tells it as often as an order is told.
+func (s *Exchange) sendOutcomes(news []outcome) {
+	if len(news) > maxOutcomes {
+		s.log.Warn("not_all_told", zap.Int("requests", len(news)), zap.Int("told", maxOutcomes))
+		news = news[:maxOutcomes]
 	}
 	var msgs []*wire.Usage
-	for some := range slices.Chunk(news, triedTogether) {
-		msgs = append(msgs, s.triedMessage(some))
+	for some := range slices.Chunk(news, outcomesPerDatagram) {
+		msgs = append(msgs, s.outcomeMessage(some))
 	}
-	for range placedTimes {
+	for range placementSends {
 		for _, msg := range msgs {
-			s.send(msg, s.routes.Load().works)
+			s.send(msg, s.recipients.Load().outcomes)
 		}
-		time.Sleep(placedEvery)
+		time.Sleep(placementInterval)
 	}
 }
 
-func (s *Sharing) triedMessage(news []tried) *wire.Usage {
+func (s *Exchange) outcomeMessage(news []outcome) *wire.Usage {
 	msg := &wire.Usage{From: s.self}
 	for _, n := range news {
 		if n.upstream.IsZero() {
@@ -75,20 +75,20 @@
 	return msg
 }
 
-// takeTried takes what another node has told of requests.
-func (s *Sharing) takeTried(msg *wire.Usage) {
+// receiveOutcomes takes what another node has told of requests.
+func (s *Exchange) receiveOutcomes(msg *wire.Usage) {
 	for _, l := range msg.GetLost() {
 		if id, ok := work.FromBytes(l.GetWork()); ok {
 			s.listener.HearLost(id, fleetwire.IncarnationOf(l))
 			continue
 		}
-		s.log.Debug("usage_unreadable", logging.Err(errNoWork))
+		s.log.Debug("usage_unreadable", logging.Err(errMissingWorkID))
 	}
 	for _, raw := range msg.GetAnswered() {
 		if id, ok := work.FromBytes(raw); ok {
 			s.listener.HearAnswered(id)
 			continue
 		}
-		s.log.Debug("usage_unreadable", logging.Err(errNoWork))
+		s.log.Debug("usage_unreadable", logging.Err(errMissingWorkID))
 	}
 }
--- a/usage/tried_test.go
+++ b/usage/tried_test.go
@@ -14,16 +14,16 @@
 	far, farHeard := newNode(t, "c")
 	teller.SetPeers([]string{near.Address()}, []string{far.Address()})
 	lost, answered := work.ID{}.ForAccount("lost"), work.ID{}.ForAccount("answered")
-	teller.Lost(lost, fleet.NewIncarnation("e1", 17))
+	teller.SendCrash(lost, fleet.NewIncarnation("e1", 17))
 	for _, heard := range []inbox{nearHeard, farHeard} {
-		if got, want := <-heard, "e1@17"; got.lost != lost || got.from != want {
+		if got, want := <-heard, "e1@17"; got.crashed != lost || got.from != want {
 			t.Errorf("got %+v, want a loss at %s", got, want)
 		}
 	}
-	teller.Answered(answered)
+	teller.SendAnswered(answered)
 	for _, heard := range []inbox{nearHeard, farHeard} {
 		got := <-heard
-		for got.lost == lost {
+		for got.crashed == lost {
 			// A loss is told more than once.
 			got = <-heard
 		}
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -33,41 +33,41 @@
 // hundreds fit.
 const maxDatagram = 16 << 10
 
-// Sharing sends and receives usage.
-type Sharing struct {
+// Exchange sends and receives usage.
+type Exchange struct {
 	self *wire.Member
 	conn net.PacketConn
 	log  *zap.Logger
 	// followable tells whether other nodes may follow this one.
 	followable func() bool
 	listener   Listener
-	// silent gathers the engines that near peers are to be told of, and placed the
+	// unresponsive gathers the engines that near peers are to be told of, and placed the
 	// orders that all are.
-	silent *gathering[fleet.Incarnation]
-	placed *gathering[placed]
-	// works gathers what has become of requests under suspicion, for all.
-	works *gathering[tried]
-	// recent is what was told of requests a moment ago, for nodes that become known.
-	recent recent
-	clock  *clock.Clock
+	unresponsive *batcher[fleet.Incarnation]
+	placements   *batcher[placement]
+	// outcomes gathers what has become of requests under suspicion, for all.
+	outcomes *batcher[outcome]
+	// recentCrashes is what was told of requests a moment ago, for nodes that become known.
+	recentCrashes crashLog
+	clock         *clock.Clock
 	// quarantine stands for all that this node knows to be quarantined.
 	quarantine func() uint64
-	// routes are whom this node tells, and shares counts how often it has told what it has
+	// recipients are whom this node tells, and shares counts how often it has told what it has
 	// in use.
-	routes atomic.Pointer[routes]
-	shares int
-	// named are the addresses of the nodes that are known, by their names, and askers those of
+	recipients atomic.Pointer[recipients]
+	usageSends int
+	// addresses are the addresses of the nodes that are known, by their names, and askers those of
 	// others that have asked for permits.
-	named  atomic.Pointer[map[string]net.Addr]
-	askers *lru.Cache[string, net.Addr]
+	addresses        atomic.Pointer[map[string]net.Addr]
+	permitRequesters *lru.Cache[string, net.Addr]
 }
 
 // Listener takes what other nodes tell.
 type Listener interface {
 	// HearUse takes what a node has in use, and whether it may be followed.
-	HearUse(from *wire.Member, msg Msg)
+	HearUse(from *wire.Member, msg Report)
 	// HearPlaced takes an order that an engine has taken or, with holds, carried out.
-	HearPlaced(upstream fleet.Incarnation, layers fleet.Range, holds bool)
+	HearPlaced(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool)
 	// HearSilent takes an engine that a node has found silent.
 	HearSilent(from *wire.Member, upstream fleet.Incarnation)
 	// HearLost takes a request that a node has lost at an upstream that has ended.
@@ -80,10 +80,10 @@
 	HearAnswered(id work.ID)
 }
 
-// Msg is what a node tells of engines' memory.
-type Msg struct {
+// Report is what a node tells of engines' memory.
+type Report struct {
 	// Used is what is in use by engine.
-	Used map[fleet.Incarnation]fleet.Use
+	Used map[fleet.Incarnation]fleet.EngineUsage
 	// Limits are what the sender knows of the limits that upstreams name.
 	Limits map[fleet.Incarnation]limit.Named
 	// Total tells that all nodes of the sender's data centre have it in use, and Whole that
@@ -98,35 +98,35 @@
 	// Followable tells whether other nodes may follow the sender in place of the
 	// store.
 	Followable bool
-	// Quarantine stands for all that the sender knows to be quarantined.
-	Quarantine uint64
+	// QuarantineDigest stands for all that the sender knows to be quarantined.
+	QuarantineDigest uint64
 }
 
 // Option sets up a Sharing.
-type Option func(*Sharing)
+type Option func(*Exchange)
 
 // WithQuarantine sets who tells what this node knows to be quarantined, as one number.
 func WithQuarantine(digest func() uint64) Option {
-	return func(s *Sharing) { s.quarantine = digest }
+	return func(s *Exchange) { s.quarantine = digest }
 }
 
 // WithClock sets the node's clock.
-func WithClock(c *clock.Clock) Option { return func(s *Sharing) { s.clock = c } }
+func WithClock(c *clock.Clock) Option { return func(s *Exchange) { s.clock = c } }
 
 // New binds an address for a node. Followable tells whether other nodes may follow
 // this one in place of the store; the listener takes what they tell.
-func New(ctx context.Context, self *wire.Member, address string, log *zap.Logger, followable func() bool, listener Listener, opts ...Option) (*Sharing, error) {
+func New(ctx context.Context, self *wire.Member, address string, log *zap.Logger, followable func() bool, listener Listener, opts ...Option) (*Exchange, error) {
 	var config net.ListenConfig
 	conn, err := config.ListenPacket(ctx, "udp", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "usage: cannot listen at %s", address)
 	}
-	s := &Sharing{self: self, conn: conn, log: log, followable: followable, listener: listener, quarantine: func() uint64 { return 0 }, clock: clock.New()}
-	s.routes.Store(&routes{})
-	if s.askers, err = lru.New[string, net.Addr](mostAskers); err != nil {
+	s := &Exchange{self: self, conn: conn, log: log, followable: followable, listener: listener, quarantine: func() uint64 { return 0 }, clock: clock.New()}
+	s.recipients.Store(&recipients{})
+	if s.permitRequesters, err = lru.New[string, net.Addr](maxPermitRequesters); err != nil {
 		return nil, errors.Wrap(err, "usage")
 	}
-	s.silent, s.placed, s.works = newGathering(s.tellSilent), newGatheringAtOnce(s.tellPlaced), newGatheringAtOnce(s.tellTried)
+	s.unresponsive, s.placements, s.outcomes = newBatcher(s.sendUnresponsive), newImmediateBatcher(s.sendPlacements), newImmediateBatcher(s.sendOutcomes)
 	for _, opt := range opts {
 		opt(s)
 	}
@@ -134,39 +134,39 @@
 }
 
 // Address returns where the node takes datagrams.
-func (s *Sharing) Address() string { return s.conn.LocalAddr().String() }
+func (s *Exchange) Address() string { return s.conn.LocalAddr().String() }
 
-// Share tells peers what this node has in use, and what it knows of limits. It is not safe for
+// SendUsage tells peers what this node has in use, and what it knows of limits. It is not safe for
 // concurrent use with itself.
-func (s *Sharing) Share(used map[fleet.Incarnation]fleet.Use, limits map[fleet.Incarnation]limit.Named) {
-	s.send(&wire.Usage{From: s.self, Followable: s.followable(), Engines: engineUse(used), Quarantine: s.quarantine(), Limits: s.limitsKnown(limits)}, s.useTold())
+func (s *Exchange) SendUsage(used map[fleet.Incarnation]fleet.EngineUsage, limits map[fleet.Incarnation]limit.Named) {
+	s.send(&wire.Usage{From: s.self, Followable: s.followable(), Engines: encodeEngines(used), Quarantine: s.quarantine(), Limits: s.encodeLimits(limits)}, s.usageRecipients())
 }
 
-// ShareTotal tells peers in other data centres what the nodes of this one's have in use.
-func (s *Sharing) ShareTotal(total map[fleet.Incarnation]fleet.Use, nodes int, limits map[fleet.Incarnation]limit.Named) {
-	s.send(&wire.Usage{From: s.self, Total: true, Nodes: uint32(nodes), Engines: engineUse(total), Quarantine: s.quarantine(), Limits: s.limitsKnown(limits)}, s.routes.Load().total)
+// SendDataCentreTotal tells peers in other data centres what the nodes of this one's have in use.
+func (s *Exchange) SendDataCentreTotal(total map[fleet.Incarnation]fleet.EngineUsage, nodes int, limits map[fleet.Incarnation]limit.Named) {
+	s.send(&wire.Usage{From: s.self, Total: true, Nodes: uint32(nodes), Engines: encodeEngines(total), Quarantine: s.quarantine(), Limits: s.encodeLimits(limits)}, s.recipients.Load().dataCentreTotal)
 }
 
-// ShareWhole tells the leaves of a hub what all nodes have in use that it knows of, in other
+// SendAllNodes tells the leaves of a hub what all nodes have in use that it knows of, in other
 // data centres those that it has heard of.
-func (s *Sharing) ShareWhole(whole map[fleet.Incarnation]fleet.Use, heardOf []string, nodes int, limits map[fleet.Incarnation]limit.Named) {
-	s.tellLeaves(&wire.Usage{Whole: true, Nodes: uint32(nodes), HeardOf: heardOf, Engines: engineUse(whole), Limits: s.limitsKnown(limits)})
+func (s *Exchange) SendAllNodes(whole map[fleet.Incarnation]fleet.EngineUsage, heardOf []string, nodes int, limits map[fleet.Incarnation]limit.Named) {
+	s.sendToLeaves(&wire.Usage{Whole: true, Nodes: uint32(nodes), HeardOf: heardOf, Engines: encodeEngines(whole), Limits: s.encodeLimits(limits)})
 }
 
-// ShareLife tells the leaves of a hub that it is there.
-func (s *Sharing) ShareLife() { s.tellLeaves(&wire.Usage{}) }
+// SendHeartbeat tells the leaves of a hub that it is there.
+func (s *Exchange) SendHeartbeat() { s.sendToLeaves(&wire.Usage{}) }
 
-// tellLeaves adds what a hub tells in any case.
-func (s *Sharing) tellLeaves(msg *wire.Usage) {
-	to := s.routes.Load()
+// sendToLeaves adds what a hub tells in any case.
+func (s *Exchange) sendToLeaves(msg *wire.Usage) {
+	to := s.recipients.Load()
 	msg.From, msg.Followable, msg.Quarantine = s.self, s.followable(), s.quarantine()
-	if s.shares%hubsEvery == 0 {
+	if s.usageSends%hubsEvery == 0 {
 		msg.Hubs = to.hubs
 	}
 	s.send(msg, to.leaves)
 }
 
-func engineUse(used map[fleet.Incarnation]fleet.Use) []*wire.EngineUse {
+func encodeEngines(used map[fleet.Incarnation]fleet.EngineUsage) []*wire.EngineUse {
 	list := make([]*wire.EngineUse, 0, len(used))
 	for engine, use := range used {
 		id, born := fleetwire.IncarnationFields(engine)
@@ -175,7 +175,7 @@
 	return list
 }
 
-func (s *Sharing) send(msg *wire.Usage, peers []net.Addr) {
+func (s *Exchange) send(msg *wire.Usage, peers []net.Addr) {
 	if len(peers) == 0 {
 		return
 	}
@@ -192,7 +192,7 @@
 }
 
 // Run receives until the context ends.
-func (s *Sharing) Run(ctx context.Context) error {
+func (s *Exchange) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.conn.Close() })
 	defer stop()
 	buffer := make([]byte, maxDatagram)
@@ -209,33 +209,33 @@
 			s.log.Debug("usage_not_read", logging.Err(err))
 			continue
 		}
-		s.take(buffer[:n])
+		s.receive(buffer[:n])
 	}
 }
 
-func (s *Sharing) take(data []byte) {
+func (s *Exchange) receive(data []byte) {
 	var msg wire.Usage
 	if err := proto.Unmarshal(data, &msg); err != nil || msg.GetFrom().GetName() == "" {
 		s.log.Debug("usage_unreadable", logging.Err(err))
 		return
 	}
-	s.passOn(&msg)
+	s.forward(&msg)
 	for _, p := range msg.GetPlaced() {
-		s.listener.HearPlaced(fleetwire.IncarnationOf(p), fleet.Range{From: int(p.GetFrom()), To: int(p.GetTo())}, p.GetHolds())
+		s.listener.HearPlaced(fleetwire.IncarnationOf(p), fleet.LayerRange{From: int(p.GetFrom()), To: int(p.GetTo())}, p.GetHolds())
 	}
 	for _, u := range msg.GetSilent() {
 		s.listener.HearSilent(msg.GetFrom(), fleetwire.IncarnationOf(u))
 	}
-	s.takeTried(&msg)
-	if s.takePermits(&msg) {
+	s.receiveOutcomes(&msg)
+	if s.receivePermits(&msg) {
 		return
 	}
-	if isNews(&msg) {
+	if isEvent(&msg) {
 		return
 	}
-	used := make(map[fleet.Incarnation]fleet.Use, len(msg.GetEngines()))
+	used := make(map[fleet.Incarnation]fleet.EngineUsage, len(msg.GetEngines()))
 	for _, e := range msg.GetEngines() {
-		used[fleetwire.IncarnationOf(e)] = fleet.Use{Memory: e.GetAmount(), Streams: int(e.GetStreams())}
+		used[fleetwire.IncarnationOf(e)] = fleet.EngineUsage{Memory: e.GetAmount(), Streams: int(e.GetStreams())}
 	}
-	s.listener.HearUse(msg.GetFrom(), Msg{Used: used, Limits: s.limitsTold(msg.GetLimits()), Total: msg.GetTotal(), Whole: msg.GetWhole(), HeardOf: msg.GetHeardOf(), Nodes: int(msg.GetNodes()), Hubs: msg.GetHubs(), Followable: msg.GetFollowable(), Quarantine: msg.GetQuarantine()})
+	s.listener.HearUse(msg.GetFrom(), Report{Used: used, Limits: s.decodeLimits(msg.GetLimits()), Total: msg.GetTotal(), Whole: msg.GetWhole(), HeardOf: msg.GetHeardOf(), Nodes: int(msg.GetNodes()), Hubs: msg.GetHubs(), Followable: msg.GetFollowable(), QuarantineDigest: msg.GetQuarantine()})
 }
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -16,47 +16,51 @@
 	"github.com/hoistjunction/hoistjunction/work"
 )
 
-// heard is what a node has been told.
-type heard struct {
+// received is what a node has been told.
+type received struct {
 	from string
-	msg  usage.Msg
-	// placed is set where an order was told, and silent where a silent engine was.
-	placed string
-	layers fleet.Range
-	silent string
-	// lost and answered name the works of which that was told.
-	lost     work.ID
+	msg  usage.Report
+	// placement is set where an order was told, and silent where a silent engine was.
+	placement    string
+	layers       fleet.LayerRange
+	unresponsive string
+	// crashed and answered name the works of which that was told.
+	crashed  work.ID
 	answered work.ID
 	ask      limit.Ask
 	grant    limit.Grant
 }
 
 // inbox notes what a node hears.
-type inbox chan heard
+type inbox chan received
 
-func (i inbox) HearUse(from *wire.Member, msg usage.Msg) { i <- heard{from: from.GetName(), msg: msg} }
+func (i inbox) HearUse(from *wire.Member, msg usage.Report) {
+	i <- received{from: from.GetName(), msg: msg}
+}
 
-func (i inbox) HearPlaced(upstream fleet.Incarnation, layers fleet.Range, _ bool) {
-	i <- heard{placed: upstream.String(), layers: layers}
+func (i inbox) HearPlaced(upstream fleet.Incarnation, layers fleet.LayerRange, _ bool) {
+	i <- received{placement: upstream.String(), layers: layers}
 }
 
 func (i inbox) HearSilent(from *wire.Member, upstream fleet.Incarnation) {
-	i <- heard{from: from.GetName(), silent: upstream.String()}
+	i <- received{from: from.GetName(), unresponsive: upstream.String()}
 }
 
 func (i inbox) HearLost(id work.ID, upstream fleet.Incarnation) {
-	i <- heard{lost: id, from: upstream.String()}
+	i <- received{crashed: id, from: upstream.String()}
 }
 
-func (i inbox) HearAsk(from *wire.Member, ask limit.Ask) { i <- heard{from: from.GetName(), ask: ask} }
+func (i inbox) HearAsk(from *wire.Member, ask limit.Ask) {
+	i <- received{from: from.GetName(), ask: ask}
+}
 
 func (i inbox) HearGrant(from *wire.Member, grant limit.Grant) {
-	i <- heard{from: from.GetName(), grant: grant}
+	i <- received{from: from.GetName(), grant: grant}
 }
 
-func (i inbox) HearAnswered(id work.ID) { i <- heard{answered: id} }
+func (i inbox) HearAnswered(id work.ID) { i <- received{answered: id} }
 
-func newNode(t *testing.T, name string) (*usage.Sharing, inbox) {
+func newNode(t *testing.T, name string) (*usage.Exchange, inbox) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -75,36 +79,36 @@
 	far, farHeard := newNode(t, "c")
 	teller.SetPeers([]string{near.Address()}, []string{far.Address()})
 
-	teller.Share(map[fleet.Incarnation]fleet.Use{fleet.Undated("e1"): {Memory: 5, Streams: 2}}, map[fleet.Incarnation]limit.Named{fleet.Undated("e1"): {Rate: 4.5}})
+	teller.SendUsage(map[fleet.Incarnation]fleet.EngineUsage{fleet.IncarnationByID("e1"): {Memory: 5, Streams: 2}}, map[fleet.Incarnation]limit.Named{fleet.IncarnationByID("e1"): {Rate: 4.5}})
 	got := <-nearHeard
-	if got.from != "a" || !got.msg.Followable || got.msg.Total || got.msg.Used[fleet.Undated("e1")] != (fleet.Use{Memory: 5, Streams: 2}) {
+	if got.from != "a" || !got.msg.Followable || got.msg.Total || got.msg.Used[fleet.IncarnationByID("e1")] != (fleet.EngineUsage{Memory: 5, Streams: 2}) {
 		t.Errorf("got %+v, want what a has in use", got)
 	}
-	if named := got.msg.Limits[fleet.Undated("e1")]; named.Rate != 4.5 || named.ReceivedAt == clock.Never {
+	if named := got.msg.Limits[fleet.IncarnationByID("e1")]; named.Rate != 4.5 || named.ReceivedAt == clock.Never {
 		t.Errorf("got the limit %+v, want one of 4.5", named)
 	}
 
-	teller.ShareTotal(map[fleet.Incarnation]fleet.Use{fleet.Undated("e1"): {Memory: 50, Streams: 2}}, 3, nil)
+	teller.SendDataCentreTotal(map[fleet.Incarnation]fleet.EngineUsage{fleet.IncarnationByID("e1"): {Memory: 50, Streams: 2}}, 3, nil)
 	got = <-farHeard
-	if !got.msg.Total || got.msg.Nodes != 3 || !maps.Equal(got.msg.Used, map[fleet.Incarnation]fleet.Use{fleet.Undated("e1"): {Memory: 50, Streams: 2}}) {
+	if !got.msg.Total || got.msg.Nodes != 3 || !maps.Equal(got.msg.Used, map[fleet.Incarnation]fleet.EngineUsage{fleet.IncarnationByID("e1"): {Memory: 50, Streams: 2}}) {
 		t.Errorf("got %+v, want a total of 50", got)
 	}
 
-	teller.Placed(fleet.Undated("e3"), fleet.Range{From: 4, To: 8}, true)
+	teller.SendPlacement(fleet.IncarnationByID("e3"), fleet.LayerRange{From: 4, To: 8}, true)
 	for _, heard := range []inbox{nearHeard, farHeard} {
-		if got := <-heard; got.placed != "e3" || got.layers != (fleet.Range{From: 4, To: 8}) {
+		if got := <-heard; got.placement != "e3" || got.layers != (fleet.LayerRange{From: 4, To: 8}) {
 			t.Errorf("got %+v, want the order to e3", got)
 		}
 	}
 
-	teller.Silent(fleet.Undated("e4"))
+	teller.Silent(fleet.IncarnationByID("e4"))
 	for {
 		got := <-nearHeard
-		if got.placed != "" {
+		if got.placement != "" {
 			// An order is told more than once.
 			continue
 		}
-		if got.from != "a" || got.silent != "e4" {
+		if got.from != "a" || got.unresponsive != "e4" {
 			t.Errorf("got %+v, want a's word on e4", got)
 		}
 		break
@@ -118,7 +122,7 @@
 	owner.SetAddresses(map[string]string{"a": asker.Address()})
 
 	asker.Ask(limit.AskCmd{To: "nobody", Ask: limit.Ask{Number: 6}})
-	want := limit.Ask{Upstream: fleet.Undated("e1"), Life: 9, Number: 7, Want: 3, Named: limit.Named{Rate: 4.5, ReceivedAt: clock.Never}, Sent: []uint32{0, 2}}
+	want := limit.Ask{Upstream: fleet.IncarnationByID("e1"), Life: 9, Number: 7, Want: 3, Named: limit.Named{Rate: 4.5, ReceivedAt: clock.Never}, Sent: []uint32{0, 2}}
 	asker.Ask(limit.AskCmd{To: "b", Ask: want})
 	got := <-ownerHeard
 	if got.from != "a" || !reflect.DeepEqual(got.ask.Sent, want.Sent) || got.ask.Upstream != want.Upstream || got.ask.Number != want.Number ||
@@ -126,8 +130,8 @@
 		t.Errorf("got %+v from %s, want %+v", got.ask, got.from, want)
 	}
 
-	grant := limit.Grant{Upstream: fleet.Undated("e1"), Life: 9, Number: 7, Permits: 2, NextIn: 40, Queue: 5}
-	owner.Give("a", grant)
+	grant := limit.Grant{Upstream: fleet.IncarnationByID("e1"), Life: 9, Number: 7, Permits: 2, NextIn: 40, Queue: 5}
+	owner.SendPermitGrant("a", grant)
 	back := <-askerHeard
 	back.grant.Named = limit.Named{}
 	if back.from != "b" || back.grant != grant {
