--- a/node/node.go
+++ b/node/node.go
@@ -108,7 +108,9 @@
 	n.quarantined = newQuarantineSet(n.clock, s.quarantineDuration())
 	n.keeper = keeper.New(n.store, n.clock, n.log, s.FirstStart, n.applyQuarantined)
 	n.engines = platform.NewEngines(platform.WithIncarnationHandler(func(upstream fleet.Incarnation) { n.fleetFollower.Supersede(upstream) }),
-		platform.WithStatusHandler(func(upstream fleet.Incarnation, status relay.Word) { n.relay.Said(upstream, status) }))
+		platform.WithStatusHandler(func(upstream fleet.Incarnation, status relay.UpstreamStatus) {
+			n.relay.HandleUpstreamStatus(upstream, status)
+		}))
 	model := dispatch.New(
 		dispatch.WithDataCentre(s.DataCentre),
 		dispatch.WithSeed(hash(s.Name)),
@@ -129,13 +131,13 @@
 	self.UsageAddress = sharing.Address()
 	listAge := func() clock.Millis { return n.fleetFollower.ListAge() }
 	n.relay = relay.New(n.ctx, platform.Headers{}, model, n.clock, n.log,
-		relay.WithEngines(n.engines), relay.WithDialer(platform.Dialer().DialContext), relay.WithKeysWithin(s.keysMaxAge()),
+		relay.WithEngines(n.engines), relay.WithDialer(platform.Dialer().DialContext), relay.WithMaxConfigAge(s.keysMaxAge()),
 		relay.WithCounters("store_calls", n.store.Calls()), relay.WithCounters("store", expvar.Func(n.storeView)), relay.WithCounters("entries_refused", n.store.EntriesRefused()),
 		relay.WithCounters("quarantine_refused", n.keeper.Refused()), relay.WithCounters("orders", n.orderResults),
 		relay.WithCounters("quarantined", expvar.Func(n.quarantined.count)),
 		relay.WithCounters("peers", expvar.Func(func() any { return n.PeerCount() })),
-		relay.WithListAge(listAge), relay.WithSilence(n.reportUnresponsive), relay.WithSharing(n.sendUsage), relay.WithLeaving(n.markLeaving), relay.WithReplaced(n.markReplaced), relay.WithQuarantine(n.handleQuarantineNews),
-		relay.WithPermits(n.usage.Ask, n.usage.SendPermitGrant))
+		relay.WithListAge(listAge), relay.WithResponsivenessHandler(n.reportUnresponsive), relay.WithUsageSharing(n.sendUsage), relay.WithLeavingHandler(n.markLeaving), relay.WithReplacedHandler(n.markReplaced), relay.WithQuarantine(n.handleQuarantineNews),
+		relay.WithPermitExchange(n.usage.Ask, n.usage.SendPermitGrant))
 	planner := placement.New(placement.WithDelay(plannerDelay(int(hash(s.Name)%provisionalRanks))), placement.WithStart(n.clock.Now()))
 	n.placer = placer.New(planner, n.engines, n.clock, n.log, n.publishPlacement, placer.WithSeed(hash(s.Name)), placer.WithListAge(listAge),
 		placer.WithResults(n.orderResults))
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -205,7 +205,7 @@
 // peer.
 func (n *Node) applyQuarantined(list []dispatch.Quarantined) {
 	n.quarantined.addConfirmed(list)
-	n.relay.SetQuarantined(list)
+	n.relay.UpdateQuarantine(list)
 }
 
 // compareQuarantine queries a peer for its quarantined requests if its digest differs from the
@@ -220,11 +220,11 @@
 // HearLost implements usage.Listener.
 func (l usageListener) HearLost(id work.ID, upstream fleet.Incarnation) {
 	l.node.observeIncarnation(upstream)
-	l.node.relay.SetLost(id, upstream)
+	l.node.relay.HandlePeerLoss(id, upstream)
 }
 
 // HearAnswered implements usage.Listener.
-func (l usageListener) HearAnswered(id work.ID) { l.node.relay.SetAnswered(id) }
+func (l usageListener) HearAnswered(id work.ID) { l.node.relay.HandlePeerAnswer(id) }
 
 // Quarantined implements peering.LocalState.
 func (s *localState) Quarantined() []dispatch.Quarantined { return s.node.quarantined.list() }
--- a/node/updates.go
+++ b/node/updates.go
@@ -109,7 +109,7 @@
 	if !msg.Total {
 		n.roster.Heard(n.clock.Now(), from.GetName(), msg.Followable)
 	}
-	n.relay.SetUsage(dispatch.UsageMsg{
+	n.relay.HandleUsage(dispatch.UsageMsg{
 		Node: from.GetName(), Used: msg.Used, WholeDataCentre: msg.Total, AllNodes: msg.Whole, IncludedDataCentres: msg.HeardOf, Nodes: msg.Nodes,
 		DataCentre: from.GetDataCentre(), Limits: msg.Limits,
 	})
@@ -118,12 +118,12 @@
 // HearAsk implements usage.Listener.
 func (l usageListener) HearAsk(from *wire.Member, ask limit.Ask) {
 	l.node.observeIncarnation(ask.Upstream)
-	l.node.relay.SetAsked(from.GetName(), ask)
+	l.node.relay.HandlePermitRequest(from.GetName(), ask)
 }
 
 // HearGrant implements usage.Listener.
 func (l usageListener) HearGrant(from *wire.Member, grant limit.Grant) {
-	l.node.relay.SetPermits(from.GetName(), grant)
+	l.node.relay.HandlePermitGrant(from.GetName(), grant)
 }
 
 // HearPlaced implements usage.Listener.
@@ -139,7 +139,7 @@
 		return
 	}
 	l.node.log.Info("silent_told", zap.Stringer("upstream", upstream), zap.String("by", from.GetName()))
-	l.node.relay.SetSilent(upstream)
+	l.node.relay.HandlePeerUnresponsive(upstream)
 }
 
 // observeIncarnation records the incarnation of an upstream in a message of another node, since
@@ -158,11 +158,11 @@
 
 // applyPlacement applies an order that this node or another node has given.
 func (n *Node) applyPlacement(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool) {
-	n.relay.SetPlaced(upstream, layers, holds)
+	n.relay.HandlePlacement(upstream, layers, holds)
 	n.placer.Send(placement.PlacedMsg{Upstream: upstream, Layers: layers, Completed: holds})
 }
 
 func (n *Node) applyFleet(changes []fleet.Change) {
-	n.relay.SetFleet(changes)
+	n.relay.UpdateFleet(changes)
 	n.placer.Send(placement.FleetMsg{Changes: changes})
 }
--- a/node/wake.go
+++ b/node/wake.go
@@ -13,5 +13,5 @@
 	n.log.Warn("suspended", zap.Int64("for_ms", int64(suspension)))
 	n.store.ResetConnections()
 	n.engines.Close()
-	n.relay.Wake()
+	n.relay.HandleVMResumed()
 }
