--- a/soak/check.go
+++ b/soak/check.go
@@ -10,60 +10,62 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// revokeWithin is how long after the acknowledgement a key that is taken away
-// may still be used; the nodes' settings say the same.
-const revokeWithin = 5 * time.Second
+// revocationBound bounds how long after the store's acknowledgement a revoked key may still be
+// used. The nodes' settings contain the same value.
+const revocationBound = 5 * time.Second
 
-// mostListed bounds the violations that a report lists.
-const mostListed = 10
+// maxListed bounds the number of violations in the output.
+const maxListed = 10
 
-// revocation is a span during which the second key was not valid.
+// revocation is a time span in which the revocable key was not valid. A zero end means that the
+// key is still revoked.
 type revocation struct {
 	from, to time.Time
 }
 
-// check compares what callers got with what upstreams ran.
-func check(tries []try, runs map[string]standin.DeskRun, gone []revocation) []string {
-	var broken []string
-	for _, t := range tries {
-		if why := checkTry(t, runs[t.id], gone); why != "" {
-			broken = append(broken, fmt.Sprintf("%s %s (status %d): %s", t.id, t.path, t.status, why))
+// checkAttempts compares the responses that callers received with the executions that the plain
+// services counted, and returns the violations.
+func checkAttempts(attempts []attempt, executions map[string]standin.DeskRun, revocations []revocation) []string {
+	var violations []string
+	for _, t := range attempts {
+		if violation := checkAttempt(t, executions[t.id], revocations); violation != "" {
+			violations = append(violations, fmt.Sprintf("%s %s (status %d): %s", t.id, t.path, t.status, violation))
 		}
 	}
-	return shortened(broken)
+	return truncated(violations)
 }
 
-// shortened bounds a list of violations for the report.
-func shortened(broken []string) []string {
-	if len(broken) > mostListed {
-		broken = append(broken[:mostListed], fmt.Sprintf("and %d more", len(broken)-mostListed))
+// truncated returns at most maxListed violations, followed by the number of those omitted.
+func truncated(violations []string) []string {
+	if len(violations) > maxListed {
+		violations = append(violations[:maxListed], fmt.Sprintf("and %d more", len(violations)-maxListed))
 	}
-	return broken
+	return violations
 }
 
-func checkTry(t try, run standin.DeskRun, gone []revocation) string {
+func checkAttempt(t attempt, execution standin.DeskRun, revocations []revocation) string {
 	switch {
 	case strings.Contains(t.body, string(dispatch.ReasonQuarantined)) && !standin.Deadly(t.path):
-		return "refused as if it ended upstreams"
-	case t.status == http.StatusOK && t.whole && t.body != wanted(t.path):
-		return fmt.Sprintf("a whole answer is wrong: %q", t.body)
-	case t.status == http.StatusOK && !t.whole && !strings.HasPrefix(wanted(t.path), t.body):
-		return fmt.Sprintf("an answer that was cut off is wrong: %q", t.body)
-	case strings.HasPrefix(t.path, "/once/") && run.Runs > 1:
-		return fmt.Sprintf("ran %d times", run.Runs)
-	case strings.HasPrefix(t.path, "/once/") && refusal(t.status) && run.Runs > 0:
-		return "refused as not run, but has run"
-	case t.key == keptKey && (t.status == http.StatusUnauthorized || t.status == http.StatusNotFound):
-		return "denied although every configuration allows it"
-	case t.key != keptKey && run.Runs > 0 && within(t.sent, gone):
-		return "ran with a key that had been taken away"
-	case run.Runs > 0 && run.Account != standin.SiteAccount:
-		return "ran for the wrong account " + run.Account
+		return "refused as quarantined although the request crashes no upstream"
+	case t.status == http.StatusOK && t.complete && t.body != expectedBody(t.path):
+		return fmt.Sprintf("complete response is wrong: %q", t.body)
+	case t.status == http.StatusOK && !t.complete && !strings.HasPrefix(expectedBody(t.path), t.body):
+		return fmt.Sprintf("truncated response is not a prefix of the expected body: %q", t.body)
+	case strings.HasPrefix(t.path, "/once/") && execution.Runs > 1:
+		return fmt.Sprintf("executed %d times", execution.Runs)
+	case strings.HasPrefix(t.path, "/once/") && isRefusal(t.status) && execution.Runs > 0:
+		return "refused as not executed, but was executed"
+	case t.key == permanentKey && (t.status == http.StatusUnauthorized || t.status == http.StatusNotFound):
+		return "denied although every configuration contains its key"
+	case t.key != permanentKey && execution.Runs > 0 && sentWhileRevoked(t.sentAt, revocations):
+		return "executed with a revoked key"
+	case execution.Runs > 0 && execution.Account != standin.SiteAccount:
+		return "executed for the wrong account " + execution.Account
 	}
 	return ""
 }
 
-func refusal(status int) bool {
+func isRefusal(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -71,19 +73,19 @@
 	return false
 }
 
-// within tells whether a request was sent so long after the key was taken away
-// that it must not run.
-func within(sent time.Time, gone []revocation) bool {
-	for _, g := range gone {
-		if sent.After(g.from.Add(revokeWithin)) && (g.to.IsZero() || sent.Before(g.to)) {
+// sentWhileRevoked reports whether a request was sent more than revocationBound after a
+// revocation and before the key was restored.
+func sentWhileRevoked(sent time.Time, revocations []revocation) bool {
+	for _, r := range revocations {
+		if sent.After(r.from.Add(revocationBound)) && (r.to.IsZero() || sent.Before(r.to)) {
 			return true
 		}
 	}
 	return false
 }
 
-// wanted is the whole answer to a path.
-func wanted(path string) string {
+// expectedBody returns the complete response body for a path.
+func expectedBody(path string) string {
 	if !strings.HasPrefix(path, "/write/") {
 		return standin.DeskAnswer(path)
 	}
--- a/soak/deadly.go
+++ b/soak/deadly.go
@@ -11,59 +11,58 @@
 )
 
 const (
-	// deadlyLasts is for how long a deadly request comes again and again, deadlyPause
-	// bounds the pause between two of its tries, and betweenDeadly that between two such
-	// requests.
-	deadlyLasts   = 8 * time.Second
-	deadlyPause   = 300 * time.Millisecond
-	betweenDeadly = 2 * time.Second
-	// lookForCrashed is how often upstreams are looked for that have ended, and downFor
-	// how long they stay down.
-	lookForCrashed = 300 * time.Millisecond
-	downFor        = time.Second
+	// deadlyDuration is how long a deadly request is repeated, maxDeadlyRetryPause bounds the
+	// pause between its attempts, and maxDeadlyPause the pause before the next deadly request.
+	deadlyDuration      = 8 * time.Second
+	maxDeadlyRetryPause = 300 * time.Millisecond
+	maxDeadlyPause      = 2 * time.Second
+	// crashCheckInterval is the interval at which crashed engines are looked for, and
+	// crashDowntime how long they stay down.
+	crashCheckInterval = 300 * time.Millisecond
+	crashDowntime      = time.Second
 )
 
-// deadlySeries sends requests that end each upstream which begins to run them, the same one
-// again and again at any node, as its caller's repeats come.
-func (s *soak) deadlySeries(ctx context.Context, random *rand.Rand) {
+// deadlySeries sends requests that crash every upstream that starts to execute them. It repeats
+// each request at random nodes, as a retrying client does.
+func (r *runner) deadlySeries(ctx context.Context, random *rand.Rand) {
 	for n := 0; ctx.Err() == nil; n++ {
-		sleep(ctx, time.Duration(random.Int64N(int64(betweenDeadly))))
+		sleep(ctx, time.Duration(random.Int64N(int64(maxDeadlyPause))))
 		path := fmt.Sprintf("/write/%s-%d", standin.DeadlyPath, n)
-		until := time.Now().Add(deadlyLasts)
+		until := time.Now().Add(deadlyDuration)
 		for i := 0; ctx.Err() == nil && time.Now().Before(until); i++ {
-			node, id := random.IntN(len(s.world.nodes)), fmt.Sprintf("deadly-%d-%d", n, i)
-			go s.tryDeadly(ctx, node, try{id: id, key: keptKey, method: http.MethodPost, path: path})
-			sleep(ctx, time.Duration(random.Int64N(int64(deadlyPause))))
+			node, id := random.IntN(len(r.cluster.nodes)), fmt.Sprintf("deadly-%d-%d", n, i)
+			go r.sendDeadly(ctx, node, attempt{id: id, key: permanentKey, method: http.MethodPost, path: path})
+			sleep(ctx, time.Duration(random.Int64N(int64(maxDeadlyRetryPause))))
 		}
-		s.note(fmt.Sprintf("%s, upstreams ended so far %d", path, s.world.ends.count()), deadlyLasts, nil)
+		r.logFault(fmt.Sprintf("%s, upstreams crashed so far: %d", path, r.cluster.crashes.count()), deadlyDuration, nil)
 	}
 }
 
-func (s *soak) tryDeadly(ctx context.Context, node int, t try) {
+func (r *runner) sendDeadly(ctx context.Context, node int, t attempt) {
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
-	// What becomes of it is nothing that its caller is promised.
-	_ = s.callers.askPath(ctx, transport, node, t)
+	// A deadly request has no guaranteed outcome, so the response is not checked.
+	_ = r.callers.send(ctx, transport, node, t)
 }
 
-// restartCrashed starts engines again that a request has ended.
-func (s *soak) restartCrashed(ctx context.Context) {
+// restartCrashedLoop restarts the engines that a request has crashed, until the context ends.
+func (r *runner) restartCrashedLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		sleep(ctx, lookForCrashed)
-		if s.anyCrashed() {
-			sleep(ctx, downFor)
-			s.startCrashed()
+		sleep(ctx, crashCheckInterval)
+		if r.anyCrashed() {
+			sleep(ctx, crashDowntime)
+			r.restartCrashed()
 		}
 	}
 }
 
-func (s *soak) anyCrashed() bool {
-	for i := range s.world.engines {
-		if !s.world.engineBusy[i].TryLock() {
+func (r *runner) anyCrashed() bool {
+	for i := range r.cluster.engines {
+		if !r.cluster.engineMu[i].TryLock() {
 			continue
 		}
-		crashed := s.world.engines[i].Crashed()
-		s.world.engineBusy[i].Unlock()
+		crashed := r.cluster.engines[i].Crashed()
+		r.cluster.engineMu[i].Unlock()
 		if crashed {
 			return true
 		}
@@ -71,17 +70,17 @@
 	return false
 }
 
-func (s *soak) startCrashed() {
-	for i := range s.world.engines {
-		s.world.engineBusy[i].Lock()
-		if s.world.engines[i].Crashed() {
-			s.note(fmt.Sprintf("engine-%d again", i), 0, s.world.startEngine(i))
+func (r *runner) restartCrashed() {
+	for i := range r.cluster.engines {
+		r.cluster.engineMu[i].Lock()
+		if r.cluster.engines[i].Crashed() {
+			r.logFault(fmt.Sprintf("restart engine-%d after a crash", i), 0, r.cluster.startEngine(i))
 		}
-		s.world.engineBusy[i].Unlock()
+		r.cluster.engineMu[i].Unlock()
 	}
 }
 
-// sleep waits, or until the context ends.
+// sleep waits for a duration or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -11,137 +11,137 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// fault does one harm and undoes it.
-func (s *soak) fault(random *rand.Rand) {
-	lasts := time.Duration(random.Int64N(int64(longestFault)))
-	kind, which, mode := random.IntN(10), random.IntN(1<<20), Mode(1+random.IntN(4))
-	what, err := "", error(nil)
+// injectFault injects one random fault and reverts it.
+func (r *runner) injectFault(random *rand.Rand) {
+	duration := time.Duration(random.Int64N(int64(maxFaultDuration)))
+	kind, index, mode := random.IntN(10), random.IntN(1<<20), Mode(1+random.IntN(4))
+	description, err := "", error(nil)
 	switch kind {
 	case 0, 1, 2:
-		what, err = s.nodeFault(kind, which%len(s.world.nodes), lasts)
+		description, err = r.injectNodeFault(kind, index%len(r.cluster.nodes), duration)
 	case 3:
-		what, err = s.engineFault(which%len(s.world.engines), lasts)
+		description, err = r.restartEngine(index%len(r.cluster.engines), duration)
 	case 4:
-		engine := which % len(s.world.engines)
-		what = fmt.Sprintf("%s before engine-%d", mode, engine)
+		engine := index % len(r.cluster.engines)
+		description = fmt.Sprintf("%s on the link to engine-%d", mode, engine)
 		from := time.Now()
-		s.cut(s.world.links[engine], mode, lasts)
-		s.disturbed.note(s.world.engineName(engine), from)
+		r.disturbLink(r.cluster.engineProxies[engine], mode, duration)
+		r.disturbed.record(r.cluster.engineName(engine), from)
 	case 5:
-		link := which % len(s.world.storeLink)
-		what = fmt.Sprintf("%s between store and node-%d", mode, link)
-		s.cut(s.world.storeLink[link], mode, lasts)
+		link := index % len(r.cluster.storeProxies)
+		description = fmt.Sprintf("%s on the link from node-%d to the store", mode, link)
+		r.disturbLink(r.cluster.storeProxies[link], mode, duration)
 	case 6:
-		what, err = s.storeFault(random, lasts)
+		description, err = r.injectStoreFault(random, duration)
 	case 7:
-		what, err = s.revoke(lasts)
+		description, err = r.revokeKey(duration)
 	case 8:
-		what, err = s.enginesFail(lasts)
+		description, err = r.failStreams(duration)
 	default:
-		what = s.mute(which)
+		description = r.muteConnections(index)
 	}
-	s.note(what, lasts, err)
+	r.logFault(description, duration, err)
 }
 
-// nodeFault kills, stops or pauses a node.
-func (s *soak) nodeFault(kind, which int, lasts time.Duration) (string, error) {
-	s.world.nodeBusy[which].Lock()
-	defer s.world.nodeBusy[which].Unlock()
-	node := s.world.nodes[which]
-	defer s.disturbed.note(node.Name(), time.Now())
+// injectNodeFault kills, stops or pauses a node, and starts or continues it again.
+func (r *runner) injectNodeFault(kind, index int, duration time.Duration) (string, error) {
+	r.cluster.nodeMu[index].Lock()
+	defer r.cluster.nodeMu[index].Unlock()
+	node := r.cluster.nodes[index]
+	defer r.disturbed.record(node.Name(), time.Now())
 	switch kind {
 	case 0:
 		node.Kill()
-		time.Sleep(lasts / 4)
-		return "kill " + node.Name(), s.world.restart(node)
+		time.Sleep(duration / 4)
+		return "kill " + node.Name(), r.cluster.restart(node)
 	case 1:
 		node.Stop()
-		return "stop " + node.Name(), s.world.restart(node)
+		return "stop " + node.Name(), r.cluster.restart(node)
 	default:
 		node.Signal(syscall.SIGSTOP)
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		node.Signal(syscall.SIGCONT)
 		return "pause " + node.Name(), nil
 	}
 }
 
-// engineFault kills an engine and starts another in its place.
-func (s *soak) engineFault(which int, lasts time.Duration) (string, error) {
-	s.world.engineBusy[which].Lock()
-	defer s.world.engineBusy[which].Unlock()
-	s.world.engines[which].Kill()
-	time.Sleep(lasts)
-	return fmt.Sprintf("kill engine-%d", which), s.world.startEngine(which)
+// restartEngine kills an engine and starts it again after a duration.
+func (r *runner) restartEngine(index int, duration time.Duration) (string, error) {
+	r.cluster.engineMu[index].Lock()
+	defer r.cluster.engineMu[index].Unlock()
+	r.cluster.engines[index].Kill()
+	time.Sleep(duration)
+	return fmt.Sprintf("kill engine-%d", index), r.cluster.startEngine(index)
 }
 
-// failing engines answer each second stream with a failure of their own, and break each
-// third off partway: what is taken up elsewhere meets failures too.
-var failing = standin.ChainFaults{FailEach: 2, CutEach: 3}
+// streamFaults make an engine fail every second stream and cut every third off partway. Streams
+// that resume at another engine fail there too.
+var streamFaults = standin.ChainFaults{FailEach: 2, CutEach: 3}
 
-// enginesFail has all engines fail a part of their streams.
-func (s *soak) enginesFail(lasts time.Duration) (string, error) {
-	err := s.engineFaults(failing)
-	time.Sleep(lasts)
-	return "engines fail", errors.CombineErrors(err, s.engineFaults(standin.ChainFaults{}))
+// failStreams sets streamFaults on all engines for a duration.
+func (r *runner) failStreams(duration time.Duration) (string, error) {
+	err := r.setEngineFaults(streamFaults)
+	time.Sleep(duration)
+	return "engines fail streams", errors.CombineErrors(err, r.setEngineFaults(standin.ChainFaults{}))
 }
 
-// engineFaults sets what goes wrong with all engines. One that is just being started
-// again gets none.
-func (s *soak) engineFaults(f standin.ChainFaults) error {
+// setEngineFaults sets the stream faults of all engines. It skips an engine that is being
+// restarted.
+func (r *runner) setEngineFaults(f standin.ChainFaults) error {
 	var failed error
-	for i, engine := range s.world.engines {
-		if !s.world.engineBusy[i].TryLock() {
+	for i, engine := range r.cluster.engines {
+		if !r.cluster.engineMu[i].TryLock() {
 			continue
 		}
-		failed = errors.CombineErrors(failed, post("http://"+engine.Address()+"/faults", f))
-		s.world.engineBusy[i].Unlock()
+		failed = errors.CombineErrors(failed, postJSON("http://"+engine.Address()+"/faults", f))
+		r.cluster.engineMu[i].Unlock()
 	}
 	return failed
 }
 
-// mute has the open connections of an engine, or of a node to the store, go silent for
-// good, while new ones work.
-func (s *soak) mute(which int) string {
-	if which%2 == 0 {
-		engine := which / 2 % len(s.world.links)
-		s.world.links[engine].mute()
-		return fmt.Sprintf("mute engine-%d", engine)
+// muteConnections makes the open connections to an engine, or from a node to the store, silent
+// for good. New connections work.
+func (r *runner) muteConnections(index int) string {
+	if index%2 == 0 {
+		engine := index / 2 % len(r.cluster.engineProxies)
+		r.cluster.engineProxies[engine].mute()
+		return fmt.Sprintf("mute connections to engine-%d", engine)
 	}
-	node := which / 2 % len(s.world.storeLink)
-	s.world.storeLink[node].mute()
-	return fmt.Sprintf("mute store and node-%d", node)
+	node := index / 2 % len(r.cluster.storeProxies)
+	r.cluster.storeProxies[node].mute()
+	return fmt.Sprintf("mute connections from node-%d to the store", node)
 }
 
-func (s *soak) cut(link *proxy, mode Mode, lasts time.Duration) {
+func (r *runner) disturbLink(link *proxy, mode Mode, duration time.Duration) {
 	link.set(mode)
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	link.set(Pass)
 }
 
-func (s *soak) storeFault(random *rand.Rand, lasts time.Duration) (string, error) {
+func (r *runner) injectStoreFault(random *rand.Rand, duration time.Duration) (string, error) {
 	faults := []standin.RowStoreFaults{{Down: true}, {Silent: true}, {SlowMS: 200}, {LoseWrites: true}, {Forget: true}}
-	names := []string{"store down", "store silent", "store slow", "store loses answers", "store forgets"}
+	names := []string{"store down", "store silent", "store slow", "store loses responses", "store drops its change history"}
 	i := random.IntN(len(faults))
-	if err := s.world.storeFaults(faults[i]); err != nil {
+	if err := r.cluster.setStoreFaults(faults[i]); err != nil {
 		return names[i], err
 	}
-	time.Sleep(lasts)
-	return names[i], s.world.storeFaults(standin.RowStoreFaults{})
+	time.Sleep(duration)
+	return names[i], r.cluster.setStoreFaults(standin.RowStoreFaults{})
 }
 
-// revoke takes the second key away, long enough to matter, and gives it back.
-func (s *soak) revoke(lasts time.Duration) (string, error) {
-	s.keys.Lock()
-	defer s.keys.Unlock()
-	from, err := s.world.setKeys(keptKey)
+// revokeKey revokes the revocable key for longer than revocationBound, and restores it.
+func (r *runner) revokeKey(duration time.Duration) (string, error) {
+	r.keyMu.Lock()
+	defer r.keyMu.Unlock()
+	from, err := r.cluster.writeKeys(permanentKey)
 	if err != nil {
 		return "revoke", err
 	}
-	time.Sleep(revokeWithin + lasts)
+	time.Sleep(revocationBound + duration)
 	to := time.Now()
-	s.mu.Lock()
-	s.gone = append(s.gone, revocation{from: from, to: to})
-	s.mu.Unlock()
-	_, err = s.world.setKeys(keptKey, "key-2")
+	r.mu.Lock()
+	r.revocations = append(r.revocations, revocation{from: from, to: to})
+	r.mu.Unlock()
+	_, err = r.cluster.writeKeys(permanentKey, "key-2")
 	return "revoke", err
 }
--- a/soak/leave.go
+++ b/soak/leave.go
@@ -19,114 +19,115 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// Times of the stage in which upstreams leave after the connections to the store have
-// gone silent.
+// The times of the last stage, in which upstreams leave after the connections to the store have
+// become silent.
 const (
-	// leavingWithin is how long after the store has taken that an upstream leaves it
-	// may still get requests; the nodes' settings say the same.
-	leavingWithin = 2 * time.Second
-	// settledAfter is how long after the last disturbance the promise holds again.
-	settledAfter = 3 * time.Second
-	// lateSlack is what a busy machine may add. A wait that outlasts the promise does
-	// so by several seconds.
-	lateSlack = 1500 * time.Millisecond
-	// watched is how long after the promise holds requests that come too late are
-	// looked for.
-	watched = 3 * time.Second
-	// longestMutePause bounds the time between two silences, and between the last one
-	// and the leaving.
-	longestMutePause = 1500 * time.Millisecond
-	// lookAtStore is how often the store is asked whether it has taken an entry.
-	lookAtStore = 20 * time.Millisecond
+	// leavingBound bounds how long an upstream may receive requests after the store has
+	// accepted its leaving entry. The nodes' settings contain the same value.
+	leavingBound = 2 * time.Second
+	// settleTime is how long after the last disturbance leavingBound may not hold yet.
+	settleTime = 3 * time.Second
+	// schedulingSlack is added to the deadline for delays of a busy machine. A node that misses
+	// the bound does so by several seconds.
+	schedulingSlack = 1500 * time.Millisecond
+	// lateWatchTime is how long after the last deadline late requests are looked for.
+	lateWatchTime = 3 * time.Second
+	// maxMutePause bounds the pause between two times of muting the connections, and between
+	// the last one and the first upstream that leaves.
+	maxMutePause = 1500 * time.Millisecond
+	// storePollInterval is the interval at which the store is polled for a leaving entry.
+	storePollInterval = 20 * time.Millisecond
 )
 
-// leaver is an upstream that leaves.
-type leaver struct {
-	name    string
-	process *process.Process
-	// bound is when the last request may have reached it.
-	bound time.Time
+// leavingUpstream is an upstream that leaves, found in the store by the prefix of its id.
+type leavingUpstream struct {
+	idPrefix string
+	process  *process.Process
+	// deadline is the latest time at which a request may reach the upstream.
+	deadline time.Time
 }
 
-// leave has the open connections between the nodes and the store go silent for good,
-// once or twice, and upstreams leave soon after. What a node knows of the list must not
-// stand still for longer than the promise allows.
-func (s *soak) leave(random *rand.Rand) error {
-	var silent time.Time
+// testLeaving mutes the open connections between the nodes and the store once or twice, and has
+// upstreams leave soon after. It checks that no node keeps its old view of the upstreams longer
+// than leavingBound allows.
+func (r *runner) testLeaving(random *rand.Rand) error {
+	var lastMuted time.Time
 	for range 1 + random.IntN(2) {
-		for _, link := range s.world.storeLink {
+		for _, link := range r.cluster.storeProxies {
 			link.mute()
 		}
-		silent = time.Now()
-		time.Sleep(time.Duration(random.Int64N(int64(longestMutePause))))
+		lastMuted = time.Now()
+		time.Sleep(time.Duration(random.Int64N(int64(maxMutePause))))
 	}
-	s.note("connections to the store silent for good", 0, nil)
-	leavers, err := s.leavers(random)
+	r.logFault("mute all connections to the store", 0, nil)
+	leaving, err := r.pickLeaving(random)
 	if err != nil {
 		return err
 	}
-	for i := range leavers {
-		if err := s.depart(&leavers[i], silent); err != nil {
+	for i := range leaving {
+		if err := r.announceLeaving(&leaving[i], lastMuted); err != nil {
 			return err
 		}
 	}
-	time.Sleep(time.Until(leavers[len(leavers)-1].bound.Add(watched)))
-	return s.checkLeavers(leavers)
+	time.Sleep(time.Until(leaving[len(leaving)-1].deadline.Add(lateWatchTime)))
+	return r.checkLateRequests(leaving)
 }
 
-// leavers are the desk and an engine. Another desk takes the place of the first.
-func (s *soak) leavers(random *rand.Rand) ([]leaver, error) {
-	desk := s.world.desks[len(s.world.desks)-1]
-	if err := s.world.startDesk("desk-2"); err != nil {
+// pickLeaving returns the active plain service, after a replacement has started, and a random
+// engine.
+func (r *runner) pickLeaving(random *rand.Rand) ([]leavingUpstream, error) {
+	service := r.cluster.plainServices[len(r.cluster.plainServices)-1]
+	if err := r.cluster.startPlainService("desk-2"); err != nil {
 		return nil, err
 	}
-	engine := random.IntN(len(s.world.engines))
+	engine := random.IntN(len(r.cluster.engines))
 	id := fmt.Sprintf("engine-%d-", engine)
-	return []leaver{{name: "desk-1", process: desk}, {name: id, process: s.world.engines[engine]}}, nil
+	return []leavingUpstream{{idPrefix: "desk-1", process: service}, {idPrefix: id, process: r.cluster.engines[engine]}}, nil
 }
 
-// depart has an upstream leave, and waits until the store has taken that.
-func (s *soak) depart(l *leaver, silent time.Time) error {
-	if err := post("http://"+l.process.Address()+"/leave", nil); err != nil {
+// announceLeaving has an upstream leave, waits until the store lists it as leaving, and sets
+// its deadline.
+func (r *runner) announceLeaving(l *leavingUpstream, lastMuted time.Time) error {
+	if err := postJSON("http://"+l.process.Address()+"/leave", nil); err != nil {
 		return err
 	}
-	for until := time.Now().Add(recovery); ; time.Sleep(lookAtStore) {
-		taken, err := s.world.listedLeaving(l.name)
+	for until := time.Now().Add(recoveryTime); ; time.Sleep(storePollInterval) {
+		listed, err := r.cluster.listedLeaving(l.idPrefix)
 		if err != nil {
 			return err
 		}
-		if taken {
+		if listed {
 			break
 		}
 		if time.Now().After(until) {
-			return errors.Newf("soak: the store does not show that %s leaves", l.name)
+			return errors.Newf("soak: the store does not list %s as leaving", l.idPrefix)
 		}
 	}
-	bound := time.Now().Add(leavingWithin)
-	if settled := silent.Add(settledAfter); settled.After(bound) {
+	bound := time.Now().Add(leavingBound)
+	if settled := lastMuted.Add(settleTime); settled.After(bound) {
 		bound = settled
 	}
-	l.bound = bound.Add(lateSlack)
-	s.note(l.name+" leaves", 0, nil)
+	l.deadline = bound.Add(schedulingSlack)
+	r.logFault(l.idPrefix+" leaves", 0, nil)
 	return nil
 }
 
-func (s *soak) checkLeavers(leavers []leaver) error {
-	for _, l := range leavers {
+func (r *runner) checkLateRequests(leaving []leavingUpstream) error {
+	for _, l := range leaving {
 		last, err := lastArrival(l.process)
 		if err != nil {
 			return err
 		}
-		if last.After(l.bound) {
-			return errors.Wrapf(ErrBroken, "a request reached %s %v after it may have", l.name, last.Sub(l.bound))
+		if last.After(l.deadline) {
+			return errors.Wrapf(ErrPromiseBroken, "a request reached %s %v after its deadline", l.idPrefix, last.Sub(l.deadline))
 		}
 	}
 	return nil
 }
 
-// lastArrival asks a stand-in when a request has reached it last.
+// lastArrival returns the time at which the last request reached a stand-in.
 func lastArrival(p *process.Process) (time.Time, error) {
-	resp, err := calls.Get("http://" + p.Address() + "/arrival")
+	resp, err := httpClient.Get("http://" + p.Address() + "/arrival")
 	if err != nil {
 		return time.Time{}, err
 	}
@@ -138,10 +139,9 @@
 	return time.UnixMilli(arrival.LastMS), nil
 }
 
-// listedLeaving tells whether the store shows that a server leaves whose id begins with
-// a text.
-func (w *world) listedLeaving(id string) (bool, error) {
-	store := platform.NewStore(w.store.Address(), zap.NewNop())
+// listedLeaving reports whether the store lists a leaving upstream whose id has a prefix.
+func (c *cluster) listedLeaving(id string) (bool, error) {
+	store := platform.NewStore(c.store.Address(), zap.NewNop())
 	defer store.Close()
 	reading, err := store.ReadUpstreams(context.Background())
 	if err != nil {
--- a/soak/limit.go
+++ b/soak/limit.go
@@ -10,59 +10,62 @@
 )
 
 const (
-	// limitPart is the part of the seed of the upstreams that name limits, which do so beside
-	// the series.
-	limitPart = 63
-	// leastLimited and longestLimited bound for how long one names a limit: the promise
-	// counts from limitContact on.
-	leastLimited   = 5 * time.Second
-	longestLimited = 10 * time.Second
-	limitContact   = 3 * time.Second
-	// betweenLimits bounds the pause between two of them.
-	betweenLimits = 3 * time.Second
+	// limitSeed selects the random stream of the advertised limits. Upstream i uses limitSeed +
+	// i.
+	limitSeed = 63
+	// minLimitDuration and maxLimitDuration bound how long an upstream advertises a limit.
+	// Nodes must respect a limit from limitGrace after its first response on.
+	minLimitDuration = 5 * time.Second
+	maxLimitDuration = 10 * time.Second
+	limitGrace       = 3 * time.Second
+	// maxLimitPause bounds the pause between two limits of an upstream.
+	maxLimitPause = 3 * time.Second
 )
 
-// limitNames are what upstreams name: mostly less than what comes to them.
-var limitNames = []string{"0.5", "0.5", "1", "0.25", "2", "4.5", "0", "1e9", "few", "-1"}
+// limitValues are the advertised limits in requests per second. Most are below the load of an
+// upstream; some are unusable, to check that nodes ignore them.
+var limitValues = []string{"0.5", "0.5", "1", "0.25", "2", "4.5", "0", "1e9", "few", "-1"}
 
-// limitSeries has one upstream name limits, one after the other: an engine, or the desk.
-func (s *soak) limitSeries(ctx context.Context, which int, random *rand.Rand) {
+// limitSeries has one upstream advertise limits in turn: an engine, or the plain service if the
+// index follows the last engine.
+func (r *runner) limitSeries(ctx context.Context, index int, random *rand.Rand) {
 	for ctx.Err() == nil {
-		sleep(ctx, time.Duration(random.Int64N(int64(betweenLimits))))
-		name := limitNames[random.IntN(len(limitNames))]
-		lasts := leastLimited + time.Duration(random.Int64N(int64(longestLimited-leastLimited)))
-		what, err := s.nameLimit(which, name)
-		s.note(fmt.Sprintf("%s names the limit %q", what, name), lasts, err)
-		sleep(ctx, lasts)
-		if _, err := s.nameLimit(which, ""); err != nil {
-			s.note(what+" names its limit still", 0, err)
+		sleep(ctx, time.Duration(random.Int64N(int64(maxLimitPause))))
+		name := limitValues[random.IntN(len(limitValues))]
+		duration := minLimitDuration + time.Duration(random.Int64N(int64(maxLimitDuration-minLimitDuration)))
+		description, err := r.advertiseLimit(index, name)
+		r.logFault(fmt.Sprintf("%s advertises the limit %q", description, name), duration, err)
+		sleep(ctx, duration)
+		if _, err := r.advertiseLimit(index, ""); err != nil {
+			r.logFault(description+": remove the advertised limit", 0, err)
 		}
 	}
 }
 
-// nameLimit has an engine name a limit, or the desk; none where the name is empty.
-func (s *soak) nameLimit(which int, name string) (string, error) {
+// advertiseLimit has an engine or the plain service advertise a limit; an empty value removes
+// it. It returns the name of the upstream.
+func (r *runner) advertiseLimit(index int, name string) (string, error) {
 	f := standin.LimitFaults{Name: name}
-	if which == len(s.world.engines) {
-		return "desk", post("http://"+s.world.desks[len(s.world.desks)-1].Address()+"/limit", f)
+	if index == len(r.cluster.engines) {
+		return "desk", postJSON("http://"+r.cluster.plainServices[len(r.cluster.plainServices)-1].Address()+"/limit", f)
 	}
-	if !s.world.engineBusy[which].TryLock() {
+	if !r.cluster.engineMu[index].TryLock() {
 		return "nobody", nil
 	}
-	defer s.world.engineBusy[which].Unlock()
-	return s.world.engineName(which), post("http://"+s.world.engines[which].Address()+"/limit", f)
+	defer r.cluster.engineMu[index].Unlock()
+	return r.cluster.engineName(index), postJSON("http://"+r.cluster.engines[index].Address()+"/limit", f)
 }
 
-// limitBreaches returns the spans in which an upstream got more requests than it had named to
-// nodes that were not disturbed.
-func (s *soak) limitBreaches(upstream string, list []standin.Visit) []string {
+// limitBreaches returns the spans in which an upstream received more requests than its
+// advertised limit from nodes that were not disturbed.
+func (r *runner) limitBreaches(upstream string, list []standin.Visit) []string {
 	excused := func(node string, fromMS, toMS int64) bool {
-		from, to := time.UnixMilli(fromMS).Add(-disturbedFor), time.UnixMilli(toMS)
-		return node == "" || s.disturbed.within(node, from, to)
+		from, to := time.UnixMilli(fromMS).Add(-disturbanceTail), time.UnixMilli(toMS)
+		return node == "" || r.disturbed.overlaps(node, from, to)
 	}
-	var broken []string
-	for _, b := range standin.LimitBreaches(list, s.callers.nodeOf, limitContact, excused) {
-		broken = append(broken, fmt.Sprintf("%s had named %v a second and got %d requests in 4 s, of %v; allowed %d", upstream, b.Limit, b.Count, b.Nodes, b.Allowed))
+	var violations []string
+	for _, b := range standin.LimitBreaches(list, r.callers.nodeOf, limitGrace, excused) {
+		violations = append(violations, fmt.Sprintf("%s advertised %v requests per second and received %d in 4 s from %v; allowed %d", upstream, b.Limit, b.Count, b.Nodes, b.Allowed))
 	}
-	return broken
+	return violations
 }
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -10,52 +10,54 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Mode is what a proxy does to the bytes that pass it.
+// Mode is how a proxy treats the bytes that it forwards.
 type Mode int32
 
 // The modes of a proxy.
 const (
-	// Pass passes everything on.
+	// Pass forwards everything at once.
 	Pass Mode = iota
-	// Delay passes everything on late.
+	// Delay forwards everything after proxyDelay.
 	Delay
-	// Reset breaks every connection, and new ones.
+	// Reset resets all open connections and every new one.
 	Reset
-	// OneWay passes what callers send, and holds back what comes back.
+	// OneWay forwards the bytes from clients, and holds back those from the server.
 	OneWay
-	// Silence holds everything back.
+	// Silence holds back the bytes of both directions.
 	Silence
 )
 
 var modeNames = [...]string{"pass", "delay", "reset", "one_way", "silence"}
 
-// String names the mode for the log.
+// String returns the name of the mode in the log.
 func (m Mode) String() string { return modeNames[m] }
 
-// delayBy is how late a Delay passes bytes on.
-const delayBy = 120 * time.Millisecond
+// proxyDelay is the delay of a chunk of bytes in mode Delay.
+const proxyDelay = 120 * time.Millisecond
 
-// holdCheck is how often held bytes look whether they may pass.
-const holdCheck = 10 * time.Millisecond
+// holdPollInterval is the interval at which held bytes check whether the mode has changed.
+const holdPollInterval = 10 * time.Millisecond
 
-// proxy stands between two processes on loopback.
+// proxy forwards TCP connections between two processes on loopback.
 type proxy struct {
 	listener net.Listener
 	mode     atomic.Int32
 	mu       sync.Mutex
 	target   string
-	open     map[net.Conn]bool
-	// muted is closed when the connections that are open now go silent for good.
+	conns    map[net.Conn]bool
+	// muted is closed when the connections that are open now become silent for good; new
+	// connections get a new channel.
 	muted chan struct{}
 }
 
-// newProxy returns a proxy without a target; it resets until it has one.
+// newProxy returns a proxy without a target. It resets every connection until setTarget is
+// called.
 func newProxy() (*proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: l, open: make(map[net.Conn]bool), muted: make(chan struct{})}
+	p := &proxy{listener: l, conns: make(map[net.Conn]bool), muted: make(chan struct{})}
 	go p.accept()
 	return p, nil
 }
@@ -68,7 +70,7 @@
 	p.target = address
 }
 
-// set changes the mode. A reset breaks what is open.
+// set changes the mode. Reset also resets the open connections.
 func (p *proxy) set(m Mode) {
 	p.mode.Store(int32(m))
 	if m != Reset {
@@ -76,12 +78,13 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.open {
+	for c := range p.conns {
 		reset(c)
 	}
 }
 
-// mute has the open connections say nothing any more, without a reset. New ones work.
+// mute drops all further bytes of the open connections without closing them. New connections
+// work.
 func (p *proxy) mute() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,35 +109,35 @@
 	}
 }
 
-func (p *proxy) serve(caller net.Conn) {
+func (p *proxy) serve(client net.Conn) {
 	p.mu.Lock()
 	target, muted := p.target, p.muted
 	p.mu.Unlock()
 	if Mode(p.mode.Load()) == Reset || target == "" {
-		reset(caller)
+		reset(client)
 		return
 	}
 	server, err := net.Dial("tcp", target)
 	if err != nil {
-		reset(caller)
+		reset(client)
 		return
 	}
-	p.track(caller, true)
+	p.track(client, true)
 	p.track(server, true)
-	// Each pump says when it has ended, and whether it is the one back to the caller.
+	// Each direction sends on ended when it finishes: true for the direction to the client.
 	ended := make(chan bool, 2)
-	go func() { p.pump(server, caller, false, muted); ended <- false }()
-	go func() { p.pump(caller, server, true, muted); ended <- true }()
-	for back := <-ended; back && closed(muted); back = <-ended {
-		// The caller of a muted connection is not told that the server has ended it.
+	go func() { p.forward(server, client, false, muted); ended <- false }()
+	go func() { p.forward(client, server, true, muted); ended <- true }()
+	for toClient := <-ended; toClient && isClosed(muted); toClient = <-ended {
+		// The client of a muted connection must not see that the server has closed it.
 	}
-	p.track(caller, false)
+	p.track(client, false)
 	p.track(server, false)
-	_ = caller.Close()
+	_ = client.Close()
 	_ = server.Close()
 }
 
-func closed(c <-chan struct{}) bool {
+func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
 		return true
@@ -147,32 +150,32 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if open {
-		p.open[c] = true
+		p.conns[c] = true
 		return
 	}
-	delete(p.open, c)
+	delete(p.conns, c)
 }
 
-// pump passes bytes one way, until the connection is muted. Back tells that they go to
-// the caller.
-func (p *proxy) pump(to, from net.Conn, back bool, muted <-chan struct{}) {
+// forward copies the bytes of one direction. From mute on it reads and drops them. ToClient
+// reports whether the direction is to the client.
+func (p *proxy) forward(to, from net.Conn, toClient bool, muted <-chan struct{}) {
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
-		if closed(muted) {
+		if isClosed(muted) {
 			if err != nil {
 				return
 			}
 			continue
 		}
 		if n > 0 {
-			p.hold(back)
+			p.awaitPass(toClient)
 			if _, werr := to.Write(buffer[:n]); werr != nil {
 				return
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			p.hold(back)
+			p.awaitPass(toClient)
 			if tcp, ok := to.(*net.TCPConn); ok {
 				_ = tcp.CloseWrite()
 			}
@@ -185,22 +188,22 @@
 	}
 }
 
-// hold waits until bytes may pass.
-func (p *proxy) hold(back bool) {
+// awaitPass waits until the mode lets the bytes of a direction pass.
+func (p *proxy) awaitPass(toClient bool) {
 	for {
 		switch Mode(p.mode.Load()) {
 		case Pass, Reset:
 			return
 		case Delay:
-			time.Sleep(delayBy)
+			time.Sleep(proxyDelay)
 			return
 		case OneWay:
-			if !back {
+			if !toClient {
 				return
 			}
 		case Silence:
 		}
-		time.Sleep(holdCheck)
+		time.Sleep(holdPollInterval)
 	}
 }
 
--- a/soak/run.go
+++ b/soak/run.go
@@ -13,131 +13,134 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrBroken means that a promise was broken.
-var ErrBroken = errors.New("soak: a promise was broken")
+// ErrPromiseBroken means that a guarantee of the product was violated.
+var ErrPromiseBroken = errors.New("soak: a guarantee was violated")
 
-// Figures of a run.
+// The times, seeds and counts of a run.
 const (
-	// settle is how long the processes have to place the layers.
-	settle = 4 * time.Second
-	// recovery is how long after the last fault every node must serve again.
-	recovery = 15 * time.Second
-	// longestFault bounds a fault.
-	longestFault = 2500 * time.Millisecond
-	// faultPause bounds the pause between two faults of a series.
-	faultPause = 700 * time.Millisecond
-	// leavePart is the leaving's part of the seed.
-	leavePart = 50
-	// deadlyPart and suspendPart are those of the deadly requests and the suspensions,
-	// which go on beside the series.
-	deadlyPart  = 60
-	suspendPart = 61
-	// series is how many series of faults go on at a time.
-	series = 2
+	// startupTime is how long the processes have to place the layers before faults start.
+	startupTime = 4 * time.Second
+	// recoveryTime bounds how long after the last fault a node may fail to serve.
+	recoveryTime = 15 * time.Second
+	// maxFaultDuration bounds the duration of a fault.
+	maxFaultDuration = 2500 * time.Millisecond
+	// maxFaultPause bounds the pause between two faults of a series.
+	maxFaultPause = 700 * time.Millisecond
+	// leavingSeed selects the random stream of the leaving stage.
+	leavingSeed = 50
+	// deadlySeed and suspendSeed select the random streams of the deadly requests and the
+	// suspensions, which run in parallel with the fault series.
+	deadlySeed  = 60
+	suspendSeed = 61
+	// faultSeriesCount is the number of fault series that run in parallel.
+	faultSeriesCount = 2
 )
 
-// Options of a run.
+// Options are the settings of a run. Faults are injected for FaultDuration.
 type Options struct {
-	Seed uint64
-	For  time.Duration
-	Size Size
-	// Bin is where the programs are, and Dir where logs go.
-	Bin, Dir string
-	Out      io.Writer
+	Seed          uint64
+	FaultDuration time.Duration
+	Size          Size
+	// BinDir is the folder of the programs, and LogDir the folder of their logs and settings.
+	BinDir, LogDir string
+	Out            io.Writer
 }
 
-// soak is one run.
-type soak struct {
+// runner is the state of one run.
+type runner struct {
 	Options
-	world   *world
-	callers *callers
-	mu      sync.Mutex
-	gone    []revocation
-	// disturbed are when nodes and ways to engines were harmed.
+	cluster     *cluster
+	callers     *callers
+	mu          sync.Mutex
+	revocations []revocation
+	// disturbed records when nodes and links to engines were disturbed.
 	disturbed disturbances
-	// keys is held while the second key is away.
-	keys sync.Mutex
-	// calmFrom and calmTo are when nothing was harmed.
-	calmFrom, calmTo time.Time
+	// keyMu is held while the revocable key is revoked.
+	keyMu sync.Mutex
+	// calmStart and calmEnd bound the span without faults whose requests must nearly all be
+	// served.
+	calmStart, calmEnd time.Time
 }
 
-// Run plays a seed. Errors wrap ErrBroken where a promise was broken.
+// Run runs the faults of a seed and checks the results. The error wraps ErrPromiseBroken if a
+// guarantee was violated.
 func Run(ctx context.Context, o Options) error {
-	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
+	if err := os.MkdirAll(o.LogDir, 0o755); err != nil {
 		return err
 	}
-	w, err := newWorld(o.Bin, o.Dir, o.Size)
-	defer w.close()
+	c, err := newCluster(o.BinDir, o.LogDir, o.Size)
+	defer c.close()
 	if err != nil {
 		return err
 	}
-	s := &soak{Options: o, world: w, callers: &callers{world: w, second: "key-2"}}
-	return s.play(ctx)
+	r := &runner{Options: o, cluster: c, callers: &callers{cluster: c, revocableKey: "key-2"}}
+	return r.run(ctx)
 }
 
-func (s *soak) play(ctx context.Context) error {
-	calling, stop := context.WithCancel(ctx)
+func (r *runner) run(ctx context.Context) error {
+	callerCtx, stop := context.WithCancel(ctx)
 	var group sync.WaitGroup
-	for i := range s.Size.Callers {
-		random := rand.New(rand.NewPCG(s.Seed, uint64(i)+100))
-		group.Go(func() { s.callers.run(calling, i, random) })
+	for i := range r.Size.Callers {
+		random := rand.New(rand.NewPCG(r.Seed, uint64(i)+100))
+		group.Go(func() { r.callers.sendUntilDone(callerCtx, i, random) })
 	}
-	time.Sleep(settle)
-	s.harm(ctx)
-	harmed := time.Now()
-	err := s.recovered()
-	sleep(ctx, time.Until(harmed.Add(calmAfter)))
-	s.calmFrom = time.Now()
-	sleep(ctx, calmFor)
-	s.calmTo = time.Now()
+	time.Sleep(startupTime)
+	r.runFaults(ctx)
+	faultsEnd := time.Now()
+	err := r.awaitRecovery()
+	sleep(ctx, time.Until(faultsEnd.Add(calmDelay)))
+	r.calmStart = time.Now()
+	sleep(ctx, calmDuration)
+	r.calmEnd = time.Now()
 	if err == nil {
-		err = s.leave(rand.New(rand.NewPCG(s.Seed, leavePart)))
+		err = r.testLeaving(rand.New(rand.NewPCG(r.Seed, leavingSeed)))
 	}
 	stop()
 	group.Wait()
-	return errors.Join(err, s.judge())
+	return errors.Join(err, r.checkResults())
 }
 
-// harm runs the series of faults side by side.
-func (s *soak) harm(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, s.For)
+// runFaults runs all fault series in parallel until the duration of the run is over, and
+// restarts the engines that have crashed.
+func (r *runner) runFaults(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, r.FaultDuration)
 	defer cancel()
 	var group sync.WaitGroup
-	for i := range series {
-		random := rand.New(rand.NewPCG(s.Seed, uint64(i)+1))
+	for i := range faultSeriesCount {
+		random := rand.New(rand.NewPCG(r.Seed, uint64(i)+1))
 		group.Go(func() {
 			for ctx.Err() == nil {
-				s.fault(random)
-				time.Sleep(time.Duration(random.Int64N(int64(faultPause))))
+				r.injectFault(random)
+				time.Sleep(time.Duration(random.Int64N(int64(maxFaultPause))))
 			}
 		})
 	}
-	group.Go(func() { s.deadlySeries(ctx, rand.New(rand.NewPCG(s.Seed, deadlyPart))) })
-	group.Go(func() { s.suspendSeries(ctx, rand.New(rand.NewPCG(s.Seed, suspendPart))) })
-	group.Go(func() { s.restSeries(ctx, rand.New(rand.NewPCG(s.Seed, restPart))) })
-	group.Go(func() { s.returnSeries(ctx, rand.New(rand.NewPCG(s.Seed, returnPart))) })
-	for i := range len(s.world.engines) + 1 {
-		group.Go(func() { s.limitSeries(ctx, i, rand.New(rand.NewPCG(s.Seed, limitPart+uint64(i)))) })
+	group.Go(func() { r.deadlySeries(ctx, rand.New(rand.NewPCG(r.Seed, deadlySeed))) })
+	group.Go(func() { r.suspendSeries(ctx, rand.New(rand.NewPCG(r.Seed, suspendSeed))) })
+	group.Go(func() { r.backOffSeries(ctx, rand.New(rand.NewPCG(r.Seed, backOffSeed))) })
+	group.Go(func() { r.restoreSeries(ctx, rand.New(rand.NewPCG(r.Seed, restoreSeed))) })
+	for i := range len(r.cluster.engines) + 1 {
+		group.Go(func() { r.limitSeries(ctx, i, rand.New(rand.NewPCG(r.Seed, limitSeed+uint64(i)))) })
 	}
-	group.Go(func() { s.restartCrashed(ctx) })
+	group.Go(func() { r.restartCrashedLoop(ctx) })
 	group.Wait()
-	s.startCrashed()
+	r.restartCrashed()
 }
 
-func (s *soak) note(what string, lasts time.Duration, err error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	// The list of faults is for people; a lost line harms nothing.
-	_, _ = fmt.Fprintf(s.Out, "fault=%q for=%s error=%v\n", what, lasts.Round(time.Millisecond), err)
+func (r *runner) logFault(description string, duration time.Duration, err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	// The output is informative, so a failed write is ignored.
+	_, _ = fmt.Fprintf(r.Out, "fault=%q for=%s error=%v\n", description, duration.Round(time.Millisecond), err)
 }
 
-// recovered waits until every node serves a stream again.
-func (s *soak) recovered() error {
-	until := time.Now().Add(recovery)
-	for i := range s.world.nodes {
-		for n := 0; !s.serves(i, fmt.Sprintf("after-%d-%d", i, n)); n++ {
+// awaitRecovery waits until every node serves a stream again.
+func (r *runner) awaitRecovery() error {
+	until := time.Now().Add(recoveryTime)
+	for i := range r.cluster.nodes {
+		for n := 0; !r.servesStream(i, fmt.Sprintf("after-%d-%d", i, n)); n++ {
 			if time.Now().After(until) {
-				return errors.Wrapf(ErrBroken, "node-%d does not serve %v after the last fault", i, recovery)
+				return errors.Wrapf(ErrPromiseBroken, "node-%d does not serve a stream %v after the last fault", i, recoveryTime)
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -145,38 +148,38 @@
 	return nil
 }
 
-func (s *soak) serves(node int, id string) bool {
+func (r *runner) servesStream(node int, id string) bool {
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
-	t := s.callers.askPath(context.Background(), transport, node, try{id: id, key: keptKey, method: http.MethodPost, path: "/write/" + id})
-	return t.status == http.StatusOK && t.whole && t.body == wanted(t.path)
+	t := r.callers.send(context.Background(), transport, node, attempt{id: id, key: permanentKey, method: http.MethodPost, path: "/write/" + id})
+	return t.status == http.StatusOK && t.complete && t.body == expectedBody(t.path)
 }
 
-func (s *soak) judge() error {
-	runs, err := s.world.runs()
+func (r *runner) checkResults() error {
+	executions, err := r.cluster.executions()
 	if err != nil {
 		return err
 	}
-	tries := s.callers.taken()
+	attempts := r.callers.recorded()
 	counts := make(map[int]int)
-	for _, t := range tries {
+	for _, t := range attempts {
 		counts[t.status]++
 	}
-	_, _ = fmt.Fprintf(s.Out, "tries=%d by_status=%v revocations=%d\n", len(tries), counts, len(s.gone))
-	told, starved := s.served(tries)
-	_, _ = fmt.Fprintln(s.Out, told)
-	broken := append(starved, check(tries, runs, s.gone)...)
-	broken = append(broken, s.world.ends.check(len(s.world.nodes))...)
-	visits, err := s.checkVisits()
+	_, _ = fmt.Fprintf(r.Out, "tries=%d by_status=%v revocations=%d\n", len(attempts), counts, len(r.revocations))
+	summary, underserved := r.checkServed(attempts)
+	_, _ = fmt.Fprintln(r.Out, summary)
+	violations := append(underserved, checkAttempts(attempts, executions, r.revocations)...)
+	violations = append(violations, r.cluster.crashes.check(len(r.cluster.nodes))...)
+	visits, err := r.checkVisits()
 	if err != nil {
 		return err
 	}
-	broken = append(broken, visits...)
-	for _, line := range broken {
-		_, _ = fmt.Fprintln(s.Out, "broken:", line)
+	violations = append(violations, visits...)
+	for _, line := range violations {
+		_, _ = fmt.Fprintln(r.Out, "broken:", line)
 	}
-	if len(broken) > 0 {
-		return errors.Wrapf(ErrBroken, "%d promises", len(broken))
+	if len(violations) > 0 {
+		return errors.Wrapf(ErrPromiseBroken, "%d violations", len(violations))
 	}
 	return nil
 }
--- a/soak/served.go
+++ b/soak/served.go
@@ -10,83 +10,86 @@
 )
 
 const (
-	// calmAfter is after how long without harm all must be well again: the recovery time of the
-	// users' deployments. calmFor is for how long that is looked at.
-	calmAfter = 12 * time.Second
-	calmFor   = 3 * time.Second
+	// calmDelay is how long after the last fault the calm span starts: the recovery time of the
+	// users' deployments. calmDuration is the length of the span.
+	calmDelay    = 12 * time.Second
+	calmDuration = 3 * time.Second
 )
 
-// share counts tries, and when the first and the last were sent.
-type share struct {
-	asked, served int
-	first, last   time.Time
+// tally counts attempts and their successes. firstSent and lastSent are the times of the first
+// and the last attempt.
+type tally struct {
+	sent, served        int
+	firstSent, lastSent time.Time
 }
 
-func (s *share) add(t try) {
-	if s.asked == 0 || t.sent.Before(s.first) {
-		s.first = t.sent
+func (t *tally) add(a attempt) {
+	if t.sent == 0 || a.sentAt.Before(t.firstSent) {
+		t.firstSent = a.sentAt
 	}
-	if t.sent.After(s.last) {
-		s.last = t.sent
+	if a.sentAt.After(t.lastSent) {
+		t.lastSent = a.sentAt
 	}
-	s.asked++
-	if t.status == http.StatusOK && t.whole {
-		s.served++
+	t.sent++
+	if a.status == http.StatusOK && a.complete {
+		t.served++
 	}
 }
 
-func (s *share) part() float64 {
-	if s.asked == 0 {
+func (t *tally) servedShare() float64 {
+	if t.sent == 0 {
 		return 1
 	}
-	return float64(s.served) / float64(s.asked)
+	return float64(t.served) / float64(t.sent)
 }
 
-// served tells what callers with the key that is never taken away got: all of it, by kind of
-// request, and what was too little.
-func (s *soak) served(tries []try) (told string, broken []string) {
-	var whole, calm share
-	kinds, callers := make(map[string]*share), make(map[string]*share)
-	for _, t := range tries {
-		caller, _, asks := strings.Cut(t.id, "-")
-		if t.key != keptKey || !asks || t.sent.IsZero() {
+// checkServed returns a summary of the share of requests with the permanent key that were
+// served, in total, in the calm span and by kind of request, and the violations where the share
+// is too low.
+func (r *runner) checkServed(attempts []attempt) (summary string, violations []string) {
+	var total, calm tally
+	byKind, byCaller := make(map[string]*tally), make(map[string]*tally)
+	for _, t := range attempts {
+		caller, _, ok := strings.Cut(t.id, "-")
+		if t.key != permanentKey || !ok || t.sentAt.IsZero() {
 			continue
 		}
-		whole.add(t)
-		of(kinds, strings.Split(t.path, "/")[1]).add(t)
-		of(callers, caller).add(t)
-		if t.sent.After(s.calmFrom) && t.sent.Before(s.calmTo) {
+		total.add(t)
+		tallyFor(byKind, strings.Split(t.path, "/")[1]).add(t)
+		tallyFor(byCaller, caller).add(t)
+		if t.sentAt.After(r.calmStart) && t.sentAt.Before(r.calmEnd) {
 			calm.add(t)
 		}
 	}
-	if calm.part() < starved.CalmAtLeast {
-		broken = append(broken, fmt.Sprintf("%.3f of %d requests served in calm, want %v", calm.part(), calm.asked, starved.CalmAtLeast))
+	if calm.servedShare() < starved.CalmAtLeast {
+		violations = append(violations, fmt.Sprintf("%.3f of %d requests served without faults, want at least %v", calm.servedShare(), calm.sent, starved.CalmAtLeast))
 	}
-	if why := neverServed(callers, whole.part()); why != "" {
-		broken = append(broken, why)
+	if violation := checkNeverServed(byCaller, total.servedShare()); violation != "" {
+		violations = append(violations, violation)
 	}
-	told = fmt.Sprintf("served=%.3f of=%d calm=%.3f of=%d", whole.part(), whole.asked, calm.part(), calm.asked)
+	summary = fmt.Sprintf("served=%.3f of=%d calm=%.3f of=%d", total.servedShare(), total.sent, calm.servedShare(), calm.sent)
 	for _, kind := range []string{"once", "read", "write"} {
-		told += fmt.Sprintf(" %s=%.3f", kind, of(kinds, kind).part())
+		summary += fmt.Sprintf(" %s=%.3f", kind, tallyFor(byKind, kind).servedShare())
 	}
-	return told, broken
+	return summary, violations
 }
 
-// neverServed tells of callers that were never served, where they are more than chance explains.
-func neverServed(callers map[string]*share, part float64) string {
+// checkNeverServed returns a violation if more callers were never served than chance explains;
+// else an empty string.
+func checkNeverServed(byCaller map[string]*tally, share float64) string {
 	var list []starved.Asked
-	for _, c := range callers {
-		list = append(list, starved.Asked{Count: c.asked, Served: c.served, Span: c.last.Sub(c.first).Seconds()})
+	for _, c := range byCaller {
+		list = append(list, starved.Asked{Count: c.sent, Served: c.served, Span: c.lastSent.Sub(c.firstSent).Seconds()})
 	}
-	if never, often, most := starved.Never(list, part); float64(never) > most {
-		return fmt.Sprintf("%d of %d callers were never served, want %.1f at most", never, often, most)
+	if never, often, most := starved.Never(list, share); float64(never) > most {
+		return fmt.Sprintf("%d of %d callers were never served, want at most %.1f", never, often, most)
 	}
 	return ""
 }
 
-func of(shares map[string]*share, name string) *share {
+func tallyFor(shares map[string]*tally, name string) *tally {
 	if shares[name] == nil {
-		shares[name] = &share{}
+		shares[name] = &tally{}
 	}
 	return shares[name]
 }
--- a/soak/suspend.go
+++ b/soak/suspend.go
@@ -12,41 +12,43 @@
 )
 
 const (
-	// suspendedFile is the variable that names the file with the time for which a node's
-	// VM was suspended, as the node's build for the soak reads it.
-	suspendedFile = "HOIST_SUSPENDED_FILE"
-	// longestSuspension bounds a suspension: keys must not be trusted after five seconds.
-	longestSuspension = 6500 * time.Millisecond
-	// betweenSuspensions bounds the pause between two.
-	betweenSuspensions = 3 * time.Second
+	// suspendedFileEnv is the environment variable with the path of a file that contains how
+	// long the node's VM was suspended, in ms. The node's build for the soak reads the file.
+	suspendedFileEnv = "HOIST_SUSPENDED_FILE"
+	// maxSuspension bounds a suspension. It exceeds the five seconds after which a node must
+	// not trust its client keys any more.
+	maxSuspension = 6500 * time.Millisecond
+	// maxSuspensionPause bounds the pause between two suspensions.
+	maxSuspensionPause = 3 * time.Second
 )
 
-// suspendSeries suspends the VMs of nodes: they stand still, and their steady clocks do not
-// count that time.
-func (s *soak) suspendSeries(ctx context.Context, random *rand.Rand) {
+// suspendSeries suspends the VMs of nodes: the processes are stopped, and their monotonic
+// clocks do not count the time.
+func (r *runner) suspendSeries(ctx context.Context, random *rand.Rand) {
 	for ctx.Err() == nil {
-		sleep(ctx, time.Duration(random.Int64N(int64(betweenSuspensions))))
-		which, lasts := random.IntN(len(s.world.nodes)), time.Duration(random.Int64N(int64(longestSuspension)))
+		sleep(ctx, time.Duration(random.Int64N(int64(maxSuspensionPause))))
+		index, duration := random.IntN(len(r.cluster.nodes)), time.Duration(random.Int64N(int64(maxSuspension)))
 		if ctx.Err() == nil {
-			s.note("suspend "+s.world.nodes[which].Name(), lasts, s.suspend(which, lasts))
+			r.logFault("suspend "+r.cluster.nodes[index].Name(), duration, r.suspend(index, duration))
 		}
 	}
 }
 
-func (s *soak) suspend(which int, lasts time.Duration) error {
-	s.world.nodeBusy[which].Lock()
-	defer s.world.nodeBusy[which].Unlock()
-	node := s.world.nodes[which]
-	defer s.disturbed.note(node.Name(), time.Now())
+func (r *runner) suspend(index int, duration time.Duration) error {
+	r.cluster.nodeMu[index].Lock()
+	defer r.cluster.nodeMu[index].Unlock()
+	node := r.cluster.nodes[index]
+	defer r.disturbed.record(node.Name(), time.Now())
 	node.Signal(syscall.SIGSTOP)
-	time.Sleep(lasts)
-	err := addSuspended(s.world.suspendedPath(node.Name()), lasts)
+	time.Sleep(duration)
+	err := addSuspendedTime(r.cluster.suspendedTimePath(node.Name()), duration)
 	node.Signal(syscall.SIGCONT)
 	return err
 }
 
-// addSuspended adds to the time that a file tells.
-func addSuspended(path string, d time.Duration) error {
+// addSuspendedTime adds a duration to the suspended time in a file. It replaces the file
+// atomically.
+func addSuspendedTime(path string, d time.Duration) error {
 	before := int64(0)
 	text, err := os.ReadFile(path)
 	switch {
@@ -58,9 +60,9 @@
 			return err
 		}
 	}
-	whole := path + ".new"
-	if err := os.WriteFile(whole, []byte(strconv.FormatInt(before+d.Milliseconds(), 10)), 0o644); err != nil {
+	temporary := path + ".new"
+	if err := os.WriteFile(temporary, []byte(strconv.FormatInt(before+d.Milliseconds(), 10)), 0o644); err != nil {
 		return err
 	}
-	return os.Rename(whole, path)
+	return os.Rename(temporary, path)
 }
