--- a/rehearse/caller.go
+++ b/rehearse/caller.go
@@ -18,175 +18,186 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// Request is one request of a caller, with all of its tries, and what became of it.
+// Request is one request of a caller, with all attempts and the outcome.
 type Request struct {
-	ID      string `json:"id"`
-	Kind    string `json:"kind"`
-	Centre  string `json:"centre"`
-	Account int    `json:"account"`
-	Subject string `json:"subject"`
-	Caller  string `json:"caller"`
-	Tokens  int    `json:"tokens"`
-	// Memory is what a stream takes of it at each layer, in tokens.
-	Memory float64 `json:"memory"`
-	At     float64 `json:"at_s"`
-	// EndS is when it was over.
+	ID         string `json:"id"`
+	Kind       string `json:"kind"`
+	DataCentre string `json:"centre"`
+	Account    int    `json:"account"`
+	Subject    string `json:"subject"`
+	Caller     string `json:"caller"`
+	Tokens     int    `json:"tokens"`
+	// MemoryTokens is the memory that a stream takes at each layer, in tokens.
+	MemoryTokens float64 `json:"memory"`
+	// StartS is the time at which the request was due, in seconds from the start of the load.
+	StartS float64 `json:"at_s"`
+	// EndS is the time at which the request ended, in seconds from the start of the load.
 	EndS    float64     `json:"end_s"`
 	Outcome lab.Outcome `json:"outcome"`
-	// FirstMS is when the first event came, or the answer, counted from the first try;
-	// PauseMS is the longest pause between events.
-	FirstMS float64 `json:"first_ms"`
-	PauseMS float64 `json:"pause_ms"`
-	// Why is the last thing that stood against it; empty for one that was served.
-	Why      string    `json:"why,omitempty"`
-	Refusals []Refusal `json:"refusals,omitempty"`
-	Wrong    string    `json:"wrong,omitempty"`
+	// FirstEventMS is the time from the first attempt to the first event, or to the whole
+	// response of a request that is no stream. MaxPauseMS is the longest pause between two
+	// events.
+	FirstEventMS float64 `json:"first_ms"`
+	MaxPauseMS   float64 `json:"pause_ms"`
+	// FailureReason is the reason for which the last attempt failed; empty if the request was
+	// served.
+	FailureReason string    `json:"why,omitempty"`
+	Refusals      []Refusal `json:"refusals,omitempty"`
+	WrongAnswer   string    `json:"wrong,omitempty"`
 }
 
-// Refusal is a try that a node has refused.
+// Refusal is an attempt that a node refused. AtMS is the time of the refusal, in ms since 1970,
+// and RemainingMS the time that was left until the deadline of the request.
 type Refusal struct {
-	Reason string    `json:"reason"`
-	AtMS   int64     `json:"at_ms"`
-	LeftMS int64     `json:"left_ms"`
-	BackMS float64   `json:"back_ms"`
-	at     time.Time // of the node's answer
+	Reason       string  `json:"reason"`
+	AtMS         int64   `json:"at_ms"`
+	RemainingMS  int64   `json:"left_ms"`
+	RetryAfterMS float64 `json:"back_ms"`
+	answeredAt   time.Time
 }
 
-// asker sends one request, with its tries.
-type asker struct {
+// sender sends one request, with its retries.
+type sender struct {
 	*Request
-	kind   lab.RequestKind
-	events int
-	prompt int
-	answer int
-	client *client
-	began  time.Time
-	// got is how many events have come, and lastEvent when the last did.
-	got       int
-	lastEvent time.Time
-	served    bool
+	kind         lab.RequestKind
+	wantedEvents int
+	promptTokens int
+	answerTokens int
+	client       *client
+	startedAt    time.Time
+	// eventsReceived counts the events of all attempts, and lastEventAt is the time of the last
+	// one.
+	eventsReceived int
+	lastEventAt    time.Time
+	served         bool
 }
 
-// errCut means that an answer has ended early, and errNotAsked that a node could not be reached.
+// errTruncated means that a response ended early, and errNotReached that no connection to the
+// node could be made.
 var (
-	errCut      = errors.New("answer_cut")
-	errNotAsked = errors.New("node_not_reached")
+	errTruncated  = errors.New("answer_cut")
+	errNotReached = errors.New("node_not_reached")
 )
 
-// run sends the request until it is served, or its time or its tries are over.
-func (a *asker) run(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, a.kind.DeadlineMS.Duration())
+// run sends the request until it is served, its deadline passes or its retries are used up.
+func (s *sender) run(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, s.kind.DeadlineMS.Duration())
 	defer cancel()
-	for try := 0; ; try++ {
-		back, again := a.try(ctx, try)
-		if a.served || !again || try >= a.kind.Returns {
+	for number := 0; ; number++ {
+		delay, retry := s.attempt(ctx, number)
+		if s.served || !retry || number >= s.kind.Returns {
 			break
 		}
-		if a.left() <= back {
+		if s.remaining() <= delay {
 			break
 		}
-		sleep(ctx, back)
+		sleep(ctx, delay)
 	}
-	a.Outcome = a.outcome()
-	a.EndS = a.At + time.Since(a.began).Seconds()
+	s.Outcome = s.outcome()
+	s.EndS = s.StartS + time.Since(s.startedAt).Seconds()
 }
 
-func (a *asker) left() time.Duration { return a.kind.DeadlineMS.Duration() - time.Since(a.began) }
+func (s *sender) remaining() time.Duration {
+	return s.kind.DeadlineMS.Duration() - time.Since(s.startedAt)
+}
 
-// try sends it once. It returns when the caller may come back, and whether it may at all.
-func (a *asker) try(ctx context.Context, number int) (back time.Duration, again bool) {
-	resp, err := a.send(ctx, number)
+// attempt sends the request once. If the request is not served, it returns the delay before a
+// retry, and whether a retry is safe.
+func (s *sender) attempt(ctx context.Context, number int) (delay time.Duration, retry bool) {
+	resp, err := s.send(ctx, number)
 	if err != nil {
-		a.Why = reasonOf(ctx, err)
-		return 0, a.kind.How != lab.HowOnce || errors.Is(err, errNotAsked)
+		s.FailureReason = failureReason(ctx, err)
+		return 0, s.kind.How != lab.HowOnce || errors.Is(err, errNotReached)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	switch resp.StatusCode {
 	case http.StatusOK:
-		err := a.read(resp)
+		err := s.readAnswer(resp)
 		if err != nil {
-			a.Why = reasonOf(ctx, err)
+			s.FailureReason = failureReason(ctx, err)
 		}
-		return 0, a.kind.How != lab.HowOnce
+		return 0, s.kind.How != lab.HowOnce
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return a.refused(resp), true
+		return s.recordRefusal(resp), true
 	default:
-		a.Why = fmt.Sprintf("status_%d_%s", resp.StatusCode, reasonIn(resp.Body))
-		return 0, a.kind.How != lab.HowOnce
+		s.FailureReason = fmt.Sprintf("status_%d_%s", resp.StatusCode, refusalReason(resp.Body))
+		return 0, s.kind.How != lab.HowOnce
 	}
 }
 
-func (a *asker) send(ctx context.Context, number int) (*http.Response, error) {
-	method, body := http.MethodPost, io.Reader(strings.NewReader(a.ID))
-	if a.kind.How == lab.HowRead {
+func (s *sender) send(ctx context.Context, number int) (*http.Response, error) {
+	method, body := http.MethodPost, io.Reader(strings.NewReader(s.ID))
+	if s.kind.How == lab.HowRead {
 		method, body = http.MethodGet, nil
 	}
-	node := a.client.node(number)
-	path := fmt.Sprintf("/%s/%s~%d", a.kind.Name, a.Subject, a.events)
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+node.caller+path, body)
+	node := s.client.node(number)
+	path := fmt.Sprintf("/%s/%s~%d", s.kind.Name, s.Subject, s.wantedEvents)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+node.callerAddress+path, body)
 	if err != nil {
 		return nil, err
 	}
 	req.Host, req.GetBody = standin.DeploymentHost, nil
 	req.Header = standin.StreamCaller{
-		ID: fmt.Sprintf("%s-%d", a.ID, number), Key: standin.DeploymentKey(a.Account), Subject: a.Subject,
-		RemainingMS: int(a.left().Milliseconds()), Prompt: a.prompt, Answer: a.answer, LastEvent: a.got,
+		ID: fmt.Sprintf("%s-%d", s.ID, number), Key: standin.DeploymentKey(s.Account), Subject: s.Subject,
+		RemainingMS: int(s.remaining().Milliseconds()), Prompt: s.promptTokens, Answer: s.answerTokens, LastEvent: s.eventsReceived,
 	}.Header()
-	resp, err := a.client.transport(number).RoundTrip(req)
+	resp, err := s.client.transport(number).RoundTrip(req)
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return nil, errors.Mark(err, errNotAsked)
+		return nil, errors.Mark(err, errNotReached)
 	}
 	return resp, err
 }
 
-// refused notes a refusal, and returns when to come back.
-func (a *asker) refused(resp *http.Response) time.Duration {
+// recordRefusal records a refusal and returns the delay from its Retry-After header; zero if
+// there is none.
+func (s *sender) recordRefusal(resp *http.Response) time.Duration {
 	seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	if err != nil {
 		seconds = 0
 	}
 	now := time.Now()
-	a.Why = reasonIn(resp.Body)
-	a.Refusals = append(a.Refusals, Refusal{
-		Reason: a.Why, AtMS: now.UnixMilli(), LeftMS: a.left().Milliseconds(), BackMS: seconds * msPerSecond, at: now,
+	s.FailureReason = refusalReason(resp.Body)
+	s.Refusals = append(s.Refusals, Refusal{
+		Reason: s.FailureReason, AtMS: now.UnixMilli(), RemainingMS: s.remaining().Milliseconds(), RetryAfterMS: seconds * msPerSecond, answeredAt: now,
 	})
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// reasonIn is the reason in an answer of a node's own.
-func reasonIn(body io.Reader) string {
-	var answer struct {
+// refusalReason returns the reason from the body of a node's own response.
+func refusalReason(body io.Reader) string {
+	var response struct {
 		Error string `json:"error"`
 	}
-	if err := json.NewDecoder(io.LimitReader(body, 1<<10)).Decode(&answer); err != nil {
+	if err := json.NewDecoder(io.LimitReader(body, 1<<10)).Decode(&response); err != nil {
 		return "unreadable"
 	}
-	return answer.Error
+	return response.Error
 }
 
-func reasonOf(ctx context.Context, err error) string {
+func failureReason(ctx context.Context, err error) string {
 	switch {
 	case ctx.Err() != nil:
 		return "time_is_up"
-	case errors.Is(err, errNotAsked):
-		return errNotAsked.Error()
+	case errors.Is(err, errNotReached):
+		return errNotReached.Error()
 	default:
-		return errCut.Error()
+		return errTruncated.Error()
 	}
 }
 
-// read takes an answer in, and checks it.
-func (a *asker) read(resp *http.Response) error {
-	if a.kind.How != lab.HowStream {
+// readAnswer reads and checks a response. A stream that resumes must continue with the next
+// event.
+func (s *sender) readAnswer(resp *http.Response) error {
+	if s.kind.How != lab.HowStream {
 		body, err := io.ReadAll(resp.Body)
 		if err != nil {
 			return err
 		}
-		a.note(time.Now())
-		a.served = true
+		s.recordEvent(time.Now())
+		s.served = true
 		if want := standin.DeskAnswer(resp.Request.URL.Path); string(body) != want {
-			a.Wrong = fmt.Sprintf("got %q, want %q", body, want)
+			s.WrongAnswer = fmt.Sprintf("got %q, want %q", body, want)
 		}
 		return nil
 	}
@@ -197,46 +208,46 @@
 		if !ok {
 			continue
 		}
-		a.note(time.Now())
-		a.got++
-		if want := strconv.Itoa(a.got); id != want {
-			a.Wrong = fmt.Sprintf("%s: got event %s, want %s", path, id, want)
+		s.recordEvent(time.Now())
+		s.eventsReceived++
+		if want := strconv.Itoa(s.eventsReceived); id != want {
+			s.WrongAnswer = fmt.Sprintf("%s: got event %s, want %s", path, id, want)
 		}
 	}
-	if lines.Err() != nil || a.got < a.events {
-		return errors.CombineErrors(lines.Err(), errCut)
+	if lines.Err() != nil || s.eventsReceived < s.wantedEvents {
+		return errors.CombineErrors(lines.Err(), errTruncated)
 	}
-	a.served = true
+	s.served = true
 	return nil
 }
 
-// note takes in that an event, or an answer, has come.
-func (a *asker) note(now time.Time) {
-	if a.lastEvent.IsZero() {
-		a.FirstMS = float64(now.Sub(a.began).Microseconds()) / msPerSecond
+// recordEvent updates the latencies for an event, or for a response that is no stream.
+func (s *sender) recordEvent(now time.Time) {
+	if s.lastEventAt.IsZero() {
+		s.FirstEventMS = float64(now.Sub(s.startedAt).Microseconds()) / msPerSecond
 	} else {
-		a.PauseMS = max(a.PauseMS, float64(now.Sub(a.lastEvent).Microseconds())/msPerSecond)
+		s.MaxPauseMS = max(s.MaxPauseMS, float64(now.Sub(s.lastEventAt).Microseconds())/msPerSecond)
 	}
-	a.lastEvent = now
+	s.lastEventAt = now
 }
 
-func (a *asker) outcome() lab.Outcome {
+func (s *sender) outcome() lab.Outcome {
 	switch {
-	case a.served && a.inTime():
-		a.Why = ""
+	case s.served && s.inTime():
+		s.FailureReason = ""
 		return lab.InTime
-	case a.served:
-		a.Why = ""
+	case s.served:
+		s.FailureReason = ""
 		return lab.Late
-	case len(a.Refusals) > 0 && a.Refusals[len(a.Refusals)-1].Reason == a.Why:
+	case len(s.Refusals) > 0 && s.Refusals[len(s.Refusals)-1].Reason == s.FailureReason:
 		return lab.Refused
 	default:
 		return lab.Failed
 	}
 }
 
-func (a *asker) inTime() bool {
-	return a.FirstMS <= float64(a.kind.AimMS) && (a.kind.PauseMS == 0 || a.PauseMS <= float64(a.kind.PauseMS))
+func (s *sender) inTime() bool {
+	return s.FirstEventMS <= float64(s.kind.AimMS) && (s.kind.PauseMS == 0 || s.MaxPauseMS <= float64(s.kind.PauseMS))
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/rehearse/doc.go
+++ b/rehearse/doc.go
@@ -1,13 +1,15 @@
-// Package rehearse plays a scenario of hoistlab in real time: the built programs as processes of
-// their own, under the scenario's load and troubles, judged by what callers got.
+// Package rehearse runs a scenario of hoistlab in real time: it starts the built programs as
+// separate processes, applies the scenario's load and faults, and checks the product's
+// guarantees against the responses that callers receive.
 //
-// Nodes run with all the settings that the deployment's template gives them, each at a loopback
-// address of its own. The stand-ins of the store and of all upstreams are two processes more
-// (cmd/standin-deployment). Callers are an open loop in this process: they ask at the scenario's
-// rates whatever becomes of what they asked before.
+// Each node runs at its own loopback address with settings from the deployment's template. Two
+// more processes (cmd/standin-deployment) are stand-ins for the store and for all upstreams.
+// The callers run in this process as an open loop: they send requests at the scenario's rates,
+// whatever the outcome of earlier requests.
 //
 //	report, err := rehearse.Run(ctx, scenario, rehearse.WithSeed(7))
 //	fmt.Println(report.Verdict())
 //
-// Arrivals, sizes and who is harmed come from the seed; the processes' own timing does not.
+// Arrival times, request sizes and the targets of faults derive from the seed; the timing of
+// the processes does not.
 package rehearse
--- /dev/null
+++ b/rehearse/evaluate_test.go
@@ -0,0 +1,131 @@
+package rehearse
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/hoistjunction/hoistjunction/clock"
+	"github.com/hoistjunction/hoistjunction/lab"
+	"github.com/hoistjunction/hoistjunction/standin"
+)
+
+// requestsOfKind returns ten requests per second for 20 s. Those for which served returns true
+// are served in time, and the others fail.
+func requestsOfKind(kind string, served func(i int) bool) []*Request {
+	const seconds, perSecond = 20, 10
+	var requests []*Request
+	for i := range seconds * perSecond {
+		at := float64(i) / perSecond
+		q := &Request{Kind: kind, DataCentre: "c", Subject: fmt.Sprint(kind, i%perSecond), Caller: fmt.Sprint(i % perSecond), StartS: at, EndS: at + 0.1, Outcome: lab.Failed}
+		if served(i) {
+			q.Outcome = lab.InTime
+		}
+		requests = append(requests, q)
+	}
+	return requests
+}
+
+func evaluated(t *testing.T, faults []lab.Fault, requests ...[]*Request) *Report {
+	s, err := lab.LoadScenario("../examples/rehearse/stalls.ini")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.Load.ForMS, s.Faults = 20_000, faults
+	l := &loadGenerator{}
+	for _, list := range requests {
+		l.requests = append(l.requests, list...)
+	}
+	return evaluate(s, options{seed: 1}, l, nil)
+}
+
+func servedAlways(int) bool { return true }
+func servedNever(int) bool  { return false }
+
+func TestVerdict(t *testing.T) {
+	freeze := lab.Fault{Kind: lab.NodeFreeze, At: 2000, For: 1000}
+	for _, tt := range []struct {
+		name   string
+		report *Report
+		want   []string
+	}{
+		{"all served", evaluated(t, nil, requestsOfKind("a", servedAlways)), nil},
+		{"one in fifty fails", evaluated(t, nil, requestsOfKind("a", func(i int) bool { return i%50 != 7 })), []string{"enough"}},
+		{"failures only during a fault", evaluated(t, []lab.Fault{freeze}, requestsOfKind("a", func(i int) bool { return i < 20 || i > 40 })), nil},
+		{"failures long after a fault", evaluated(t, []lab.Fault{freeze}, requestsOfKind("a", func(i int) bool { return i < 15 || i > 160 })), []string{"enough"}},
+		{"one kind never served", evaluated(t, nil, requestsOfKind("a", servedAlways), requestsOfKind("b", servedNever)), []string{"enough", "kind b", "subject"}},
+		{"one subject never served", evaluated(t, nil, requestsOfKind("a", func(i int) bool { return i%10 != 3 })), []string{"enough"}},
+		{"four subjects never served", evaluated(t, nil, requestsOfKind("a", func(i int) bool { return i%10 > 3 })), []string{"enough", "caller", "subject"}},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			got := strings.Join(tt.report.BrokenPromises, "\n")
+			if len(tt.report.BrokenPromises) != len(tt.want) {
+				t.Errorf("got violations %q, want %v", got, tt.want)
+			}
+			for _, want := range tt.want {
+				if !strings.Contains(got, want) {
+					t.Errorf("got violations %q, want one that contains %q", got, want)
+				}
+			}
+			if err := tt.report.Verdict(); errors.Is(err, ErrPromiseBroken) != (len(tt.want) > 0) {
+				t.Errorf("unexpected verdict: %v", err)
+			}
+		})
+	}
+}
+
+func TestVerdictOnBusyMachine(t *testing.T) {
+	s, err := lab.LoadScenario("../examples/rehearse/stalls.ini")
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := evaluate(s, options{seed: 1}, &loadGenerator{requests: requestsOfKind("a", servedNever), lateMS: []float64{1, 40}}, nil)
+	if err := r.Verdict(); !errors.Is(err, ErrInvalid) {
+		t.Errorf("got %v, want %v", err, ErrInvalid)
+	}
+}
+
+func TestCouldServe(t *testing.T) {
+	s, err := lab.LoadScenario("../examples/rehearse/stalls.ini")
+	if err != nil {
+		t.Fatal(err)
+	}
+	plain := &Request{Kind: "pickup-confirm"}
+	for _, tt := range []struct {
+		samples []standin.Openness
+		left    int64
+		want    bool
+	}{
+		{[]standin.Openness{{AtMS: 90, Desks: 1}, {AtMS: 150}}, 500, false},
+		{[]standin.Openness{{AtMS: 110}, {AtMS: 400, Desks: 1}}, 500, true},
+		{[]standin.Openness{{AtMS: 110}, {AtMS: 400, Desks: 1}}, 200, false},
+		{[]standin.Openness{{AtMS: 110, Tokens: 5000}}, 500, false},
+	} {
+		if got := couldServe(s, plain, Refusal{AtMS: 100, RemainingMS: tt.left}, tt.samples); got != tt.want {
+			t.Errorf("%+v, %d ms left: got %v, want %v", tt.samples, tt.left, got, tt.want)
+		}
+	}
+}
+
+func TestRunRejectsInvalidInput(t *testing.T) {
+	for _, tt := range []struct {
+		name, scenario string
+		opts           []Option
+		want           error
+	}{
+		{"programs missing", "../examples/rehearse/stalls.ini", []Option{WithBinDir("nowhere")}, ErrNotStarted},
+		{"scale of zero", "../examples/rehearse/stalls.ini", []Option{WithScale(0)}, ErrScale},
+		{"unknown request parameter", "testdata/bad_request.ini", nil, lab.ErrScenario},
+		{"nodes in an unknown data centre", "testdata/bad_nodes.ini", nil, lab.ErrScenario},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			opts := append([]Option{WithLogDir(t.TempDir()), WithSettingsTemplate("../deploy/relay.ini.tmpl"), WithLoadDuration(clock.Millis(100))}, tt.opts...)
+			if _, err := Run(context.Background(), tt.scenario, opts...); !errors.Is(err, tt.want) {
+				t.Errorf("got %v, want %v", err, tt.want)
+			}
+		})
+	}
+}
--- a/rehearse/load.go
+++ b/rehearse/load.go
@@ -15,124 +15,128 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// clientsEach is how many clients a data centre has. Each keeps its connections, and opens new
-// ones for a part of its requests.
+// clientsPerDataCentre is the number of clients in each data centre. A client keeps its
+// connections open, and sends the share newConnectionShare of its requests over new ones.
 const (
-	clientsEach   = 30
-	newConnection = 0.25
-	// longestWait bounds what a caller waits for a connection.
-	longestWait = time.Second
+	clientsPerDataCentre = 30
+	newConnectionShare   = 0.25
+	// dialTimeout bounds the time to open a connection to a node.
+	dialTimeout = time.Second
 )
 
-// client is a caller's program: its connections, and the node that they go to.
+// client is a caller's program, with its connections and the balancer that assigns them to
+// nodes.
 type client struct {
-	balancer *balancer
-	name     string
-	centre   string
-	number   uint64
-	kept     *http.Transport
-	fresh    *http.Transport
-	renew    bool
+	balancer    *balancer
+	name        string
+	dataCentre  string
+	number      uint64
+	keepAlive   *http.Transport
+	noKeepAlive *http.Transport
+	reconnect   bool
 }
 
-// node is where a try goes: the node of its connections, or another one for a later try.
-func (c *client) node(try int) *relayNode { return c.balancer.choose(c.centre, c.number+uint64(try)) }
+// node returns the node for an attempt. Retries use a different number, so that they can reach
+// another node.
+func (c *client) node(attempt int) *relayNode {
+	return c.balancer.pick(c.dataCentre, c.number+uint64(attempt))
+}
 
-func (c *client) transport(try int) *http.Transport {
-	if try > 0 || c.renew {
-		return c.fresh
+func (c *client) transport(attempt int) *http.Transport {
+	if attempt > 0 || c.reconnect {
+		return c.noKeepAlive
 	}
-	return c.kept
+	return c.keepAlive
 }
 
-// load is an open loop of callers.
-type load struct {
-	scenario *lab.Scenario
-	balancer *balancer
-	random   *rand.Rand
-	scale    float64
-	kept     []*http.Transport
-	fresh    *http.Transport
-	centres  []string
-	// burst is how many times as many requests come as usual.
-	burst atomic.Uint64
+// loadGenerator sends requests as an open loop of callers.
+type loadGenerator struct {
+	scenario    *lab.Scenario
+	balancer    *balancer
+	random      *rand.Rand
+	scale       float64
+	keepAlive   []*http.Transport
+	noKeepAlive *http.Transport
+	dataCentres []string
+	// burstFactor multiplies the request rate; it contains the bits of a float64.
+	burstFactor atomic.Uint64
 
 	mu       sync.Mutex
 	requests []*Request
-	// lateMS are by how much callers came later than they should have.
+	// lateMS is the delay of each request behind its scheduled time, in ms.
 	lateMS []float64
 }
 
-func newLoad(s *lab.Scenario, b *balancer, o options) *load {
-	l := &load{
-		scenario: s, balancer: b, random: rand.New(rand.NewPCG(o.seed, 11)), scale: o.scale, centres: s.Fleet.Centres(),
-		fresh: newTransport(true),
+func newLoadGenerator(s *lab.Scenario, b *balancer, o options) *loadGenerator {
+	l := &loadGenerator{
+		scenario: s, balancer: b, random: rand.New(rand.NewPCG(o.seed, 11)), scale: o.scale, dataCentres: s.Fleet.Centres(),
+		noKeepAlive: newTransport(true),
 	}
 	l.setBurst(1)
-	for range len(l.centres) * clientsEach {
-		l.kept = append(l.kept, newTransport(false))
+	for range len(l.dataCentres) * clientsPerDataCentre {
+		l.keepAlive = append(l.keepAlive, newTransport(false))
 	}
 	return l
 }
 
-func newTransport(fresh bool) *http.Transport {
-	dialer := &net.Dialer{Timeout: longestWait}
-	return &http.Transport{DisableKeepAlives: fresh, MaxIdleConnsPerHost: clientsEach, DialContext: dialer.DialContext}
+func newTransport(disableKeepAlives bool) *http.Transport {
+	dialer := &net.Dialer{Timeout: dialTimeout}
+	return &http.Transport{DisableKeepAlives: disableKeepAlives, MaxIdleConnsPerHost: clientsPerDataCentre, DialContext: dialer.DialContext}
 }
 
-func (l *load) setBurst(times float64) { l.burst.Store(math.Float64bits(times)) }
+func (l *loadGenerator) setBurst(factor float64) { l.burstFactor.Store(math.Float64bits(factor)) }
 
-// perSecond is how many requests come a second.
-func (l *load) perSecond() float64 {
-	return l.scenario.Deployment.PerSecond() * l.scale * math.Float64frombits(l.burst.Load())
+// rate returns the current request rate per second.
+func (l *loadGenerator) rate() float64 {
+	return l.scenario.Deployment.PerSecond() * l.scale * math.Float64frombits(l.burstFactor.Load())
 }
 
-// run has callers ask for a time, and returns when all have their answers.
-func (l *load) run(ctx context.Context, began time.Time, lasts time.Duration) {
+// run sends requests for a duration, and returns when all of them have ended.
+func (l *loadGenerator) run(ctx context.Context, startedAt time.Time, duration time.Duration) {
 	var group sync.WaitGroup
-	for due := began; ; {
-		due = due.Add(time.Duration(l.random.ExpFloat64() / l.perSecond() * float64(time.Second)))
-		if due.Sub(began) >= lasts || ctx.Err() != nil {
+	for scheduled := startedAt; ; {
+		scheduled = scheduled.Add(time.Duration(l.random.ExpFloat64() / l.rate() * float64(time.Second)))
+		if scheduled.Sub(startedAt) >= duration || ctx.Err() != nil {
 			break
 		}
-		sleep(ctx, time.Until(due))
-		a := l.draw(due.Sub(began))
-		a.began = time.Now()
-		l.note(a.Request, a.began.Sub(due))
-		group.Go(func() { a.run(ctx) })
+		sleep(ctx, time.Until(scheduled))
+		s := l.drawRequest(scheduled.Sub(startedAt))
+		s.startedAt = time.Now()
+		l.record(s.Request, s.startedAt.Sub(scheduled))
+		group.Go(func() { s.run(ctx) })
 	}
 	group.Wait()
 }
 
-func (l *load) note(r *Request, late time.Duration) {
+func (l *loadGenerator) record(r *Request, delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.requests = append(l.requests, r)
-	l.lateMS = append(l.lateMS, float64(late.Microseconds())/msPerSecond)
+	l.lateMS = append(l.lateMS, float64(delay.Microseconds())/msPerSecond)
 }
 
-// draw draws the next request.
-func (l *load) draw(at time.Duration) *asker {
+// drawRequest draws the next request.
+func (l *loadGenerator) drawRequest(at time.Duration) *sender {
 	kind := l.drawKind()
-	centre := l.random.IntN(len(l.centres))
-	number := centre*clientsEach + l.random.IntN(clientsEach)
-	a := &asker{kind: kind, events: 1, prompt: 1, client: &client{
-		balancer: l.balancer, name: fmt.Sprint("client-", number), centre: l.centres[centre], number: uint64(number),
-		kept: l.kept[number], fresh: l.fresh, renew: l.random.Float64() < newConnection,
+	dataCentre := l.random.IntN(len(l.dataCentres))
+	number := dataCentre*clientsPerDataCentre + l.random.IntN(clientsPerDataCentre)
+	s := &sender{kind: kind, wantedEvents: 1, promptTokens: 1, client: &client{
+		balancer: l.balancer, name: fmt.Sprint("client-", number), dataCentre: l.dataCentres[dataCentre], number: uint64(number),
+		keepAlive: l.keepAlive[number], noKeepAlive: l.noKeepAlive, reconnect: l.random.Float64() < newConnectionShare,
 	}}
 	if kind.How == lab.HowStream {
-		a.events, a.prompt = l.size(kind.Events), l.size(kind.Prompt)
-		a.answer = a.events * l.scenario.Load.EventTokens
+		s.wantedEvents, s.promptTokens = l.drawSize(kind.Events), l.drawSize(kind.Prompt)
+		s.answerTokens = s.wantedEvents * l.scenario.Load.EventTokens
 	}
-	a.Request = &Request{
-		ID: fmt.Sprintf("r%d", len(l.requests)+1), Kind: kind.Name, Centre: a.client.centre, Account: l.drawAccount(),
-		Subject: fmt.Sprintf("%s-%d", kind.Name, l.random.IntN(l.scenario.Deployment.Subjects)), Caller: a.client.name,
-		Tokens: a.prompt, Memory: standin.StreamTokens(a.prompt, a.answer), At: at.Seconds(),
+	s.Request = &Request{
+		ID: fmt.Sprintf("r%d", len(l.requests)+1), Kind: kind.Name, DataCentre: s.client.dataCentre, Account: l.drawAccount(),
+		Subject: fmt.Sprintf("%s-%d", kind.Name, l.random.IntN(l.scenario.Deployment.Subjects)), Caller: s.client.name,
+		Tokens: s.promptTokens, MemoryTokens: standin.StreamTokens(s.promptTokens, s.answerTokens), StartS: at.Seconds(),
 	}
-	return a
+	return s
 }
 
-func (l *load) drawKind() lab.RequestKind {
+func (l *loadGenerator) drawKind() lab.RequestKind {
 	kinds := l.scenario.Deployment.Requests
 	x := l.random.Float64() * l.scenario.Deployment.PerSecond()
 	for _, k := range kinds {
@@ -143,8 +147,9 @@
 	return kinds[len(kinds)-1]
 }
 
-// drawAccount draws an account: each has half of what those before it leave.
-func (l *load) drawAccount() int {
+// drawAccount draws an account: each account gets half of the requests that remain after the
+// accounts before it, and the last gets the rest.
+func (l *loadGenerator) drawAccount() int {
 	last := l.scenario.Deployment.Accounts - 1
 	for i := range last {
 		if l.random.IntN(2) == 0 {
@@ -154,13 +159,14 @@
 	return last
 }
 
-// Sizes spread log-normally round their mean, up to a few times as much.
+// Request sizes follow a log-normal distribution with the given mean, cut off at maxSizeFactor
+// times the mean.
 const (
-	sizeSpread = 0.7
-	mostSize   = 2.5
+	sizeSigma     = 0.7
+	maxSizeFactor = 2.5
 )
 
-func (l *load) size(mean int) int {
-	x := float64(mean) * math.Exp(sizeSpread*l.random.NormFloat64()-sizeSpread*sizeSpread/2)
-	return max(1, int(min(x, mostSize*float64(mean))))
+func (l *loadGenerator) drawSize(mean int) int {
+	x := float64(mean) * math.Exp(sizeSigma*l.random.NormFloat64()-sizeSigma*sizeSigma/2)
+	return max(1, int(min(x, maxSizeFactor*float64(mean))))
 }
--- a/rehearse/node.go
+++ b/rehearse/node.go
@@ -11,54 +11,56 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// relayNode is a relay node of the rehearsal.
+// relayNode is the process of a relay node.
 type relayNode struct {
 	*process.Process
-	name, centre string
-	// caller and readiness are its addresses.
-	caller, readiness string
+	name, dataCentre string
+	// callerAddress and readinessAddress are the listen addresses for callers and for readiness
+	// checks.
+	callerAddress, readinessAddress string
 }
 
-// Nodes stand in networks of loopback that differ between rehearsals at a time: a port that is
-// found free for a node is taken by it only once all nodes are started.
+// Each rehearsal uses its own loopback network, chosen by its process id. A free port is only
+// taken when all nodes are started, so that rehearsals in the same network could take each
+// other's ports.
 const (
-	firstNetwork = 16
-	networks     = 200
+	firstLoopbackNet = 16
+	loopbackNets     = 200
 )
 
-// newPlace finds free ports at a node's address.
-func newPlace(name, centre string, centreNumber, number int) (standin.NodePlace, error) {
-	p := standin.NodePlace{Name: name, Centre: centre, IP: fmt.Sprintf("127.%d.%d.%d", firstNetwork+os.Getpid()%networks, centreNumber, number)}
+// newNodePlace finds free ports at the loopback address of a node.
+func newNodePlace(name, dataCentre string, dataCentreNumber, number int) (standin.NodePlace, error) {
+	p := standin.NodePlace{Name: name, Centre: dataCentre, IP: fmt.Sprintf("127.%d.%d.%d", firstLoopbackNet+os.Getpid()%loopbackNets, dataCentreNumber, number)}
 	for _, port := range []*string{&p.Front, &p.Readiness, &p.Peers, &p.Metrics} {
 		listener, err := net.Listen("tcp", p.At("0"))
 		if err != nil {
 			return p, err
 		}
-		// Free again once all are known.
+		// The listeners stay open until all ports are found, so that the ports differ.
 		defer func() { _ = listener.Close() }()
 		*port = strconv.Itoa(listener.Addr().(*net.TCPAddr).Port)
 	}
 	return p, nil
 }
 
-// newNode writes a node's settings and builds its process, which is not started yet.
+// newNode writes the settings of a node and prepares its process, which is not started yet.
 func newNode(d *Deployment, p standin.NodePlace, template string, seeds []string) (*relayNode, error) {
 	text, err := standin.Fill(template, standin.NodeFields(p, d.scenario, d.store.Address(), seeds))
 	if err != nil {
 		return nil, err
 	}
-	settings := filepath.Join(d.options.logs, p.Name+".ini")
+	settings := filepath.Join(d.options.logDir, p.Name+".ini")
 	if err := os.WriteFile(settings, []byte(text), 0o644); err != nil {
 		return nil, err
 	}
-	started, err := d.process(p.Name, "hoistrelay", "--settings", settings)
+	process, err := d.newProcess(p.Name, "hoistrelay", "--settings", settings)
 	if err != nil {
 		return nil, err
 	}
-	return &relayNode{Process: started, name: p.Name, centre: p.Centre, caller: p.At(p.Front), readiness: p.At(p.Readiness)}, nil
+	return &relayNode{Process: process, name: p.Name, dataCentre: p.Centre, callerAddress: p.At(p.Front), readinessAddress: p.At(p.Readiness)}, nil
 }
 
 const msPerSecond = 1000
 
-// nodeMark is what a node's first line has before its address.
-const nodeMark = " caller="
+// nodeReadyText precedes the address in the line that a node prints when it is ready.
+const nodeReadyText = " caller="
--- a/rehearse/run.go
+++ b/rehearse/run.go
@@ -14,8 +14,8 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// Run plays a scenario file, and judges it. The report holds what was seen also where an error
-// ended it early; all that was started is ended.
+// Run runs the scenario in a file and returns the report. If the context ends, it returns the
+// report so far with the error. All processes are ended before it returns.
 func Run(ctx context.Context, path string, opts ...Option) (*Report, error) {
 	o := newOptions(opts)
 	s, err := lab.LoadScenario(path)
@@ -25,56 +25,56 @@
 	if o.scale <= 0 {
 		return nil, ErrScale
 	}
-	if o.lasts > 0 {
-		s.Load.ForMS = o.lasts
+	if o.loadDuration > 0 {
+		s.Load.ForMS = o.loadDuration
 	}
 	o.scenario = path
-	stopBusy := keepBusy(o.busy)
+	stopBusy := occupyProcessors(o.busyProcessors)
 	defer stopBusy()
-	d, err := start(s, o)
+	d, err := startDeployment(s, o)
 	defer d.close()
 	if err != nil {
 		return nil, err
 	}
-	return play(ctx, d)
+	return playScenario(ctx, d)
 }
 
-// play has callers ask while troubles are done, and judges what they got.
-func play(ctx context.Context, d *Deployment) (*Report, error) {
+// playScenario generates the load while faults are injected, and evaluates the outcomes.
+func playScenario(ctx context.Context, d *Deployment) (*Report, error) {
 	s, o := d.scenario, d.options
-	watching, stop := context.WithCancel(ctx)
+	background, stop := context.WithCancel(ctx)
 	defer stop()
 	balancer := newBalancer(d.nodes)
-	go balancer.run(watching)
-	load := newLoad(s, balancer, o)
+	go balancer.run(background)
+	generator := newLoadGenerator(s, balancer, o)
 	sleep(ctx, s.Load.SettleMS.Duration())
-	began := time.Now()
-	watch := &watch{upstreams: d.upstreams.Address(), client: &http.Client{Timeout: time.Second}}
-	go watch.run(watching)
-	go tellProgress(watching, o.progress, load, began)
-	harm := newHarm(d, load, o.seed)
+	startedAt := time.Now()
+	sampler := &capacitySampler{upstreams: d.upstreams.Address(), client: &http.Client{Timeout: time.Second}}
+	go sampler.run(background)
+	go printProgress(background, o.progress, generator, startedAt)
+	injector := newFaultInjector(d, generator, o.seed)
 	var group sync.WaitGroup
-	group.Go(func() { harm.run(ctx, began) })
-	load.run(ctx, began, s.Load.ForMS.Duration())
+	group.Go(func() { injector.run(ctx, startedAt) })
+	generator.run(ctx, startedAt, s.Load.ForMS.Duration())
 	group.Wait()
 	stop()
-	r := judge(s, o, load, watch.taken())
-	r.Nodes = measureNodes(d.nodes)
-	for _, err := range harm.failed {
-		r.NotDone = append(r.NotDone, err.Error())
+	r := evaluate(s, o, generator, sampler.recorded())
+	r.Nodes = measureUsage(d.nodes)
+	for _, err := range injector.errs {
+		r.FailedFaults = append(r.FailedFaults, err.Error())
 	}
 	return r, ctx.Err()
 }
 
-// keepBusy keeps so many processors busy until it is stopped.
-func keepBusy(processors int) (stop func()) {
-	over := make(chan struct{})
+// occupyProcessors keeps a number of processors busy until stop is called.
+func occupyProcessors(processors int) (stop func()) {
+	stopped := make(chan struct{})
 	for range processors {
 		go func() {
 			for x := 0; ; x++ {
 				if x%1_000_000 == 0 {
 					select {
-					case <-over:
+					case <-stopped:
 						return
 					default:
 						runtime.Gosched()
@@ -83,11 +83,11 @@
 			}
 		}()
 	}
-	return func() { close(over) }
+	return func() { close(stopped) }
 }
 
-// tellProgress writes a line a second: how many requests were asked for.
-func tellProgress(ctx context.Context, out io.Writer, l *load, began time.Time) {
+// printProgress writes the number of requests sent so far once a second.
+func printProgress(ctx context.Context, out io.Writer, l *loadGenerator, startedAt time.Time) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -96,27 +96,27 @@
 			return
 		case <-tick.C:
 			l.mu.Lock()
-			asked := len(l.requests)
+			sent := len(l.requests)
 			l.mu.Unlock()
-			// A lost line of progress harms nothing.
-			_, _ = fmt.Fprintf(out, "%3.0f s: %d asked\n", time.Since(began).Seconds(), asked)
+			// The output is informative, so a failed write is ignored.
+			_, _ = fmt.Fprintf(out, "%3.0f s: %d asked\n", time.Since(startedAt).Seconds(), sent)
 		}
 	}
 }
 
-// sampledEvery is how often it is noted what upstreams could take.
-const sampledEvery = 50 * time.Millisecond
+// sampleInterval is the interval at which the free capacity of the upstreams is sampled.
+const sampleInterval = 50 * time.Millisecond
 
-// watch notes what upstreams could have taken, and when.
-type watch struct {
+// capacitySampler records samples of the free capacity of the upstreams.
+type capacitySampler struct {
 	upstreams string
 	client    *http.Client
 	mu        sync.Mutex
 	samples   []standin.Openness
 }
 
-func (w *watch) run(ctx context.Context) {
-	tick := time.NewTicker(sampledEvery)
+func (w *capacitySampler) run(ctx context.Context) {
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -132,7 +132,7 @@
 	}
 }
 
-func (w *watch) sample() (standin.Openness, bool) {
+func (w *capacitySampler) sample() (standin.Openness, bool) {
 	var o standin.Openness
 	resp, err := w.client.Get("http://" + w.upstreams + "/open")
 	if err != nil {
@@ -142,7 +142,7 @@
 	return o, json.NewDecoder(resp.Body).Decode(&o) == nil
 }
 
-func (w *watch) taken() []standin.Openness {
+func (w *capacitySampler) recorded() []standin.Openness {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.samples
--- a/rehearse/template_test.go
+++ b/rehearse/template_test.go
@@ -10,9 +10,9 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// The settings that a rehearsal gives a node are those that the deployment's template gives it: each
-// of its gaps has a field, and a node takes what comes of it.
-func TestNodesHaveAllSettingsOfTheTemplate(t *testing.T) {
+// Guards against a placeholder of the deployment's settings template that a rehearsal does not
+// fill, and against filled settings that a node does not accept.
+func TestNodeLoadsFilledTemplate(t *testing.T) {
 	template, err := os.ReadFile("../deploy/relay.ini.tmpl")
 	if err != nil {
 		t.Fatal(err)
@@ -35,6 +35,6 @@
 		t.Fatal(err)
 	}
 	if got.MemoryMB != s.Deployment.NodeMB || got.RetrySlack != s.Nodes.RetrySlack || got.UsageListen != "127.1.1.1:0" {
-		t.Errorf("got %+v, want the scenario's figures", got)
+		t.Errorf("got %+v, want the values of the scenario", got)
 	}
 }
--- a/rehearse/use.go
+++ b/rehearse/usage.go
@@ -8,20 +8,21 @@
 	"strings"
 )
 
-// measureNodes reads what the nodes have used, by the kernel's word. One that is gone is left out.
-func measureNodes(nodes []*relayNode) []NodeUse {
-	var list []NodeUse
+// measureUsage returns the resource usage of the nodes as the kernel reports it. It omits nodes
+// that are not running.
+func measureUsage(nodes []*relayNode) []NodeUsage {
+	var list []NodeUsage
 	for _, n := range nodes {
 		pid, running := n.PID()
 		if !running {
 			continue
 		}
-		list = append(list, NodeUse{Name: n.name, PeakMB: peakMB(pid), Processors: processorSeconds(pid)})
+		list = append(list, NodeUsage{Name: n.name, PeakMB: peakMB(pid), ProcessorSeconds: processorSeconds(pid)})
 	}
 	return list
 }
 
-// peakMB is the most memory that a process has had; zero where the kernel does not tell.
+// peakMB returns the peak resident memory of a process; zero if the kernel does not report it.
 func peakMB(pid int) float64 {
 	const kbPerMB = 1024
 	file, err := os.Open(fmt.Sprintf("/proc/%d/status", pid))
@@ -40,15 +41,16 @@
 	return 0
 }
 
-// Fields of /proc/PID/stat behind the program's name, and the kernel's clock ticks a second.
+// userTicks and systemTicks are indexes of the fields of /proc/PID/stat after the program name,
+// and ticksPerSecond is the unit of their values.
 const (
-	userTicks   = 11
-	systemTicks = 12
-	ticksInS    = 100
+	userTicks      = 11
+	systemTicks    = 12
+	ticksPerSecond = 100
 )
 
-// processorSeconds is for how long a process has had a processor; zero where the kernel does not
-// tell.
+// processorSeconds returns the processor time that a process has used; zero if the kernel does
+// not report it.
 func processorSeconds(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -64,5 +66,5 @@
 	if userErr != nil || systemErr != nil {
 		return 0
 	}
-	return (user + system) / ticksInS
+	return (user + system) / ticksPerSecond
 }
