--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -73,7 +73,7 @@
 			for _, u := range upstreams {
 				visits += len(u.Visits())
 				for _, b := range standin.LimitBreaches(u.Visits(), nodeInName, limitContact, nobody) {
-					t.Errorf("got %d requests in 4 s at an upstream that takes %v a second, %v, want %d at most", b.Count, b.Limit, b.Nodes, b.Allowed)
+					t.Errorf("got %d requests in 4 s at an upstream that takes %v a second, %v, want %d at most", b.Count, b.Limit, b.RequestsByNode, b.Allowed)
 				}
 			}
 			if visits == 0 {
--- a/rehearse/caller.go
+++ b/rehearse/caller.go
@@ -129,7 +129,7 @@
 	}
 	req.Host, req.GetBody = standin.DeploymentHost, nil
 	req.Header = standin.StreamClient{
-		ID: fmt.Sprintf("%s-%d", a.ID, number), Key: standin.DeploymentKey(a.Account), PromptID: a.Subject,
+		ID: fmt.Sprintf("%s-%d", a.ID, number), Key: standin.DeploymentKey(a.Account), Subject: a.Subject,
 		RemainingMS: int(a.left().Milliseconds()), PromptTokens: a.prompt, AnswerTokens: a.answer, LastEventID: a.got,
 	}.Header()
 	resp, err := a.client.transport(number).RoundTrip(req)
--- a/rehearse/deployment.go
+++ b/rehearse/deployment.go
@@ -94,7 +94,7 @@
 	}
 	var seeds []string
 	for _, p := range places[:min(3, len(places))] {
-		seeds = append(seeds, p.Address(p.Peers))
+		seeds = append(seeds, p.HostPort(p.Peers))
 	}
 	for _, p := range places {
 		n, err := newNode(d, p, template, seeds)
--- a/rehearse/harm.go
+++ b/rehearse/harm.go
@@ -91,7 +91,7 @@
 	case lab.StoreSlow:
 		return h.storeFor(ctx, standin.RowStoreFaults{ResponseDelayMS: int64(f.X)}, lasts)
 	default:
-		return h.post(h.deployment.upstreams, "/harm", standin.FaultInjection{Kind: f.Kind, Share: f.Share, Strength: f.X, MaxStrength: f.XMost, ForMS: int64(f.For)})
+		return h.post(h.deployment.upstreams, "/harm", standin.FaultInjection{Kind: f.Kind, Share: f.Share, X: f.X, XMost: f.XMost, ForMS: int64(f.For)})
 	}
 	return nil
 }
--- a/rehearse/node.go
+++ b/rehearse/node.go
@@ -30,7 +30,7 @@
 func newPlace(name, centre string, centreNumber, number int) (standin.NodeAddresses, error) {
 	p := standin.NodeAddresses{Name: name, Centre: centre, IP: fmt.Sprintf("127.%d.%d.%d", firstNetwork+os.Getpid()%networks, centreNumber, number)}
 	for _, port := range []*string{&p.Front, &p.Readiness, &p.Peers, &p.Metrics} {
-		listener, err := net.Listen("tcp", p.Address("0"))
+		listener, err := net.Listen("tcp", p.HostPort("0"))
 		if err != nil {
 			return p, err
 		}
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &relayNode{Process: started, name: p.Name, centre: p.Centre, caller: p.Address(p.Front), readiness: p.Address(p.Readiness)}, nil
+	return &relayNode{Process: started, name: p.Name, centre: p.Centre, caller: p.HostPort(p.Front), readiness: p.HostPort(p.Readiness)}, nil
 }
 
 const msPerSecond = 1000
--- a/rehearse/template_test.go
+++ b/rehearse/template_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	place := standin.NodeAddresses{Name: "n", Centre: "c", IP: "127.1.1.1", Front: "1", Readiness: "2", Peers: "3", Metrics: "4"}
-	text, err := standin.FillTemplate(string(template), standin.NodeFields(place, s, "127.0.0.1:5", []string{place.Address(place.Peers)}))
+	text, err := standin.FillTemplate(string(template), standin.NodeFields(place, s, "127.0.0.1:5", []string{place.HostPort(place.Peers)}))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/soak/leave.go
+++ b/soak/leave.go
@@ -135,7 +135,7 @@
 	if err := json.NewDecoder(resp.Body).Decode(&arrival); err != nil {
 		return time.Time{}, err
 	}
-	return time.UnixMilli(arrival.LastMS), nil
+	return time.UnixMilli(arrival.AtMS), nil
 }
 
 // listedLeaving tells whether the store shows that a server leaves whose id begins with
--- a/soak/limit.go
+++ b/soak/limit.go
@@ -62,7 +62,7 @@
 	}
 	var broken []string
 	for _, b := range standin.LimitBreaches(list, s.callers.nodeOf, limitContact, excused) {
-		broken = append(broken, fmt.Sprintf("%s had named %v a second and got %d requests in 4 s, of %v; allowed %d", upstream, b.Limit, b.Count, b.Nodes, b.Allowed))
+		broken = append(broken, fmt.Sprintf("%s had named %v a second and got %d requests in 4 s, of %v; allowed %d", upstream, b.Limit, b.Count, b.RequestsByNode, b.Allowed))
 	}
 	return broken
 }
--- a/standin/advertised_limit.go
+++ b/standin/advertised_limit.go
@@ -7,28 +7,31 @@
 	"time"
 )
 
-// LimitFaults are how a server in need names the requests a second that it takes from all
-// nodes together.
+// LimitFaults set the rate limit that an overloaded server advertises, in
+// requests per second from all nodes together.
 type LimitFaults struct {
-	// Advertised is what stands in Server-Limit from now on; empty for nothing.
+	// Advertised is the value of the Server-Limit response header; empty means
+	// that the header is not set.
 	Advertised string `json:"name"`
 }
 
-// advertisedLimit is what a server in need names. It is safe for concurrent use.
+// advertisedLimit is the rate limit that a server advertises. It is safe for
+// concurrent use.
 type advertisedLimit struct {
-	mu   sync.Mutex
+	mu    sync.Mutex
 	value string
 }
 
-// SetLimit changes the limit that the server names.
+// SetLimit sets the limit that the server advertises.
 func (l *advertisedLimit) SetLimit(f LimitFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.value = f.Advertised
 }
 
-// setLimitHeader has an answer name the limit, where there is one, and returns it; zero for none
-// and for what is no number of requests.
+// setLimitHeader sets the Server-Limit header if a limit is advertised, and
+// returns the limit. It returns zero if there is none, or if the value is not a
+// positive number.
 func (l *advertisedLimit) setLimitHeader(h http.Header) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -36,86 +39,96 @@
 		return 0
 	}
 	h.Set("Server-Limit", l.value)
-	named, err := strconv.ParseFloat(l.value, 64)
+	rate, err := strconv.ParseFloat(l.value, 64)
 	if err != nil {
 		return 0
 	}
-	return max(named, 0)
+	return max(rate, 0)
 }
 
-// registerHandlers adds the call that makes a server name a limit.
-func (l *advertisedLimit) registerHandlers(mux *http.ServeMux) { mux.Handle("POST /limit", jsonSetHandler(l.SetLimit)) }
+// registerHandlers adds the handler that sets the advertised limit.
+func (l *advertisedLimit) registerHandlers(mux *http.ServeMux) {
+	mux.Handle("POST /limit", jsonSetHandler(l.SetLimit))
+}
 
 const (
-	// limitWindow is the time over which requests are counted against a limit.
+	// limitWindow is the length of the window in which requests are counted
+	// against a limit.
 	limitWindow = 4 * time.Second
-	// limitGrace is how long after a node has passed on an answer that names a limit what it
-	// sends counts.
+	// limitGrace is the time after the first response with a limit to a node
+	// until the node's requests count.
 	limitGrace = 500 * time.Millisecond
-	// limitSlackFactor and limitSlackRequests are how much more than it allows may come in a window.
-	limitSlackFactor = 1.5
-	limitSlackRequests  = 5
+	// A window may hold limitSlackFactor times the requests that the limit
+	// allows, plus limitSlackRequests.
+	limitSlackFactor   = 1.5
+	limitSlackRequests = 5
 )
 
-// LimitBreach is a span in which a server got more requests than its limit allows.
+// LimitBreach is a window in which a server received more requests than its
+// advertised limit allows.
 type LimitBreach struct {
-	// Limit is the number that was named, in requests a second.
+	// Limit is the advertised limit, in requests per second.
 	Limit float64
-	// Count is how many requests came in the span that ends at AtMS, and Allowed how many
-	// may.
+	// Count is the number of requests in the window, and Allowed the maximum.
 	Count, Allowed int
-	AtMS           int64
-	// Nodes are those that had been told, by whom the requests were sent.
-	Nodes map[string]int
+	// AtMS is the end of the window, in ms since 1970.
+	AtMS int64
+	// RequestsByNode is the number of requests in the window from each node that
+	// had received the limit.
+	RequestsByNode map[string]int
 }
 
-// LimitBreaches returns the first span of each time with a limit in which a server got more
-// requests than that allows, from nodes that had been told, later than contact after it had
-// named the limit first. NodeOf names the node that a try was sent to, and excused tells
-// whether what a node has sent in a time counts for nothing.
+// LimitBreaches returns the first breach of each period in which a server
+// advertised a limit. Windows that end less than contact after the start of the
+// period are ignored, and so are requests of nodes that had not received the
+// limit. nodeOf returns the node that an attempt was sent to, by the attempt's
+// id. excused reports whether the requests of a node in a time span are not
+// counted.
 func LimitBreaches(list []ReceivedRequest, nodeOf func(id string) string, contact time.Duration, excused func(node string, fromMS, toMS int64) bool) []LimitBreach {
 	var breaches []LimitBreach
-	told := make(map[string]int64)
-	first, broken := int64(0), false
-	for i, v := range list {
-		if v.Limit == 0 {
-			clear(told)
-			first, broken = 0, false
+	notifiedAt := make(map[string]int64)
+	first, breached := int64(0), false
+	for i, r := range list {
+		if r.Limit == 0 {
+			clear(notifiedAt)
+			first, breached = 0, false
 			continue
 		}
 		if first == 0 {
-			first = v.AtMS
+			first = r.AtMS
 		}
-		if node := nodeOf(v.ID); told[node] == 0 {
-			told[node] = v.AtMS
+		if node := nodeOf(r.ID); notifiedAt[node] == 0 {
+			notifiedAt[node] = r.AtMS
 		}
-		if broken || v.AtMS < first+contact.Milliseconds() {
+		if breached || r.AtMS < first+contact.Milliseconds() {
 			continue
 		}
-		b := countInWindow(list[:i+1], nodeOf, told)
-		for node, n := range b.Nodes {
-			if excused(node, v.AtMS-limitWindow.Milliseconds(), v.AtMS) {
+		b := countInWindow(list[:i+1], nodeOf, notifiedAt)
+		for node, n := range b.RequestsByNode {
+			if excused(node, r.AtMS-limitWindow.Milliseconds(), r.AtMS) {
 				b.Count -= n
 			}
 		}
-		broken = b.Count > b.Allowed
-		if broken {
+		breached = b.Count > b.Allowed
+		if breached {
 			breaches = append(breaches, b)
 		}
 	}
 	return breaches
 }
 
-// countInWindow counts the requests of the window that ends with the last of some visits.
-func countInWindow(list []ReceivedRequest, nodeOf func(id string) string, told map[string]int64) LimitBreach {
+// countInWindow counts the requests in the window that ends with the last
+// request of list. notifiedAt holds the time at which each node first received
+// the limit, in ms since 1970.
+func countInWindow(list []ReceivedRequest, nodeOf func(id string) string, notifiedAt map[string]int64) LimitBreach {
 	last := list[len(list)-1]
-	b := LimitBreach{Limit: last.Limit, AtMS: last.AtMS, Nodes: make(map[string]int)}
+	b := LimitBreach{Limit: last.Limit, AtMS: last.AtMS, RequestsByNode: make(map[string]int)}
 	b.Allowed = int(limitSlackFactor*last.Limit*limitWindow.Seconds() + limitSlackRequests)
 	for i := len(list) - 1; i >= 0 && list[i].AtMS > last.AtMS-limitWindow.Milliseconds(); i-- {
 		node := nodeOf(list[i].ID)
-		if at := told[node]; node != "" && at != 0 && at <= last.AtMS-limitGrace.Milliseconds() {
+		if at := notifiedAt[node]; node != "" && at != 0 && at <= last.AtMS-limitGrace.Milliseconds() {
 			b.Count++
-			b.Nodes[node]++
+			b.RequestsByNode[node]++
 		}
 	}
 	return b
--- a/standin/back_off.go
+++ b/standin/back_off.go
@@ -7,41 +7,48 @@
 	"time"
 )
 
-// BackOffFaults are how a server turns requests away and asks for rest.
+// BackOffFaults make a server reject requests and request a back-off.
 type BackOffFaults struct {
-	// ForMS is for how long, from now on, it turns all requests away, in ms; zero for none.
+	// ForMS is the time from now in which the server rejects all requests, in ms;
+	// zero means none.
 	ForMS int `json:"for_ms"`
-	// RetryAfter is what stands in Retry-After then; empty for nothing.
+	// RetryAfter is the value of the Retry-After header of a rejection; empty
+	// means that the header is not set.
 	RetryAfter string `json:"ask"`
 }
 
-// backOffFault is how a server asks for rest. It is safe for concurrent use.
+// backOffFault holds the back-off that a server requests. It is safe for
+// concurrent use.
 type backOffFault struct {
-	mu    sync.Mutex
-	until time.Time
-	retryAfter   string
+	mu         sync.Mutex
+	until      time.Time
+	retryAfter string
 }
 
-// SetRest changes how the server asks for rest.
+// SetRest sets the back-off that the server requests from now on.
 func (r *backOffFault) SetRest(f BackOffFaults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.until, r.retryAfter = time.Now().Add(time.Duration(f.ForMS)*time.Millisecond), f.RetryAfter
 }
 
-// rejection tells whether the server turns away what comes now, and what it asks for.
-func (r *backOffFault) rejection(now time.Time) (ask string, away bool) {
+// rejection reports whether the server rejects requests now, and returns the
+// value of their Retry-After header.
+func (r *backOffFault) rejection(now time.Time) (retryAfter string, rejecting bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.retryAfter, now.Before(r.until)
 }
 
-// registerHandlers adds the call that makes a server ask for rest.
-func (r *backOffFault) registerHandlers(mux *http.ServeMux) { mux.Handle("POST /rest", jsonSetHandler(r.SetRest)) }
+// registerHandlers adds the handler that sets the back-off.
+func (r *backOffFault) registerHandlers(mux *http.ServeMux) {
+	mux.Handle("POST /rest", jsonSetHandler(r.SetRest))
+}
 
-// retryAfterMS reads a rest that is asked for, in ms; zero for one that is no number.
-func retryAfterMS(ask string) int64 {
-	seconds, err := strconv.ParseFloat(ask, 64)
+// retryAfterMS returns the back-off of a Retry-After value in ms, or zero if the
+// value is not a number of seconds.
+func retryAfterMS(retryAfter string) int64 {
+	seconds, err := strconv.ParseFloat(retryAfter, 64)
 	if err != nil {
 		return 0
 	}
--- a/standin/batch.go
+++ b/standin/batch.go
@@ -13,15 +13,16 @@
 	return e.waiting.take(e.config.MaxBatch)
 }
 
-// runBatch takes the time that the batch costs, and then answers its steps.
+// runBatch waits for the execution time of the batch, then executes its steps
+// and sends the replies. While the engine is frozen no reply is sent.
 func (e *Engine) runBatch(ctx context.Context, batch []*queuedStep) {
 	e.mu.Lock()
-	cost := e.config.Base + e.faults.BatchDelay()
+	duration := e.config.Base + e.faults.BatchDelay()
 	for _, q := range batch {
-		cost += e.config.PerStep + e.config.PerPosition*time.Duration(e.uncachedPositions(q))
+		duration += e.config.PerStep + e.config.PerPosition*time.Duration(e.uncachedPositions(q))
 	}
 	e.mu.Unlock()
-	if !sleep(ctx, cost) {
+	if !sleep(ctx, duration) {
 		return
 	}
 	for e.isFrozen() {
@@ -34,10 +35,11 @@
 	}
 }
 
-// frozenPollInterval is how often a frozen engine looks whether it still is.
+// frozenPollInterval is the time between two checks whether the engine is
+// still frozen.
 const frozenPollInterval = 2 * time.Millisecond
 
-// sleep waits, and returns false when the context has ended.
+// sleep waits for d and reports whether ctx was still active at the end.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -53,8 +55,8 @@
 	return e.faults.Frozen
 }
 
-// sendReply runs a step and sends its reply, over a slow link or twice where a
-// fault says so.
+// sendReply executes a step and sends its reply, with the delay and extra
+// copies of the injected faults.
 func (e *Engine) sendReply(q *queuedStep) {
 	e.mu.Lock()
 	reply := e.executeStep(q.step)
@@ -69,7 +71,8 @@
 	}
 }
 
-// uncachedPositions returns how many positions of a step have to be worked out.
+// uncachedPositions returns the number of positions of a step that are not in
+// the prefix cache.
 func (e *Engine) uncachedPositions(q *queuedStep) int {
 	n := positionCount(q.step)
 	if q.step.GetPosition() == 0 {
--- a/standin/chain_engine.go
+++ b/standin/chain_engine.go
@@ -16,70 +16,76 @@
 	"github.com/hoistjunction/hoistjunction/platform/platformpb"
 )
 
-// Times of the stand-in engine.
+// Defaults of a ChainEngine.
 const (
-	// eventInterval is the time between two events, and loadTime that of a load.
+	// eventInterval is the time between two events of a stream.
 	eventInterval = 15 * time.Millisecond
-	loadTime   = 150 * time.Millisecond
-	// stallTimeout is how long a stream waits for a part that is lost before it is
-	// cut, and stageCheckTimeout bounds one question to a part.
+	// loadTime is the time to load any range of layers.
+	loadTime = 150 * time.Millisecond
+	// stallTimeout is how long a stream waits for an unavailable stage before it
+	// is aborted.
 	stallTimeout = 2500 * time.Millisecond
-	stageCheckTimeout   = 80 * time.Millisecond
-	// engineMemory is the memory for requests, and streamMemory what one takes, in tokens
-	// times layers.
+	// stageCheckTimeout is the timeout of a request that checks a stage.
+	stageCheckTimeout = 80 * time.Millisecond
+	// engineMemory is an engine's memory for streams, in tokens times layers.
 	engineMemory = 100_000
+	// streamMemory is the memory of a stream, in tokens times layers.
 	streamMemory = 500
-	// abortAfterEvents is how many events a stream has that is broken off.
+	// abortAfterEvents is the number of events before an injected abort.
 	abortAfterEvents = 3
 )
 
-// ChainEngine is a stand-in for an engine that runs pipelines by itself: it
-// holds a range of layers, and the first of a chain asks the others for every
-// event of its streams.
+// ChainEngine is a stand-in for an engine that executes a range of layers of a
+// pipeline. The first engine of a chain serves the stream and checks the other
+// stages of the chain for each event.
 type ChainEngine struct {
 	*serverBase
-	// address is the address by which callers and other engines know it.
-	address string
+	// ownAddress is the address in the engine's entry and in chains.
+	ownAddress string
 	client     *http.Client
 
 	model engineModel
-	// registry holds the engines of the same process; nil for an engine alone.
+	// registry holds the engines of the same process. If it is nil, the other
+	// stages are reached over HTTP.
 	registry *EngineRegistry
 
-	mu      sync.Mutex
-	heldLayers    fleet.LayerRange
-	loading bool
-	ordersTaken  uint64
-	streams map[string]*engineStream
-	// usedMemory is the memory that streams of the yard take, in tokens times layers, and passing
-	// how many of them pass this engine.
-	usedMemory    float64
+	mu          sync.Mutex
+	heldLayers  fleet.LayerRange
+	loading     bool
+	ordersTaken uint64
+	streams     map[string]*engineStream
+	// usedMemory is the memory reserved by the streams of a registry, in tokens
+	// times layers.
+	usedMemory float64
+	// passingStreams is the number of streams of a registry that have a stage on
+	// this engine.
 	passingStreams int
-	// slowdown is how many times as long as usual it takes; zero for as long.
-	slowdown   float64
-	faults ChainFaults
-	// acceptedStreams counts the streams that were taken since the faults were set.
+	// slowdown multiplies execution times; values below 1 count as 1.
+	slowdown float64
+	faults   ChainFaults
+	// acceptedStreams counts the accepted streams since the faults were set.
 	acceptedStreams int
 }
 
-// engineStream is a stream that began at this engine.
+// engineStream is a stream whose first stage is on this engine.
 type engineStream struct {
-	stages     []chainStage
+	stages    []chainStage
 	stalledAt string
-	// abort tells that it is broken off after abortAfterEvents events.
+	// abort is true if the stream is aborted after abortAfterEvents events.
 	abort bool
 }
 
-// chainStage is a stage as the chain's header names it.
+// chainStage is a stage in the Path header of a request.
 type chainStage struct {
 	address string
 	layers  fleet.LayerRange
 }
 
-// NewChainEngine returns an empty engine.
-func NewChainEngine(id, advertised string, opts ...ServerOption) *ChainEngine {
+// NewChainEngine returns an engine that holds no layers. The address is that
+// which clients and other engines connect to.
+func NewChainEngine(id, address string, opts ...ServerOption) *ChainEngine {
 	return &ChainEngine{
-		serverBase: newServerBase(id, opts), address: advertised, client: &http.Client{Timeout: stageCheckTimeout}, streams: make(map[string]*engineStream),
+		serverBase: newServerBase(id, opts), ownAddress: address, client: &http.Client{Timeout: stageCheckTimeout}, streams: make(map[string]*engineStream),
 		model: siteModel{},
 	}
 }
@@ -89,7 +95,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return &platformpb.Server{
-		Service: SiteStreamService, Address: e.address, Zone: centre, State: e.entryState(), Slots: float64(e.model.slots()), Kind: e.model.accelerator(),
+		Service: SiteStreamService, Address: e.ownAddress, Zone: centre, State: e.entryState(), Slots: float64(e.model.slots()), Kind: e.model.accelerator(),
 		Layers: e.reportedLayers(), Born: e.startMS, Software: standinSoftware, OrdersTaken: float64(e.ordersTaken),
 	}
 }
@@ -101,8 +107,9 @@
 	return &platformpb.Layers{From: float64(e.heldLayers.From), To: float64(e.heldLayers.To)}
 }
 
-// Handler serves orders, reports, questions of other engines, and streams; its faults
-// at /faults, and its leaving at /leave.
+// Handler returns the HTTP handler of orders, reports, stage checks of other
+// engines and streams, of fault injection at /faults, and of the calls that
+// all stand-in servers have.
 func (e *ChainEngine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /report", e.handleReport)
@@ -127,7 +134,8 @@
 	writeProto(w, http.StatusOK, report)
 }
 
-// handleStageCheck answers another engine whether this one holds a range.
+// handleStageCheck responds with 204 if the engine holds the layers in the query,
+// and with 421 otherwise.
 func (e *ChainEngine) handleStageCheck(w http.ResponseWriter, r *http.Request) {
 	if !e.holds(parseLayerRange(r.URL.Query().Get("layers"))) {
 		w.WriteHeader(http.StatusMisdirectedRequest)
@@ -136,13 +144,15 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
+// holds reports whether the engine holds all layers of a range that is not empty.
 func (e *ChainEngine) holds(r fleet.LayerRange) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return !r.Empty() && e.heldLayers.Covers(r)
 }
 
-// handleStream runs a stream, or refuses it.
+// handleStream executes a stream, or rejects it if a stage of its chain is
+// unavailable or has no free capacity.
 func (e *ChainEngine) handleStream(w http.ResponseWriter, r *http.Request) {
 	if !e.acceptInstance(w, r) {
 		return
@@ -150,30 +160,30 @@
 	if _, err := io.Copy(io.Discard, r.Body); err != nil || !e.admitRequest(w, r) {
 		return
 	}
-	parts := parseChain(r.Header.Get("Path"))
-	bad := e.unavailableStage(r.Context(), parts)
-	if bad == "" {
-		bad = e.reserve(r, parts)
+	stages := parseChain(r.Header.Get("Path"))
+	unavailable := e.unavailableStage(r.Context(), stages)
+	if unavailable == "" {
+		unavailable = e.reserve(r, stages)
 	}
-	if bad != "" {
-		w.Header().Set("At-Server", bad)
+	if unavailable != "" {
+		w.Header().Set("At-Server", unavailable)
 		w.Header().Set("Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer e.release(r, parts)
+	defer e.release(r, stages)
 	if e.crash.trigger(r.URL.Path) {
 		panic(http.ErrAbortHandler)
 	}
 	id := r.Header.Get("Attempt-Id")
 	w.Header().Set("Attempt-Id", id)
 	w.Header().Set("Response-Seal", e.id)
-	fate := e.nextOutcome()
-	if fate == outcomeFailed {
+	outcome := e.nextOutcome()
+	if outcome == outcomeFailed {
 		http.Error(w, "the engine fails", http.StatusInternalServerError)
 		return
 	}
-	stream := &engineStream{stages: parts, abort: fate == outcomeAborted}
+	stream := &engineStream{stages: stages, abort: outcome == outcomeAborted}
 	e.mu.Lock()
 	e.streams[id] = stream
 	e.mu.Unlock()
@@ -190,22 +200,24 @@
 	}
 }
 
-// unavailableStage returns the address of the first part that cannot run, if any.
-func (e *ChainEngine) unavailableStage(ctx context.Context, parts []chainStage) string {
+// unavailableStage returns the address of the first stage that cannot be
+// executed. It returns the engine's own address if the chain does not cover all
+// layers, and the empty string if all stages are available.
+func (e *ChainEngine) unavailableStage(ctx context.Context, stages []chainStage) string {
 	next := 0
-	for i, p := range parts {
+	for i, p := range stages {
 		if p.layers.From != next || i == 0 && !e.holds(p.layers) || i > 0 && !e.stageAvailable(ctx, p) {
 			return p.address
 		}
 		next = p.layers.To
 	}
 	if next != e.model.layers() {
-		return e.address
+		return e.ownAddress
 	}
 	return ""
 }
 
-// stageAvailable asks another engine whether it holds its part.
+// stageAvailable reports whether the engine of a stage holds its layers.
 func (e *ChainEngine) stageAvailable(ctx context.Context, p chainStage) bool {
 	if e.registry != nil {
 		other := e.registry.engineAt(p.address)
@@ -225,27 +237,28 @@
 }
 
 func parseChain(text string) []chainStage {
-	var parts []chainStage
-	for word := range strings.SplitSeq(text, ",") {
-		address, layers, _ := strings.Cut(word, "=")
-		parts = append(parts, chainStage{address: address, layers: parseLayerRange(layers)})
+	var stages []chainStage
+	for stage := range strings.SplitSeq(text, ",") {
+		address, layers, _ := strings.Cut(stage, "=")
+		stages = append(stages, chainStage{address: address, layers: parseLayerRange(layers)})
 	}
-	return parts
+	return stages
 }
 
 func parseLayerRange(text string) fleet.LayerRange {
 	from, to, _ := strings.Cut(text, "-")
 	var r fleet.LayerRange
-	// What is no number leaves an empty range, which no engine holds.
+	// A bound that is not a number becomes 0. An empty range is held by no engine.
 	r.From, _ = strconv.Atoi(from)
 	r.To, _ = strconv.Atoi(to)
 	return r
 }
 
-// standinSoftware is the version of the stand-ins' software.
+// standinSoftware is the software version in the entries of stand-ins.
 const standinSoftware = "v1"
 
-// EntryBytes encodes an entry as a server writes it: with all of its fields.
+// EntryBytes returns the JSON encoding of an entry with all fields, including
+// those with zero values, as servers write it.
 func EntryBytes(entry *platformpb.Server) ([]byte, error) {
 	return protojson.MarshalOptions{EmitUnpopulated: true}.Marshal(entry)
 }
--- a/standin/chain_engine_faults.go
+++ b/standin/chain_engine_faults.go
@@ -1,22 +1,24 @@
 package standin
 
-// ChainFaults are what goes wrong with an engine that runs pipelines.
+// ChainFaults are the injectable faults of a ChainEngine.
 type ChainFaults struct {
-	// FailEvery makes the engine run each so manieth stream and answer it with a
-	// failure of its own; zero for none.
+	// FailEvery makes every nth accepted stream fail with status 500; zero
+	// means none.
 	FailEvery int `json:"fail_each"`
-	// AbortEvery makes it break each so manieth stream off partway; zero for none.
+	// AbortEvery aborts every nth accepted stream after some events; zero
+	// means none.
 	AbortEvery int `json:"cut_each"`
 }
 
-// SetFaults changes what goes wrong.
+// SetFaults replaces the engine's injected faults and restarts the count of
+// accepted streams.
 func (e *ChainEngine) SetFaults(f ChainFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults, e.acceptedStreams = f, 0
 }
 
-// streamOutcome is what becomes of a stream that the engine takes.
+// streamOutcome is the injected outcome of an accepted stream.
 type streamOutcome int
 
 const (
@@ -25,7 +27,7 @@
 	outcomeAborted
 )
 
-// nextOutcome says what becomes of the stream that is taken now.
+// nextOutcome counts an accepted stream and returns its outcome.
 func (e *ChainEngine) nextOutcome() streamOutcome {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/chain_engine_order.go
+++ b/standin/chain_engine_order.go
@@ -12,20 +12,23 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// engineOrder is an order in any of its forms.
+// engineOrder is an order to an engine: "place" loads a range of layers, and
+// "repath" migrates a running stream.
 type engineOrder struct {
 	Op    string   `json:"op"`
 	From  *float64 `json:"from"`
 	To    *float64 `json:"targetVersion"`
-	Mode   string   `json:"how"`
+	Mode  string   `json:"how"`
 	Fence *float64 `json:"fence"`
 	ID    string   `json:"id"`
-	Chain  string   `json:"path"`
-	// Expected is how many orders the engine must have taken; nil for any number.
+	Chain string   `json:"path"`
+	// Expected is the number of orders that the engine must have accepted before
+	// this one; nil means any number.
 	Expected *float64 `json:"expectedRevision"`
 }
 
-// readOrder refuses what the pages do not describe: other fields, and numbers in quotes.
+// readOrder decodes an order. It rejects an order that the platform's API does
+// not define, such as one with unknown fields or with numbers in quotes.
 func readOrder(body io.Reader) (engineOrder, error) {
 	var o engineOrder
 	decoder := json.NewDecoder(body)
@@ -34,14 +37,14 @@
 		return o, errors.Mark(err, ErrInvalidRequest)
 	}
 	place := o.Op == "place" && o.From != nil && o.To != nil && (o.Mode == "wait" || o.Mode == "cut") && o.ID == "" && o.Chain == ""
-	repath := o.Op == "repath" && o.ID != "" && o.Chain != "" && o.From == nil && o.To == nil && o.Mode == ""
-	if !place && !repath {
+	migrate := o.Op == "repath" && o.ID != "" && o.Chain != "" && o.From == nil && o.To == nil && o.Mode == ""
+	if !place && !migrate {
 		return o, errors.Wrapf(ErrInvalidRequest, "order %q", o.Op)
 	}
 	return o, nil
 }
 
-// CheckOrder refuses an order that engines refuse.
+// CheckOrder returns ErrInvalidRequest for an order that engines reject.
 func CheckOrder(body []byte) error {
 	_, err := readOrder(bytes.NewReader(body))
 	return err
--- a/standin/chain_engine_stream.go
+++ b/standin/chain_engine_stream.go
@@ -9,16 +9,17 @@
 	"time"
 )
 
-// writeEvents writes the events after the last one that the caller has.
+// writeEvents writes the events of a stream, after Last-Event-Id if the client
+// resumes it.
 func (e *ChainEngine) writeEvents(w http.ResponseWriter, r *http.Request, stream *engineStream) {
 	first := 1
 	if last, err := strconv.Atoi(r.Header.Get("Last-Event-Id")); err == nil {
 		first = last + 1
 	}
 	control := http.NewResponseController(w)
-	time.Sleep(e.readTime(r, stream))
+	time.Sleep(e.promptTime(r, stream))
 	for n := first; n <= e.model.eventCount(r.URL.Path); n++ {
-		time.Sleep(e.stepTime(stream))
+		time.Sleep(e.eventTime(stream))
 		if stream.abort && n == first+abortAfterEvents || !e.executeStages(r.Context(), stream) {
 			panic(http.ErrAbortHandler)
 		}
@@ -31,25 +32,25 @@
 	}
 }
 
-// executeStages has every part run one event. It waits for a part that is lost, and
-// reports whether the stream may go on.
+// executeStages executes one event on all stages. It waits up to stallTimeout
+// for an unavailable stage, and reports whether the event was executed.
 func (e *ChainEngine) executeStages(ctx context.Context, stream *engineStream) bool {
-	until := time.Now().Add(stallTimeout)
-	for time.Now().Before(until) && ctx.Err() == nil {
+	deadline := time.Now().Add(stallTimeout)
+	for time.Now().Before(deadline) && ctx.Err() == nil {
 		e.mu.Lock()
-		parts := stream.stages
+		stages := stream.stages
 		e.mu.Unlock()
-		lost := ""
-		for _, p := range parts[1:] {
+		unavailable := ""
+		for _, p := range stages[1:] {
 			if !e.stageAvailable(ctx, p) {
-				lost = p.address
+				unavailable = p.address
 				break
 			}
 		}
 		e.mu.Lock()
-		stream.stalledAt = lost
+		stream.stalledAt = unavailable
 		e.mu.Unlock()
-		if lost == "" {
+		if unavailable == "" {
 			return true
 		}
 		time.Sleep(eventInterval)
@@ -57,8 +58,8 @@
 	return false
 }
 
-// SiteEventCount is how many events the stream of a path has.
+// SiteEventCount returns the number of events of the stream at a path.
 func SiteEventCount(path string) int { return 10 + len(path)%30 }
 
-// SiteEvent is one event of the stream of a path.
+// SiteEvent returns event n of the stream at a path, as server-sent event.
 func SiteEvent(path string, n int) string { return fmt.Sprintf("id: %d\ndata: %s %d\n\n", n, path, n) }
--- a/standin/crash_fault.go
+++ b/standin/crash_fault.go
@@ -2,27 +2,30 @@
 
 import "strings"
 
-// CrashPath is in the path of a request that ends each server that begins to run it.
+// CrashPath is the part of a request's path that makes each server crash that
+// starts to execute the request.
 const CrashPath = "deadly"
 
-// CrashedBy is what a stand-in's process prints before the path of the request that ends it.
+// CrashedBy is the prefix of the line that a stand-in's process prints before it
+// crashes. The path of the request follows.
 const CrashedBy = "ended_by "
 
-// CausesCrash tells whether the request of a path ends the server that begins to run it. It
-// does so each time that it comes, at every server; no other request does.
+// CausesCrash reports whether a request with this path crashes the server that
+// starts to execute it. It does so on each attempt and on every server.
 func CausesCrash(path string) bool { return strings.Contains(path, CrashPath) }
 
-// crashFault is how a server ends when it begins to run a deadly request.
+// crashFault crashes a server that starts to execute a request with CrashPath.
 type crashFault struct {
-	// crash ends the server, given the request's path; nil for one that no request ends.
-	crash func(path string)
+	// terminate crashes the server, given the request's path; nil disables the fault.
+	terminate func(path string)
 }
 
-// trigger ends the server if the request that it begins to run is deadly, and reports that.
+// trigger crashes the server if the request's path contains CrashPath, and
+// reports whether it did.
 func (c crashFault) trigger(path string) bool {
-	if c.crash == nil || !CausesCrash(path) {
+	if c.terminate == nil || !CausesCrash(path) {
 		return false
 	}
-	c.crash(path)
+	c.terminate(path)
 	return true
 }
--- a/standin/delayed_list.go
+++ b/standin/delayed_list.go
@@ -7,26 +7,27 @@
 	"github.com/hoistjunction/hoistjunction/tablestore"
 )
 
-// delayedList is a list of VMs whose changes show late.
+// delayedList is a list of VMs whose changes become visible after a delay.
 type delayedList struct {
 	visible   tablestore.VMList
-	pending []pendingList
+	scheduled []scheduledList
 }
 
-type pendingList struct {
+// scheduledList is a list that becomes visible at a later time.
+type scheduledList struct {
 	visibleFrom time.Time
-	vms []pool.Listing
+	vms         []pool.Listing
 }
 
-func (l *delayedList) publish(due time.Time, vms []pool.Listing) {
-	l.pending = append(l.pending, pendingList{visibleFrom: due, vms: vms})
+func (l *delayedList) publish(visibleFrom time.Time, vms []pool.Listing) {
+	l.scheduled = append(l.scheduled, scheduledList{visibleFrom: visibleFrom, vms: vms})
 }
 
-// visibleAt returns the list as it shows at a time.
+// visibleAt returns the list that is visible at the given time.
 func (l *delayedList) visibleAt(now time.Time) tablestore.VMList {
-	for len(l.pending) > 0 && !l.pending[0].visibleFrom.After(now) {
-		l.visible = tablestore.VMList{Version: l.visible.Version + 1, VMs: l.pending[0].vms}
-		l.pending = l.pending[1:]
+	for len(l.scheduled) > 0 && !l.scheduled[0].visibleFrom.After(now) {
+		l.visible = tablestore.VMList{Version: l.visible.Version + 1, VMs: l.scheduled[0].vms}
+		l.scheduled = l.scheduled[1:]
 	}
 	return l.visible
 }
--- a/standin/deployment.go
+++ b/standin/deployment.go
@@ -16,48 +16,56 @@
 	"github.com/hoistjunction/hoistjunction/platform/platformpb"
 )
 
-// Deployment plays all upstreams of a scenario in one process: its engines at their real pace, and
-// its plain service. Each has an address of its own on loopback.
+// Deployment runs stand-ins for all upstreams of a scenario in one process: the
+// engines with realistic execution times, and the servers of the plain service.
+// Each has its own loopback address.
 type Deployment struct {
 	scenario *lab.Scenario
 	store    string
-	registry     *EngineRegistry
+	registry *EngineRegistry
 
-	mu      sync.Mutex
-	engines []*deployedEngine
-	plainServers   []*PlainServer
-	random  *rand.Rand
+	mu           sync.Mutex
+	engines      []*deployedEngine
+	plainServers []*PlainServer
+	random       *rand.Rand
 }
 
-// deployedEngine is an engine at its address, and what ends its present run.
+// deployedEngine is an engine of a deployment. It keeps its address when it is
+// started again.
 type deployedEngine struct {
 	centre, accelerator string
-	address     string
-	starts        int
-	engine      *ChainEngine
-	stop         func()
+	address             string
+	starts              int
+	engine              *ChainEngine
+	stop                func()
 }
 
-// FaultInjection is what a rehearsal does to some upstreams.
+// FaultInjection is a fault that a rehearsal injects into some upstreams.
 type FaultInjection struct {
-	Kind  lab.Kind `json:"kind"`
-	Share float64  `json:"share"`
-	Strength     float64  `json:"x"`
-	MaxStrength float64  `json:"x_most"`
-	ForMS int64    `json:"for_ms"`
+	Kind lab.Kind `json:"kind"`
+	// Share is the share of the engines that get the fault.
+	Share float64 `json:"share"`
+	// X is the strength of the fault, in the unit of its kind. If XMost is larger,
+	// the value of an advertised limit is drawn between the two.
+	X     float64 `json:"x"`
+	XMost float64 `json:"x_most"`
+	// ForMS is the duration of the fault, in ms.
+	ForMS int64 `json:"for_ms"`
 }
 
-// FreeCapacity is what upstreams could have taken at a time.
+// FreeCapacity is the free capacity of a deployment's upstreams at one time.
 type FreeCapacity struct {
 	AtMS int64 `json:"at_ms"`
-	// PlainServers have a place for another request. A stream of so many Tokens has memory at some
-	// holder of each layer.
-	PlainServers  int     `json:"desks"`
+	// PlainServers is the number of plain servers with a free slot or a free place
+	// in their queue.
+	PlainServers int `json:"desks"`
+	// Tokens is the size of the largest stream, in tokens, for which each layer
+	// has a holder with enough free memory.
 	Tokens float64 `json:"tokens"`
 }
 
-// NewDeployment starts the upstreams of a scenario, which tell the store of themselves until the
-// context ends.
+// NewDeployment starts the upstreams of a scenario. They send heartbeats to the
+// store until ctx is cancelled.
 func NewDeployment(ctx context.Context, s *lab.Scenario, store string, seed uint64) (*Deployment, error) {
 	d := &Deployment{scenario: s, store: store, registry: NewEngineRegistry(), random: rand.New(rand.NewPCG(seed, 21))}
 	for c, centre := range s.Fleet.Centres() {
@@ -81,7 +89,8 @@
 	return d, nil
 }
 
-// startEngine starts an engine: the first time anywhere at an address, later at the one that it had.
+// startEngine starts an engine, on its previous address if it had one and on
+// listen otherwise.
 func (d *Deployment) startEngine(ctx context.Context, e *deployedEngine, listen string) error {
 	if e.address != "" {
 		listen = e.address
@@ -98,20 +107,22 @@
 		Pipeline: p, Accelerator: p.Accelerators[e.accelerator], Slots: d.scenario.Slots, EventTokens: d.scenario.Load.EventTokens,
 	})
 	server := NewServer(e.engine.Handler())
-	life, end := context.WithCancel(ctx)
+	running, cancel := context.WithCancel(ctx)
 	engine := e.engine
 	e.stop = func() {
-		end()
+		cancel()
 		d.registry.Remove(engine)
-		// Whatever is open is broken off, as when a process is killed.
+		// Close also closes open connections, as when a process is killed.
 		_ = server.Close()
 	}
 	go func() { _ = server.Serve(listener) }()
-	go SendHeartbeatsEvery(life, d.heartbeatInterval(), d.store, id, func() *platformpb.Server { return engine.Entry(e.centre) })
+	go SendHeartbeatsEvery(running, d.heartbeatInterval(), d.store, id, func() *platformpb.Server { return engine.Entry(e.centre) })
 	return nil
 }
 
-func (d *Deployment) heartbeatInterval() time.Duration { return d.scenario.Deployment.HeartbeatMS.Duration() }
+func (d *Deployment) heartbeatInterval() time.Duration {
+	return d.scenario.Deployment.HeartbeatMS.Duration()
+}
 
 func (d *Deployment) startPlainServer(ctx context.Context, centre, listen string) error {
 	listener, err := net.Listen("tcp", listen)
@@ -120,46 +131,47 @@
 	}
 	address := listener.Addr().String()
 	plain := d.scenario.Deployment.Plain
-	desk := NewPlainServer("desk-"+address, address, millis(plain.WorkMS))
-	desk.SetSlots(plain.Slots, plain.Queue)
-	d.plainServers = append(d.plainServers, desk)
-	go func() { _ = NewServer(desk.Handler()).Serve(listener) }()
-	go SendHeartbeatsEvery(ctx, d.heartbeatInterval(), d.store, "desk-"+address, func() *platformpb.Server { return desk.Entry(centre) })
+	server := NewPlainServer("desk-"+address, address, millis(plain.WorkMS))
+	server.SetSlots(plain.Slots, plain.Queue)
+	d.plainServers = append(d.plainServers, server)
+	go func() { _ = NewServer(server.Handler()).Serve(listener) }()
+	go SendHeartbeatsEvery(ctx, d.heartbeatInterval(), d.store, "desk-"+address, func() *platformpb.Server { return server.Entry(centre) })
 	return nil
 }
 
-// Handler takes harm at /harm, and tells at /open what upstreams could take now.
+// Handler returns the HTTP handler of fault injection at /harm and of the free
+// capacity at /open.
 func (d *Deployment) Handler(ctx context.Context) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /harm", func(w http.ResponseWriter, r *http.Request) {
-		var h FaultInjection
-		if err := json.NewDecoder(r.Body).Decode(&h); err != nil {
+		var f FaultInjection
+		if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		d.injectFault(ctx, h)
+		d.injectFault(ctx, f)
 	})
-	mux.Handle("GET /open", jsonGetHandler(func() any { return d.FreeCapacity() }))
+	mux.Handle("GET /open", jsonGetHandler(func() any { return d.Available() }))
 	return mux
 }
 
-// FreeCapacity tells what upstreams could take now.
-func (d *Deployment) FreeCapacity() FreeCapacity {
+// Available returns the present free capacity of the upstreams.
+func (d *Deployment) Available() FreeCapacity {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	o := FreeCapacity{AtMS: time.Now().UnixMilli()}
-	for _, desk := range d.plainServers {
-		if desk.HasCapacity() {
-			o.PlainServers++
+	free := FreeCapacity{AtMS: time.Now().UnixMilli()}
+	for _, server := range d.plainServers {
+		if server.Available() {
+			free.PlainServers++
 		}
 	}
-	left := make([]float64, d.scenario.Fleet.Pipeline().Layers)
+	perLayer := make([]float64, d.scenario.Fleet.Pipeline().Layers)
 	for _, e := range d.engines {
 		from, to, tokens := e.engine.FreeMemory()
 		for layer := from; layer < to; layer++ {
-			left[layer] = max(left[layer], tokens)
+			perLayer[layer] = max(perLayer[layer], tokens)
 		}
 	}
-	o.Tokens = slices.Min(left)
-	return o
+	free.Tokens = slices.Min(perLayer)
+	return free
 }
--- a/standin/deployment_config.go
+++ b/standin/deployment_config.go
@@ -9,18 +9,19 @@
 	"github.com/hoistjunction/hoistjunction/platform/platformpb"
 )
 
-// The names of a deployment's services and host.
+// Names of the host and the services in a deployment's configuration.
 const (
-	DeploymentHost   = "deployment.example"
+	DeploymentHost          = "deployment.example"
 	DeploymentStreamService = "writer"
 	DeploymentPlainService  = "desk"
 )
 
-// DeploymentKey is the key of a client account, by its number.
+// DeploymentKey returns the API key of the client account with a number.
 func DeploymentKey(account int) string { return fmt.Sprintf("key-%d", account) }
 
-// DeploymentConfig returns the operator's configuration of a scenario: a route for each kind of
-// request, the pipeline, the plain service, and the client accounts.
+// DeploymentConfig returns the operator's configuration of a scenario: a route
+// for each kind of request, the pipeline, the plain service and the client
+// accounts.
 func DeploymentConfig(version uint64, s *lab.Scenario) ([]byte, error) {
 	const bodyBytes = 1 << 20
 	config := &platformpb.Config{
--- a/standin/deployment_faults.go
+++ b/standin/deployment_faults.go
@@ -8,57 +8,59 @@
 	"github.com/hoistjunction/hoistjunction/lab"
 )
 
-// injectFault does a harm to a part of the upstreams, and undoes it after its time.
-func (d *Deployment) injectFault(ctx context.Context, h FaultInjection) {
+// injectFault injects a fault into some of the upstreams and removes it after
+// its duration.
+func (d *Deployment) injectFault(ctx context.Context, f FaultInjection) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	lasts := time.Duration(h.ForMS) * time.Millisecond
-	if h.Kind == lab.PlainFull {
-		for _, desk := range d.plainServers {
-			desk.SetRejectAll(true)
-			time.AfterFunc(lasts, func() { desk.SetRejectAll(false) })
+	duration := time.Duration(f.ForMS) * time.Millisecond
+	if f.Kind == lab.PlainFull {
+		for _, server := range d.plainServers {
+			server.SetRejectAll(true)
+			time.AfterFunc(duration, func() { server.SetRejectAll(false) })
 		}
 		return
 	}
-	for _, i := range d.random.Perm(len(d.engines))[:d.engineCount(h.Share)] {
-		d.injectEngineFault(ctx, d.engines[i], h, lasts)
+	for _, i := range d.random.Perm(len(d.engines))[:d.engineCount(f.Share)] {
+		d.injectEngineFault(ctx, d.engines[i], f, duration)
 	}
 }
 
-// engineCount is how many engines a share of them is: one at least.
+// engineCount returns the number of engines in a share of them, at least one.
 func (d *Deployment) engineCount(share float64) int {
 	return min(max(int(share*float64(len(d.engines))+1.0/2), 1), len(d.engines))
 }
 
-// injectEngineFault does a harm to one engine. The caller holds the lock.
-func (d *Deployment) injectEngineFault(ctx context.Context, e *deployedEngine, h FaultInjection, lasts time.Duration) {
+// injectEngineFault injects a fault into one engine. The caller holds the lock.
+func (d *Deployment) injectEngineFault(ctx context.Context, e *deployedEngine, f FaultInjection, duration time.Duration) {
 	engine := e.engine
-	switch h.Kind {
+	switch f.Kind {
 	case lab.Crash:
 		e.stop()
-		time.AfterFunc(lasts, func() {
+		time.AfterFunc(duration, func() {
 			d.mu.Lock()
 			defer d.mu.Unlock()
 			if e.engine == engine {
-				// Its address is its own; should it be taken the engine stays away.
+				// No other engine uses this address. If it is in use nevertheless,
+				// the engine stays stopped.
 				_ = d.startEngine(ctx, e, e.address)
 			}
 		})
 	case lab.Slow:
-		engine.SetSlowdown(h.Strength)
-		time.AfterFunc(lasts, func() { engine.SetSlowdown(1) })
+		engine.SetSlowdown(f.X)
+		time.AfterFunc(duration, func() { engine.SetSlowdown(1) })
 	case lab.Rest:
-		engine.SetRest(BackOffFaults{ForMS: int(h.ForMS), RetryAfter: strconv.FormatFloat(h.Strength, 'f', -1, 64)})
+		engine.SetRest(BackOffFaults{ForMS: int(f.ForMS), RetryAfter: strconv.FormatFloat(f.X, 'f', -1, 64)})
 	case lab.Refuse:
-		engine.SetRest(BackOffFaults{ForMS: int(h.ForMS)})
+		engine.SetRest(BackOffFaults{ForMS: int(f.ForMS)})
 	case lab.Limit:
-		x := h.Strength
-		if h.MaxStrength > h.Strength {
-			x += d.random.Float64() * (h.MaxStrength - h.Strength)
+		limit := f.X
+		if f.XMost > f.X {
+			limit += d.random.Float64() * (f.XMost - f.X)
 		}
-		engine.SetLimit(LimitFaults{Advertised: strconv.FormatFloat(x, 'f', 2, 64)})
-		time.AfterFunc(lasts, func() { engine.SetLimit(LimitFaults{}) })
+		engine.SetLimit(LimitFaults{Advertised: strconv.FormatFloat(limit, 'f', 2, 64)})
+		time.AfterFunc(duration, func() { engine.SetLimit(LimitFaults{}) })
 	default:
-		// The others are done to nodes, callers or the store.
+		// The other faults are injected into nodes, clients or the store.
 	}
 }
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,10 +1,10 @@
-// Package standin plays the outside world in tests, demonstrations and
-// measurements: a model engine, a plain service and the platform, each small
-// and with its faults as switches.
+// Package standin provides test doubles of external systems for tests,
+// demonstrations and measurements: model engines, plain services, the
+// platform and its store. Each supports fault injection.
 //
-// The engine's model makes the promises checkable from outside. Each layer
-// folds what it is given, and where, into a running digest, and the emitted
-// tokens are made from that. A layer that is skipped, doubled or run out of
-// order, or that is given another request's activations, changes the answer.
-// Reference works out what the answer must be.
+// The model of an Engine makes execution errors visible in the answer. Each
+// layer folds its input and the position into a running digest, and the
+// generated tokens are derived from the digests. Skipping, repeating or
+// reordering a layer, or passing it the activations of another request,
+// changes the answer. ReferenceAnswer computes the expected answer.
 package standin
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -12,28 +12,30 @@
 	"github.com/hoistjunction/hoistjunction/wire/wireconnect"
 )
 
-// EngineConfig says what an engine holds and how fast it is.
+// EngineConfig sets the layers, speed and capacity of an Engine.
 type EngineConfig struct {
 	FirstLayer uint32
 	LastLayer  uint32
-	// Final is set on the engine that holds the model's last layer.
+	// Final is true if LastLayer is the last layer of the model.
 	Final bool
-	// A batch takes Base, plus PerStep for each step in it, plus PerPosition
-	// for each position.
+	// The execution time of a batch is Base, plus PerStep for each step and
+	// PerPosition for each position in the batch.
 	Base        time.Duration
 	PerStep     time.Duration
 	PerPosition time.Duration
-	// MaxBatch bounds the steps of a batch.
+	// MaxBatch is the maximum number of steps in a batch.
 	MaxBatch int
-	// MaxGenerations bounds the generations held.
+	// MaxGenerations is the maximum number of concurrent generations.
 	MaxGenerations int
-	// MaxCachedPrefixes bounds the prompt prefixes whose cost is remembered.
+	// MaxCachedPrefixes is the maximum number of cached prompt prefix blocks;
+	// zero disables the cache.
 	MaxCachedPrefixes int
-	// LoadSampleInterval is how old the reported load is.
+	// LoadSampleInterval is the minimum time between two measurements of the
+	// reported load.
 	LoadSampleInterval time.Duration
 }
 
-// DefaultEngineConfig returns a small, fast engine.
+// DefaultEngineConfig returns the configuration of a small, fast engine.
 func DefaultEngineConfig() EngineConfig {
 	return EngineConfig{
 		LastLayer: 3, Final: true, Base: time.Millisecond, PerStep: 50 * time.Microsecond,
@@ -42,33 +44,33 @@
 	}
 }
 
-// Engine is a stand-in for a model engine that holds a range of layers and
-// batches continuously.
+// Engine is a stand-in for a model engine that executes a range of layers
+// with continuous batching.
 type Engine struct {
 	config EngineConfig
 	faults EngineFaults
 
-	mu       sync.Mutex
-	sessions map[sessionID]*session
-	waiting  stepQueue
-	wake     chan struct{}
-	prefixes prefixCache
-	sampledLoad     loadSample
-	counts   EngineCounts
+	mu          sync.Mutex
+	sessions    map[sessionID]*session
+	waiting     stepQueue
+	wake        chan struct{}
+	prefixes    prefixCache
+	sampledLoad loadSample
+	counts      EngineCounts
 }
 
-// EngineCounts is what an engine has seen.
+// EngineCounts holds the counters of an Engine since its start.
 type EngineCounts struct {
-	Steps      uint64 `json:"steps"`
-	Positions  uint64 `json:"positions"`
-	CachedPositions     uint64 `json:"cached"`
-	Gaps       uint64 `json:"gaps"`
-	Fenced     uint64 `json:"fenced"`
-	Duplicates uint64 `json:"duplicates"`
-	Admitted   uint64 `json:"admitted"`
+	Steps           uint64 `json:"steps"`
+	Positions       uint64 `json:"positions"`
+	CachedPositions uint64 `json:"cached"`
+	Gaps            uint64 `json:"gaps"`
+	Fenced          uint64 `json:"fenced"`
+	Duplicates      uint64 `json:"duplicates"`
+	Admitted        uint64 `json:"admitted"`
 }
 
-// NewEngine returns an engine. Run makes it work.
+// NewEngine returns an engine. Steps are executed only while Run runs.
 func NewEngine(c EngineConfig) *Engine {
 	return &Engine{
 		config:   c,
@@ -78,21 +80,22 @@
 	}
 }
 
-// Counts returns what the engine has seen.
+// Counts returns the engine's counters.
 func (e *Engine) Counts() EngineCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.counts
 }
 
-// SetFaults changes the engine's faults.
+// SetFaults replaces the engine's injected faults.
 func (e *Engine) SetFaults(f EngineFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
 }
 
-// Handler serves the engine's protocol, and its switches at /faults.
+// Handler returns the HTTP handler of the engine's protocol, of fault
+// injection at /faults and of the counters at /counts.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	path, handler := wireconnect.NewEngineHandler(e)
@@ -102,7 +105,7 @@
 	return mux
 }
 
-// Run batches steps until the context ends.
+// Run executes queued steps in batches until ctx is cancelled.
 func (e *Engine) Run(ctx context.Context) error {
 	for {
 		batch := e.nextBatch()
@@ -118,16 +121,16 @@
 	}
 }
 
-// Steps implements the engine's protocol.
+// Steps receives the steps of one stream and sends their replies.
 func (e *Engine) Steps(ctx context.Context, s *connect.BidiStream[wire.StepRequest, wire.StepReply]) error {
 	replies := make(chan *wire.StepReply, 4096)
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
-	// The stream must not be used once this function has returned.
+	// The stream is invalid after Steps returns, so wait for the sender.
 	defer wg.Wait()
 	defer cancel()
 	wg.Go(func() { sendReplies(ctx, cancel, s, replies) })
-	answer := func(r *wire.StepReply) {
+	sendReply := func(r *wire.StepReply) {
 		select {
 		case replies <- r:
 		case <-ctx.Done():
@@ -138,7 +141,7 @@
 		if err != nil {
 			return nil
 		}
-		e.enqueue(step, answer)
+		e.enqueue(step, sendReply)
 	}
 }
 
--- a/standin/engine_registry.go
+++ b/standin/engine_registry.go
@@ -6,49 +6,56 @@
 	"time"
 )
 
-// EngineRegistry holds the engines of a process by their addresses. They run the parts of a chain for each
-// other without calls: thousands of events a second would otherwise cost as many calls a part.
+// EngineRegistry holds the engines of a process by address. Its engines execute
+// chains without HTTP requests, because thousands of events per second would
+// cost as many requests for each stage.
 type EngineRegistry struct {
 	mu      sync.Mutex
 	engines map[string]*ChainEngine
 }
 
-// NewEngineRegistry returns an empty yard.
-func NewEngineRegistry() *EngineRegistry { return &EngineRegistry{engines: make(map[string]*ChainEngine)} }
+// NewEngineRegistry returns an empty registry.
+func NewEngineRegistry() *EngineRegistry {
+	return &EngineRegistry{engines: make(map[string]*ChainEngine)}
+}
 
-// NewEngine returns an engine of the yard, which runs there from now on.
-func (y *EngineRegistry) NewEngine(id, advertised string, model *PipelineModel, opts ...ServerOption) *ChainEngine {
-	e := NewChainEngine(id, advertised, opts...)
-	e.model, e.registry = model, y
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.engines[advertised] = e
+// NewEngine returns a new engine and adds it to the registry.
+func (r *EngineRegistry) NewEngine(id, address string, model *PipelineModel, opts ...ServerOption) *ChainEngine {
+	e := NewChainEngine(id, address, opts...)
+	e.model, e.registry = model, r
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.engines[address] = e
 	return e
 }
 
-// Remove takes an engine off the yard that has ended.
-func (y *EngineRegistry) Remove(e *ChainEngine) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	if y.engines[e.address] == e {
-		delete(y.engines, e.address)
+// Remove removes a stopped engine, unless its address belongs to another engine
+// by now.
+func (r *EngineRegistry) Remove(e *ChainEngine) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.engines[e.ownAddress] == e {
+		delete(r.engines, e.ownAddress)
 	}
 }
 
-func (y *EngineRegistry) engineAt(address string) *ChainEngine {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	return y.engines[address]
+// engineAt returns the engine at an address, or nil.
+func (r *EngineRegistry) engineAt(address string) *ChainEngine {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.engines[address]
 }
 
-// SetSlowdown has an engine take so many times as long as usual; zero and one for as long.
-func (e *ChainEngine) SetSlowdown(times float64) {
+// SetSlowdown sets the factor that multiplies the engine's execution times.
+// Factors below 1 count as 1.
+func (e *ChainEngine) SetSlowdown(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.slowdown = times
+	e.slowdown = factor
 }
 
-// memoryUsed is what streams take of the memory. The caller holds the lock.
+// memoryUsed returns the memory that streams use, in tokens times layers. The
+// caller holds the lock.
 func (e *ChainEngine) memoryUsed() float64 {
 	if e.registry == nil {
 		return streamMemory * float64(len(e.streams))
@@ -56,7 +63,7 @@
 	return e.usedMemory
 }
 
-// stageEngine is the engine of the yard that runs a part; nil for none.
+// stageEngine returns the engine of a stage from the registry, or nil.
 func (e *ChainEngine) stageEngine(p chainStage) *ChainEngine {
 	if e.registry == nil {
 		return nil
@@ -64,22 +71,25 @@
 	return e.registry.engineAt(p.address)
 }
 
-// reserve takes the memory of a stream at all parts of its chain, and returns the address of the
-// first that lacks it, or whose slots are taken; empty for none.
-func (e *ChainEngine) reserve(r *http.Request, parts []chainStage) string {
+// reserve reserves the memory of a stream on all stages of its chain. If a stage's
+// engine is gone or has no free memory, or the first has no free slot, it
+// reserves nothing and returns the address of that stage. On success it returns
+// the empty string.
+func (e *ChainEngine) reserve(r *http.Request, stages []chainStage) string {
 	if e.registry == nil {
 		return ""
 	}
-	for i, p := range parts {
+	for i, p := range stages {
 		if other := e.stageEngine(p); other == nil || !other.reserveStage(r, p, i == 0) {
-			e.release(r, parts[:i])
+			e.release(r, stages[:i])
 			return p.address
 		}
 	}
 	return ""
 }
 
-// reserveStage takes the memory of one part of a stream.
+// reserveStage reserves the memory of one stage of a stream, and reports whether
+// it was free. The first stage also needs a free slot.
 func (e *ChainEngine) reserveStage(r *http.Request, p chainStage, first bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -92,9 +102,9 @@
 	return true
 }
 
-// release gives the memory of a stream back.
-func (e *ChainEngine) release(r *http.Request, parts []chainStage) {
-	for _, p := range parts {
+// release frees the memory that a stream reserved on its stages.
+func (e *ChainEngine) release(r *http.Request, stages []chainStage) {
+	for _, p := range stages {
 		other := e.stageEngine(p)
 		if other == nil {
 			continue
@@ -106,37 +116,40 @@
 	}
 }
 
-// readTime is how long the prompt of a stream is read by all parts of its chain.
-func (e *ChainEngine) readTime(r *http.Request, stream *engineStream) time.Duration {
-	return e.chainTime(stream, func(part *ChainEngine, layers int) time.Duration { return part.model.promptTime(r, layers) })
+// promptTime returns the time to process the prompt of a stream on all stages.
+func (e *ChainEngine) promptTime(r *http.Request, stream *engineStream) time.Duration {
+	return e.chainTime(stream, func(engine *ChainEngine, layers int) time.Duration { return engine.model.promptTime(r, layers) })
 }
 
-// stepTime is how long an event takes.
-func (e *ChainEngine) stepTime(stream *engineStream) time.Duration {
-	return e.chainTime(stream, func(part *ChainEngine, layers int) time.Duration { return part.model.eventTime(layers, part.passingStreams) })
+// eventTime returns the time to execute an event on all stages.
+func (e *ChainEngine) eventTime(stream *engineStream) time.Duration {
+	return e.chainTime(stream, func(engine *ChainEngine, layers int) time.Duration {
+		return engine.model.eventTime(layers, engine.passingStreams)
+	})
 }
 
-// chainTime sums up the times of the parts of a chain. What a lost part would take, this engine
-// takes for it: the stream finds out with the event.
-func (e *ChainEngine) chainTime(stream *engineStream, of func(part *ChainEngine, layers int) time.Duration) time.Duration {
+// chainTime returns the sum of the times of a stream's stages. The time of a
+// stage whose engine is gone is computed as if it were on this engine, because
+// the stream detects the loss only when it executes the event.
+func (e *ChainEngine) chainTime(stream *engineStream, of func(engine *ChainEngine, layers int) time.Duration) time.Duration {
 	e.mu.Lock()
-	parts := stream.stages
+	stages := stream.stages
 	e.mu.Unlock()
 	total := time.Duration(0)
-	for _, p := range parts {
-		part := e.stageEngine(p)
-		if part == nil {
-			part = e
+	for _, p := range stages {
+		engine := e.stageEngine(p)
+		if engine == nil {
+			engine = e
 		}
-		part.mu.Lock()
-		total += time.Duration(float64(of(part, p.layers.Len())) * max(part.slowdown, 1))
-		part.mu.Unlock()
+		engine.mu.Lock()
+		total += time.Duration(float64(of(engine, p.layers.Len())) * max(engine.slowdown, 1))
+		engine.mu.Unlock()
 	}
 	return total
 }
 
-// FreeMemory tells which layers an engine holds, and for how many tokens it has memory left at all
-// of them together; none where its slots are taken.
+// FreeMemory returns the layers that the engine holds, and its free memory in
+// tokens on each of them. The free memory is zero if no slot is free.
 func (e *ChainEngine) FreeMemory() (from, to int, tokens float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine_steps.go
+++ b/standin/engine_steps.go
@@ -6,14 +6,15 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// sessionID names a request at an engine.
+// sessionID identifies a request at an engine by its node and number.
 type sessionID struct {
 	node    uint64
 	request uint64
 }
 
-// enqueue queues a step, or refuses it before anything has begun.
-func (e *Engine) enqueue(step *wire.StepRequest, answer func(*wire.StepReply)) {
+// enqueue queues a step for execution, or rejects it with a reply. A step that
+// ends its request deletes the session.
+func (e *Engine) enqueue(step *wire.StepRequest, sendReply func(*wire.StepReply)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	id := sessionID{node: step.GetNode(), request: step.GetRequest()}
@@ -24,16 +25,18 @@
 		return
 	}
 	if status := e.admissionStatus(id, step); status != wire.StepStatus_STEP_STATUS_OK {
-		answer(e.newReply(step, status))
+		sendReply(e.newReply(step, status))
 		return
 	}
-	e.waiting.add(&queuedStep{step: step, sendReply: answer})
+	e.waiting.add(&queuedStep{step: step, sendReply: sendReply})
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
+// admissionStatus returns OK if the step may be queued, and creates the session
+// of a new generation. Otherwise it returns the reason for the rejection.
 func (e *Engine) admissionStatus(id sessionID, step *wire.StepRequest) wire.StepStatus {
 	s := e.sessions[id]
 	if s != nil && s.generation > step.GetGeneration() {
@@ -57,7 +60,8 @@
 	return wire.StepStatus_STEP_STATUS_OK
 }
 
-// executeStep runs a step's layers.
+// executeStep executes a step and returns its reply. A repeated step returns
+// the previous reply.
 func (e *Engine) executeStep(step *wire.StepRequest) *wire.StepReply {
 	s := e.sessions[sessionID{node: step.GetNode(), request: step.GetRequest()}]
 	if s == nil || s.generation != step.GetGeneration() {
--- a/standin/heartbeats.go
+++ b/standin/heartbeats.go
@@ -10,23 +10,23 @@
 	"github.com/hoistjunction/hoistjunction/platform/platformpb"
 )
 
-// heartbeatInterval is how often a server renews its entry.
+// heartbeatInterval is the default interval of a server's heartbeats.
 const heartbeatInterval = 200 * time.Millisecond
 
-// SendHeartbeats renews a server's entry at the store until the context ends. A beat
-// that fails is made up for by the next.
+// SendHeartbeats sends a server's entry to the store at the default interval
+// until ctx is cancelled. A failed heartbeat is not repeated before the next one.
 func SendHeartbeats(ctx context.Context, store, id string, entry func() *platformpb.Server) {
 	SendHeartbeatsEvery(ctx, heartbeatInterval, store, id, entry)
 }
 
-// SendHeartbeatsEvery does so at a pace of its own.
-func SendHeartbeatsEvery(ctx context.Context, every time.Duration, store, id string, entry func() *platformpb.Server) {
-	client := &http.Client{Timeout: every}
-	tick := time.NewTicker(every)
+// SendHeartbeatsEvery is like SendHeartbeats with the given interval.
+func SendHeartbeatsEvery(ctx context.Context, interval time.Duration, store, id string, entry func() *platformpb.Server) {
+	client := &http.Client{Timeout: interval}
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
 		if body, err := EntryBytes(entry()); err == nil {
-			sendHeartbeat(ctx, client, fmt.Sprintf("http://%s/beat/%s?every=%d", store, id, every.Milliseconds()), body)
+			sendHeartbeat(ctx, client, fmt.Sprintf("http://%s/beat/%s?every=%d", store, id, interval.Milliseconds()), body)
 		}
 		select {
 		case <-ctx.Done():
--- a/standin/node_template.go
+++ b/standin/node_template.go
@@ -6,36 +6,37 @@
 	"github.com/hoistjunction/hoistjunction/lab"
 )
 
-// NodeAddresses is where a node of a deployment stands. Its ports are at its address.
+// NodeAddresses holds the name, data centre and IP address of a node in a
+// deployment, and its ports.
 type NodeAddresses struct {
 	Name, Centre, IP                 string
 	Front, Readiness, Peers, Metrics string
 }
 
-// Address is an address of the node by its port.
-func (p NodeAddresses) Address(port string) string { return net.JoinHostPort(p.IP, port) }
+// HostPort returns the node's address with the given port.
+func (n NodeAddresses) HostPort(port string) string { return net.JoinHostPort(n.IP, port) }
 
-// What the platform sets for all nodes of the deployments.
+// Settings that the platform gives to all nodes of a deployment.
 const (
-	shutdownGraceSeconds  = 8
-	keyRevocationMS        = 5000
-	configApplyMS      = 2000
-	drainMS     = 2000
-	msPerSecond    = 1000
-	anyPort       = "0"
-	nodeCores  = 1
-	cpuShare  = 0.4
-	linkMbps      = 1000.0
-	revokeFailClosed = true
+	shutdownGraceSeconds = 8
+	keyRevocationMS      = 5000
+	configApplyMS        = 2000
+	drainMS              = 2000
+	msPerSecond          = 1000
+	anyPort              = "0"
+	nodeCores            = 1
+	cpuShare             = 0.4
+	linkMbps             = 1000.0
+	revokeFailClosed     = true
 )
 
-// NodeFields are what the platform fills a node's settings from, under the names that its pages
-// have for them.
-func NodeFields(p NodeAddresses, s *lab.Scenario, store string, seeds []string) TemplateFields {
+// NodeFields returns the template fields of a node's settings, with the field
+// names of the platform's API.
+func NodeFields(n NodeAddresses, s *lab.Scenario, store string, seeds []string) TemplateFields {
 	return TemplateFields{
-		"nodeName": p.Name, "zone": p.Centre, "ip": p.IP, "bootstrap": true, "seeds": seeds,
-		"portRange": []string{p.Metrics, anyPort},
-		"listen":    TemplateFields{"front": p.Address(p.Front), "readiness": p.Address(p.Readiness), "control": p.Address(p.Peers)},
+		"nodeName": n.Name, "zone": n.Centre, "ip": n.IP, "bootstrap": true, "seeds": seeds,
+		"portRange": []string{n.Metrics, anyPort},
+		"listen":    TemplateFields{"front": n.HostPort(n.Front), "readiness": n.HostPort(n.Readiness), "control": n.HostPort(n.Peers)},
 		"limits":    TemplateFields{"cores": nodeCores, "cpuShare": cpuShare, "linkMbps": linkMbps, "memoryMb": s.Deployment.NodeMB},
 		"platform":  TemplateFields{"address": store},
 		"bounds": TemplateFields{
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -11,14 +11,14 @@
 	"github.com/hoistjunction/hoistjunction/tablestore"
 )
 
-// What the platform handles, a second.
+// Maximum numbers of calls per second to the platform's store.
 const (
 	writesPerSecond = 100
 	readsPerSecond  = 2000
 )
 
-// Platform is a stand-in for the platform's table service, object store and
-// list of VMs.
+// Platform is a stand-in for the table service, the object store and the list of
+// VMs of the platform.
 type Platform struct {
 	mu      sync.Mutex
 	faults  PlatformFaults
@@ -30,11 +30,11 @@
 	counts  PlatformCounts
 }
 
-// PlatformCounts is what the platform has been asked.
+// PlatformCounts holds the counters of a Platform since its start.
 type PlatformCounts struct {
-	Writes   uint64 `json:"writes"`
-	Reads    uint64 `json:"reads"`
-	Refused  uint64 `json:"refused"`
+	Writes       uint64 `json:"writes"`
+	Reads        uint64 `json:"reads"`
+	Refused      uint64 `json:"refused"`
 	ListRequests uint64 `json:"list_gets"`
 }
 
@@ -48,14 +48,15 @@
 	}
 }
 
-// SetFaults changes the platform's faults.
+// SetFaults replaces the platform's injected faults.
 func (p *Platform) SetFaults(f PlatformFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
 }
 
-// SetVMs changes the list of VMs. It shows after the lag that is set.
+// SetVMs replaces the list of VMs. The new list is visible after the delay of the
+// injected faults.
 func (p *Platform) SetVMs(vms []pool.Listing) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,15 +64,16 @@
 	p.vms.publish(time.Now().Add(lag), vms)
 }
 
-// Counts returns what the platform has been asked.
+// Counts returns the platform's counters.
 func (p *Platform) Counts() PlatformCounts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.counts
 }
 
-// Handler serves the platform's protocol, its switches at /faults, and the
-// list of VMs to be set at /vms.
+// Handler returns the HTTP handler of the platform's protocol, of fault injection
+// at /faults and of the counters at /counts. A PUT at /vms replaces the list of
+// VMs.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /table/row", p.withStoreFaults(p.handleRow))
@@ -86,7 +88,7 @@
 	return mux
 }
 
-// withStoreFaults wraps a call of the store in its faults and its limits.
+// withStoreFaults wraps a store call in the injected faults and the rate limits.
 func (p *Platform) withStoreFaults(call func(http.ResponseWriter, *http.Request)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
@@ -105,6 +107,7 @@
 	}
 }
 
+// allowCall counts a call and reports whether it is within the rate limits.
 func (p *Platform) allowCall(write bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -172,7 +175,7 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// discardResponse is where an answer that gets lost is written.
+// discardResponse is a response writer that discards the response.
 type discardResponse struct{}
 
 func (discardResponse) Header() http.Header         { return http.Header{} }
--- a/standin/prefix_cache.go
+++ b/standin/prefix_cache.go
@@ -4,36 +4,36 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// prefixChunk is how many positions are cached as one.
-const prefixChunk = 16
+// prefixBlock is the number of positions in a cached block.
+const prefixBlock = 16
 
-// prefixCache remembers, in limited memory, which beginnings of prompts have
-// been worked out lately. It saves time only: answers do not depend on it.
+// prefixCache is a bounded FIFO cache of the digests of prompt prefixes. A hit
+// shortens the simulated execution time and does not change the answer.
 type prefixCache struct {
-	capacity  int
-	order []uint64
-	digests map[uint64]bool
+	capacity int
+	order    []uint64
+	digests  map[uint64]bool
 }
 
-func newPrefixCache(most int) prefixCache {
-	return prefixCache{capacity: most, digests: make(map[uint64]bool)}
+func newPrefixCache(capacity int) prefixCache {
+	return prefixCache{capacity: capacity, digests: make(map[uint64]bool)}
 }
 
-// lookup returns how many positions of a first step are cached, and caches
-// the rest.
+// lookup returns the number of cached positions of a request's first step, and
+// adds the other complete blocks to the cache.
 func (c *prefixCache) lookup(step *wire.StepRequest) int {
 	inputs := step.GetInputs()
 	if len(inputs) == 0 {
 		inputs = embedTokens(step, 0)
 	}
 	digest, cached, hit := uint64(0), 0, true
-	for i := 0; i+prefixChunk <= len(inputs); i += prefixChunk {
-		for _, input := range inputs[i : i+prefixChunk] {
+	for i := 0; i+prefixBlock <= len(inputs); i += prefixBlock {
+		for _, input := range inputs[i : i+prefixBlock] {
 			digest = mix(digest, input)
 		}
 		hit = hit && c.digests[digest]
 		if hit {
-			cached += prefixChunk
+			cached += prefixBlock
 		}
 		c.add(digest)
 	}
--- a/standin/query_check.go
+++ b/standin/query_check.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// maxRows is how many rows a reading may ask for, and maxFeedWaitMS for how long a feed
-	// may wait, in ms.
-	maxRows    = 500
+	// maxRows is the maximum number of rows in a response to a read.
+	maxRows = 500
+	// maxFeedWaitMS is the maximum time that a feed may wait for changes, in ms.
 	maxFeedWaitMS = 30_000
 )
 
-// queryRule checks a parameter of a call.
+// queryRule reports whether the value of a query parameter is valid.
 type queryRule func(value string) bool
 
-// The parameters that calls take, by the platform's pages.
+// Rules for the query parameters of the store's calls, from the platform's API.
 var (
 	readRules = map[string]queryRule{
 		"table": requiredName, "part": optionalName, "from": optionalName, "targetVersion": optionalName, "limit": atMost(maxRows),
@@ -26,20 +26,22 @@
 	feedRules = map[string]queryRule{"table": requiredName, "part": optionalName, "after": atMost(1 << 62), "waitMs": atMost(maxFeedWaitMS)}
 )
 
+// requiredName is a queryRule for a name that must not be empty.
 func requiredName(value string) bool { return value != "" && optionalName(value) }
 
+// optionalName is a queryRule for a name that may be empty.
 func optionalName(value string) bool { return len(value) <= maxNameBytes }
 
-// atMost takes whole numbers up to a bound.
-func atMost(most uint64) queryRule {
+// atMost returns a rule for whole numbers up to bound.
+func atMost(bound uint64) queryRule {
 	return func(value string) bool {
 		n, err := strconv.ParseUint(value, 10, 64)
-		return err == nil && n <= most
+		return err == nil && n <= bound
 	}
 }
 
-// checkQuery refuses a call without a table, and one with parameters that there are not or
-// that are beyond their bounds.
+// checkQuery returns ErrInvalidRequest if the table is missing, or if a parameter
+// is unknown, repeated or out of bounds.
 func checkQuery(query url.Values, rules map[string]queryRule) error {
 	if !query.Has("table") {
 		return errors.Wrap(ErrInvalidRequest, "no table")
@@ -53,7 +55,8 @@
 	return nil
 }
 
-// withQueryCheck refuses calls whose parameters the platform refuses.
+// withQueryCheck wraps a handler and responds with status 400 to calls whose
+// query parameters violate the rules.
 func withQueryCheck(rules map[string]queryRule, call http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if err := checkQuery(r.URL.Query(), rules); err != nil {
--- a/standin/received_requests.go
+++ b/standin/received_requests.go
@@ -6,75 +6,83 @@
 	"time"
 )
 
-// ReceivedRequest is a request that reached the server that it was meant for.
+// ReceivedRequest is a request that was received by the server instance that it
+// was addressed to.
 type ReceivedRequest struct {
-	// ID is the caller's name of the try.
+	// ID is the attempt's id, from the Attempt-Id header.
 	ID string `json:"id"`
-	// AtMS is the wall time at which it came, in ms since 1970.
+	// AtMS is the time of receipt, in ms since 1970.
 	AtMS int64 `json:"at_ms"`
-	// BackOffMS is the rest that was asked for in its answer, in ms; zero for none.
+	// BackOffMS is the back-off that the response requested with Retry-After, in
+	// ms; zero means none.
 	BackOffMS int64 `json:"asked_ms"`
-	// Leaving tells that its answer says that the server is leaving.
+	// Leaving is true if the response had the Server-Leaving header.
 	Leaving bool `json:"leaving"`
-	// Limit is the number of requests a second that its answer names; zero for none.
+	// Limit is the limit that the response advertised, in requests per second;
+	// zero means none.
 	Limit float64 `json:"limit"`
 }
 
-// maxReceivedRequests bounds the visits that are kept for the judge.
+// maxReceivedRequests is the maximum number of requests in a log. The oldest is
+// dropped.
 const maxReceivedRequests = 1 << 14
 
-// requestLog are the requests that have reached a server. They are safe for concurrent use.
+// requestLog records the latest requests that a server received, for checks of
+// what nodes send. It is safe for concurrent use.
 type requestLog struct {
 	mu   sync.Mutex
 	list []ReceivedRequest
 }
 
-func (v *requestLog) recordReceived(visit ReceivedRequest) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if len(v.list) == maxReceivedRequests {
-		v.list = v.list[1:]
+func (l *requestLog) recordReceived(r ReceivedRequest) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.list) == maxReceivedRequests {
+		l.list = l.list[1:]
 	}
-	v.list = append(v.list, visit)
+	l.list = append(l.list, r)
 }
 
-// Visits returns the requests that have reached the server, in their order.
-func (v *requestLog) Visits() []ReceivedRequest {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return append([]ReceivedRequest{}, v.list...)
+// Visits returns the recorded requests in the order of their receipt.
+func (l *requestLog) Visits() []ReceivedRequest {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return append([]ReceivedRequest{}, l.list...)
 }
 
-// registerHandlers adds the call that tells what has reached a server.
-func (v *requestLog) registerHandlers(mux *http.ServeMux) {
-	mux.Handle("GET /visits", jsonGetHandler(func() any { return v.Visits() }))
+// registerHandlers adds the handler that returns the recorded requests.
+func (l *requestLog) registerHandlers(mux *http.ServeMux) {
+	mux.Handle("GET /visits", jsonGetHandler(func() any { return l.Visits() }))
 }
 
-// backOffGrace is how long after an answer with a rest requests may still come that were on
-// their way: the platform's promise counts from then.
+// backOffGrace is the time after a response with Retry-After in which requests
+// that were already in flight may still arrive. The platform's API requires the
+// back-off from the end of this time.
 const backOffGrace = 500 * time.Millisecond
 
-// SendBreach is that a node went on sending to a server that had asked it not to.
+// SendBreach is a time span in which a node kept sending requests to a server
+// that had requested a back-off or announced that it is leaving.
 type SendBreach struct {
 	Node string
-	// FromMS and ToMS bound the time in which that counts, in ms since 1970; ToMS is zero
-	// for one that goes on for ever.
+	// FromMS and ToMS are the bounds of the time span, in ms since 1970. A ToMS
+	// of zero means that the span has no end.
 	FromMS, ToMS int64
-	// Count is how many requests came in that time.
+	// Count is the number of requests from the node in the time span.
 	Count int
 }
 
-// BackOffBreaches returns the rests that a server had asked nodes for in which they sent it
-// requests. NodeOf names the node that a try was sent to.
+// BackOffBreaches returns the back-offs during which a node sent requests to the
+// server that had requested the back-off. nodeOf returns the node that an
+// attempt was sent to, by the attempt's id.
 func BackOffBreaches(list []ReceivedRequest, nodeOf func(id string) string) []SendBreach {
 	var breaches []SendBreach
-	for i, asked := range list {
-		if asked.BackOffMS == 0 {
+	for i, rejected := range list {
+		if rejected.BackOffMS == 0 {
 			continue
 		}
-		b := SendBreach{Node: nodeOf(asked.ID), FromMS: asked.AtMS + backOffGrace.Milliseconds(), ToMS: asked.AtMS + asked.BackOffMS}
-		for _, v := range list[i+1:] {
-			if v.AtMS > b.FromMS && v.AtMS < b.ToMS && nodeOf(v.ID) == b.Node {
+		b := SendBreach{Node: nodeOf(rejected.ID), FromMS: rejected.AtMS + backOffGrace.Milliseconds(), ToMS: rejected.AtMS + rejected.BackOffMS}
+		for _, r := range list[i+1:] {
+			if r.AtMS > b.FromMS && r.AtMS < b.ToMS && nodeOf(r.ID) == b.Node {
 				b.Count++
 			}
 		}
@@ -85,21 +93,22 @@
 	return breaches
 }
 
-// LeavingBreaches returns the nodes that sent a server requests later than a time after an
-// answer of it had told them that it is leaving.
+// LeavingBreaches returns the nodes that still sent requests to a server after
+// the time within had passed since its first response to them with
+// Server-Leaving.
 func LeavingBreaches(list []ReceivedRequest, nodeOf func(id string) string, within time.Duration) []SendBreach {
-	told := make(map[string]*SendBreach)
-	for _, v := range list {
-		node := nodeOf(v.ID)
-		if b := told[node]; b != nil && v.AtMS > b.FromMS {
+	notified := make(map[string]*SendBreach)
+	for _, r := range list {
+		node := nodeOf(r.ID)
+		if b := notified[node]; b != nil && r.AtMS > b.FromMS {
 			b.Count++
 		}
-		if v.Leaving && told[node] == nil {
-			told[node] = &SendBreach{Node: node, FromMS: v.AtMS + within.Milliseconds()}
+		if r.Leaving && notified[node] == nil {
+			notified[node] = &SendBreach{Node: node, FromMS: r.AtMS + within.Milliseconds()}
 		}
 	}
 	var breaches []SendBreach
-	for _, b := range told {
+	for _, b := range notified {
 		if b.Count > 0 {
 			breaches = append(breaches, *b)
 		}
--- a/standin/rowstore.go
+++ b/standin/rowstore.go
@@ -17,47 +17,51 @@
 	"github.com/hoistjunction/hoistjunction/platform/platformpb"
 )
 
-// maxMissedHeartbeats is after how many missed heartbeats an entry lapses.
+// maxMissedHeartbeats is the number of missed heartbeats after which an entry
+// expires.
 const maxMissedHeartbeats = 3
 
-// RowStore is a stand-in for the users' platform's store: rows in tables with
-// conditional writes and feeds, and the list of servers that lapses.
+// RowStore is a stand-in for the store of the users' platform. It has tables of
+// rows with conditional writes and feeds of changes. The entries in the list of
+// servers expire without heartbeats.
 type RowStore struct {
-	mu       sync.Mutex
-	rows     map[string]*platformpb.Row
-	log      []*platformpb.Row
-	revision uint64
-	historyStart    uint64
-	heartbeats    map[string]heartbeatRecord
-	changed  chan struct{}
-	faults   RowStoreFaults
-	started  time.Time
+	mu           sync.Mutex
+	rows         map[string]*platformpb.Row
+	log          []*platformpb.Row
+	revision     uint64
+	historyStart uint64
+	heartbeats   map[string]heartbeatRecord
+	changed      chan struct{}
+	faults       RowStoreFaults
+	started      time.Time
 	capacity     *storeCapacity
-	// era counts the returns from a copy, and unnamed tells that answers do not name it.
-	era     uint64
+	// era counts the restores of the store from a backup, starting at 1.
+	era uint64
+	// omitEra is true if responses do not have the Store-Era header.
 	omitEra bool
-	// backup is the state that the store returns to.
+	// backup is the state that Restore restores.
 	backup storeBackup
 }
 
-// storeCapacity is how long the store takes for an answer, and how many calls it takes a second.
+// storeCapacity is the latency of the store's responses and its maximum rates of
+// reads and writes.
 type storeCapacity struct {
 	latency time.Duration
-	reads  rateLimiter
-	writes rateLimiter
+	reads   rateLimiter
+	writes  rateLimiter
 }
 
-// SetCapacity has each answer take a time, and calls over so many reads and writes a second be
-// refused. Servers' heartbeats are not counted.
-func (s *RowStore) SetCapacity(answer time.Duration, reads, writes float64) {
+// SetCapacity sets the latency of responses and the maximum numbers of reads and
+// writes per second. Calls above them are rejected. Heartbeats are not limited.
+func (s *RowStore) SetCapacity(latency time.Duration, reads, writes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.capacity = &storeCapacity{latency: answer, reads: newRateLimiter(reads), writes: newRateLimiter(writes)}
+	s.capacity = &storeCapacity{latency: latency, reads: newRateLimiter(reads), writes: newRateLimiter(writes)}
 }
 
-// admitCall takes a call, and returns how long it takes; ok is false where it is one too many. The
-// caller holds the lock.
-func (s *RowStore) admitCall(r *http.Request, now time.Time) (takes time.Duration, ok bool) {
+// admitCall returns the latency of a call, and whether the call is within the
+// rate limits. The caller holds the lock.
+func (s *RowStore) admitCall(r *http.Request, now time.Time) (latency time.Duration, ok bool) {
 	if s.capacity == nil || strings.HasPrefix(r.URL.Path, "/beat/") {
 		return 0, true
 	}
@@ -67,23 +71,26 @@
 	return s.capacity.latency, s.capacity.writes.allow(now)
 }
 
-// RowStoreFaults are what goes wrong with a store.
+// RowStoreFaults are the injectable faults of a RowStore.
 type RowStoreFaults struct {
-	// Down answers 503 to everything, Silent answers nothing.
-	Down   bool `json:"down"`
+	// Down responds to all calls with status 503.
+	Down bool `json:"down"`
+	// Unresponsive leaves all calls without a response.
 	Unresponsive bool `json:"silent"`
-	// BatchDelayMS delays each answer.
+	// ResponseDelayMS delays each response, in ms.
 	ResponseDelayMS int64 `json:"slow_ms"`
-	// LoseWriteResponses does writes and breaks their connection.
+	// LoseWriteResponses executes writes but closes their connections without a
+	// response.
 	LoseWriteResponses bool `json:"lose_writes"`
-	// DropHistory drops the history of changes at once.
+	// DropHistory deletes the change log once, so that feeds have to start again.
 	DropHistory bool `json:"forget"`
 }
 
-// heartbeatRecord is when an entry was last renewed, and for how long that holds.
+// heartbeatRecord holds the time of an entry's last heartbeat and the interval
+// until the next one.
 type heartbeatRecord struct {
-	receivedAt    time.Time
-	interval time.Duration
+	receivedAt time.Time
+	interval   time.Duration
 }
 
 // NewRowStore returns an empty store.
@@ -91,8 +98,8 @@
 	return &RowStore{rows: make(map[string]*platformpb.Row), heartbeats: make(map[string]heartbeatRecord), changed: make(chan struct{}), started: time.Now(), era: 1}
 }
 
-// Handler serves the platform's calls, the servers' heartbeats at /beat/ID,
-// and the store's faults at /faults.
+// Handler returns the HTTP handler of the store's calls, of the heartbeats of
+// servers at /beat/ID and of fault injection at /faults.
 func (s *RowStore) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /rows-get", s.withFaults(withQueryCheck(readRules, s.handleGet)))
@@ -103,7 +110,7 @@
 	return mux
 }
 
-// SetFaults changes what goes wrong.
+// SetFaults replaces the store's injected faults.
 func (s *RowStore) SetFaults(f RowStoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,13 +121,15 @@
 	}
 }
 
+// withFaults wraps a call in the injected faults, the latency and the rate limits
+// of the store.
 func (s *RowStore) withFaults(call http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		s.setEraHeader(w)
 		f := s.faults
 		s.removeExpired(time.Now())
-		takes, admitted := s.admitCall(r, time.Now())
+		latency, admitted := s.admitCall(r, time.Now())
 		s.mu.Unlock()
 		switch {
 		case !admitted:
@@ -136,16 +145,17 @@
 			call(discardResponse{}, r)
 			panic(http.ErrAbortHandler)
 		}
-		time.Sleep(takes + time.Duration(f.ResponseDelayMS)*time.Millisecond)
+		time.Sleep(latency + time.Duration(f.ResponseDelayMS)*time.Millisecond)
 		call(w, r)
 	}
 }
 
-// maxUnanswered bounds for how long a call is left without an answer.
+// maxUnanswered is the maximum time that a call stays open without a response.
 const maxUnanswered = 10 * time.Second
 
-// leaveUnanswered leaves a call without an answer until its caller gives up. The body must
-// be read first: net/http sees a caller leave only then.
+// leaveUnanswered keeps a call open without a response until its client
+// disconnects. It reads the body first, because net/http detects a disconnect
+// only after that.
 func leaveUnanswered(r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	select {
@@ -155,7 +165,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// Put writes a row, as the operator does.
+// Put writes a row without a condition, like the operator.
 func (s *RowStore) Put(table, key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,12 +197,14 @@
 	s.notifyFeeds()
 }
 
+// notifyFeeds wakes all feeds that wait for changes. The caller holds the lock.
 func (s *RowStore) notifyFeeds() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// removeExpired removes the entries whose servers have been silent.
+// removeExpired removes the entries of servers without recent heartbeats. The
+// caller holds the lock.
 func (s *RowStore) removeExpired(now time.Time) {
 	for id, b := range s.heartbeats {
 		if now.Sub(b.receivedAt) > maxMissedHeartbeats*b.interval {
@@ -202,7 +214,8 @@
 	}
 }
 
-// handleHeartbeat takes a server's entry. It counts as a change only if it differs.
+// handleHeartbeat records a heartbeat, and writes the server's entry only if it
+// differs from the stored one.
 func (s *RowStore) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
 	value, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -219,7 +232,7 @@
 	s.setEraHeader(w)
 	id := r.PathValue("id")
 	s.heartbeats[id] = heartbeatRecord{receivedAt: time.Now(), interval: time.Duration(every) * time.Millisecond}
-	if known := s.rows["servers/"+id]; known == nil || string(known.GetValue()) != string(value) {
+	if stored := s.rows["servers/"+id]; stored == nil || string(stored.GetValue()) != string(value) {
 		s.put("servers", id, value)
 	}
 }
@@ -228,16 +241,16 @@
 	query := r.URL.Query()
 	s.mu.Lock()
 	s.setEraHeader(w)
-	answer := &platformpb.Rows{Revision: float64(s.revision), ClockMs: float64(time.Since(s.started).Milliseconds())}
+	rows := &platformpb.Rows{Revision: float64(s.revision), ClockMs: float64(time.Since(s.started).Milliseconds())}
 	for _, row := range s.rows {
 		to := query.Get("targetVersion")
 		if row.GetTable() == query.Get("table") && row.GetKey() >= query.Get("from") && (to == "" || row.GetKey() < to) {
-			answer.Rows = append(answer.Rows, row)
+			rows.Rows = append(rows.Rows, row)
 		}
 	}
 	s.mu.Unlock()
-	slices.SortFunc(answer.GetRows(), func(a, b *platformpb.Row) int { return strings.Compare(a.GetKey(), b.GetKey()) })
-	writeProto(w, http.StatusOK, answer)
+	slices.SortFunc(rows.GetRows(), func(a, b *platformpb.Row) int { return strings.Compare(a.GetKey(), b.GetKey()) })
+	writeProto(w, http.StatusOK, rows)
 }
 
 func (s *RowStore) handleFeed(w http.ResponseWriter, r *http.Request) {
@@ -249,13 +262,13 @@
 	for {
 		s.mu.Lock()
 		s.setEraHeader(w)
-		answer, gone, changed := s.changesSince(query.Get("table"), after), after < s.historyStart || after > s.revision, s.changed
+		rows, gone, changed := s.changesSince(query.Get("table"), after), after < s.historyStart || after > s.revision, s.changed
 		s.mu.Unlock()
 		if gone {
 			http.Error(w, "forgotten", http.StatusGone)
 			return
 		}
-		if len(answer.GetRows()) == 0 {
+		if len(rows.GetRows()) == 0 {
 			select {
 			case <-changed:
 				continue
@@ -268,7 +281,7 @@
 			leaveUnanswered(r)
 			return
 		}
-		writeProto(w, http.StatusOK, answer)
+		writeProto(w, http.StatusOK, rows)
 		return
 	}
 }
@@ -279,9 +292,10 @@
 	return s.faults.Unresponsive
 }
 
-// changesSince returns the newest state of each row of a table that has changed.
+// changesSince returns the newest state of each row of a table that changed after
+// a revision. The caller holds the lock.
 func (s *RowStore) changesSince(table string, after uint64) *platformpb.Rows {
-	answer := &platformpb.Rows{Revision: float64(s.revision)}
+	rows := &platformpb.Rows{Revision: float64(s.revision)}
 	newest := make(map[string]*platformpb.Row)
 	for _, row := range s.log {
 		if row.GetTable() == table && row.GetRevision() > float64(after) {
@@ -289,10 +303,10 @@
 		}
 	}
 	for _, row := range newest {
-		answer.Rows = append(answer.Rows, row)
+		rows.Rows = append(rows.Rows, row)
 	}
-	slices.SortFunc(answer.GetRows(), func(a, b *platformpb.Row) int { return int(a.GetRevision()) - int(b.GetRevision()) })
-	return answer
+	slices.SortFunc(rows.GetRows(), func(a, b *platformpb.Row) int { return int(a.GetRevision()) - int(b.GetRevision()) })
+	return rows
 }
 
 func (s *RowStore) handleTransaction(w http.ResponseWriter, r *http.Request) {
@@ -329,6 +343,6 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A caller that has left needs no answer.
+	// A write error means that the client has disconnected.
 	_, _ = w.Write(body)
 }
--- a/standin/rowstore_backup.go
+++ b/standin/rowstore_backup.go
@@ -9,28 +9,29 @@
 	"github.com/hoistjunction/hoistjunction/platform/platformpb"
 )
 
-// storeBackup is a state of a store that it can return to.
+// storeBackup is a copy of a store's state that the store can be restored from.
 type storeBackup struct {
-	rows     map[string]*platformpb.Row
-	log      []*platformpb.Row
-	revision uint64
-	floor    uint64
+	rows         map[string]*platformpb.Row
+	log          []*platformpb.Row
+	revision     uint64
+	historyStart uint64
 }
 
-// Backup keeps the state that Return goes back to.
+// Backup saves the present state for Restore.
 func (s *RowStore) Backup() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.backup = storeBackup{rows: maps.Clone(s.rows), log: slices.Clone(s.log), revision: s.revision, floor: s.historyStart}
+	s.backup = storeBackup{rows: maps.Clone(s.rows), log: slices.Clone(s.log), revision: s.revision, historyStart: s.historyStart}
 }
 
-// Restore has the store come back from its copy, or from nothing: what was written since is
-// gone, and its revisions are given out again.
+// Restore restores the store from the last backup, or to an empty state if there
+// is none. Later writes are lost, their revisions are used again, and the era
+// increases.
 func (s *RowStore) Restore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.backup
-	s.rows, s.log, s.revision, s.historyStart = maps.Clone(c.rows), slices.Clone(c.log), c.revision, c.floor
+	b := s.backup
+	s.rows, s.log, s.revision, s.historyStart = maps.Clone(b.rows), slices.Clone(b.log), b.revision, b.historyStart
 	if s.rows == nil {
 		s.rows = make(map[string]*platformpb.Row)
 	}
@@ -38,22 +39,22 @@
 	s.notifyFeeds()
 }
 
-// Value returns what a row holds, nil for none.
+// Value returns the value of a row, or nil if the row does not exist.
 func (s *RowStore) Value(table, key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rows[table+"/"+key].GetValue()
 }
 
-// OmitEra has answers not name the store's era, as a store does that knows none.
+// OmitEra makes responses omit the store's era, like a store without eras.
 func (s *RowStore) OmitEra() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.omitEra = true
 }
 
-// setEraHeader names the store's era in the head of an answer that tells what the store holds now.
-// The caller holds the lock.
+// setEraHeader sets the Store-Era header of a response that reports the store's
+// present state. The caller holds the lock.
 func (s *RowStore) setEraHeader(w http.ResponseWriter) {
 	if !s.omitEra {
 		w.Header().Set("Store-Era", strconv.FormatUint(s.era, 10))
--- a/standin/serve.go
+++ b/standin/serve.go
@@ -10,7 +10,7 @@
 	"syscall"
 )
 
-// NewServer returns a server for a stand-in's handler, over HTTP/1.1 and
+// NewServer returns a server for a stand-in's handler that accepts HTTP/1.1 and
 // HTTP/2 without encryption.
 func NewServer(h http.Handler) *http.Server {
 	protocols := new(http.Protocols)
@@ -19,8 +19,8 @@
 	return &http.Server{Handler: h, Protocols: protocols}
 }
 
-// Serve listens, prints the address on a line of its own, and serves until
-// the process is told to stop.
+// Serve listens on address, prints a line with the actual address, and serves
+// until the process receives SIGTERM or SIGINT.
 func Serve(address string, h http.Handler, out io.Writer) error {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
--- a/standin/server_base.go
+++ b/standin/server_base.go
@@ -5,19 +5,24 @@
 	"time"
 )
 
-// ServerOption sets up a stand-in for a server.
+// ServerOption sets an option of a stand-in server.
 type ServerOption func(*serverBase)
 
-// WithCrash has deadly requests end a server. End must break its connections off.
-func WithCrash(end func(path string)) ServerOption { return func(l *serverBase) { l.crash.crash = end } }
+// WithCrash sets the function that a request with CrashPath calls to crash the
+// server. The function must close the server's connections.
+func WithCrash(terminate func(path string)) ServerOption {
+	return func(s *serverBase) { s.crash.terminate = terminate }
+}
 
-// WithoutStartTime has a server tell nobody when it started: only its id names its run.
-func WithoutStartTime() ServerOption { return func(l *serverBase) { l.startMS = nil } }
+// WithoutStartTime omits the start time from the server's entry and reports, so
+// that only its id identifies its incarnation.
+func WithoutStartTime() ServerOption { return func(s *serverBase) { s.startMS = nil } }
 
-// serverBase is one run of a server's process: its name, its end, and what it says of itself.
+// serverBase is the common part of stand-in servers: the identity of one
+// incarnation, its status and its injected faults.
 type serverBase struct {
 	id string
-	// startMS is when it started, in ms since 1970; nil where it does not tell.
+	// startMS is the start time in ms since 1970; nil if it is not reported.
 	startMS *float64
 	shutdownState
 	backOffFault
@@ -28,63 +33,65 @@
 
 func newServerBase(id string, opts []ServerOption) *serverBase {
 	now := float64(time.Now().UnixMilli())
-	l := &serverBase{id: id, startMS: &now}
+	s := &serverBase{id: id, startMS: &now}
 	for _, opt := range opts {
-		opt(l)
+		opt(s)
 	}
-	return l
+	return s
 }
 
-// registerHandlers adds the calls that are the same for all servers: its leaving, its rest, its
-// limit, and its health.
-func (l *serverBase) registerHandlers(mux *http.ServeMux) {
-	l.shutdownState.registerHandlers(mux)
-	l.backOffFault.registerHandlers(mux)
-	l.advertisedLimit.registerHandlers(mux)
-	l.requestLog.registerHandlers(mux)
-	mux.HandleFunc("GET /health", l.handleHealth)
+// registerHandlers adds the handlers that all stand-in servers have: shutdown,
+// back-off, advertised limit, received requests and health.
+func (s *serverBase) registerHandlers(mux *http.ServeMux) {
+	s.shutdownState.registerHandlers(mux)
+	s.backOffFault.registerHandlers(mux)
+	s.advertisedLimit.registerHandlers(mux)
+	s.requestLog.registerHandlers(mux)
+	mux.HandleFunc("GET /health", s.handleHealth)
 }
 
-// acceptInstance refuses what is meant for another server, and says which one this is.
-func (l *serverBase) acceptInstance(w http.ResponseWriter, r *http.Request) bool {
-	if want := r.Header.Get("Expect-Instance"); want != "" && want != l.id {
-		w.Header().Set("Instance-Id", l.id)
+// acceptInstance reports whether a request is for this instance. If not, it
+// responds with status 421 and this instance's id.
+func (s *serverBase) acceptInstance(w http.ResponseWriter, r *http.Request) bool {
+	if instance := r.Header.Get("Expect-Instance"); instance != "" && instance != s.id {
+		w.Header().Set("Instance-Id", s.id)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return false
 	}
 	return true
 }
 
-// admitRequest takes a request in that has been read whole, and reports whether the server goes on
-// with it. Where it turns the request away, that is its answer.
-func (l *serverBase) admitRequest(w http.ResponseWriter, r *http.Request) bool {
+// admitRequest records a request whose body was read, sets the headers of the
+// server's status, and reports whether the request may be executed. If not, it
+// responds with status 503.
+func (s *serverBase) admitRequest(w http.ResponseWriter, r *http.Request) bool {
 	now := time.Now()
-	l.recordRequest(now)
-	leaving := l.setLeavingHeader(w.Header())
-	visit := ReceivedRequest{ID: r.Header.Get("Attempt-Id"), AtMS: now.UnixMilli(), Leaving: leaving, Limit: l.setLimitHeader(w.Header())}
-	ask, away := l.rejection(now)
-	if away {
-		visit.BackOffMS = retryAfterMS(ask)
+	s.recordRequestTime(now)
+	leaving := s.setLeavingHeader(w.Header())
+	received := ReceivedRequest{ID: r.Header.Get("Attempt-Id"), AtMS: now.UnixMilli(), Leaving: leaving, Limit: s.setLimitHeader(w.Header())}
+	retryAfter, rejected := s.rejection(now)
+	if rejected {
+		received.BackOffMS = retryAfterMS(retryAfter)
 	}
-	l.recordReceived(visit)
-	if !away {
+	s.recordReceived(received)
+	if !rejected {
 		return true
 	}
-	if ask != "" {
-		w.Header().Set("Retry-After", ask)
+	if retryAfter != "" {
+		w.Header().Set("Retry-After", retryAfter)
 	}
-	w.Header().Set("Attempt-Id", visit.ID)
+	w.Header().Set("Attempt-Id", received.ID)
 	w.Header().Set("Not-Executed", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 	return false
 }
 
-func (l *serverBase) handleHealth(w http.ResponseWriter, r *http.Request) {
-	if !l.acceptInstance(w, r) {
+func (s *serverBase) handleHealth(w http.ResponseWriter, r *http.Request) {
+	if !s.acceptInstance(w, r) {
 		return
 	}
-	w.Header().Set("Instance-Id", l.id)
-	if l.leaving.Load() {
+	w.Header().Set("Instance-Id", s.id)
+	if s.leaving.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
--- a/standin/service.go
+++ b/standin/service.go
@@ -9,50 +9,50 @@
 	"github.com/hoistjunction/hoistjunction/callkey"
 )
 
-// Service is a stand-in for a plain service whose calls have effects: it
-// counts how often each key has run.
+// Service is a stand-in for a plain service whose calls have side effects. It
+// counts the executions by call key.
 type Service struct {
-	name string
+	name     string
 	workTime time.Duration
 
-	mu     sync.Mutex
-	faults ServiceFaults
-	executions   map[string]int
-	total  int
+	mu         sync.Mutex
+	faults     ServiceFaults
+	executions map[string]int
+	total      int
 }
 
-// NewService returns a service whose calls take a time.
-func NewService(name string, work time.Duration) *Service {
-	return &Service{name: name, workTime: work, executions: make(map[string]int)}
+// NewService returns a service that works on each call for the given time.
+func NewService(name string, workTime time.Duration) *Service {
+	return &Service{name: name, workTime: workTime, executions: make(map[string]int)}
 }
 
-// SetFaults changes the service's faults.
+// SetFaults replaces the service's injected faults.
 func (s *Service) SetFaults(f ServiceFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Executions returns how often each key has run.
+// Executions returns the number of executions by call key.
 func (s *Service) Executions() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	runs := make(map[string]int, len(s.executions))
+	executions := make(map[string]int, len(s.executions))
 	for k, n := range s.executions {
-		runs[k] = n
+		executions[k] = n
 	}
-	return runs
+	return executions
 }
 
-// TotalExecutions returns how many calls have run.
+// TotalExecutions returns the number of executions of all calls.
 func (s *Service) TotalExecutions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.total
 }
 
-// Handler serves calls on every path, its switches at /faults and its counts
-// at /runs.
+// Handler returns the HTTP handler of calls on any path, of fault injection at
+// /faults and of the execution counts at /runs.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST /faults", jsonSetHandler(s.SetFaults))
--- a/standin/session.go
+++ b/standin/session.go
@@ -2,20 +2,21 @@
 
 import "github.com/hoistjunction/hoistjunction/wire"
 
-// session is one generation of a request at an engine: its caches, and the
-// position that it expects next.
+// session is one generation of a request at an engine: the caches of the
+// layers, the next expected position and the last reply.
 type session struct {
-	generation uint32
-	nextPosition       uint32
-	caches     []uint64
-	lastReply       *wire.StepReply
+	generation   uint32
+	nextPosition uint32
+	caches       []uint64
+	lastReply    *wire.StepReply
 }
 
 func newSession(generation uint32, c EngineConfig) *session {
 	return &session{generation: generation, caches: make([]uint64, c.LastLayer-c.FirstLayer+1)}
 }
 
-// execute runs the engine's layers over a step's positions and fills the reply.
+// execute executes the engine's layers for the positions of a step and fills
+// in the reply.
 func (s *session) execute(step *wire.StepRequest, c EngineConfig, reply *wire.StepReply) {
 	inputs := step.GetInputs()
 	if c.FirstLayer == 0 {
--- a/standin/shutdown_state.go
+++ b/standin/shutdown_state.go
@@ -6,48 +6,54 @@
 	"time"
 )
 
-// shutdownState is a server's leaving, and what still reaches it.
+// shutdownState holds whether a server is leaving, and the time of its last
+// request. It is safe for concurrent use.
 type shutdownState struct {
+	// leaving is true if both the entry and the responses report it.
 	leaving atomic.Bool
-	// announced tells that its answers say that it leaves, whatever its entry says.
+	// announced is true if the responses report that the server is leaving, even
+	// if its entry does not.
 	announced atomic.Bool
-	// lastRequestMS is the wall time of the last request, in ms since 1970.
+	// lastRequestMS is the time of the last request, in ms since 1970; zero means
+	// never.
 	lastRequestMS atomic.Int64
 }
 
-// LastRequest is when a request has reached a server last.
+// LastRequest is the time at which a server last received a request.
 type LastRequest struct {
-	// LastMS is a wall time in ms since 1970; zero for never.
-	LastMS int64 `json:"last_ms"`
+	// AtMS is a time in ms since 1970; zero means never.
+	AtMS int64 `json:"last_ms"`
 }
 
-// recordRequest notes a request that was meant for this server.
-func (d *shutdownState) recordRequest(now time.Time) { d.lastRequestMS.Store(now.UnixMilli()) }
+// recordRequestTime sets the time of the last request.
+func (s *shutdownState) recordRequestTime(now time.Time) { s.lastRequestMS.Store(now.UnixMilli()) }
 
-// entryState is what the server says of itself in the list.
-func (d *shutdownState) entryState() string {
-	if d.leaving.Load() {
+// entryState returns the state in the server's entry.
+func (s *shutdownState) entryState() string {
+	if s.leaving.Load() {
 		return "draining"
 	}
 	return "ready"
 }
 
-// setLeavingHeader has an answer say that the server leaves, where it does, and reports that.
-func (d *shutdownState) setLeavingHeader(h http.Header) bool {
-	leaving := d.leaving.Load() || d.announced.Load()
+// setLeavingHeader sets the Server-Leaving header of a response if the server is
+// leaving, and reports whether it did.
+func (s *shutdownState) setLeavingHeader(h http.Header) bool {
+	leaving := s.leaving.Load() || s.announced.Load()
 	if leaving {
 		h.Set("Server-Leaving", "1")
 	}
 	return leaving
 }
 
-// AnnounceLeaving has the server's answers say that it leaves, and not its entry.
-func (d *shutdownState) AnnounceLeaving() { d.announced.Store(true) }
+// AnnounceLeaving makes the server's responses report that it is leaving. Its
+// entry does not change.
+func (s *shutdownState) AnnounceLeaving() { s.announced.Store(true) }
 
-// registerHandlers adds the calls that make a server say that it leaves, and that tell when a
-// request has reached it last.
-func (d *shutdownState) registerHandlers(mux *http.ServeMux) {
-	mux.HandleFunc("POST /leave", func(http.ResponseWriter, *http.Request) { d.leaving.Store(true) })
-	mux.HandleFunc("POST /say-leaving", func(http.ResponseWriter, *http.Request) { d.AnnounceLeaving() })
-	mux.Handle("GET /arrival", jsonGetHandler(func() any { return LastRequest{LastMS: d.lastRequestMS.Load()} }))
+// registerHandlers adds the handlers that start leaving and that return the time
+// of the last request.
+func (s *shutdownState) registerHandlers(mux *http.ServeMux) {
+	mux.HandleFunc("POST /leave", func(http.ResponseWriter, *http.Request) { s.leaving.Store(true) })
+	mux.HandleFunc("POST /say-leaving", func(http.ResponseWriter, *http.Request) { s.AnnounceLeaving() })
+	mux.Handle("GET /arrival", jsonGetHandler(func() any { return LastRequest{AtMS: s.lastRequestMS.Load()} }))
 }
--- a/standin/site_config.go
+++ b/standin/site_config.go
@@ -6,20 +6,21 @@
 	"github.com/hoistjunction/hoistjunction/platform/platformpb"
 )
 
-// The services, routes and sizes of the stand-in site.
+// Names and sizes of the stand-in site, a small installation for tests.
 const (
-	SiteHost    = "site.example"
-	SiteStreamService  = "writer"
-	SitePlainService    = "desk"
-	SiteLayers  = 12
-	SiteAccount = "clinic"
-	// SiteAccelerator is the only kind of accelerator; eight layers fit on it.
+	SiteHost          = "site.example"
+	SiteStreamService = "writer"
+	SitePlainService  = "desk"
+	SiteLayers        = 12
+	SiteAccount       = "clinic"
+	// SiteAccelerator is the only kind of accelerator. Its memory holds eight
+	// layers.
 	SiteAccelerator = "small"
 )
 
-// SiteConfig returns the operator's configuration of the stand-in site: a
-// route to a pipeline of engines, and two to a plain service, one of whose
-// requests may be repeated.
+// SiteConfig returns the operator's configuration of the stand-in site: a route
+// to a pipeline of engines and two routes to a plain service. Only one of the
+// latter allows repeated execution.
 func SiteConfig(version uint64, keys ...string) []byte {
 	const (
 		streamTimeout = 20000
@@ -48,7 +49,8 @@
 	}
 	raw, err := protojson.Marshal(config)
 	if err != nil {
-		// The message above is fixed; it marshals or the tests never pass.
+		// The message is constant except for the keys, so a failure is a
+		// programming error.
 		panic(err)
 	}
 	return raw
--- a/standin/step_queue.go
+++ b/standin/step_queue.go
@@ -6,14 +6,14 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// queuedStep is a step that waits for a batch.
+// queuedStep is a step that waits for execution in a batch.
 type queuedStep struct {
-	step   *wire.StepRequest
-	sendReply func(*wire.StepReply)
+	step            *wire.StepRequest
+	sendReply       func(*wire.StepReply)
 	cachedPositions int
 }
 
-// stepQueue orders steps by priority, then by arrival.
+// stepQueue is a queue of steps, ordered by priority and then by arrival.
 type stepQueue struct {
 	steps []*queuedStep
 }
--- a/standin/stream_client.go
+++ b/standin/stream_client.go
@@ -6,31 +6,35 @@
 	"strconv"
 )
 
-// StreamClient is a caller that asks for a stream of a deployment.
+// StreamClient is a client that requests a stream of a deployment.
 type StreamClient struct {
-	ID, Key, PromptID string
-	// RemainingMS is how long it will wait, Prompt and Answer are sizes in tokens, and
-	// LastEventID is the last event that it has; zero for none.
+	// ID is the attempt's id, Key the API key of the client account. Subject
+	// identifies the part of the prompt that is not shared with other prompts.
+	ID, Key, Subject string
+	// RemainingMS is the time until the client's deadline, in ms. PromptTokens and
+	// AnswerTokens are sizes in tokens. LastEventID is the last received event when
+	// a stream is resumed; zero means none.
 	RemainingMS, PromptTokens, AnswerTokens, LastEventID int
 }
 
-// sharedPromptPrefix is the part of all prompts that is the same.
+// sharedPromptPrefix is the Prompt-Prefix entry of the part that all prompts
+// share: its hash and its length in tokens.
 const sharedPromptPrefix = "5c1e07a2:40"
 
-// Header returns the head of its request.
+// Header returns the headers of the client's request.
 func (c StreamClient) Header() http.Header {
 	h := ClientHeader(c.ID, c.Key, c.RemainingMS)
 	h.Set("Token-Count", fmt.Sprintf("%d,%d", c.PromptTokens, c.AnswerTokens))
 	h.Set("Length-Hint", strconv.Itoa(c.AnswerTokens))
-	h.Set("Prompt-Prefix", fmt.Sprintf("%s,%x:%d", sharedPromptPrefix, c.PromptID, c.PromptTokens))
+	h.Set("Prompt-Prefix", fmt.Sprintf("%s,%x:%d", sharedPromptPrefix, c.Subject, c.PromptTokens))
 	if c.LastEventID > 0 {
 		h.Set("Last-Event-Id", strconv.Itoa(c.LastEventID))
 	}
 	return h
 }
 
-// ClientHeader returns the head of a request as callers of the site send it.
-// Remaining is how long the caller will wait, in ms.
+// ClientHeader returns the headers of a request to the stand-in site. remaining
+// is the time until the client's deadline, in ms.
 func ClientHeader(id, key string, remaining int) http.Header {
 	h := http.Header{}
 	h.Set("Attempt-Id", id)
--- a/standin/table.go
+++ b/standin/table.go
@@ -7,7 +7,7 @@
 	"github.com/hoistjunction/hoistjunction/tablestore"
 )
 
-// table is the rows of the table service.
+// table holds the rows of the table service by key.
 type table struct {
 	rows map[string][]byte
 }
@@ -19,7 +19,7 @@
 	return value, ok
 }
 
-// scan returns the rows after one key and before another, in order.
+// scan returns the rows with after < key < to, in the order of the keys.
 func (t *table) scan(after, to string) []tablestore.Row {
 	rows := []tablestore.Row{}
 	for key, value := range t.rows {
@@ -31,7 +31,7 @@
 	return rows
 }
 
-// commit runs a transaction.
+// commit applies a transaction, or returns the rows that violate its conditions.
 func (t *table) commit(txn tablestore.Txn) tablestore.TxnResult {
 	var conflicts []tablestore.Row
 	for _, c := range txn.Conditions {
--- a/standin/template.go
+++ b/standin/template.go
@@ -9,21 +9,25 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrTemplate means that a template asks for a field that there is not.
-var ErrTemplate = errors.New("standin: the template is not valid")
+// ErrTemplate means that a template refers to a field that does not exist or
+// has no text value.
+var ErrTemplate = errors.New("standin: invalid template")
 
-// TemplateFields are what a template is filled from: texts, numbers, lists of texts and other Fields.
+// TemplateFields holds the values of a template's placeholders by field name. A
+// value is a string, a number, a bool, a list of strings or other
+// TemplateFields.
 type TemplateFields map[string]any
 
-var placeholder = regexp.MustCompile(`\{\{([A-Za-z0-9_.]+)\}\}`)
+var placeholderPattern = regexp.MustCompile(`\{\{([A-Za-z0-9_.]+)\}\}`)
 
-// FillTemplate fills the gaps of a template, which name fields: {{a}}, {{a.b}}, and {{a.0}} for an entry of
-// a list. A whole list is joined with commas. Unlike the platform, which leaves a gap empty
-// whose field it does not have, it refuses such a template.
+// FillTemplate replaces the placeholders of a template by the values of fields:
+// {{a}}, {{a.b}} for a nested field and {{a.0}} for an element of a list. A whole
+// list is joined with commas. FillTemplate returns ErrTemplate for an unknown
+// field, whereas the platform replaces its placeholder by an empty text.
 func FillTemplate(template string, fields TemplateFields) (string, error) {
 	var unknown []string
-	text := placeholder.ReplaceAllStringFunc(template, func(found string) string {
-		path := strings.Trim(found, "{}")
+	text := placeholderPattern.ReplaceAllStringFunc(template, func(match string) string {
+		path := strings.Trim(match, "{}")
 		value, ok := lookUpField(fields, strings.Split(path, "."))
 		if !ok {
 			unknown = append(unknown, path)
@@ -31,11 +35,12 @@
 		return value
 	})
 	if len(unknown) > 0 {
-		return "", errors.Wrapf(ErrTemplate, "there is no field %s", strings.Join(unknown, ", "))
+		return "", errors.Wrapf(ErrTemplate, "unknown fields: %s", strings.Join(unknown, ", "))
 	}
 	return text, nil
 }
 
+// lookUpField returns the text of the value at a path, and whether it exists.
 func lookUpField(value any, path []string) (string, bool) {
 	if len(path) == 0 {
 		switch v := value.(type) {
--- a/standin/template_test.go
+++ b/standin/template_test.go
@@ -10,7 +10,7 @@
 	fields := TemplateFields{"a": 1, "list": []string{"x", "y"}, "in": TemplateFields{"b": true}}
 	for _, tt := range []struct {
 		template, want string
-		bad            bool
+		invalid        bool
 	}{
 		{"a = {{a}}", "a = 1", false},
 		{"{{in.b}} {{list}} {{list.1}}", "true x,y y", false},
@@ -20,7 +20,7 @@
 		{"{{a.b}}", "", true},
 	} {
 		got, err := FillTemplate(tt.template, fields)
-		if errors.Is(err, ErrTemplate) != tt.bad || got != tt.want {
+		if errors.Is(err, ErrTemplate) != tt.invalid || got != tt.want {
 			t.Errorf("%q: got %q, %v, want %q", tt.template, got, err, tt.want)
 		}
 	}
--- a/standin/transaction_check.go
+++ b/standin/transaction_check.go
@@ -7,33 +7,34 @@
 	"github.com/cockroachdb/errors"
 )
 
-// What the platform's store takes in one transaction, by its pages.
+// Limits and field names of a transaction in the API of the platform's store.
 const (
-	maxTransactionEntries      = 100
-	maxTransactionBytes  = 1 << 20
-	maxNameBytes    = 200
-	maxValueBytes   = 65_536
-	fieldTable       = "table"
-	fieldPart        = "part"
-	fieldKey         = "privateKey"
-	fieldValue       = "value"
-	fieldRevision    = "ver"
-	fieldConditions  = "expectedRevision"
-	fieldPuts        = "put"
-	fieldRemoves     = "remove"
-	fieldAcrossParts = "across"
+	maxTransactionEntries = 100
+	maxTransactionBytes   = 1 << 20
+	maxNameBytes          = 200
+	maxValueBytes         = 65_536
+	fieldTable            = "table"
+	fieldPart             = "part"
+	fieldKey              = "privateKey"
+	fieldValue            = "value"
+	fieldRevision         = "ver"
+	fieldConditions       = "expectedRevision"
+	fieldPuts             = "put"
+	fieldRemoves          = "remove"
+	fieldAcrossParts      = "across"
 )
 
-// ErrInvalidRequest means that a call is not one that the pages describe.
+// ErrInvalidRequest means that a request does not conform to the platform's API.
 var ErrInvalidRequest = errors.New("standin: refused")
 
-// rawRow is a row as it stands in a call.
+// rawRow is a row of a request whose fields are not decoded yet.
 type rawRow map[string]json.RawMessage
 
-// CheckTransaction refuses what the platform's store refuses: a table, key, version or value
-// that is missing, too long or of another type, too many entries, and several parts without a
-// word on that. It reads the text itself: a decoder that is generous, as the product's is,
-// would take a number in quotes.
+// CheckTransaction returns ErrInvalidRequest for a transaction that the
+// platform's store rejects: a table, key, version or value is missing, too long or
+// of the wrong type, it has too many entries, or it has several partitions
+// without the field that allows this. It decodes the body without protojson,
+// which would accept a number in quotes.
 func CheckTransaction(body []byte) error {
 	if len(body) > maxTransactionBytes {
 		return errors.Wrapf(ErrInvalidRequest, "%d bytes", len(body))
@@ -63,8 +64,10 @@
 	return checkLists(lists, across)
 }
 
+// checkLists checks the rows of a transaction's lists, the number of entries and
+// the number of partitions.
 func checkLists(lists map[string][]rawRow, across bool) error {
-	wanted := map[string][]string{
+	required := map[string][]string{
 		fieldConditions: {fieldTable, fieldKey, fieldRevision}, fieldPuts: {fieldTable, fieldKey, fieldValue}, fieldRemoves: {fieldTable, fieldKey},
 	}
 	entries := 0
@@ -72,7 +75,7 @@
 	for name, rows := range lists {
 		entries += len(rows)
 		for _, row := range rows {
-			part, err := checkRow(row, wanted[name])
+			part, err := checkRow(row, required[name])
 			if err != nil {
 				return errors.Wrap(err, name)
 			}
@@ -85,10 +88,10 @@
 	return nil
 }
 
-// checkRow refuses a row that lacks a field, or has one that it should not have, and returns
-// its part.
-func checkRow(row rawRow, wanted []string) (part string, err error) {
-	for _, name := range wanted {
+// checkRow returns the partition of a row, or an error if a required field is
+// missing or a field is unknown or invalid.
+func checkRow(row rawRow, required []string) (part string, err error) {
+	for _, name := range required {
 		if _, ok := row[name]; !ok {
 			return "", errors.Wrapf(ErrInvalidRequest, "no %s", name)
 		}
@@ -122,6 +125,7 @@
 	return part, nil
 }
 
+// checkText decodes a text field and checks its length.
 func checkText(name string, raw json.RawMessage) (string, error) {
 	var text string
 	if err := json.Unmarshal(raw, &text); err != nil || len(text) > maxNameBytes {
@@ -130,6 +134,7 @@
 	return text, nil
 }
 
+// checkValue checks that a value is valid base64 and not too long.
 func checkValue(raw json.RawMessage) error {
 	var text string
 	if err := json.Unmarshal(raw, &text); err != nil {
