--- a/standin/received_requests.go
+++ b/standin/received_requests.go
@@ -93,9 +93,9 @@
 	return breaches
 }
 
-// LeavingBreaches returns the nodes that still sent requests to a server after
-// the time within had passed since its first response to them with
-// Server-Leaving.
+// LeavingBreaches returns the nodes that sent requests to a server more than
+// within after its first response to them with Server-Leaving. nodeOf returns the
+// node that an attempt was sent to, by the attempt's id.
 func LeavingBreaches(list []ReceivedRequest, nodeOf func(id string) string, within time.Duration) []SendBreach {
 	notified := make(map[string]*SendBreach)
 	for _, r := range list {
--- a/standin/rowstore.go
+++ b/standin/rowstore.go
@@ -39,7 +39,7 @@
 	era uint64
 	// omitEra is true if responses do not have the Store-Era header.
 	omitEra bool
-	// backup is the state that Restore restores.
+	// backup is the last backup; Restore returns to it.
 	backup storeBackup
 }
 
@@ -82,7 +82,8 @@
 	// LoseWriteResponses executes writes but closes their connections without a
 	// response.
 	LoseWriteResponses bool `json:"lose_writes"`
-	// DropHistory deletes the change log once, so that feeds have to start again.
+	// DropHistory deletes the change log once, so that feeds of earlier revisions
+	// fail with status 410.
 	DropHistory bool `json:"forget"`
 }
 
--- a/standin/transaction_check.go
+++ b/standin/transaction_check.go
@@ -71,33 +71,33 @@
 		fieldConditions: {fieldTable, fieldKey, fieldRevision}, fieldPuts: {fieldTable, fieldKey, fieldValue}, fieldRemoves: {fieldTable, fieldKey},
 	}
 	entries := 0
-	parts := make(map[string]bool)
+	partitions := make(map[string]bool)
 	for name, rows := range lists {
 		entries += len(rows)
 		for _, row := range rows {
-			part, err := checkRow(row, required[name])
+			partition, err := checkRow(row, required[name])
 			if err != nil {
 				return errors.Wrap(err, name)
 			}
-			parts[part] = true
+			partitions[partition] = true
 		}
 	}
-	if entries > maxTransactionEntries || !across && len(parts) > 1 {
-		return errors.Wrapf(ErrInvalidRequest, "%d entries in %d parts", entries, len(parts))
+	if entries > maxTransactionEntries || !across && len(partitions) > 1 {
+		return errors.Wrapf(ErrInvalidRequest, "%d entries in %d parts", entries, len(partitions))
 	}
 	return nil
 }
 
 // checkRow returns the partition of a row, or an error if a required field is
 // missing or a field is unknown or invalid.
-func checkRow(row rawRow, required []string) (part string, err error) {
+func checkRow(row rawRow, required []string) (partition string, err error) {
 	for _, name := range required {
 		if _, ok := row[name]; !ok {
 			return "", errors.Wrapf(ErrInvalidRequest, "no %s", name)
 		}
 	}
 	if raw, ok := row[fieldPart]; ok {
-		if part, err = checkText(fieldPart, raw); err != nil {
+		if partition, err = checkText(fieldPart, raw); err != nil {
 			return "", err
 		}
 	}
@@ -122,7 +122,7 @@
 			return "", errors.Wrapf(ErrInvalidRequest, "unknown field %q", name)
 		}
 	}
-	return part, nil
+	return partition, nil
 }
 
 // checkText decodes a text field and checks its length.
