--- a/measure/fault.go
+++ b/measure/fault.go
@@ -21,7 +21,7 @@
 
 func killNode(b *testbed.Bed) { b.Nodes[0].Kill() }
 
-func outageAndDeath(b *testbed.Bed) {
+func failStoreAndKillEngine(b *testbed.Bed) {
 	b.Platform.SetFaults(standin.PlatformFaults{Down: true})
 	killEngine(b)
 }
--- a/node/other_writers_test.go
+++ b/node/other_writers_test.go
@@ -17,7 +17,7 @@
 	for i := range many {
 		s.store.Put("servers", fmt.Sprintf("x%d", i), []byte(`{"service":"desk","slots":"6"}`))
 	}
-	n := s.startNode("n1", s.storeAt)
+	n := s.startNode("n1", s.storeAddress)
 	n.awaitServing(t)
 	for i := range 20 {
 		s.store.Put("servers", fmt.Sprintf("x%d", i), fmt.Appendf(nil, `{"state":%d}`, i))
