--- a/entry/once_test.go
+++ b/entry/once_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	runs := make(map[string]int)
 	for _, s := range bed.Services {
-		for key, n := range s.Runs() {
+		for key, n := range s.Executions() {
 			runs[key] += n
 		}
 	}
@@ -66,7 +66,7 @@
 	}
 	wg.Wait()
 	wantAtMostOneRun(t, bed)
-	if got := bed.Services[0].Total(); got != 20 {
+	if got := bed.Services[0].TotalExecutions(); got != 20 {
 		t.Errorf("got %d executions, want 20", got)
 	}
 }
@@ -79,14 +79,14 @@
 		tickets[i].Key, tickets[i].Ticket = "", true
 	}
 	wantCorrect(t, runItems(bed, tickets))
-	before := bed.Services[0].Total()
+	before := bed.Services[0].TotalExecutions()
 	refused := runItems(bed, orderRequests(10), load.WithTries(1))
 	for _, r := range refused {
 		if r.Outcome != outcome.NotExecuted || r.Reason != "store_down" {
 			t.Errorf("key %s: got outcome %s (%s), want not_run (store_down)", r.Item.Key, r.Outcome, r.Reason)
 		}
 	}
-	if got := bed.Services[0].Total(); got != before {
+	if got := bed.Services[0].TotalExecutions(); got != before {
 		t.Errorf("got %d executions during the outage, want 0", got-before)
 	}
 	bed.Platform.SetFaults(standin.PlatformFaults{})
@@ -96,7 +96,7 @@
 
 func TestLostStoreResponsesAreReadBack(t *testing.T) {
 	bed := startTestbed(t)
-	bed.Platform.SetFaults(standin.PlatformFaults{LoseAnswers: true})
+	bed.Platform.SetFaults(standin.PlatformFaults{LoseResponses: true})
 	testbed.After(t, 400*time.Millisecond, func() { bed.Platform.SetFaults(standin.PlatformFaults{}) })
 	results := runItems(bed, orderRequests(40))
 	wantCorrect(t, results)
@@ -105,7 +105,7 @@
 
 func TestCallCutAfterExecutionIsNotRepeated(t *testing.T) {
 	bed := startTestbed(t)
-	bed.Services[0].SetFaults(standin.ServiceFaults{CutAfterRun: true})
+	bed.Services[0].SetFaults(standin.ServiceFaults{DropAfterExecution: true})
 	results := runItems(bed, orderRequests(10), load.WithTries(3))
 	for _, r := range results {
 		if r.Outcome != outcome.Unknown {
@@ -113,7 +113,7 @@
 		}
 	}
 	wantAtMostOneRun(t, bed)
-	if got := bed.Services[0].Total(); got != 10 {
+	if got := bed.Services[0].TotalExecutions(); got != 10 {
 		t.Errorf("got %d executions, want 10", got)
 	}
 }
--- a/entry/stage_test.go
+++ b/entry/stage_test.go
@@ -23,7 +23,7 @@
 func TestDuplicateAndDelayedStepReplies(t *testing.T) {
 	bed := startTolerantTestbed(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
 	for i, e := range bed.Engines {
-		e.SetFaults(standin.EngineFaults{Doubled: 1, LinkMS: i * 2})
+		e.SetFaults(standin.EngineFaults{ExtraReplies: 1, LinkDelayMS: i * 2})
 	}
 	wantCorrect(t, runItems(bed, noticeRequests(60, 12)))
 }
--- a/entry/testbed_test.go
+++ b/entry/testbed_test.go
@@ -102,7 +102,7 @@
 func wantAtMostOneRun(t *testing.T, bed *testbed.Bed) {
 	t.Helper()
 	for _, s := range bed.Services {
-		for key, n := range s.Runs() {
+		for key, n := range s.Executions() {
 			if n > 1 {
 				t.Errorf("key %s: got %d executions, want at most 1", key, n)
 			}
--- a/node/backoff_test.go
+++ b/node/backoff_test.go
@@ -32,8 +32,8 @@
 
 // backOffRequester is a stand-in that can request back-off.
 type backOffRequester interface {
-	SetRest(f standin.RestFaults)
-	Visits() []standin.Visit
+	SetRest(f standin.BackOffFaults)
+	Visits() []standin.ReceivedRequest
 }
 
 // onlyNode returns the node of each attempt; there is one node.
@@ -57,7 +57,7 @@
 			n.awaitServing(t)
 			upstreams := []backOffRequester{s.plainService, s.engines["e1"].engine, s.engines["e2"].engine}
 			for _, u := range upstreams {
-				u.SetRest(standin.RestFaults{ForMS: int(rejectDuration.Milliseconds()), Ask: requestedBackOff})
+				u.SetRest(standin.BackOffFaults{ForMS: int(rejectDuration.Milliseconds()), RetryAfter: requestedBackOff})
 			}
 			i := 0
 			for until := time.Now().Add(backOffTestDuration); time.Now().Before(until); i++ {
@@ -69,7 +69,7 @@
 			}
 			rejected := 0
 			for _, u := range upstreams {
-				for _, b := range standin.RestBreaches(u.Visits(), onlyNode) {
+				for _, b := range standin.BackOffBreaches(u.Visits(), onlyNode) {
 					t.Errorf("got %d requests at an upstream during its requested back-off, want none", b.Count)
 				}
 				rejected += len(u.Visits())
@@ -103,19 +103,19 @@
 			t.Fatalf("got %d, %v at attempt %d, want %d", got.status, got.err, attempts, http.StatusOK)
 		}
 	}
-	for len(other.Runs()) == 0 {
+	for len(other.Executions()) == 0 {
 		send()
 	}
-	other.SayLeaving()
-	beforeReport := len(other.Runs())
-	for len(other.Runs()) == beforeReport {
+	other.AnnounceLeaving()
+	beforeReport := len(other.Executions())
+	for len(other.Executions()) == beforeReport {
 		send()
 	}
-	afterReport := len(other.Runs())
+	afterReport := len(other.Executions())
 	for range 40 {
 		send()
 	}
-	if got := len(other.Runs()); got > afterReport {
+	if got := len(other.Executions()); got > afterReport {
 		t.Errorf("got %d requests at an upstream after its response reported that it is leaving, want none", got-afterReport)
 	}
 }
--- a/node/crashing_request_test.go
+++ b/node/crashing_request_test.go
@@ -81,7 +81,7 @@
 }
 
 func newPlainService(id, at string, opts ...standin.ServerOption) upstreamServer {
-	return standin.NewDesk(id, at, time.Millisecond, opts...)
+	return standin.NewPlainServer(id, at, time.Millisecond, opts...)
 }
 
 // staleEntryLifetime is how long the list shows a crashed upstream after another one has taken
@@ -99,7 +99,7 @@
 	}
 	var stop func()
 	var crashed atomic.Bool
-	onCrash := standin.WithEnd(func(string) {
+	onCrash := standin.WithCrash(func(string) {
 		if crashed.Swap(true) {
 			return
 		}
@@ -120,7 +120,7 @@
 	})
 	opts := []standin.ServerOption{onCrash}
 	if s.mode == newIDSameAddress {
-		opts = append(opts, standin.WithoutStart())
+		opts = append(opts, standin.WithoutStartTime())
 	}
 	v := newServer(id, listener.Listener.Addr().String(), opts...)
 	listener.Config.Handler = v.Handler()
@@ -167,7 +167,7 @@
 					}
 					n := nodes[i%len(nodes)]
 					s.awaitHarmless(n, kind.method, kind.prefix, fmt.Sprint(i))
-					n.do(kind.method, kind.prefix+standin.DeadlyPath, fmt.Sprint("try-", i), "k1")
+					n.do(kind.method, kind.prefix+standin.CrashPath, fmt.Sprint("try-", i), "k1")
 				}
 				if got := s.crashes.Load(); got > maxCrashes {
 					t.Errorf("got %d upstreams crashed by one request, want at most %d", got, maxCrashes)
@@ -204,7 +204,7 @@
 			attempts := 0
 			send := func() response {
 				attempts++
-				return nodes[attempts%len(nodes)].do(kind.method, kind.prefix+standin.DeadlyPath, fmt.Sprint("try-", attempts), "k1")
+				return nodes[attempts%len(nodes)].do(kind.method, kind.prefix+standin.CrashPath, fmt.Sprint("try-", attempts), "k1")
 			}
 			await(t, "quarantine", func() bool {
 				return strings.Contains(send().body, string(dispatch.ReasonQuarantined))
--- a/node/faults_test.go
+++ b/node/faults_test.go
@@ -98,7 +98,7 @@
 	s.t.Cleanup(server.Close)
 	address := server.Listener.Addr().String()
 	s.startHeartbeat("bad1", func() *platformpb.Server {
-		return &platformpb.Server{Service: standin.SiteDesk, Address: address, Zone: "dc", State: "ready", Slots: 6}
+		return &platformpb.Server{Service: standin.SitePlainService, Address: address, Zone: "dc", State: "ready", Slots: 6}
 	})
 	return service
 }
--- a/node/simrestore_test.go
+++ b/node/simrestore_test.go
@@ -25,7 +25,7 @@
 		}
 		return
 	}
-	s.store.Return()
+	s.store.Restore()
 	s.setStoreFault(e.mode, false)
 	s.mu.Lock()
 	s.restoredAt = time.Now()
--- a/node/simsite_test.go
+++ b/node/simsite_test.go
@@ -220,7 +220,7 @@
 }
 
 func (s *simSite) faults() standin.RowStoreFaults {
-	return standin.RowStoreFaults{SlowMS: int64(simStoreLatency)}
+	return standin.RowStoreFaults{ResponseDelayMS: int64(simStoreLatency)}
 }
 
 // rejectingHandler rejects the calls of some nodes, and counts all calls.
@@ -436,7 +436,7 @@
 		s.rows++
 		s.store.Put("other", fmt.Sprint(s.rows), nil)
 	case "copy":
-		s.store.Copy()
+		s.store.Backup()
 	case "returns":
 		s.runFault(e, until, func(on bool) { s.restoreStore(e, on) }, simStoreHost)
 	default:
@@ -500,9 +500,9 @@
 func (s *simSite) setStoreFault(kind string, on bool) {
 	f := s.faults()
 	if on {
-		f.Down, f.Silent = kind == "down", kind == "hang"
+		f.Down, f.Unresponsive = kind == "down", kind == "hang"
 		if kind == "slow" {
-			f.SlowMS = int64(simSlowLatency)
+			f.ResponseDelayMS = int64(simSlowLatency)
 		}
 	}
 	s.store.SetFaults(f)
--- a/node/site_test.go
+++ b/node/site_test.go
@@ -25,7 +25,7 @@
 	store        *standin.RowStore
 	storeAddress string
 	engines      map[string]*engineProcess
-	plainService *standin.Desk
+	plainService *standin.PlainServer
 	// stopPlainService stops the plain service, and waits until its entry is removed.
 	stopPlainService func()
 }
@@ -69,7 +69,7 @@
 
 func (s *site) startPlainService() {
 	server := httptest.NewUnstartedServer(nil)
-	s.plainService = standin.NewDesk("desk1", server.Listener.Addr().String(), time.Millisecond)
+	s.plainService = standin.NewPlainServer("desk1", server.Listener.Addr().String(), time.Millisecond)
 	server.Config.Handler = s.plainService.Handler()
 	server.Start()
 	stop := s.startHeartbeat("desk1", func() *platformpb.Server { return s.plainService.Entry("dc") })
@@ -82,9 +82,9 @@
 }
 
 // addPlainService starts another plain service.
-func (s *site) addPlainService(id string) *standin.Desk {
+func (s *site) addPlainService(id string) *standin.PlainServer {
 	server := httptest.NewUnstartedServer(nil)
-	service := standin.NewDesk(id, server.Listener.Addr().String(), time.Millisecond)
+	service := standin.NewPlainServer(id, server.Listener.Addr().String(), time.Millisecond)
 	server.Config.Handler = service.Handler()
 	server.Start()
 	s.startHeartbeat(id, func() *platformpb.Server { return service.Entry("dc") })
@@ -111,7 +111,7 @@
 
 func (s *site) startHeartbeat(id string, entry func() *platformpb.Server) context.CancelFunc {
 	ctx, cancel := context.WithCancel(context.Background())
-	go standin.Beat(ctx, s.storeAddress, id, entry)
+	go standin.SendHeartbeats(ctx, s.storeAddress, id, entry)
 	s.t.Cleanup(cancel)
 	return cancel
 }
@@ -238,7 +238,7 @@
 // wholeStream returns the complete response to a path.
 func wholeStream(path string) string {
 	var b strings.Builder
-	for n := 1; n <= standin.SiteEvents(path); n++ {
+	for n := 1; n <= standin.SiteEventCount(path); n++ {
 		b.WriteString(standin.SiteEvent(path, n))
 	}
 	return b.String()
--- a/rehearse/caller.go
+++ b/rehearse/caller.go
@@ -137,9 +137,9 @@
 		return nil, err
 	}
 	req.Host, req.GetBody = standin.DeploymentHost, nil
-	req.Header = standin.StreamCaller{
+	req.Header = standin.StreamClient{
 		ID: fmt.Sprintf("%s-%d", s.ID, number), Key: standin.DeploymentKey(s.Account), Subject: s.Subject,
-		RemainingMS: int(s.remaining().Milliseconds()), Prompt: s.promptTokens, Answer: s.answerTokens, LastEvent: s.eventsReceived,
+		RemainingMS: int(s.remaining().Milliseconds()), PromptTokens: s.promptTokens, AnswerTokens: s.answerTokens, LastEventID: s.eventsReceived,
 	}.Header()
 	resp, err := s.client.transport(number).RoundTrip(req)
 	var op *net.OpError
@@ -196,7 +196,7 @@
 		}
 		s.recordEvent(time.Now())
 		s.served = true
-		if want := standin.DeskAnswer(resp.Request.URL.Path); string(body) != want {
+		if want := standin.PlainAnswer(resp.Request.URL.Path); string(body) != want {
 			s.WrongAnswer = fmt.Sprintf("got %q, want %q", body, want)
 		}
 		return nil
--- a/rehearse/deployment.go
+++ b/rehearse/deployment.go
@@ -80,7 +80,7 @@
 
 // prepareNodes chooses the addresses of all nodes and writes their settings.
 func (d *Deployment) prepareNodes(template string) error {
-	var places []standin.NodePlace
+	var places []standin.NodeAddresses
 	for c, dataCentre := range d.scenario.Fleet.Centres() {
 		for i := range d.scaledNodes(d.scenario.Deployment.NodesIn[dataCentre]) {
 			p, err := newNodePlace(fmt.Sprintf("node-%s-%d", dataCentre, i+1), dataCentre, c+1, i+1)
@@ -95,7 +95,7 @@
 	}
 	var seeds []string
 	for _, p := range places[:min(3, len(places))] {
-		seeds = append(seeds, p.At(p.Peers))
+		seeds = append(seeds, p.HostPort(p.Peers))
 	}
 	for _, p := range places {
 		n, err := newNode(d, p, template, seeds)
--- a/rehearse/evaluate.go
+++ b/rehearse/evaluate.go
@@ -32,7 +32,7 @@
 
 // evaluate builds the report from the outcomes of the callers' requests and the samples of the
 // upstreams' free capacity.
-func evaluate(s *lab.Scenario, o options, l *loadGenerator, samples []standin.Openness) *Report {
+func evaluate(s *lab.Scenario, o options, l *loadGenerator, samples []standin.FreeCapacity) *Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := &Report{
@@ -128,7 +128,7 @@
 
 // countRefusals counts the refusals by reason, and those that could have been served because
 // upstreams had the needed capacity before the request's deadline.
-func (r *Report) countRefusals(s *lab.Scenario, samples []standin.Openness) {
+func (r *Report) countRefusals(s *lab.Scenario, samples []standin.FreeCapacity) {
 	for _, q := range r.Requests {
 		for _, refusal := range q.Refusals {
 			sum := r.Refusals[refusal.Reason]
@@ -152,9 +152,9 @@
 
 // couldServe reports whether the upstreams had the capacity for a request at some time between
 // its refusal and its deadline.
-func couldServe(s *lab.Scenario, q *Request, refusal Refusal, samples []standin.Openness) bool {
+func couldServe(s *lab.Scenario, q *Request, refusal Refusal, samples []standin.FreeCapacity) bool {
 	needs := int64(s.Deployment.Plain.WorkMS)
-	from := slices.IndexFunc(samples, func(o standin.Openness) bool { return o.AtMS >= refusal.AtMS })
+	from := slices.IndexFunc(samples, func(o standin.FreeCapacity) bool { return o.AtMS >= refusal.AtMS })
 	if from < 0 {
 		return false
 	}
@@ -162,7 +162,7 @@
 		if o.AtMS > refusal.AtMS+refusal.RemainingMS-needs {
 			return false
 		}
-		if isStream(s, q) && o.Tokens >= q.MemoryTokens || !isStream(s, q) && o.Desks > 0 {
+		if isStream(s, q) && o.Tokens >= q.MemoryTokens || !isStream(s, q) && o.PlainServers > 0 {
 			return true
 		}
 	}
--- a/rehearse/evaluate_test.go
+++ b/rehearse/evaluate_test.go
@@ -95,14 +95,14 @@
 	}
 	plain := &Request{Kind: "pickup-confirm"}
 	for _, tt := range []struct {
-		samples []standin.Openness
+		samples []standin.FreeCapacity
 		left    int64
 		want    bool
 	}{
-		{[]standin.Openness{{AtMS: 90, Desks: 1}, {AtMS: 150}}, 500, false},
-		{[]standin.Openness{{AtMS: 110}, {AtMS: 400, Desks: 1}}, 500, true},
-		{[]standin.Openness{{AtMS: 110}, {AtMS: 400, Desks: 1}}, 200, false},
-		{[]standin.Openness{{AtMS: 110, Tokens: 5000}}, 500, false},
+		{[]standin.FreeCapacity{{AtMS: 90, PlainServers: 1}, {AtMS: 150}}, 500, false},
+		{[]standin.FreeCapacity{{AtMS: 110}, {AtMS: 400, PlainServers: 1}}, 500, true},
+		{[]standin.FreeCapacity{{AtMS: 110}, {AtMS: 400, PlainServers: 1}}, 200, false},
+		{[]standin.FreeCapacity{{AtMS: 110, Tokens: 5000}}, 500, false},
 	} {
 		if got := couldServe(s, plain, Refusal{AtMS: 100, RemainingMS: tt.left}, tt.samples); got != tt.want {
 			t.Errorf("%+v, %d ms left: got %v, want %v", tt.samples, tt.left, got, tt.want)
--- a/rehearse/faults.go
+++ b/rehearse/faults.go
@@ -90,9 +90,9 @@
 	case lab.ListAway:
 		return fi.injectStoreFault(ctx, standin.RowStoreFaults{Down: true}, duration)
 	case lab.StoreSlow:
-		return fi.injectStoreFault(ctx, standin.RowStoreFaults{SlowMS: int64(f.X)}, duration)
+		return fi.injectStoreFault(ctx, standin.RowStoreFaults{ResponseDelayMS: int64(f.X)}, duration)
 	default:
-		return fi.post(fi.deployment.upstreams, "/harm", standin.Harm{Kind: f.Kind, Share: f.Share, X: f.X, XMost: f.XMost, ForMS: int64(f.For)})
+		return fi.post(fi.deployment.upstreams, "/harm", standin.FaultInjection{Kind: f.Kind, Share: f.Share, X: f.X, XMost: f.XMost, ForMS: int64(f.For)})
 	}
 	return nil
 }
--- a/rehearse/node.go
+++ b/rehearse/node.go
@@ -29,10 +29,10 @@
 )
 
 // newNodePlace finds free ports at the loopback address of a node.
-func newNodePlace(name, dataCentre string, dataCentreNumber, number int) (standin.NodePlace, error) {
-	p := standin.NodePlace{Name: name, Centre: dataCentre, IP: fmt.Sprintf("127.%d.%d.%d", firstLoopbackNet+os.Getpid()%loopbackNets, dataCentreNumber, number)}
+func newNodePlace(name, dataCentre string, dataCentreNumber, number int) (standin.NodeAddresses, error) {
+	p := standin.NodeAddresses{Name: name, Centre: dataCentre, IP: fmt.Sprintf("127.%d.%d.%d", firstLoopbackNet+os.Getpid()%loopbackNets, dataCentreNumber, number)}
 	for _, port := range []*string{&p.Front, &p.Readiness, &p.Peers, &p.Metrics} {
-		listener, err := net.Listen("tcp", p.At("0"))
+		listener, err := net.Listen("tcp", p.HostPort("0"))
 		if err != nil {
 			return p, err
 		}
@@ -44,8 +44,8 @@
 }
 
 // newNode writes the settings of a node and prepares its process, which is not started yet.
-func newNode(d *Deployment, p standin.NodePlace, template string, seeds []string) (*relayNode, error) {
-	text, err := standin.Fill(template, standin.NodeFields(p, d.scenario, d.store.Address(), seeds))
+func newNode(d *Deployment, p standin.NodeAddresses, template string, seeds []string) (*relayNode, error) {
+	text, err := standin.FillTemplate(template, standin.NodeFields(p, d.scenario, d.store.Address(), seeds))
 	if err != nil {
 		return nil, err
 	}
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &relayNode{Process: process, name: p.Name, dataCentre: p.Centre, callerAddress: p.At(p.Front), readinessAddress: p.At(p.Readiness)}, nil
+	return &relayNode{Process: process, name: p.Name, dataCentre: p.Centre, callerAddress: p.HostPort(p.Front), readinessAddress: p.HostPort(p.Readiness)}, nil
 }
 
 const msPerSecond = 1000
--- a/relay/silent_connections_test.go
+++ b/relay/silent_connections_test.go
@@ -78,11 +78,11 @@
 
 func (s *blackholeSite) startDesk(id string) {
 	address := id + ":80"
-	server := &http.Server{Handler: standin.NewDesk(id, address, deskLatency).Handler()}
+	server := &http.Server{Handler: standin.NewPlainServer(id, address, deskLatency).Handler()}
 	listener := s.network.Listen(address)
 	go func() { _ = server.Serve(listener) }()
 	s.t.Cleanup(func() { _ = server.Close() })
-	s.relay.UpdateFleet([]fleet.Change{{ID: fleet.IncarnationByID(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.IncarnationByID(fleet.ID(id)), Service: standin.SiteDesk, Address: address, Slots: 6}}})
+	s.relay.UpdateFleet([]fleet.Change{{ID: fleet.IncarnationByID(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.IncarnationByID(fleet.ID(id)), Service: standin.SitePlainService, Address: address, Slots: 6}}})
 }
 
 // request sends a request in the background and returns a channel for its status.
--- a/soak/backoff.go
+++ b/soak/backoff.go
@@ -69,26 +69,26 @@
 func (r *runner) backOffSeries(ctx context.Context, random *rand.Rand) {
 	for ctx.Err() == nil {
 		sleep(ctx, time.Duration(random.Int64N(int64(maxBackOffPause))))
-		f := standin.RestFaults{ForMS: random.IntN(int(maxRefusalDuration.Milliseconds())), Ask: retryAfterValues[random.IntN(len(retryAfterValues))]}
+		f := standin.BackOffFaults{ForMS: random.IntN(int(maxRefusalDuration.Milliseconds())), RetryAfter: retryAfterValues[random.IntN(len(retryAfterValues))]}
 		index := random.IntN(len(r.cluster.engines) + 1)
 		if ctx.Err() == nil {
 			description, err := r.refuseRequests(index, f)
-			r.logFault(fmt.Sprintf("%s refuses requests with Retry-After %q", description, f.Ask), time.Duration(f.ForMS)*time.Millisecond, err)
+			r.logFault(fmt.Sprintf("%s refuses requests with Retry-After %q", description, f.RetryAfter), time.Duration(f.ForMS)*time.Millisecond, err)
 		}
 	}
 }
 
 // refuseRequests has an engine or the plain service refuse requests. It returns the name of the
 // upstream.
-func (r *runner) refuseRequests(index int, f standin.RestFaults) (string, error) {
-	if f.Ask == "1e9" && index < len(r.cluster.engines) {
+func (r *runner) refuseRequests(index int, f standin.BackOffFaults) (string, error) {
+	if f.RetryAfter == "1e9" && index < len(r.cluster.engines) {
 		// A back-off of 1e9 seconds takes the engine out of use for the rest of the run.
 		// Limiting it to the last engine leaves the others to serve.
 		index = len(r.cluster.engines) - 1
 	}
 	if index == len(r.cluster.engines) {
-		if f.Ask == "1e9" {
-			f.Ask = "2"
+		if f.RetryAfter == "1e9" {
+			f.RetryAfter = "2"
 		}
 		return "desk", postJSON("http://"+r.cluster.plainServices[len(r.cluster.plainServices)-1].Address()+"/rest", f)
 	}
@@ -112,7 +112,7 @@
 		if err != nil {
 			return nil, errors.Wrap(err, p.Name())
 		}
-		for _, b := range standin.RestBreaches(list, nodeOf) {
+		for _, b := range standin.BackOffBreaches(list, nodeOf) {
 			if b.Count > maxDuringBackOff && !r.wasDisturbed(b, p.Name()) {
 				violations = append(violations, fmt.Sprintf("%s received %d requests from %s in the %d ms of back-off that it had requested", p.Name(), b.Count, b.Node, b.ToMS-b.FromMS))
 			}
@@ -129,7 +129,7 @@
 
 // wasDisturbed reports whether a node, or its link to an upstream, was disturbed between
 // disturbanceTail before the span of a breach and its end.
-func (r *runner) wasDisturbed(b standin.Breach, upstream string) bool {
+func (r *runner) wasDisturbed(b standin.SendBreach, upstream string) bool {
 	from, to := time.UnixMilli(b.FromMS).Add(-disturbanceTail), time.UnixMilli(b.ToMS)
 	if b.ToMS == 0 {
 		to = time.Now()
@@ -138,13 +138,13 @@
 }
 
 // fetchVisits returns the requests that have reached a stand-in.
-func fetchVisits(p *process.Process) ([]standin.Visit, error) {
+func fetchVisits(p *process.Process) ([]standin.ReceivedRequest, error) {
 	resp, err := httpClient.Get("http://" + p.Address() + "/visits")
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	var list []standin.Visit
+	var list []standin.ReceivedRequest
 	if resp.StatusCode != http.StatusOK {
 		return nil, errors.Newf("soak: fetch visits: status %d", resp.StatusCode)
 	}
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -89,7 +89,7 @@
 	}
 	req.GetBody = nil
 	req.Host = standin.SiteHost
-	req.Header = standin.CallerHeader(t.id, t.key, callerTimeoutMS)
+	req.Header = standin.ClientHeader(t.id, t.key, callerTimeoutMS)
 	c.recordNode(t.id, node)
 	t.sentAt = time.Now()
 	resp, err := transport.RoundTrip(req)
--- a/soak/check.go
+++ b/soak/check.go
@@ -25,7 +25,7 @@
 
 // checkAttempts compares the responses that callers received with the executions that the plain
 // services counted, and returns the violations.
-func checkAttempts(attempts []attempt, executions map[string]standin.DeskRun, revocations []revocation) []string {
+func checkAttempts(attempts []attempt, executions map[string]standin.ExecutionRecord, revocations []revocation) []string {
 	var violations []string
 	for _, t := range attempts {
 		if violation := checkAttempt(t, executions[t.id], revocations); violation != "" {
@@ -43,23 +43,23 @@
 	return violations
 }
 
-func checkAttempt(t attempt, execution standin.DeskRun, revocations []revocation) string {
+func checkAttempt(t attempt, execution standin.ExecutionRecord, revocations []revocation) string {
 	switch {
-	case strings.Contains(t.body, string(dispatch.ReasonQuarantined)) && !standin.Deadly(t.path):
+	case strings.Contains(t.body, string(dispatch.ReasonQuarantined)) && !standin.CausesCrash(t.path):
 		return "refused as quarantined although the request crashes no upstream"
 	case t.status == http.StatusOK && t.complete && t.body != expectedBody(t.path):
 		return fmt.Sprintf("complete response is wrong: %q", t.body)
 	case t.status == http.StatusOK && !t.complete && !strings.HasPrefix(expectedBody(t.path), t.body):
 		return fmt.Sprintf("truncated response is not a prefix of the expected body: %q", t.body)
-	case strings.HasPrefix(t.path, "/once/") && execution.Runs > 1:
-		return fmt.Sprintf("executed %d times", execution.Runs)
-	case strings.HasPrefix(t.path, "/once/") && isRefusal(t.status) && execution.Runs > 0:
+	case strings.HasPrefix(t.path, "/once/") && execution.Executions > 1:
+		return fmt.Sprintf("executed %d times", execution.Executions)
+	case strings.HasPrefix(t.path, "/once/") && isRefusal(t.status) && execution.Executions > 0:
 		return "refused as not executed, but was executed"
 	case t.key == permanentKey && (t.status == http.StatusUnauthorized || t.status == http.StatusNotFound):
 		return "denied although every configuration contains its key"
-	case t.key != permanentKey && execution.Runs > 0 && sentWhileRevoked(t.sentAt, revocations):
+	case t.key != permanentKey && execution.Executions > 0 && sentWhileRevoked(t.sentAt, revocations):
 		return "executed with a revoked key"
-	case execution.Runs > 0 && execution.Account != standin.SiteAccount:
+	case execution.Executions > 0 && execution.Account != standin.SiteAccount:
 		return "executed for the wrong account " + execution.Account
 	}
 	return ""
@@ -87,10 +87,10 @@
 // expectedBody returns the complete response body for a path.
 func expectedBody(path string) string {
 	if !strings.HasPrefix(path, "/write/") {
-		return standin.DeskAnswer(path)
+		return standin.PlainAnswer(path)
 	}
 	var b strings.Builder
-	for n := 1; n <= standin.SiteEvents(path); n++ {
+	for n := 1; n <= standin.SiteEventCount(path); n++ {
 		b.WriteString(standin.SiteEvent(path, n))
 	}
 	return b.String()
--- a/soak/cluster.go
+++ b/soak/cluster.go
@@ -217,27 +217,27 @@
 
 // executions returns the executions of each request as the plain services counted them. The
 // counts of several plain services add up.
-func (c *cluster) executions() (map[string]standin.DeskRun, error) {
-	total := make(map[string]standin.DeskRun)
+func (c *cluster) executions() (map[string]standin.ExecutionRecord, error) {
+	total := make(map[string]standin.ExecutionRecord)
 	for _, service := range c.plainServices {
 		executions, err := fetchExecutions(service)
 		if err != nil {
 			return nil, err
 		}
 		for id, execution := range executions {
-			execution.Runs += total[id].Runs
+			execution.Executions += total[id].Executions
 			total[id] = execution
 		}
 	}
 	return total, nil
 }
 
-func fetchExecutions(service *process.Process) (map[string]standin.DeskRun, error) {
+func fetchExecutions(service *process.Process) (map[string]standin.ExecutionRecord, error) {
 	resp, err := httpClient.Get("http://" + service.Address() + "/runs")
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	executions := make(map[string]standin.DeskRun)
+	executions := make(map[string]standin.ExecutionRecord)
 	return executions, json.NewDecoder(resp.Body).Decode(&executions)
 }
--- a/soak/deadly.go
+++ b/soak/deadly.go
@@ -27,7 +27,7 @@
 func (r *runner) deadlySeries(ctx context.Context, random *rand.Rand) {
 	for n := 0; ctx.Err() == nil; n++ {
 		sleep(ctx, time.Duration(random.Int64N(int64(maxDeadlyPause))))
-		path := fmt.Sprintf("/write/%s-%d", standin.DeadlyPath, n)
+		path := fmt.Sprintf("/write/%s-%d", standin.CrashPath, n)
 		until := time.Now().Add(deadlyDuration)
 		for i := 0; ctx.Err() == nil && time.Now().Before(until); i++ {
 			node, id := random.IntN(len(r.cluster.nodes)), fmt.Sprintf("deadly-%d-%d", n, i)
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -76,7 +76,7 @@
 
 // streamFaults make an engine fail every second stream and cut every third off partway. Streams
 // that resume at another engine fail there too.
-var streamFaults = standin.ChainFaults{FailEach: 2, CutEach: 3}
+var streamFaults = standin.ChainFaults{FailEvery: 2, AbortEvery: 3}
 
 // failStreams sets streamFaults on all engines for a duration.
 func (r *runner) failStreams(duration time.Duration) (string, error) {
@@ -119,7 +119,7 @@
 }
 
 func (r *runner) injectStoreFault(random *rand.Rand, duration time.Duration) (string, error) {
-	faults := []standin.RowStoreFaults{{Down: true}, {Silent: true}, {SlowMS: 200}, {LoseWrites: true}, {Forget: true}}
+	faults := []standin.RowStoreFaults{{Down: true}, {Unresponsive: true}, {ResponseDelayMS: 200}, {LoseWriteResponses: true}, {DropHistory: true}}
 	names := []string{"store down", "store silent", "store slow", "store loses responses", "store drops its change history"}
 	i := random.IntN(len(faults))
 	if err := r.cluster.setStoreFaults(faults[i]); err != nil {
--- a/soak/leave.go
+++ b/soak/leave.go
@@ -132,11 +132,11 @@
 		return time.Time{}, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	var arrival standin.Arrival
+	var arrival standin.LastRequest
 	if err := json.NewDecoder(resp.Body).Decode(&arrival); err != nil {
 		return time.Time{}, err
 	}
-	return time.UnixMilli(arrival.LastMS), nil
+	return time.UnixMilli(arrival.AtMS), nil
 }
 
 // listedLeaving reports whether the store lists a leaving upstream whose id has a prefix.
--- a/soak/limit.go
+++ b/soak/limit.go
@@ -45,7 +45,7 @@
 // advertiseLimit has an engine or the plain service advertise a limit; an empty value removes
 // it. It returns the name of the upstream.
 func (r *runner) advertiseLimit(index int, name string) (string, error) {
-	f := standin.LimitFaults{Name: name}
+	f := standin.LimitFaults{Advertised: name}
 	if index == len(r.cluster.engines) {
 		return "desk", postJSON("http://"+r.cluster.plainServices[len(r.cluster.plainServices)-1].Address()+"/limit", f)
 	}
@@ -58,14 +58,14 @@
 
 // limitBreaches returns the spans in which an upstream received more requests than its
 // advertised limit from nodes that were not disturbed.
-func (r *runner) limitBreaches(upstream string, list []standin.Visit) []string {
+func (r *runner) limitBreaches(upstream string, list []standin.ReceivedRequest) []string {
 	excused := func(node string, fromMS, toMS int64) bool {
 		from, to := time.UnixMilli(fromMS).Add(-disturbanceTail), time.UnixMilli(toMS)
 		return node == "" || r.disturbed.overlaps(node, from, to)
 	}
 	var violations []string
 	for _, b := range standin.LimitBreaches(list, r.callers.nodeOf, limitGrace, excused) {
-		violations = append(violations, fmt.Sprintf("%s advertised %v requests per second and received %d in 4 s from %v; allowed %d", upstream, b.Limit, b.Count, b.Nodes, b.Allowed))
+		violations = append(violations, fmt.Sprintf("%s advertised %v requests per second and received %d in 4 s from %v; allowed %d", upstream, b.Limit, b.Count, b.RequestsByNode, b.Allowed))
 	}
 	return violations
 }
--- a/soak/restore.go
+++ b/soak/restore.go
@@ -22,7 +22,7 @@
 // The operator's configuration is rewritten right after each restore.
 func (r *runner) restoreSeries(ctx context.Context, random *rand.Rand) {
 	draw := func(limit time.Duration) time.Duration { return time.Duration(random.Int64N(int64(limit))) }
-	outageFaults := []standin.RowStoreFaults{{Down: true}, {Silent: true}, {}}
+	outageFaults := []standin.RowStoreFaults{{Down: true}, {Unresponsive: true}, {}}
 	for sleep(ctx, draw(maxBackupPause)); ctx.Err() == nil; sleep(ctx, draw(maxBackupPause)) {
 		fault, outage, age := outageFaults[random.IntN(len(outageFaults))], draw(maxStoreOutage), draw(maxBackupAge)
 		err := postJSON("http://"+r.cluster.store.Address()+"/copy", nil)
--- a/standin/chain_engine_faults.go
+++ b/standin/chain_engine_faults.go
@@ -1,40 +1,42 @@
 package standin
 
-// ChainFaults are what goes wrong with an engine that runs pipelines.
+// ChainFaults are the injectable faults of a ChainEngine.
 type ChainFaults struct {
-	// FailEach makes the engine run each so manieth stream and answer it with a
-	// failure of its own; zero for none.
-	FailEach int `json:"fail_each"`
-	// CutEach makes it break each so manieth stream off partway; zero for none.
-	CutEach int `json:"cut_each"`
+	// FailEvery makes every nth accepted stream fail with status 500; zero
+	// means none.
+	FailEvery int `json:"fail_each"`
+	// AbortEvery aborts every nth accepted stream after some events; zero
+	// means none.
+	AbortEvery int `json:"cut_each"`
 }
 
-// SetFaults changes what goes wrong.
+// SetFaults replaces the engine's injected faults and restarts the count of
+// accepted streams.
 func (e *ChainEngine) SetFaults(f ChainFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.faults, e.taken = f, 0
+	e.faults, e.acceptedStreams = f, 0
 }
 
-// fate is what becomes of a stream that the engine takes.
-type fate int
+// streamOutcome is the injected outcome of an accepted stream.
+type streamOutcome int
 
 const (
-	fateWhole fate = iota
-	fateFailed
-	fateCut
+	outcomeComplete streamOutcome = iota
+	outcomeFailed
+	outcomeAborted
 )
 
-// take says what becomes of the stream that is taken now.
-func (e *ChainEngine) take() fate {
+// nextOutcome counts an accepted stream and returns its outcome.
+func (e *ChainEngine) nextOutcome() streamOutcome {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.taken++
+	e.acceptedStreams++
 	switch {
-	case e.faults.FailEach > 0 && e.taken%e.faults.FailEach == 0:
-		return fateFailed
-	case e.faults.CutEach > 0 && e.taken%e.faults.CutEach == 0:
-		return fateCut
+	case e.faults.FailEvery > 0 && e.acceptedStreams%e.faults.FailEvery == 0:
+		return outcomeFailed
+	case e.faults.AbortEvery > 0 && e.acceptedStreams%e.faults.AbortEvery == 0:
+		return outcomeAborted
 	}
-	return fateWhole
+	return outcomeComplete
 }
--- a/standin/chain_engine_stream.go
+++ b/standin/chain_engine_stream.go
@@ -9,17 +9,18 @@
 	"time"
 )
 
-// stream writes the events after the last one that the caller has.
-func (e *ChainEngine) stream(w http.ResponseWriter, r *http.Request, stream *engineStream) {
+// writeEvents writes the events of a stream, after Last-Event-Id if the client
+// resumes it.
+func (e *ChainEngine) writeEvents(w http.ResponseWriter, r *http.Request, stream *engineStream) {
 	first := 1
 	if last, err := strconv.Atoi(r.Header.Get("Last-Event-Id")); err == nil {
 		first = last + 1
 	}
 	control := http.NewResponseController(w)
-	time.Sleep(e.readTime(r, stream))
-	for n := first; n <= e.model.events(r.URL.Path); n++ {
-		time.Sleep(e.stepTime(stream))
-		if stream.cut && n == first+cutAfter || !e.passAll(r.Context(), stream) {
+	time.Sleep(e.promptTime(r, stream))
+	for n := first; n <= e.model.eventCount(r.URL.Path); n++ {
+		time.Sleep(e.eventTime(stream))
+		if stream.abort && n == first+abortAfterEvents || !e.executeStages(r.Context(), stream) {
 			panic(http.ErrAbortHandler)
 		}
 		if _, err := io.WriteString(w, SiteEvent(r.URL.Path, n)); err != nil {
@@ -31,34 +32,34 @@
 	}
 }
 
-// passAll has every part run one event. It waits for a part that is lost, and
-// reports whether the stream may go on.
-func (e *ChainEngine) passAll(ctx context.Context, stream *engineStream) bool {
-	until := time.Now().Add(stallTime)
-	for time.Now().Before(until) && ctx.Err() == nil {
+// executeStages executes one event on all stages. It waits up to stallTimeout
+// for an unavailable stage, and reports whether the event was executed.
+func (e *ChainEngine) executeStages(ctx context.Context, stream *engineStream) bool {
+	deadline := time.Now().Add(stallTimeout)
+	for time.Now().Before(deadline) && ctx.Err() == nil {
 		e.mu.Lock()
-		parts := stream.parts
+		stages := stream.stages
 		e.mu.Unlock()
-		lost := ""
-		for _, p := range parts[1:] {
-			if !e.ask(ctx, p) {
-				lost = p.address
+		unavailable := ""
+		for _, p := range stages[1:] {
+			if !e.stageAvailable(ctx, p) {
+				unavailable = p.address
 				break
 			}
 		}
 		e.mu.Lock()
-		stream.stalledAt = lost
+		stream.stalledAt = unavailable
 		e.mu.Unlock()
-		if lost == "" {
+		if unavailable == "" {
 			return true
 		}
-		time.Sleep(eventEvery)
+		time.Sleep(eventInterval)
 	}
 	return false
 }
 
-// SiteEvents is how many events the stream of a path has.
-func SiteEvents(path string) int { return 10 + len(path)%30 }
+// SiteEventCount returns the number of events of the stream at a path.
+func SiteEventCount(path string) int { return 10 + len(path)%30 }
 
-// SiteEvent is one event of the stream of a path.
+// SiteEvent returns event n of the stream at a path, as server-sent event.
 func SiteEvent(path string, n int) string { return fmt.Sprintf("id: %d\ndata: %s %d\n\n", n, path, n) }
--- a/standin/deployment.go
+++ b/standin/deployment.go
@@ -16,64 +16,72 @@
 	"github.com/hoistjunction/hoistjunction/platform/platformpb"
 )
 
-// Deployment plays all upstreams of a scenario in one process: its engines at their real pace, and
-// its plain service. Each has an address of its own on loopback.
+// Deployment runs stand-ins for all upstreams of a scenario in one process: the
+// engines with realistic execution times, and the servers of the plain service.
+// Each has its own loopback address.
 type Deployment struct {
 	scenario *lab.Scenario
 	store    string
-	yard     *Yard
+	registry *EngineRegistry
 
-	mu      sync.Mutex
-	engines []*deployedEngine
-	desks   []*Desk
-	random  *rand.Rand
+	mu           sync.Mutex
+	engines      []*deployedEngine
+	plainServers []*PlainServer
+	random       *rand.Rand
 }
 
-// deployedEngine is an engine at its address, and what ends its present run.
+// deployedEngine is an engine of a deployment. It keeps its address when it is
+// started again.
 type deployedEngine struct {
-	place, kind string
-	address     string
-	runs        int
-	engine      *ChainEngine
-	end         func()
+	centre, accelerator string
+	address             string
+	starts              int
+	engine              *ChainEngine
+	stop                func()
 }
 
-// Harm is what a rehearsal does to some upstreams.
-type Harm struct {
-	Kind  lab.Kind `json:"kind"`
-	Share float64  `json:"share"`
-	X     float64  `json:"x"`
-	XMost float64  `json:"x_most"`
-	ForMS int64    `json:"for_ms"`
+// FaultInjection is a fault that a rehearsal injects into some upstreams.
+type FaultInjection struct {
+	Kind lab.Kind `json:"kind"`
+	// Share is the share of the engines that get the fault.
+	Share float64 `json:"share"`
+	// X is the strength of the fault, in the unit of its kind. If XMost is larger,
+	// the value of an advertised limit is drawn between the two.
+	X     float64 `json:"x"`
+	XMost float64 `json:"x_most"`
+	// ForMS is the duration of the fault, in ms.
+	ForMS int64 `json:"for_ms"`
 }
 
-// Openness is what upstreams could have taken at a time.
-type Openness struct {
+// FreeCapacity is the free capacity of a deployment's upstreams at one time.
+type FreeCapacity struct {
 	AtMS int64 `json:"at_ms"`
-	// Desks have a place for another request. A stream of so many Tokens has memory at some
-	// holder of each layer.
-	Desks  int     `json:"desks"`
+	// PlainServers is the number of plain servers with a free slot or a free place
+	// in their queue.
+	PlainServers int `json:"desks"`
+	// Tokens is the size of the largest stream, in tokens, for which each layer
+	// has a holder with enough free memory.
 	Tokens float64 `json:"tokens"`
 }
 
-// NewDeployment starts the upstreams of a scenario, which tell the store of themselves until the
-// context ends.
+// NewDeployment starts the upstreams of a scenario. They send heartbeats to the
+// store until ctx is cancelled.
 func NewDeployment(ctx context.Context, s *lab.Scenario, store string, seed uint64) (*Deployment, error) {
-	d := &Deployment{scenario: s, store: store, yard: NewYard(), random: rand.New(rand.NewPCG(seed, 21))}
+	d := &Deployment{scenario: s, store: store, registry: NewEngineRegistry(), random: rand.New(rand.NewPCG(seed, 21))}
 	for c, centre := range s.Fleet.Centres() {
 		n := 0
 		for _, kind := range slices.Sorted(maps.Keys(s.Fleet.Pipeline().Accelerators)) {
 			for range s.Fleet.Count(centre, kind) {
 				n++
-				e := &deployedEngine{place: centre, kind: kind}
-				if err := d.start(ctx, e, fmt.Sprintf("127.2.%d.%d:0", c+1, n)); err != nil {
+				e := &deployedEngine{centre: centre, accelerator: kind}
+				if err := d.startEngine(ctx, e, fmt.Sprintf("127.2.%d.%d:0", c+1, n)); err != nil {
 					return nil, err
 				}
 				d.engines = append(d.engines, e)
 			}
 		}
 		for i := range s.Deployment.Plain.EachCentre {
-			if err := d.startDesk(ctx, centre, fmt.Sprintf("127.3.%d.%d:0", c+1, i+1)); err != nil {
+			if err := d.startPlainServer(ctx, centre, fmt.Sprintf("127.3.%d.%d:0", c+1, i+1)); err != nil {
 				return nil, err
 			}
 		}
@@ -81,8 +89,9 @@
 	return d, nil
 }
 
-// start starts an engine: the first time anywhere at an address, later at the one that it had.
-func (d *Deployment) start(ctx context.Context, e *deployedEngine, listen string) error {
+// startEngine starts an engine, on its previous address if it had one and on
+// listen otherwise.
+func (d *Deployment) startEngine(ctx context.Context, e *deployedEngine, listen string) error {
 	if e.address != "" {
 		listen = e.address
 	}
@@ -91,75 +100,78 @@
 		return err
 	}
 	e.address = listener.Addr().String()
-	e.runs++
-	id := fmt.Sprintf("%s-%s-%d", e.place, e.address, e.runs)
+	e.starts++
+	id := fmt.Sprintf("%s-%s-%d", e.centre, e.address, e.starts)
 	p := d.scenario.Fleet.Pipeline()
-	e.engine = d.yard.NewEngine(id, e.address, &PipelineModel{
-		Pipeline: p, Accelerator: p.Accelerators[e.kind], Slots: d.scenario.Slots, EventTokens: d.scenario.Load.EventTokens,
+	e.engine = d.registry.NewEngine(id, e.address, &PipelineModel{
+		Pipeline: p, Accelerator: p.Accelerators[e.accelerator], Slots: d.scenario.Slots, EventTokens: d.scenario.Load.EventTokens,
 	})
 	server := NewServer(e.engine.Handler())
-	life, end := context.WithCancel(ctx)
+	running, cancel := context.WithCancel(ctx)
 	engine := e.engine
-	e.end = func() {
-		end()
-		d.yard.Remove(engine)
-		// Whatever is open is broken off, as when a process is killed.
+	e.stop = func() {
+		cancel()
+		d.registry.Remove(engine)
+		// Close also closes open connections, as when a process is killed.
 		_ = server.Close()
 	}
 	go func() { _ = server.Serve(listener) }()
-	go BeatEvery(life, d.heartbeat(), d.store, id, func() *platformpb.Server { return engine.Entry(e.place) })
+	go SendHeartbeatsEvery(running, d.heartbeatInterval(), d.store, id, func() *platformpb.Server { return engine.Entry(e.centre) })
 	return nil
 }
 
-func (d *Deployment) heartbeat() time.Duration { return d.scenario.Deployment.HeartbeatMS.Duration() }
+func (d *Deployment) heartbeatInterval() time.Duration {
+	return d.scenario.Deployment.HeartbeatMS.Duration()
+}
 
-func (d *Deployment) startDesk(ctx context.Context, centre, listen string) error {
+func (d *Deployment) startPlainServer(ctx context.Context, centre, listen string) error {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return err
 	}
 	address := listener.Addr().String()
 	plain := d.scenario.Deployment.Plain
-	desk := NewDesk("desk-"+address, address, millis(plain.WorkMS))
-	desk.SetPlaces(plain.Slots, plain.Queue)
-	d.desks = append(d.desks, desk)
-	go func() { _ = NewServer(desk.Handler()).Serve(listener) }()
-	go BeatEvery(ctx, d.heartbeat(), d.store, "desk-"+address, func() *platformpb.Server { return desk.Entry(centre) })
+	server := NewPlainServer("desk-"+address, address, millis(plain.WorkMS))
+	server.SetSlots(plain.Slots, plain.Queue)
+	d.plainServers = append(d.plainServers, server)
+	go func() { _ = NewServer(server.Handler()).Serve(listener) }()
+	go SendHeartbeatsEvery(ctx, d.heartbeatInterval(), d.store, "desk-"+address, func() *platformpb.Server { return server.Entry(centre) })
 	return nil
 }
 
-// Handler takes harm at /harm, and tells at /open what upstreams could take now.
+// Handler returns the HTTP handler of fault injection at /harm and of the free
+// capacity at /open.
 func (d *Deployment) Handler(ctx context.Context) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /harm", func(w http.ResponseWriter, r *http.Request) {
-		var h Harm
-		if err := json.NewDecoder(r.Body).Decode(&h); err != nil {
+		var f FaultInjection
+		if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		d.harm(ctx, h)
+		d.injectFault(ctx, f)
 	})
-	mux.Handle("GET /open", jsonHandler(func() any { return d.Open() }))
+	mux.Handle("GET /open", jsonGetHandler(func() any { return d.Available() }))
 	return mux
 }
 
-// Open tells what upstreams could take now.
-func (d *Deployment) Open() Openness {
+// Available returns the present free capacity of the upstreams.
+func (d *Deployment) Available() FreeCapacity {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	o := Openness{AtMS: time.Now().UnixMilli()}
-	for _, desk := range d.desks {
-		if desk.Open() {
-			o.Desks++
+	free := FreeCapacity{AtMS: time.Now().UnixMilli()}
+	for _, server := range d.plainServers {
+		if server.Available() {
+			free.PlainServers++
 		}
 	}
-	left := make([]float64, d.scenario.Fleet.Pipeline().Layers)
+	perLayer := make([]float64, d.scenario.Fleet.Pipeline().Layers)
 	for _, e := range d.engines {
-		from, to, tokens := e.engine.Serving()
+		from, to, tokens := e.engine.FreeMemory()
 		for layer := from; layer < to; layer++ {
-			left[layer] = max(left[layer], tokens)
+			perLayer[layer] = max(perLayer[layer], tokens)
 		}
 	}
-	o.Tokens = slices.Min(left)
-	return o
+	free.Tokens = slices.Min(perLayer)
+	return free
 }
--- /dev/null
+++ b/standin/deployment_faults.go
@@ -0,0 +1,66 @@
+package standin
+
+import (
+	"context"
+	"strconv"
+	"time"
+
+	"github.com/hoistjunction/hoistjunction/lab"
+)
+
+// injectFault injects a fault into some of the upstreams and removes it after
+// its duration.
+func (d *Deployment) injectFault(ctx context.Context, f FaultInjection) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	duration := time.Duration(f.ForMS) * time.Millisecond
+	if f.Kind == lab.PlainFull {
+		for _, server := range d.plainServers {
+			server.SetRejectAll(true)
+			time.AfterFunc(duration, func() { server.SetRejectAll(false) })
+		}
+		return
+	}
+	for _, i := range d.random.Perm(len(d.engines))[:d.engineCount(f.Share)] {
+		d.injectEngineFault(ctx, d.engines[i], f, duration)
+	}
+}
+
+// engineCount returns the number of engines in a share of them, at least one.
+func (d *Deployment) engineCount(share float64) int {
+	return min(max(int(share*float64(len(d.engines))+1.0/2), 1), len(d.engines))
+}
+
+// injectEngineFault injects a fault into one engine. The caller holds the lock.
+func (d *Deployment) injectEngineFault(ctx context.Context, e *deployedEngine, f FaultInjection, duration time.Duration) {
+	engine := e.engine
+	switch f.Kind {
+	case lab.Crash:
+		e.stop()
+		time.AfterFunc(duration, func() {
+			d.mu.Lock()
+			defer d.mu.Unlock()
+			if e.engine == engine {
+				// No other engine uses this address. If it is in use nevertheless,
+				// the engine stays stopped.
+				_ = d.startEngine(ctx, e, e.address)
+			}
+		})
+	case lab.Slow:
+		engine.SetSlowdown(f.X)
+		time.AfterFunc(duration, func() { engine.SetSlowdown(1) })
+	case lab.Rest:
+		engine.SetRest(BackOffFaults{ForMS: int(f.ForMS), RetryAfter: strconv.FormatFloat(f.X, 'f', -1, 64)})
+	case lab.Refuse:
+		engine.SetRest(BackOffFaults{ForMS: int(f.ForMS)})
+	case lab.Limit:
+		limit := f.X
+		if f.XMost > f.X {
+			limit += d.random.Float64() * (f.XMost - f.X)
+		}
+		engine.SetLimit(LimitFaults{Advertised: strconv.FormatFloat(limit, 'f', 2, 64)})
+		time.AfterFunc(duration, func() { engine.SetLimit(LimitFaults{}) })
+	default:
+		// The other faults are injected into nodes, clients or the store.
+	}
+}
--- a/standin/service.go
+++ b/standin/service.go
@@ -9,59 +9,59 @@
 	"github.com/hoistjunction/hoistjunction/callkey"
 )
 
-// Service is a stand-in for a plain service whose calls have effects: it
-// counts how often each key has run.
+// Service is a stand-in for a plain service whose calls have side effects. It
+// counts the executions by call key.
 type Service struct {
-	name string
-	work time.Duration
+	name     string
+	workTime time.Duration
 
-	mu     sync.Mutex
-	faults ServiceFaults
-	runs   map[string]int
-	total  int
+	mu         sync.Mutex
+	faults     ServiceFaults
+	executions map[string]int
+	total      int
 }
 
-// NewService returns a service whose calls take a time.
-func NewService(name string, work time.Duration) *Service {
-	return &Service{name: name, work: work, runs: make(map[string]int)}
+// NewService returns a service that works on each call for the given time.
+func NewService(name string, workTime time.Duration) *Service {
+	return &Service{name: name, workTime: workTime, executions: make(map[string]int)}
 }
 
-// SetFaults changes the service's faults.
+// SetFaults replaces the service's injected faults.
 func (s *Service) SetFaults(f ServiceFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Runs returns how often each key has run.
-func (s *Service) Runs() map[string]int {
+// Executions returns the number of executions by call key.
+func (s *Service) Executions() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	runs := make(map[string]int, len(s.runs))
-	for k, n := range s.runs {
-		runs[k] = n
+	executions := make(map[string]int, len(s.executions))
+	for k, n := range s.executions {
+		executions[k] = n
 	}
-	return runs
+	return executions
 }
 
-// Total returns how many calls have run.
-func (s *Service) Total() int {
+// TotalExecutions returns the number of executions of all calls.
+func (s *Service) TotalExecutions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.total
 }
 
-// Handler serves calls on every path, its switches at /faults and its counts
-// at /runs.
+// Handler returns the HTTP handler of calls on any path, of fault injection at
+// /faults and of the execution counts at /runs.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("POST /faults", faultHandler(s.SetFaults))
-	mux.Handle("GET /runs", jsonHandler(func() any { return s.Runs() }))
-	mux.HandleFunc("POST /", s.serve)
+	mux.Handle("POST /faults", jsonSetHandler(s.SetFaults))
+	mux.Handle("GET /runs", jsonGetHandler(func() any { return s.Executions() }))
+	mux.HandleFunc("POST /", s.handleCall)
 	return mux
 }
 
-func (s *Service) serve(w http.ResponseWriter, r *http.Request) {
+func (s *Service) handleCall(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -69,11 +69,11 @@
 	}
 	s.mu.Lock()
 	faults := s.faults
-	s.runs[r.Header.Get(callkey.Header)]++
+	s.executions[r.Header.Get(callkey.Header)]++
 	s.total++
 	s.mu.Unlock()
-	time.Sleep(s.work + time.Duration(faults.SlowMS)*time.Millisecond)
-	if faults.CutAfterRun {
+	time.Sleep(s.workTime + time.Duration(faults.CallDelayMS)*time.Millisecond)
+	if faults.DropAfterExecution {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/standin/template.go
+++ b/standin/template.go
@@ -9,56 +9,61 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrTemplate means that a template asks for a field that there is not.
-var ErrTemplate = errors.New("standin: the template is not valid")
+// ErrTemplate means that a template refers to a field that does not exist or
+// has no text value.
+var ErrTemplate = errors.New("standin: invalid template")
 
-// Fields are what a template is filled from: texts, numbers, lists of texts and other Fields.
-type Fields map[string]any
+// TemplateFields holds the values of a template's placeholders by field name. A
+// value is a string, a number, a bool, a list of strings or other
+// TemplateFields.
+type TemplateFields map[string]any
 
-var gap = regexp.MustCompile(`\{\{([A-Za-z0-9_.]+)\}\}`)
+var placeholderPattern = regexp.MustCompile(`\{\{([A-Za-z0-9_.]+)\}\}`)
 
-// Fill fills the gaps of a template, which name fields: {{a}}, {{a.b}}, and {{a.0}} for an entry of
-// a list. A whole list is joined with commas. Unlike the platform, which leaves a gap empty
-// whose field it does not have, it refuses such a template.
-func Fill(template string, fields Fields) (string, error) {
+// FillTemplate replaces the placeholders of a template by the values of fields:
+// {{a}}, {{a.b}} for a nested field and {{a.0}} for an element of a list. A whole
+// list is joined with commas. FillTemplate returns ErrTemplate for an unknown
+// field, whereas the platform replaces its placeholder by an empty text.
+func FillTemplate(template string, fields TemplateFields) (string, error) {
 	var unknown []string
-	text := gap.ReplaceAllStringFunc(template, func(found string) string {
-		path := strings.Trim(found, "{}")
-		value, ok := look(fields, strings.Split(path, "."))
+	text := placeholderPattern.ReplaceAllStringFunc(template, func(match string) string {
+		path := strings.Trim(match, "{}")
+		value, ok := lookUpField(fields, strings.Split(path, "."))
 		if !ok {
 			unknown = append(unknown, path)
 		}
 		return value
 	})
 	if len(unknown) > 0 {
-		return "", errors.Wrapf(ErrTemplate, "there is no field %s", strings.Join(unknown, ", "))
+		return "", errors.Wrapf(ErrTemplate, "unknown fields: %s", strings.Join(unknown, ", "))
 	}
 	return text, nil
 }
 
-func look(value any, path []string) (string, bool) {
+// lookUpField returns the text of the value at a path, and whether it exists.
+func lookUpField(value any, path []string) (string, bool) {
 	if len(path) == 0 {
 		switch v := value.(type) {
 		case []string:
 			return strings.Join(v, ","), true
-		case Fields:
+		case TemplateFields:
 			return "", false
 		}
 		return fmt.Sprint(value), true
 	}
 	switch v := value.(type) {
-	case Fields:
+	case TemplateFields:
 		next, ok := v[path[0]]
 		if !ok {
 			return "", false
 		}
-		return look(next, path[1:])
+		return lookUpField(next, path[1:])
 	case []string:
 		i, err := strconv.Atoi(path[0])
 		if err != nil || i < 0 || i >= len(v) {
 			return "", false
 		}
-		return look(v[i], path[1:])
+		return lookUpField(v[i], path[1:])
 	}
 	return "", false
 }
--- a/standin/transaction_check.go
+++ b/standin/transaction_check.go
@@ -7,94 +7,97 @@
 	"github.com/cockroachdb/errors"
 )
 
-// What the platform's store takes in one transaction, by its pages.
+// Limits and field names of a transaction in the API of the platform's store.
 const (
-	mostEntries      = 100
-	mostTransaction  = 1 << 20
-	mostNameBytes    = 200
-	mostValueBytes   = 65_536
-	fieldTable       = "table"
-	fieldPart        = "part"
-	fieldKey         = "privateKey"
-	fieldValue       = "value"
-	fieldRevision    = "ver"
-	fieldConditions  = "expectedRevision"
-	fieldPuts        = "put"
-	fieldRemoves     = "remove"
-	fieldAcrossParts = "across"
+	maxTransactionEntries = 100
+	maxTransactionBytes   = 1 << 20
+	maxNameBytes          = 200
+	maxValueBytes         = 65_536
+	fieldTable            = "table"
+	fieldPart             = "part"
+	fieldKey              = "privateKey"
+	fieldValue            = "value"
+	fieldRevision         = "ver"
+	fieldConditions       = "expectedRevision"
+	fieldPuts             = "put"
+	fieldRemoves          = "remove"
+	fieldAcrossParts      = "across"
 )
 
-// ErrRefused means that a call is not one that the pages describe.
-var ErrRefused = errors.New("standin: refused")
+// ErrInvalidRequest means that a request does not conform to the platform's API.
+var ErrInvalidRequest = errors.New("standin: refused")
 
-// rawRow is a row as it stands in a call.
+// rawRow is a row of a request whose fields are not decoded yet.
 type rawRow map[string]json.RawMessage
 
-// CheckTransaction refuses what the platform's store refuses: a table, key, version or value
-// that is missing, too long or of another type, too many entries, and several parts without a
-// word on that. It reads the text itself: a decoder that is generous, as the product's is,
-// would take a number in quotes.
+// CheckTransaction returns ErrInvalidRequest for a transaction that the
+// platform's store rejects: a table, key, version or value is missing, too long or
+// of the wrong type, it has too many entries, or it has several partitions
+// without the field that allows this. It decodes the body without protojson,
+// which would accept a number in quotes.
 func CheckTransaction(body []byte) error {
-	if len(body) > mostTransaction {
-		return errors.Wrapf(ErrRefused, "%d bytes", len(body))
+	if len(body) > maxTransactionBytes {
+		return errors.Wrapf(ErrInvalidRequest, "%d bytes", len(body))
 	}
 	var call map[string]json.RawMessage
 	if err := json.Unmarshal(body, &call); err != nil {
-		return errors.Mark(err, ErrRefused)
+		return errors.Mark(err, ErrInvalidRequest)
 	}
 	lists := map[string][]rawRow{fieldConditions: nil, fieldPuts: nil, fieldRemoves: nil}
 	across := false
 	for name, raw := range call {
 		if name == fieldAcrossParts {
 			if err := json.Unmarshal(raw, &across); err != nil {
-				return errors.Mark(err, ErrRefused)
+				return errors.Mark(err, ErrInvalidRequest)
 			}
 			continue
 		}
 		if _, known := lists[name]; !known {
-			return errors.Wrapf(ErrRefused, "unknown field %q", name)
+			return errors.Wrapf(ErrInvalidRequest, "unknown field %q", name)
 		}
 		var rows []rawRow
 		if err := json.Unmarshal(raw, &rows); err != nil {
-			return errors.Mark(err, ErrRefused)
+			return errors.Mark(err, ErrInvalidRequest)
 		}
 		lists[name] = rows
 	}
 	return checkLists(lists, across)
 }
 
+// checkLists checks the rows of a transaction's lists, the number of entries and
+// the number of partitions.
 func checkLists(lists map[string][]rawRow, across bool) error {
-	wanted := map[string][]string{
+	required := map[string][]string{
 		fieldConditions: {fieldTable, fieldKey, fieldRevision}, fieldPuts: {fieldTable, fieldKey, fieldValue}, fieldRemoves: {fieldTable, fieldKey},
 	}
 	entries := 0
-	parts := make(map[string]bool)
+	partitions := make(map[string]bool)
 	for name, rows := range lists {
 		entries += len(rows)
 		for _, row := range rows {
-			part, err := checkRow(row, wanted[name])
+			partition, err := checkRow(row, required[name])
 			if err != nil {
 				return errors.Wrap(err, name)
 			}
-			parts[part] = true
+			partitions[partition] = true
 		}
 	}
-	if entries > mostEntries || !across && len(parts) > 1 {
-		return errors.Wrapf(ErrRefused, "%d entries in %d parts", entries, len(parts))
+	if entries > maxTransactionEntries || !across && len(partitions) > 1 {
+		return errors.Wrapf(ErrInvalidRequest, "%d entries in %d parts", entries, len(partitions))
 	}
 	return nil
 }
 
-// checkRow refuses a row that lacks a field, or has one that it should not have, and returns
-// its part.
-func checkRow(row rawRow, wanted []string) (part string, err error) {
-	for _, name := range wanted {
+// checkRow returns the partition of a row, or an error if a required field is
+// missing or a field is unknown or invalid.
+func checkRow(row rawRow, required []string) (partition string, err error) {
+	for _, name := range required {
 		if _, ok := row[name]; !ok {
-			return "", errors.Wrapf(ErrRefused, "no %s", name)
+			return "", errors.Wrapf(ErrInvalidRequest, "no %s", name)
 		}
 	}
 	if raw, ok := row[fieldPart]; ok {
-		if part, err = checkText(fieldPart, raw); err != nil {
+		if partition, err = checkText(fieldPart, raw); err != nil {
 			return "", err
 		}
 	}
@@ -103,7 +106,7 @@
 		case fieldTable, fieldKey:
 			text, err := checkText(name, raw)
 			if err != nil || text == "" {
-				return "", errors.Wrapf(ErrRefused, "%s %s", name, raw)
+				return "", errors.Wrapf(ErrInvalidRequest, "%s %s", name, raw)
 			}
 		case fieldPart:
 		case fieldValue:
@@ -113,31 +116,33 @@
 		case fieldRevision:
 			var revision uint64
 			if err := json.Unmarshal(raw, &revision); err != nil {
-				return "", errors.Wrapf(ErrRefused, "%s %s", name, raw)
+				return "", errors.Wrapf(ErrInvalidRequest, "%s %s", name, raw)
 			}
 		default:
-			return "", errors.Wrapf(ErrRefused, "unknown field %q", name)
+			return "", errors.Wrapf(ErrInvalidRequest, "unknown field %q", name)
 		}
 	}
-	return part, nil
+	return partition, nil
 }
 
+// checkText decodes a text field and checks its length.
 func checkText(name string, raw json.RawMessage) (string, error) {
 	var text string
-	if err := json.Unmarshal(raw, &text); err != nil || len(text) > mostNameBytes {
-		return "", errors.Wrapf(ErrRefused, "%s of %d bytes", name, len(raw))
+	if err := json.Unmarshal(raw, &text); err != nil || len(text) > maxNameBytes {
+		return "", errors.Wrapf(ErrInvalidRequest, "%s of %d bytes", name, len(raw))
 	}
 	return text, nil
 }
 
+// checkValue checks that a value is valid base64 and not too long.
 func checkValue(raw json.RawMessage) error {
 	var text string
 	if err := json.Unmarshal(raw, &text); err != nil {
-		return errors.Mark(err, ErrRefused)
+		return errors.Mark(err, ErrInvalidRequest)
 	}
 	value, err := base64.StdEncoding.DecodeString(text)
-	if err != nil || len(value) > mostValueBytes {
-		return errors.Wrapf(ErrRefused, "value of %d bytes", len(text))
+	if err != nil || len(value) > maxValueBytes {
+		return errors.Wrapf(ErrInvalidRequest, "value of %d bytes", len(text))
 	}
 	return nil
 }
