--- a/rehearse/caller.go
+++ b/rehearse/caller.go
@@ -79,7 +79,7 @@
 	defer cancel()
 	for try := 0; ; try++ {
 		back, again := a.try(ctx, try)
-		if a.served || !again || try >= a.kind.Returns {
+		if a.served || !again || try >= a.kind.MaxRetries {
 			break
 		}
 		if a.left() <= back {
@@ -98,7 +98,7 @@
 	resp, err := a.send(ctx, number)
 	if err != nil {
 		a.Why = reasonOf(ctx, err)
-		return 0, a.kind.How != lab.HowOnce || errors.Is(err, errNotAsked)
+		return 0, a.kind.Mode != lab.ModeOnce || errors.Is(err, errNotAsked)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	switch resp.StatusCode {
@@ -107,18 +107,18 @@
 		if err != nil {
 			a.Why = reasonOf(ctx, err)
 		}
-		return 0, a.kind.How != lab.HowOnce
+		return 0, a.kind.Mode != lab.ModeOnce
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		return a.refused(resp), true
 	default:
 		a.Why = fmt.Sprintf("status_%d_%s", resp.StatusCode, reasonIn(resp.Body))
-		return 0, a.kind.How != lab.HowOnce
+		return 0, a.kind.Mode != lab.ModeOnce
 	}
 }
 
 func (a *asker) send(ctx context.Context, number int) (*http.Response, error) {
 	method, body := http.MethodPost, io.Reader(strings.NewReader(a.ID))
-	if a.kind.How == lab.HowRead {
+	if a.kind.Mode == lab.ModeRead {
 		method, body = http.MethodGet, nil
 	}
 	node := a.client.node(number)
@@ -178,7 +178,7 @@
 
 // read takes an answer in, and checks it.
 func (a *asker) read(resp *http.Response) error {
-	if a.kind.How != lab.HowStream {
+	if a.kind.Mode != lab.ModeStream {
 		body, err := io.ReadAll(resp.Body)
 		if err != nil {
 			return err
@@ -236,7 +236,7 @@
 }
 
 func (a *asker) inTime() bool {
-	return a.FirstMS <= float64(a.kind.AimMS) && (a.kind.PauseMS == 0 || a.PauseMS <= float64(a.kind.PauseMS))
+	return a.FirstMS <= float64(a.kind.FirstEventTargetMS) && (a.kind.EventGapTargetMS == 0 || a.PauseMS <= float64(a.kind.EventGapTargetMS))
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/rehearse/deployment.go
+++ b/rehearse/deployment.go
@@ -80,8 +80,8 @@
 // newNodes gives each node its address and settings.
 func (d *Deployment) newNodes(template string) error {
 	var places []standin.NodePlace
-	for c, centre := range d.scenario.Fleet.Centres() {
-		for i := range d.scaled(d.scenario.Deployment.NodesIn[centre]) {
+	for c, centre := range d.scenario.Fleet.DataCentres() {
+		for i := range d.scaled(d.scenario.Deployment.NodesByDataCentre[centre]) {
 			p, err := newPlace(fmt.Sprintf("node-%s-%d", centre, i+1), centre, c+1, i+1)
 			if err != nil {
 				return err
--- a/rehearse/harm.go
+++ b/rehearse/harm.go
@@ -36,7 +36,7 @@
 func (h *harm) run(ctx context.Context, began time.Time) {
 	var group sync.WaitGroup
 	for _, f := range h.deployment.scenario.Faults {
-		for _, at := range f.Begins() {
+		for _, at := range f.StartTimes() {
 			group.Go(func() {
 				sleep(ctx, time.Until(began.Add(at.Duration())))
 				if ctx.Err() == nil {
@@ -59,10 +59,10 @@
 
 // strike does one trouble and undoes it.
 func (h *harm) strike(ctx context.Context, f lab.Fault) error {
-	lasts := f.For.Duration()
+	lasts := f.Duration.Duration()
 	switch f.Kind {
-	case lab.Burst:
-		h.load.setBurst(f.X)
+	case lab.LoadBurst:
+		h.load.setBurst(f.Magnitude)
 		sleep(ctx, lasts)
 		h.load.setBurst(1)
 	case lab.NodeKill:
@@ -78,7 +78,7 @@
 			n.Signal(syscall.SIGCONT)
 			return nil
 		})
-	case lab.NodeRoll:
+	case lab.NodeRollingRestart:
 		for _, n := range h.some(f.Share) {
 			n.Stop()
 			if err := n.Start(nodeMark); err != nil {
@@ -86,12 +86,12 @@
 			}
 			sleep(ctx, lasts)
 		}
-	case lab.ListAway:
+	case lab.ListFrozen:
 		return h.storeFor(ctx, standin.RowStoreFaults{Down: true}, lasts)
 	case lab.StoreSlow:
-		return h.storeFor(ctx, standin.RowStoreFaults{SlowMS: int64(f.X)}, lasts)
+		return h.storeFor(ctx, standin.RowStoreFaults{SlowMS: int64(f.Magnitude)}, lasts)
 	default:
-		return h.post(h.deployment.upstreams, "/harm", standin.Harm{Kind: f.Kind, Share: f.Share, X: f.X, XMost: f.XMost, ForMS: int64(f.For)})
+		return h.post(h.deployment.upstreams, "/harm", standin.Harm{Kind: f.Kind, Share: f.Share, X: f.Magnitude, XMost: f.MaxMagnitude, ForMS: int64(f.Duration)})
 	}
 	return nil
 }
--- a/rehearse/judge.go
+++ b/rehearse/judge.go
@@ -53,7 +53,7 @@
 
 // count sums up outcomes by all that they are judged by.
 func (r *Report) count(s *lab.Scenario) {
-	r.Seconds = make([]Share, int(s.Load.ForMS/msPerSecond)+1)
+	r.Seconds = make([]Share, int(s.Load.DurationMS/msPerSecond)+1)
 	sizes := sizeClasses(r.Requests)
 	r.By = map[string]map[string]*Share{"kind": {}, "data_centre": {}, "account": {}, "caller": {}, "subject": {}, "size": {}}
 	for _, q := range r.Requests {
@@ -148,7 +148,7 @@
 
 // couldServe tells whether upstreams had what a request takes in the time that its caller had left.
 func couldServe(s *lab.Scenario, q *Request, refusal Refusal, open []standin.Openness) bool {
-	needs := int64(s.Deployment.Plain.WorkMS)
+	needs := int64(s.Deployment.PlainService.ServiceTimeMS)
 	from := slices.IndexFunc(open, func(o standin.Openness) bool { return o.AtMS >= refusal.AtMS })
 	if from < 0 {
 		return false
@@ -165,7 +165,7 @@
 }
 
 func isStream(s *lab.Scenario, q *Request) bool {
-	return slices.ContainsFunc(s.Deployment.Requests, func(k lab.RequestKind) bool { return k.Name == q.Kind && k.How == lab.HowStream })
+	return slices.ContainsFunc(s.Deployment.RequestKinds, func(k lab.RequestKind) bool { return k.Name == q.Kind && k.Mode == lab.ModeStream })
 }
 
 // judgeEnough compares what was served with what must be: calm, and in trouble.
@@ -199,8 +199,8 @@
 // inTrouble tells whether a trouble lasts, or its recovery, while a request is under way.
 func inTrouble(s *lab.Scenario, from, to clock.Millis) bool {
 	for _, f := range s.Faults {
-		for _, begins := range f.Begins() {
-			if to >= begins && from < begins.Add(f.For+s.Deployment.RecoveryMS) {
+		for _, begins := range f.StartTimes() {
+			if to >= begins && from < begins.Add(f.Duration+s.Deployment.RecoveryMS) {
 				return true
 			}
 		}
@@ -221,10 +221,10 @@
 	}
 	result := lab.Run(s, lab.Variant{}, o.seed)
 	return func(second int) float64 {
-		if second >= len(result.Seconds) {
+		if second >= len(result.BySecond) {
 			return 1
 		}
-		c := result.Seconds[second]
+		c := result.BySecond[second]
 		all := c[lab.InTime] + c[lab.Late] + c[lab.Refused] + c[lab.Failed]
 		return float64(c[lab.InTime]+c[lab.Late]) / float64(max(all, 1))
 	}
--- a/rehearse/judge_test.go
+++ b/rehearse/judge_test.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Load.ForMS, s.Faults = 20_000, faults
+	s.Load.DurationMS, s.Faults = 20_000, faults
 	l := &load{}
 	for _, list := range requests {
 		l.requests = append(l.requests, list...)
@@ -45,7 +45,7 @@
 func none(int) bool { return false }
 
 func TestVerdict(t *testing.T) {
-	alone := lab.Fault{Kind: lab.NodeFreeze, At: 2000, For: 1000}
+	alone := lab.Fault{Kind: lab.NodeFreeze, At: 2000, Duration: 1000}
 	for _, tt := range []struct {
 		name   string
 		report *Report
--- a/rehearse/load.go
+++ b/rehearse/load.go
@@ -65,7 +65,7 @@
 
 func newLoad(s *lab.Scenario, b *balancer, o options) *load {
 	l := &load{
-		scenario: s, balancer: b, random: rand.New(rand.NewPCG(o.seed, 11)), scale: o.scale, centres: s.Fleet.Centres(),
+		scenario: s, balancer: b, random: rand.New(rand.NewPCG(o.seed, 11)), scale: o.scale, centres: s.Fleet.DataCentres(),
 		fresh: newTransport(true),
 	}
 	l.setBurst(1)
@@ -84,7 +84,7 @@
 
 // perSecond is how many requests come a second.
 func (l *load) perSecond() float64 {
-	return l.scenario.Deployment.PerSecond() * l.scale * math.Float64frombits(l.burst.Load())
+	return l.scenario.Deployment.RequestsPerSecond() * l.scale * math.Float64frombits(l.burst.Load())
 }
 
 // run has callers ask for a time, and returns when all have their answers.
@@ -120,9 +120,9 @@
 		balancer: l.balancer, name: fmt.Sprint("client-", number), centre: l.centres[centre], number: uint64(number),
 		kept: l.kept[number], fresh: l.fresh, renew: l.random.Float64() < newConnection,
 	}}
-	if kind.How == lab.HowStream {
-		a.events, a.prompt = l.size(kind.Events), l.size(kind.Prompt)
-		a.answer = a.events * l.scenario.Load.EventTokens
+	if kind.Mode == lab.ModeStream {
+		a.events, a.prompt = l.size(kind.Events), l.size(kind.PromptTokens)
+		a.answer = a.events * l.scenario.Load.TokensPerEvent
 	}
 	a.Request = &Request{
 		ID: fmt.Sprintf("r%d", len(l.requests)+1), Kind: kind.Name, Centre: a.client.centre, Account: l.drawAccount(),
@@ -133,8 +133,8 @@
 }
 
 func (l *load) drawKind() lab.RequestKind {
-	kinds := l.scenario.Deployment.Requests
-	x := l.random.Float64() * l.scenario.Deployment.PerSecond()
+	kinds := l.scenario.Deployment.RequestKinds
+	x := l.random.Float64() * l.scenario.Deployment.RequestsPerSecond()
 	for _, k := range kinds {
 		if x -= k.PerSecond; x < 0 {
 			return k
--- a/rehearse/report.go
+++ b/rehearse/report.go
@@ -193,14 +193,14 @@
 
 // WritePage writes the page of HTML that hoistlab writes of its runs.
 func (r *Report) WritePage(out io.Writer) error {
-	result := &lab.Result{Seed: r.Seed, Variant: lab.Variant{Name: "real processes"}, Why: r.lost(), Broken: make(map[string]string)}
+	result := &lab.Result{Seed: r.Seed, Variant: lab.Variant{Name: "real processes"}, Causes: r.lost(), Violations: make(map[string]string)}
 	for _, s := range r.Seconds {
-		result.Seconds = append(result.Seconds, s.outcomes())
+		result.BySecond = append(result.BySecond, s.outcomes())
 	}
 	result.Total = r.Whole.outcomes()
-	result.RefusedAgain = r.RefusedAgain
+	result.RefusedRetries = r.RefusedAgain
 	for i, what := range r.Broken {
-		result.Broken[fmt.Sprint(i+1)] = what
+		result.Violations[fmt.Sprint(i+1)] = what
 	}
 	return result.WriteReport(out, r.Scenario)
 }
--- a/rehearse/run.go
+++ b/rehearse/run.go
@@ -26,7 +26,7 @@
 		return nil, ErrScale
 	}
 	if o.lasts > 0 {
-		s.Load.ForMS = o.lasts
+		s.Load.DurationMS = o.lasts
 	}
 	o.scenario = path
 	stopBusy := keepBusy(o.busy)
@@ -47,7 +47,7 @@
 	balancer := newBalancer(d.nodes)
 	go balancer.run(watching)
 	load := newLoad(s, balancer, o)
-	sleep(ctx, s.Load.SettleMS.Duration())
+	sleep(ctx, s.Load.WarmupMS.Duration())
 	began := time.Now()
 	watch := &watch{upstreams: d.upstreams.Address(), client: &http.Client{Timeout: time.Second}}
 	go watch.run(watching)
@@ -55,7 +55,7 @@
 	harm := newHarm(d, load, o.seed)
 	var group sync.WaitGroup
 	group.Go(func() { harm.run(ctx, began) })
-	load.run(ctx, began, s.Load.ForMS.Duration())
+	load.run(ctx, began, s.Load.DurationMS.Duration())
 	group.Wait()
 	stop()
 	r := judge(s, o, load, watch.taken())
--- a/rehearse/template_test.go
+++ b/rehearse/template_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.MemoryMB != s.Deployment.NodeMB || got.RetrySlack != s.Nodes.RetrySlack || got.UsageListen != "127.1.1.1:0" {
+	if got.MemoryMB != s.Deployment.NodeMemoryMB || got.RetrySlack != s.Nodes.RetrySlack || got.UsageListen != "127.1.1.1:0" {
 		t.Errorf("got %+v, want the scenario's figures", got)
 	}
 }
--- a/standin/deployment.go
+++ b/standin/deployment.go
@@ -40,7 +40,7 @@
 
 // Harm is what a rehearsal does to some upstreams.
 type Harm struct {
-	Kind  lab.Kind `json:"kind"`
+	Kind  lab.FaultKind `json:"kind"`
 	Share float64  `json:"share"`
 	X     float64  `json:"x"`
 	XMost float64  `json:"x_most"`
@@ -60,10 +60,10 @@
 // context ends.
 func NewDeployment(ctx context.Context, s *lab.Scenario, store string, seed uint64) (*Deployment, error) {
 	d := &Deployment{scenario: s, store: store, yard: NewYard(), random: rand.New(rand.NewPCG(seed, 21))}
-	for c, centre := range s.Fleet.Centres() {
+	for c, centre := range s.Fleet.DataCentres() {
 		n := 0
 		for _, kind := range slices.Sorted(maps.Keys(s.Fleet.Pipeline().Accelerators)) {
-			for range s.Fleet.Count(centre, kind) {
+			for range s.Fleet.EngineCount(centre, kind) {
 				n++
 				e := &deployedEngine{place: centre, kind: kind}
 				if err := d.start(ctx, e, fmt.Sprintf("127.2.%d.%d:0", c+1, n)); err != nil {
@@ -72,7 +72,7 @@
 				d.engines = append(d.engines, e)
 			}
 		}
-		for i := range s.Deployment.Plain.EachCentre {
+		for i := range s.Deployment.PlainService.PerDataCentre {
 			if err := d.startDesk(ctx, centre, fmt.Sprintf("127.3.%d.%d:0", c+1, i+1)); err != nil {
 				return nil, err
 			}
@@ -95,7 +95,7 @@
 	id := fmt.Sprintf("%s-%s-%d", e.place, e.address, e.runs)
 	p := d.scenario.Fleet.Pipeline()
 	e.engine = d.yard.NewEngine(id, e.address, &PipelineModel{
-		Pipeline: p, Accelerator: p.Accelerators[e.kind], Slots: d.scenario.Slots, EventTokens: d.scenario.Load.EventTokens,
+		Pipeline: p, Accelerator: p.Accelerators[e.kind], Slots: d.scenario.Slots, EventTokens: d.scenario.Load.TokensPerEvent,
 	})
 	server := NewServer(e.engine.Handler())
 	life, end := context.WithCancel(ctx)
@@ -111,7 +111,7 @@
 	return nil
 }
 
-func (d *Deployment) heartbeat() time.Duration { return d.scenario.Deployment.HeartbeatMS.Duration() }
+func (d *Deployment) heartbeat() time.Duration { return d.scenario.Deployment.HeartbeatIntervalMS.Duration() }
 
 func (d *Deployment) startDesk(ctx context.Context, centre, listen string) error {
 	listener, err := net.Listen("tcp", listen)
@@ -119,9 +119,9 @@
 		return err
 	}
 	address := listener.Addr().String()
-	plain := d.scenario.Deployment.Plain
-	desk := NewDesk("desk-"+address, address, millis(plain.WorkMS))
-	desk.SetPlaces(plain.Slots, plain.Queue)
+	plain := d.scenario.Deployment.PlainService
+	desk := NewDesk("desk-"+address, address, millis(plain.ServiceTimeMS))
+	desk.SetPlaces(plain.Slots, plain.QueueLength)
 	d.desks = append(d.desks, desk)
 	go func() { _ = NewServer(desk.Handler()).Serve(listener) }()
 	go BeatEvery(ctx, d.heartbeat(), d.store, "desk-"+address, func() *platformpb.Server { return desk.Entry(centre) })
--- a/standin/deployment_harm.go
+++ b/standin/deployment_harm.go
@@ -13,7 +13,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	lasts := time.Duration(h.ForMS) * time.Millisecond
-	if h.Kind == lab.PlainFull {
+	if h.Kind == lab.PlainServiceFull {
 		for _, desk := range d.desks {
 			desk.SetShut(true)
 			time.AfterFunc(lasts, func() { desk.SetShut(false) })
@@ -34,7 +34,7 @@
 func (d *Deployment) harmEngine(ctx context.Context, e *deployedEngine, h Harm, lasts time.Duration) {
 	engine := e.engine
 	switch h.Kind {
-	case lab.Crash:
+	case lab.EngineCrash:
 		e.end()
 		time.AfterFunc(lasts, func() {
 			d.mu.Lock()
@@ -44,14 +44,14 @@
 				_ = d.start(ctx, e, e.address)
 			}
 		})
-	case lab.Slow:
+	case lab.EngineSlow:
 		engine.SetSlow(h.X)
 		time.AfterFunc(lasts, func() { engine.SetSlow(1) })
-	case lab.Rest:
+	case lab.EngineBackOff:
 		engine.SetRest(RestFaults{ForMS: int(h.ForMS), Ask: strconv.FormatFloat(h.X, 'f', -1, 64)})
-	case lab.Refuse:
+	case lab.EngineRefuse:
 		engine.SetRest(RestFaults{ForMS: int(h.ForMS)})
-	case lab.Limit:
+	case lab.EngineLimit:
 		x := h.X
 		if h.XMost > h.X {
 			x += d.random.Float64() * (h.XMost - h.X)
--- a/standin/node_fields.go
+++ b/standin/node_fields.go
@@ -36,11 +36,11 @@
 		"nodeName": p.Name, "zone": p.Centre, "ip": p.IP, "bootstrap": true, "seeds": seeds,
 		"portRange": []string{p.Metrics, anyPort},
 		"listen":    Fields{"front": p.At(p.Front), "readiness": p.At(p.Readiness), "control": p.At(p.Peers)},
-		"limits":    Fields{"cores": coresOfANode, "cpuShare": shareOfACore, "linkMbps": linkMbps, "memoryMb": s.Deployment.NodeMB},
+		"limits":    Fields{"cores": coresOfANode, "cpuShare": shareOfACore, "linkMbps": linkMbps, "memoryMb": s.Deployment.NodeMemoryMB},
 		"platform":  Fields{"address": store},
 		"bounds": Fields{
 			"graceS": graceSeconds, "revokeFailClosed": keysMustAgree, "revokeMs": keysMS, "configApplyMs": configMS, "drainMs": leavingMS,
-			"budgetWindowS": float64(s.Nodes.WindowMS) / msInSecond, "retryBudgetRatio": s.Nodes.RetryShare, "budgetSlack": s.Nodes.RetrySlack,
+			"budgetWindowS": float64(s.Nodes.RetryWindowMS) / msInSecond, "retryBudgetRatio": s.Nodes.RetryShare, "budgetSlack": s.Nodes.RetrySlack,
 		},
 	}
 }
