--- a/lab/attempt.go
+++ b/lab/attempt.go
@@ -10,77 +10,80 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// Times of a node's shell, as the relay has them (relay/stall.go).
+// Durations in a node's relay, as in relay/stall.go.
 const (
-	// networkDelay is the time of a request or an answer between a node and an engine.
+	// networkDelay is the one-way delay of a request or response between a node and an engine.
 	networkDelay clock.Millis = 1
-	// firstEventStallAfter and stallAfter are after how long without a first or a further event the
-	// engines are asked why, probeTimeout how long one is waited for that does not answer, and
-	// stallRecheckInterval how soon they are asked again.
+	// firstEventStallAfter and stallAfter are how long a stream waits for its first and for a
+	// later event before the node probes the engines of its chain. probeTimeout is how long the
+	// node waits for a probe's answer, and stallRecheckInterval the interval between checks of
+	// a stalled stream.
 	firstEventStallAfter clock.Millis = 220
 	stallAfter           clock.Millis = 110
 	probeTimeout         clock.Millis = 160
 	stallRecheckInterval clock.Millis = 200
-	// slowStreamAfter is for how long a stream must have stood still until a slow engine is left.
+	// slowStreamAfter is how long a stream must wait for an event before it leaves a slow
+	// engine.
 	slowStreamAfter clock.Millis = 400
-	// abandonAfter is after how long without an event a stream is taken up elsewhere.
+	// abandonAfter is how long a stream may go without an event before the attempt fails.
 	abandonAfter clock.Millis = 1600
-	// engineAbortAfter is after how long an engine cuts a stream that waits for a lost one.
+	// engineAbortAfter is how long an engine keeps a stream open that waits for a crashed
+	// engine.
 	engineAbortAfter clock.Millis = 2500
 )
 
 const (
-	// slowdownThreshold is how much slower than usual such an engine is.
+	// slowdownThreshold is the slowdown factor from which an engine counts as slow.
 	slowdownThreshold = 2.5
-	// maxEventBatch is how many events are played together.
+	// maxEventBatch bounds how many events of a stream are simulated in one step.
 	maxEventBatch = 8
 )
 
-// hop is a part of an attempt's chain.
+// hop is one stage of an attempt's chain.
 type hop struct {
 	engine *engine
 	layers fleet.LayerRange
 }
 
-// attempt is one sending of a request, from a node's side and the engines'.
+// attempt is one attempt of a request, as seen by its node and by the engines of its chain.
 type attempt struct {
 	world   *world
 	session *session
 	cmd     dispatch.SendCmd
 	hops    []hop
-	// reservedTokens is what it takes at each layer.
+	// reservedTokens is the memory that the attempt reserves in each layer, in tokens.
 	reservedTokens float64
-	// lastEventAt is when the last event came, or it was sent.
+	// lastEventAt is the time of the last event, or of sending before the first event.
 	lastEventAt clock.Millis
-	// sentAt is the age of the node's process at which it was sent, and heard tells that the
-	// first engine's answer has begun.
+	// sentAt is the node's uptime when the attempt was sent, and responseStarted reports
+	// whether the first engine has begun its response.
 	sentAt          clock.Millis
 	responseStarted bool
 	finished        bool
-	// stalledOn is the engine that it waits for, and plan counts what was planned for it: what
-	// was planned before the last change counts no more.
+	// stalledOn is the crashed engine that the stream waits for, or nil. planVersion counts the
+	// schedules made for the stream; scheduled steps of an older version are ignored.
 	stalledOn   *engine
 	planVersion int
 }
 
-// usesRemovedLayers tells whether it passes layers that an engine is to give up.
+// usesRemovedLayers reports whether the stream uses layers that the engine no longer offers.
 func (a *attempt) usesRemovedLayers(e *engine) bool {
 	return slices.ContainsFunc(a.hops, func(h hop) bool { return h.engine == e && !e.held.Covers(h.layers) })
 }
 
-// send sends a request to its first engine.
+// send sends a request to the first engine of its chain.
 func (s *session) send(cmd dispatch.SendCmd) {
 	w := s.node.world
 	w.result.EngineAttempts++
 	a := &attempt{world: w, session: s, cmd: cmd, reservedTokens: s.caller.totalTokens(), lastEventAt: w.now, sentAt: s.node.uptime()}
 	s.attempt = a
 	if !chain.Valid(w.pipeline.Layers, cmd.Chain) {
-		w.result.violate("layers", "a chain that does not run each layer once")
+		w.result.violate("layers", "chain does not execute each layer exactly once")
 	}
 	w.after(networkDelay, a.arrive)
 }
 
-// arrive has an attempt reach its first engine, which takes or refuses it.
+// arrive delivers the attempt to its first engine, which accepts or refuses it.
 func (a *attempt) arrive() {
 	w := a.world
 	if a.finished || !a.session.node.running {
@@ -105,18 +108,19 @@
 		a.fail(dispatch.CauseFull, "")
 		return
 	}
-	if cause, at, ok := a.reserveChain(a.cmd.Chain); !ok {
+	if cause, faultyAddress, ok := a.reserveChain(a.cmd.Chain); !ok {
 		first.sendLimit(a.session.node, a.sentAt)
-		a.fail(cause, at)
+		a.fail(cause, faultyAddress)
 		return
 	}
 	a.startStream()
 }
 
-// reserveChain finds the engines of a chain, or tells what is wrong with it.
-func (a *attempt) reserveChain(parts []chain.Stage) (cause dispatch.Cause, at string, ok bool) {
+// reserveChain reserves memory on all engines of a chain. If an engine cannot take its stage,
+// reserveChain returns the cause and that engine's address, and reserves nothing.
+func (a *attempt) reserveChain(stages []chain.Stage) (cause dispatch.Cause, faultyAddress string, ok bool) {
 	var hops []hop
-	for _, p := range parts {
+	for _, p := range stages {
 		e := a.world.engineAt[p.Address]
 		if e == nil || !e.running {
 			return dispatch.CauseFull, p.Address, false
@@ -138,16 +142,17 @@
 	return 0, "", true
 }
 
-// releaseEngines gives back what it takes at the engines.
+// releaseEngines releases the attempt's memory and slot on the engines of its chain.
 func (a *attempt) releaseEngines() {
-	parts := a.hops
+	hops := a.hops
 	a.hops = nil
-	for i, h := range parts {
+	for i, h := range hops {
 		h.engine.removeAttempt(a, h.layers.Len(), i == 0)
 	}
 }
 
-// startStream reads the prompt, and what there is of the answer, on all parts in turn.
+// startStream reads the prompt and the events already delivered through all stages in turn, and
+// schedules the next event.
 func (a *attempt) startStream() {
 	tokens := float64(a.session.caller.prompt + a.session.receivedEvents*a.world.scenario.Load.TokensPerEvent)
 	done := a.prefill(a.hops, tokens)
@@ -159,20 +164,20 @@
 	a.watchProgress(firstEventStallAfter)
 }
 
-// prefill reads tokens on some parts in turn, and returns in how many ms that is done.
-func (a *attempt) prefill(parts []hop, tokens float64) float64 {
+// prefill reads tokens through some stages in turn and returns how long this takes, in ms.
+func (a *attempt) prefill(hops []hop, tokens float64) float64 {
 	now := float64(a.world.now)
 	done := now
-	for i, h := range parts {
+	for i, h := range hops {
 		if i > 0 {
-			done += a.world.linkDelay(parts[i-1].engine, h.engine)
+			done += a.world.linkDelay(hops[i-1].engine, h.engine)
 		}
 		done = h.engine.prefill(done, tokens, h.layers.Len())
 	}
 	return done - now
 }
 
-// eventTime is the time of a number of events.
+// eventTime returns how long the chain takes to generate a number of events.
 func (a *attempt) eventTime(events int) clock.Millis {
 	context := float64(a.session.caller.prompt + a.session.receivedEvents*a.world.scenario.Load.TokensPerEvent)
 	token := a.world.linkDelay(a.hops[len(a.hops)-1].engine, a.hops[0].engine)
@@ -185,15 +190,15 @@
 	return max(clock.Millis(math.Round(token*float64(events*a.world.scenario.Load.TokensPerEvent))), 1)
 }
 
-// scheduleEvents plans the next events.
-func (a *attempt) scheduleEvents(in clock.Millis, events int) {
+// scheduleEvents schedules the delivery of the next events.
+func (a *attempt) scheduleEvents(delay clock.Millis, events int) {
 	a.planVersion++
-	plan := a.planVersion
-	if each := in / clock.Millis(max(events, 1)); each > slowStreamAfter && a.session.receivedEvents > 0 {
-		a.world.after(slowStreamAfter, func() { a.reportSlow(plan) })
+	version := a.planVersion
+	if gap := delay / clock.Millis(max(events, 1)); gap > slowStreamAfter && a.session.receivedEvents > 0 {
+		a.world.after(slowStreamAfter, func() { a.reportSlow(version) })
 	}
-	a.world.after(in, func() {
-		if a.finished || a.planVersion != plan {
+	a.world.after(delay, func() {
+		if a.finished || a.planVersion != version {
 			return
 		}
 		if !a.responseStarted {
@@ -202,8 +207,8 @@
 		}
 		a.session.deliverEvents(events, (a.world.now.Sub(a.lastEventAt))/clock.Millis(events))
 		a.lastEventAt = a.world.now
-		if left := a.session.caller.answerEvents - a.session.receivedEvents; left > 0 {
-			n := min(left, maxEventBatch)
+		if remaining := a.session.caller.answerEvents - a.session.receivedEvents; remaining > 0 {
+			n := min(remaining, maxEventBatch)
 			a.scheduleEvents(a.eventTime(n), n)
 			return
 		}
@@ -211,27 +216,27 @@
 	})
 }
 
-// cancel ends the attempt without a word.
+// cancel ends the attempt without a message to the node.
 func (a *attempt) cancel() {
 	a.finished = true
 	a.releaseEngines()
 }
 
-// fail tells the node that the attempt has brought nothing more.
-func (a *attempt) fail(cause dispatch.Cause, at string) {
+// fail ends the attempt and reports the failure to the node.
+func (a *attempt) fail(cause dispatch.Cause, faultyAddress string) {
 	if a.finished {
 		return
 	}
 	a.cancel()
 	s := a.session
-	msg := dispatch.AttemptFailedMsg{Request: s.id, Attempt: a.cmd.Attempt, Cause: cause, FaultyAddress: at, Events: s.receivedEvents}
+	msg := dispatch.AttemptFailedMsg{Request: s.id, Attempt: a.cmd.Attempt, Cause: cause, FaultyAddress: faultyAddress, Events: s.receivedEvents}
 	if s.receivedEvents > 0 {
 		msg.Delivered = dispatch.DeliveredEvents
 	}
 	a.world.after(networkDelay, func() { s.node.update(msg) })
 }
 
-// complete ends the attempt with the whole answer.
+// complete ends the attempt after its last event.
 func (a *attempt) complete() {
 	s := a.session
 	a.cancel()
--- a/lab/attempt_stall.go
+++ b/lab/attempt_stall.go
@@ -7,9 +7,10 @@
 	"github.com/hoistjunction/hoistjunction/dispatch"
 )
 
-// reportSlow has the node leave an engine that is too slow.
-func (a *attempt) reportSlow(plan int) {
-	if a.finished || a.planVersion != plan {
+// reportSlow reports the slowest engine of the chain to the node, unless it is fast enough or the
+// first engine.
+func (a *attempt) reportSlow(version int) {
+	if a.finished || a.planVersion != version {
 		return
 	}
 	slowest := slices.MaxFunc(a.hops, func(x, y hop) int { return int(100 * (x.engine.slowdown - y.engine.slowdown)) })
@@ -18,12 +19,12 @@
 	}
 }
 
-// watchProgress has the node look after the stream if no event comes.
-func (a *attempt) watchProgress(in clock.Millis) {
-	a.world.after(in, func() {
-		switch quiet := a.world.now.Sub(a.lastEventAt); {
+// watchProgress fails the attempt when no event arrives for abandonAfter.
+func (a *attempt) watchProgress(delay clock.Millis) {
+	a.world.after(delay, func() {
+		switch idle := a.world.now.Sub(a.lastEventAt); {
 		case a.finished || a.session.receivedEvents > 0 && a.stalledOn == nil:
-		case quiet >= abandonAfter:
+		case idle >= abandonAfter:
 			a.fail(dispatch.CauseNoProgress, "")
 		default:
 			a.watchProgress(stallRecheckInterval)
@@ -31,26 +32,26 @@
 	})
 }
 
-// stall has the stream wait for an engine that is lost.
+// stall stops the stream, which waits for a crashed engine.
 func (a *attempt) stall(e *engine) {
 	a.planVersion++
 	a.stalledOn = e
-	plan := a.planVersion
-	find := stallAfter
+	version := a.planVersion
+	detectAfter := stallAfter
 	if a.session.receivedEvents == 0 {
-		find = max(firstEventStallAfter-a.world.now.Sub(a.lastEventAt), 0)
+		detectAfter = max(firstEventStallAfter-a.world.now.Sub(a.lastEventAt), 0)
 	}
-	a.world.after(find+probeTimeout/2, func() { a.reportStall(plan) })
+	a.world.after(detectAfter+probeTimeout/2, func() { a.reportStall(version) })
 	a.world.after(engineAbortAfter, func() {
-		if !a.finished && a.planVersion == plan && a.stalledOn != nil {
+		if !a.finished && a.planVersion == version && a.stalledOn != nil {
 			a.fail(dispatch.CauseUnknown, "")
 		}
 	})
 }
 
-// reportStall tells the node which engine holds the stream up.
-func (a *attempt) reportStall(plan int) {
-	if a.finished || a.planVersion != plan || a.stalledOn == nil {
+// reportStall reports to the node which engine the stream waits for.
+func (a *attempt) reportStall(version int) {
+	if a.finished || a.planVersion != version || a.stalledOn == nil {
 		return
 	}
 	if a.session.receivedEvents == 0 || a.world.variant.NoMigration {
@@ -62,10 +63,11 @@
 		return
 	}
 	a.session.node.update(dispatch.StalledMsg{Request: a.session.id, Attempt: a.cmd.Attempt, FaultyAddress: a.stalledOn.address})
-	a.world.after(stallRecheckInterval, func() { a.reportStall(plan) })
+	a.world.after(stallRecheckInterval, func() { a.reportStall(version) })
 }
 
-// migrate sends the stream over other engines, which read all its tokens first.
+// migrate moves the stream to another chain. The engines that are new in the chain first read
+// all its tokens.
 func (a *attempt) migrate(cmd dispatch.MigrateCmd) {
 	a.world.after(2*networkDelay, func() {
 		if a.finished {
@@ -73,20 +75,20 @@
 		}
 		msg := dispatch.MigratedMsg{Request: a.session.id, Attempt: a.cmd.Attempt, Result: dispatch.MigrationDone}
 		before := a.hops
-		if _, at, ok := a.reserveChain(cmd.Chain); !ok {
-			msg.Result, msg.FaultyAddress = dispatch.MigrationRefused, at
+		if _, faultyAddress, ok := a.reserveChain(cmd.Chain); !ok {
+			msg.Result, msg.FaultyAddress = dispatch.MigrationRefused, faultyAddress
 		} else {
 			a.world.result.Migrations++
 			a.stalledOn = nil
 			tokens := float64(a.session.caller.prompt + a.session.receivedEvents*a.world.scenario.Load.TokensPerEvent)
-			var fresh []hop
+			var added []hop
 			for _, h := range a.hops {
 				if !slices.ContainsFunc(before, func(b hop) bool { return b.engine == h.engine }) {
-					fresh = append(fresh, h)
+					added = append(added, h)
 				}
 			}
 			n := min(max(a.session.caller.answerEvents-a.session.receivedEvents, 1), maxEventBatch)
-			a.scheduleEvents(clock.Millis(a.prefill(fresh, tokens))+a.eventTime(n), n)
+			a.scheduleEvents(clock.Millis(a.prefill(added, tokens))+a.eventTime(n), n)
 		}
 		a.session.node.update(msg)
 	})
--- a/lab/caller.go
+++ b/lab/caller.go
@@ -8,33 +8,35 @@
 	"github.com/hoistjunction/hoistjunction/work"
 )
 
-// caller is one request of a caller, over all its tries.
+// caller is a client's request with all its tries.
 type caller struct {
 	world      *world
 	number     int
 	dataCentre string
-	// workID names what is asked for, and deadly tells that it ends engines.
+	// workID identifies the work of the request. If crashesEngines is set, the request crashes
+	// the engines that execute it.
 	workID         work.ID
 	crashesEngines bool
 	urgent         bool
 	prompt         int
-	// answerEvents is how long the answer is.
+	// answerEvents is the length of the answer in events.
 	answerEvents int
 
-	// firstSentAt is when the first try came, and second in which second that was.
+	// firstSentAt is when the first try was sent.
 	firstSentAt clock.Millis
 	deadline    clock.Millis
 	tries       int
 	retried     bool
 	session     *session
-	// lastProgressAt is when the last event came, or the last try began.
+	// lastProgressAt is when the last event arrived, or when the current try was sent.
 	lastProgressAt  clock.Millis
 	firstEventAfter clock.Millis
 	longestGap      clock.Millis
 	finished        bool
 }
 
-// sendRequest has the caller ask a node of its data centre, another one with each try.
+// sendRequest sends the request to a node of the caller's data centre, a different one for each
+// try.
 func (c *caller) sendRequest() {
 	if c.finished {
 		return
@@ -62,68 +64,67 @@
 	})
 }
 
-// totalTokens is the memory that it takes at each layer, in tokens.
+// totalTokens returns the memory that the request needs in each layer, in tokens.
 func (c *caller) totalTokens() float64 {
 	return float64(c.prompt) + float64(c.answerEvents*c.world.scenario.Load.TokensPerEvent)
 }
 
-// recordEvents takes events in, with the longest pause before one of them.
-func (c *caller) recordEvents(pause clock.Millis) {
+// recordEvents records received events and the longest gap before one of them.
+func (c *caller) recordEvents(gap clock.Millis) {
 	if c.firstEventAfter == 0 {
 		c.firstEventAfter = max(c.world.now.Sub(c.firstSentAt), 1)
 	} else {
-		c.longestGap = max(c.longestGap, pause)
+		c.longestGap = max(c.longestGap, gap)
 	}
 	c.lastProgressAt = c.world.now
 }
 
-// handleRefusal has the caller come back when it is told to, if it has tries and time left.
-func (c *caller) handleRefusal(reason dispatch.Reason, back clock.Millis) {
+// handleRefusal retries after the delay that the node asked for, if tries and time are left.
+func (c *caller) handleRefusal(reason dispatch.Reason, retryAfter clock.Millis) {
 	if c.finished {
 		return
 	}
 	c.session = nil
 	if reason == dispatch.ReasonQuarantined && !c.crashesEngines {
-		c.world.result.violate("innocent", "a request that ends nothing was refused as if it did")
+		c.world.result.violate("innocent", "request that crashes no engine was refused as quarantined")
 	}
 	if c.retried {
 		c.world.result.RefusedRetries++
 	}
 	if c.world.variant.IgnoreRetryAfter {
-		back = fixedRetryDelay
+		retryAfter = fixedRetryDelay
 	}
 	if c.tries > c.world.scenario.Load.MaxRetries || c.crashesEngines {
 		c.finish(Refused, string(reason))
 		return
 	}
 	c.retried = true
-	c.world.after(max(min(back, c.deadline.Sub(c.world.now)/maxRetryDelayDivisor), 1), c.sendRequest)
+	c.world.after(max(min(retryAfter, c.deadline.Sub(c.world.now)/maxRetryDelayDivisor), 1), c.sendRequest)
 }
 
 const (
-	// fixedRetryDelay is when callers come back that do not heed what they are told.
+	// fixedRetryDelay is the delay before a retry of callers that ignore Retry-After.
 	fixedRetryDelay clock.Millis = 300
-	// maxRetryDelayDivisor is the part of the time left, one in so many, up to which callers heed when
-	// to come back.
+	// The delay before a retry is at most the remaining time divided by maxRetryDelayDivisor.
 	maxRetryDelayDivisor = 3
-	// failureRetryDelay is when a caller tries again after a failure.
+	// failureRetryDelay is the delay before a retry after a failure.
 	failureRetryDelay clock.Millis = 20
 )
 
-// handleFailure has the caller try again at once, if it has tries left.
-func (c *caller) handleFailure(why string) {
+// handleFailure retries after failureRetryDelay if tries are left.
+func (c *caller) handleFailure(cause string) {
 	if c.finished {
 		return
 	}
 	c.session = nil
 	if c.tries > c.world.scenario.Load.MaxRetries || c.crashesEngines {
-		c.finish(Failed, why)
+		c.finish(Failed, cause)
 		return
 	}
 	c.world.after(failureRetryDelay, c.sendRequest)
 }
 
-// finishServed ends the request with its whole answer.
+// finishServed ends the request after its complete answer.
 func (c *caller) finishServed() {
 	l := c.world.scenario.Load
 	if c.firstEventAfter <= l.FirstEventTargetMS && c.longestGap <= l.EventGapTargetMS {
@@ -133,20 +134,20 @@
 	c.finish(Late, "")
 }
 
-// timedOut tells whether the caller gives up now: it waits a bounded time for each event.
+// timedOut reports whether the deadline has passed or the next event is overdue.
 func (c *caller) timedOut(now clock.Millis) bool {
 	l := c.world.scenario.Load
 	return now >= c.deadline || c.session != nil && now.Sub(c.lastProgressAt) > max(minEventTimeout, firstEventTargetsInTimeout*l.FirstEventTargetMS, eventGapTargetsInTimeout*l.EventGapTargetMS)
 }
 
-// How long a caller waits for an event, in aims.
+// Bounds of the wait for an event: the minimum, and multiples of the latency targets.
 const (
 	minEventTimeout            clock.Millis = 2000
 	firstEventTargetsInTimeout clock.Millis = 4
 	eventGapTargetsInTimeout   clock.Millis = 8
 )
 
-// abandon has the caller give up.
+// abandon ends the request because the caller has stopped waiting.
 func (c *caller) abandon() {
 	s := c.session
 	c.finish(Failed, "left")
@@ -155,8 +156,8 @@
 	}
 }
 
-func (c *caller) finish(o Outcome, why string) {
+func (c *caller) finish(o Outcome, cause string) {
 	c.finished = true
 	c.session = nil
-	c.world.result.add(c, o, why)
+	c.world.result.add(c, o, cause)
 }
--- a/lab/deployment.go
+++ b/lab/deployment.go
@@ -12,29 +12,31 @@
 	"github.com/hoistjunction/hoistjunction/settings"
 )
 
-// Deployment is what a rehearsal of a scenario with real processes has beside it. The emulator
-// plays the streams of [load] alone.
+// Deployment holds the part of a scenario that only a rehearsal with real processes uses. The
+// emulator runs only the streams of section [load].
 type Deployment struct {
-	// NodesByDataCentre counts the nodes by data centre; where it is empty each has Nodes.PerDataCentre.
+	// NodesByDataCentre is the number of nodes in each data centre. By default each has
+	// Nodes.PerDataCentre nodes.
 	NodesByDataCentre map[string]int
 	// RequestKinds are the kinds of request that callers send.
 	RequestKinds []RequestKind
-	// PlainService is the plain service, with so many upstreams in each data centre.
+	// PlainService describes the plain service.
 	PlainService PlainService
-	// Accounts is how many client accounts there are; the first has half of all requests,
-	// the next half of the rest, and so on.
+	// Accounts is the number of client accounts. The first sends half of all requests, the
+	// second half of the remaining ones, and so on.
 	Accounts int
-	// Subjects is how many subjects callers of a kind ask for.
+	// Subjects is the number of distinct subjects in requests of a kind.
 	Subjects int
-	// NodeMemoryMB is a node's memory, and RecoveryMS within what time all is well after a trouble.
+	// NodeMemoryMB is the memory of a node. RecoveryMS is the time after a fault within which
+	// the system must have recovered.
 	NodeMemoryMB int
 	RecoveryMS   clock.Millis
-	// HeartbeatIntervalMS is how often upstreams renew their entries, and StoreLatencyMS what the store takes
-	// for an answer.
+	// HeartbeatIntervalMS is how often upstreams renew their entries, and StoreLatencyMS how
+	// long the store takes to answer.
 	HeartbeatIntervalMS, StoreLatencyMS clock.Millis
 }
 
-// StreamsPerSecond is how many requests of all kinds are asked for a second.
+// RequestsPerSecond returns the rate of requests of all kinds.
 func (d *Deployment) RequestsPerSecond() float64 {
 	sum := 0.0
 	for _, k := range d.RequestKinds {
@@ -43,39 +45,42 @@
 	return sum
 }
 
-// PlainService is the plain service of a deployment.
+// PlainService is the plain service of a deployment. Each of its upstreams has Slots slots and
+// a queue, and takes ServiceTimeMS for a request.
 type PlainService struct {
 	PerDataCentre, Slots, QueueLength int
 	ServiceTimeMS                     float64
 }
 
-// RequestKind is a kind of request.
+// RequestKind describes one kind of request.
 type RequestKind struct {
 	Name string
-	// Mode is stream, once (it may run once) or read (it may be repeated).
+	// Mode is ModeStream, ModeOnce or ModeRead.
 	Mode string
-	// StreamsPerSecond is how many are asked for a second.
+	// PerSecond is the number of requests a second.
 	PerSecond float64
-	// PromptTokens is the mean size of a stream's prompt in tokens, and Events how many events it
-	// has on average.
+	// PromptTokens is the mean size of a stream's prompt, and Events the mean number of its
+	// events.
 	PromptTokens, Events int
-	// FirstEventTargetMS is for the first event, or the answer; EventGapTargetMS for pauses between events.
+	// FirstEventTargetMS is the target for the first event or the response, and
+	// EventGapTargetMS the target for gaps between events.
 	FirstEventTargetMS, EventGapTargetMS clock.Millis
-	// DeadlineMS is how long a caller waits in all, and RouteTimeoutMS how long the operator wants a
-	// try held; zero for as long.
+	// DeadlineMS is the caller's total time limit. RouteTimeoutMS is the time limit of a try
+	// that is configured on the route; zero means DeadlineMS.
 	DeadlineMS, RouteTimeoutMS clock.Millis
-	// MaxRetries is how often a caller tries again, and Rank its urgency, 0 being the first.
+	// MaxRetries is the number of retries after the first try. Priority 0 is the most urgent.
 	MaxRetries, Priority int
 }
 
-// Ways in which a request may run.
+// Modes of execution: a stream of events, a request that may be executed only once, and a read,
+// which may be repeated.
 const (
 	ModeStream = "stream"
 	ModeOnce   = "once"
 	ModeRead   = "read"
 )
 
-// deploymentSections are read as they stand and checked in finish.
+// deploymentSections are the sections that finishDeployment parses after loading.
 type deploymentSections struct{ nodes, requests map[string]string }
 
 func (d *Deployment) declare(set *settings.Set) *deploymentSections {
@@ -98,16 +103,16 @@
 func (s *Scenario) finishDeployment(sections *deploymentSections) error {
 	d := &s.Deployment
 	d.NodesByDataCentre = make(map[string]int)
-	for centre, text := range sections.nodes {
+	for dataCentre, text := range sections.nodes {
 		n, err := strconv.Atoi(text)
-		if err != nil || n < 0 || !slices.Contains(s.Fleet.DataCentres(), centre) {
-			return errors.Wrapf(ErrScenario, "[nodes_in] %s = %q: write a data centre of [engines] and how many nodes it has", centre, text)
+		if err != nil || n < 0 || !slices.Contains(s.Fleet.DataCentres(), dataCentre) {
+			return errors.Wrapf(ErrScenario, "[nodes_in] %s = %q: write a data centre of [engines] and how many nodes it has", dataCentre, text)
 		}
-		d.NodesByDataCentre[centre] = n
+		d.NodesByDataCentre[dataCentre] = n
 	}
 	if len(d.NodesByDataCentre) == 0 {
-		for _, centre := range s.Fleet.DataCentres() {
-			d.NodesByDataCentre[centre] = s.Nodes.PerDataCentre
+		for _, dataCentre := range s.Fleet.DataCentres() {
+			d.NodesByDataCentre[dataCentre] = s.Nodes.PerDataCentre
 		}
 	}
 	for name, text := range sections.requests {
@@ -127,22 +132,22 @@
 	return nil
 }
 
-// parseRequestKind reads "stream per_s=30.1 prompt=800 events=77 aim=500 deadline=20000".
+// parseRequestKind parses "stream per_s=30.1 prompt=800 events=77 aim=500 deadline=20000".
 func parseRequestKind(name, text string) (RequestKind, error) {
 	k := RequestKind{Name: name, PromptTokens: 1, Events: 1, FirstEventTargetMS: 500, DeadlineMS: 20_000}
-	fault := func(remedy string) error {
+	invalid := func(remedy string) error {
 		return errors.Wrapf(ErrScenario, "[requests] %s = %q: %s, as in stream per_s=30.1 prompt=800 events=77 aim=500 pause=200 deadline=20000 returns=1", name, text, remedy)
 	}
-	words := strings.Fields(text)
-	if len(words) == 0 || !slices.Contains([]string{ModeStream, ModeOnce, ModeRead}, words[0]) {
-		return k, fault("write stream, once or read first")
+	fields := strings.Fields(text)
+	if len(fields) == 0 || !slices.Contains([]string{ModeStream, ModeOnce, ModeRead}, fields[0]) {
+		return k, invalid("write stream, once or read first")
 	}
-	k.Mode = words[0]
-	for _, word := range words[1:] {
-		key, value, _ := strings.Cut(word, "=")
+	k.Mode = fields[0]
+	for _, field := range fields[1:] {
+		key, value, _ := strings.Cut(field, "=")
 		n, err := strconv.ParseFloat(value, 64)
 		if err != nil || n < 0 || n > maxRate {
-			return k, fault("write " + key + "= and a number that is not negative")
+			return k, invalid("write " + key + "= and a number that is not negative")
 		}
 		switch key {
 		case "per_s":
@@ -164,11 +169,11 @@
 		case "rank":
 			k.Priority = int(n)
 		default:
-			return k, fault("there is no " + key + "=")
+			return k, invalid("there is no " + key + "=")
 		}
 	}
 	if k.PerSecond == 0 {
-		return k, fault("write how many are asked for a second")
+		return k, invalid("write per_s= and a rate greater than zero")
 	}
 	return k, nil
 }
--- a/lab/draw.go
+++ b/lab/draw.go
@@ -5,5 +5,5 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// drawArea returns where a plot draws itself on a canvas.
+// drawArea returns the drawing area of a canvas.
 func drawArea(canvas vg.CanvasSizer) draw.Canvas { return draw.New(canvas) }
--- a/lab/engine.go
+++ b/lab/engine.go
@@ -11,7 +11,7 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// engine is one run of an engine's process.
+// engine is a simulated engine process; a restarted process is a new engine.
 type engine struct {
 	world       *world
 	id          fleet.Incarnation
@@ -21,47 +21,48 @@
 	running     bool
 
 	held fleet.LayerRange
-	// orderActive tells that an order is being carried out, coming what it asks for, and loading that
-	// its load has begun.
+	// orderActive reports whether a placement order is in progress, targetLayers are the layers
+	// that the order asks for, and loading reports whether their load has begun.
 	orderActive  bool
 	targetLayers fleet.LayerRange
 	loading      bool
 
-	// attempts are the streams that pass it, in the order in which they came, and begun how
-	// many of them began here.
+	// attempts are the attempts whose chain includes this engine, in order of arrival.
+	// entryStreams counts those whose chain begins here.
 	attempts     []*attempt
 	entryStreams int
-	// usedMemory is memory taken by requests, in tokens times layers.
+	// usedMemory is the memory reserved by requests, in tokens times layers.
 	usedMemory float64
-	// prefillFreeAt is when the prompts that wait here have been read, in ms.
+	// prefillFreeAt is when all queued prompts will have been read, in ms.
 	prefillFreeAt float64
 
-	// slowdown is how many times as long it works, refuses the part of requests that it turns
-	// away, and asks for how long it wants rest then.
+	// slowdown is the factor on execution times, refusalShare the share of requests that are
+	// refused although there is capacity, and backOff the back-off requested in a refusal.
 	slowdown     float64
 	refusalShare float64
 	backOff      clock.Millis
-	// backOffs is what the judge needs of rests: until when each node was asked for rest.
+	// backOffs are the back-off requests sent to each node, kept to check that nodes honour
+	// them.
 	backOffs map[*node]backOffRequest
-	// advertised is the limit that it names.
+	// advertised is the rate limit that the engine advertises.
 	advertised advertisedLimit
 }
 
-// backOffRequest is a rest that a node was asked for.
+// backOffRequest is a back-off that an engine has requested from a node.
 type backOffRequest struct {
-	// boot is that of the node that was asked: one that has started anew is excused.
+	// boot is the node's boot count. A restarted node need not honour the back-off.
 	boot        int
 	from, until clock.Millis
 	arrivals    int
 }
 
-func (w *world) newEngine(name, address, centre string, kind catalog.Accelerator) *engine {
-	e := &engine{world: w, id: fleet.IncarnationByID(fleet.ID(name)), address: address, dataCentre: centre, accelerator: kind, running: true, slowdown: 1, backOffs: make(map[*node]backOffRequest)}
+func (w *world) newEngine(name, address, dataCentre string, accelerator catalog.Accelerator) *engine {
+	e := &engine{world: w, id: fleet.IncarnationByID(fleet.ID(name)), address: address, dataCentre: dataCentre, accelerator: accelerator, running: true, slowdown: 1, backOffs: make(map[*node]backOffRequest)}
 	w.engineAt[address] = e
 	return e
 }
 
-// listEntry is what it says of itself in the list.
+// listEntry returns the engine's entry in the engine list.
 func (e *engine) listEntry() fleet.Upstream {
 	return fleet.Upstream{
 		ID: e.id, Service: serviceName, Address: e.address, DataCentre: e.dataCentre, Slots: e.world.scenario.Slots,
@@ -69,42 +70,42 @@
 	}
 }
 
-// requestMemory is its memory for requests, in tokens times layers. Layers that are being loaded take
-// theirs at once.
+// requestMemory returns the memory for requests, in tokens times layers. Layers that are being
+// loaded occupy their memory from the start of the load.
 func (e *engine) requestMemory() float64 {
 	return e.world.pipeline.RequestMemory(e.accelerator, max(e.held.Len(), e.targetLayers.Len()))
 }
 
-// stepTime is the time of a token through some layers here, in ms: that of a step, which
-// grows with the streams in the batch, and the longer the more prompts are read beside.
+// stepTime returns the time of one token through some layers of this engine, in ms. It grows
+// with the streams in the batch and with the prompts that wait to be read.
 func (e *engine) stepTime(layers int, context float64) float64 {
 	p := e.world.pipeline
-	part := float64(layers) / float64(max(p.Layers, 1))
+	share := float64(layers) / float64(max(p.Layers, 1))
 	batch := batchShare * float64(len(e.attempts))
-	step := p.StepTime(e.accelerator, layers) + batch*(p.SequenceMS+p.ContextMS*context/tokensPerContextUnit)*e.accelerator.StepFactor*part
-	waiting := max(e.prefillFreeAt-float64(e.world.now), 0)
-	return step * e.slowdown * (1 + min(waiting/prefillDoublingMS, 1))
+	step := p.StepTime(e.accelerator, layers) + batch*(p.SequenceMS+p.ContextMS*context/tokensPerContextUnit)*e.accelerator.StepFactor*share
+	backlog := max(e.prefillFreeAt-float64(e.world.now), 0)
+	return step * e.slowdown * (1 + min(backlog/prefillDoublingMS, 1))
 }
 
 const (
-	// batchShare is the part of the streams that pass an engine that are in its batch at a
-	// time; the others are at other stages.
+	// batchShare is the mean share of an engine's streams that are in its batch at a time; the
+	// others are at other stages.
 	batchShare = 0.5
-	// tokensPerContextUnit converts the unit of context.
+	// tokensPerContextUnit converts tokens to the unit of Pipeline.ContextMS.
 	tokensPerContextUnit = 1000
-	// prefillDoublingMS is for how long prompts must wait, in ms, until steps take twice as long:
-	// a pass reads a bounded number of tokens beside its steps.
+	// prefillDoublingMS is the backlog of prompts, in ms, at which steps take twice as long: a
+	// pass reads a bounded number of prompt tokens together with its steps.
 	prefillDoublingMS = 200
 )
 
-// prefill queues tokens of a prompt that arrive at a time, and returns when they have been read.
-func (e *engine) prefill(arrives float64, tokens float64, layers int) float64 {
-	begins := max(arrives, e.prefillFreeAt)
-	e.prefillFreeAt = begins + tokens*e.world.pipeline.ReadTime(e.accelerator, layers)*e.slowdown
+// prefill queues prompt tokens that arrive at a time, and returns when they have been read.
+func (e *engine) prefill(arrivesAt float64, tokens float64, layers int) float64 {
+	beginsAt := max(arrivesAt, e.prefillFreeAt)
+	e.prefillFreeAt = beginsAt + tokens*e.world.pipeline.ReadTime(e.accelerator, layers)*e.slowdown
 	return e.prefillFreeAt
 }
 
-// refusesNew tells whether it refuses what begins here now.
+// refusesNew reports whether the engine refuses a stream that begins at it now.
 func (e *engine) refusesNew() bool {
 	return e.entryStreams >= e.world.scenario.Slots || e.refusalShare > 0 && e.world.eventRand.Float64() < e.refusalShare
 }
@@ -130,7 +131,7 @@
 	e.loadWhenDrained()
 }
 
-// status is its word on itself.
+// status returns the status that the engine reports to nodes.
 func (e *engine) status() dispatch.Report {
 	r := dispatch.Report{Slowdown: e.slowdown}
 	if !e.world.variant.NoMemoryReports {
@@ -139,8 +140,8 @@
 	return r
 }
 
-// startOrder begins to carry out an order. Layers that it gives up take nothing new, and the load
-// begins once what passes them has left.
+// startOrder starts a placement order. The engine accepts no new streams on layers that it
+// drops, and loads the others when the streams that use dropped layers have left.
 func (e *engine) startOrder(layers fleet.LayerRange) {
 	e.orderActive, e.targetLayers = true, layers
 	e.held = e.held.Overlap(layers)
@@ -148,7 +149,7 @@
 	e.loadWhenDrained()
 }
 
-// loadWhenDrained begins the load of an order once nothing passes what is given up.
+// loadWhenDrained starts the load of an order once no stream uses the dropped layers.
 func (e *engine) loadWhenDrained() {
 	if !e.orderActive || !e.running || e.loading || slices.ContainsFunc(e.attempts, func(a *attempt) bool { return a.usesRemovedLayers(e) }) {
 		return
@@ -157,13 +158,13 @@
 	e.loading = true
 	w := e.world
 	w.activeLoads++
-	slowed := max(1, float64(w.activeLoads)/float64(w.scenario.FullSpeedLoads))
-	took := w.pipeline.LoadMS * float64(layers.Len()-e.held.Len()) / float64(max(w.pipeline.Layers, 1)) * slowed
+	contention := max(1, float64(w.activeLoads)/float64(w.scenario.FullSpeedLoads))
+	loadTime := w.pipeline.LoadMS * float64(layers.Len()-e.held.Len()) / float64(max(w.pipeline.Layers, 1)) * contention
 	if w.now < 0 {
-		// The first plan's loads are short.
-		took /= 10
+		// The loads of the initial placement are shortened, as they only prepare the run.
+		loadTime /= 10
 	}
-	w.after(clock.Millis(math.Ceil(took)), func() {
+	w.after(clock.Millis(math.Ceil(loadTime)), func() {
 		w.activeLoads--
 		if e.running {
 			e.held, e.targetLayers, e.orderActive, e.loading = layers, fleet.LayerRange{}, false, false
@@ -172,9 +173,9 @@
 	})
 }
 
-// crash ends its process. What began here is broken off, what only passes stands still. Another
-// one starts at its address after a time.
-func (e *engine) crash(down clock.Millis) {
+// crash ends the engine's process. Streams that begin at it fail, and streams that only pass
+// through it stall. After the downtime a new engine starts at its address.
+func (e *engine) crash(downtime clock.Millis) {
 	if !e.running {
 		return
 	}
@@ -189,7 +190,7 @@
 		}
 	}
 	w.list.scheduleRemoval(e)
-	w.after(down, func() {
+	w.after(downtime, func() {
 		next := w.newEngine(fmt.Sprintf("%s'", e.id.ID()), e.address, e.dataCentre, e.accelerator)
 		w.engines = append(w.engines, next)
 		w.list.publish(next)
--- a/lab/engine_test.go
+++ b/lab/engine_test.go
@@ -7,7 +7,7 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-func TestQueueKeepsTheOrder(t *testing.T) {
+func TestQueueRunsEventsInOrder(t *testing.T) {
 	var q queue
 	var got []int
 	q.after(5, func() { got = append(got, 2) })
@@ -23,9 +23,9 @@
 	}
 }
 
-// A step takes the longer the more streams are in the batch and the more is read beside, and
-// prompts are read one after the other.
-func TestEnginesBatch(t *testing.T) {
+// Guards the model of continuous batching: a step takes longer with more streams in the batch
+// and with prompts waiting to be read, and prompts are read one after the other.
+func TestEngineBatching(t *testing.T) {
 	w := newWorld(load(t, "small"), Variant{}, 1)
 	e := w.engines[0]
 	alone := e.stepTime(16, 800)
@@ -44,17 +44,17 @@
 	if math.Abs(second-2*first) > 1e-9 {
 		t.Errorf("got prompts read after %.2f and %.2f ms, want one after the other", first, second)
 	}
-	if reading := e.stepTime(16, 800); reading <= crowded {
-		t.Errorf("got %.4f ms beside reading, want more than %.4f", reading, crowded)
+	if withPrompts := e.stepTime(16, 800); withPrompts <= crowded {
+		t.Errorf("got %.4f ms with prompts waiting, want more than %.4f", withPrompts, crowded)
 	}
 }
 
-// Ten of the few first engines are away, and come back empty, under other ids, at their
-// addresses; the planners have their layers loaded elsewhere meanwhile.
-func TestLayersAreLoadedElsewhere(t *testing.T) {
+// Guards against layers that stay unavailable after engines crash and restart without layers:
+// the planners must have these layers loaded on other engines, which keeps requests served.
+func TestCrashedLayersAreReplaced(t *testing.T) {
 	s := load(t, "small")
-	healed, left := Run(s, Variant{}, 2), Run(s, without(t, "healing"), 2)
-	if healed.PlacementOrders <= left.PlacementOrders || healed.ServedShare() < left.ServedShare() {
-		t.Errorf("got %d orders and %.3f served, want more than %d and not less than %.3f", healed.PlacementOrders, healed.ServedShare(), left.PlacementOrders, left.ServedShare())
+	replaced, unreplaced := Run(s, Variant{}, 2), Run(s, without(t, "healing"), 2)
+	if replaced.PlacementOrders <= unreplaced.PlacementOrders || replaced.ServedShare() < unreplaced.ServedShare() {
+		t.Errorf("got %d orders and %.3f served, want more than %d and at least %.3f", replaced.PlacementOrders, replaced.ServedShare(), unreplaced.PlacementOrders, unreplaced.ServedShare())
 	}
 }
--- a/lab/experiment.go
+++ b/lab/experiment.go
@@ -9,42 +9,42 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Experiment plays variants of a scenario with many seeds, the same for each.
+// Experiment runs variants of a scenario, each with the same seeds.
 type Experiment struct {
 	Scenario *Scenario
 	Variants []Variant
-	// Seeds is how many, the first being First.
+	// Seeds is the number of seeds, which count up from FirstSeed.
 	Seeds     int
 	FirstSeed uint64
-	// Parallelism is how many runs go on at a time; zero for one on each processor.
+	// Parallelism is the number of concurrent runs; zero means one per CPU.
 	Parallelism int
-	// RunDone is told of each run that has ended; nil for nobody.
+	// RunDone is called after each run, unless it is nil.
 	RunDone func()
 }
 
-// Difference is how a variant differs from the first one in a figure.
+// Difference compares a figure of a variant with that of the first variant.
 type Difference struct {
 	Variant string
 	Figure  string
-	// Mean is the variant's own, and By the mean of the differences seed by seed, with the
-	// bounds between which it lies with 95 in 100.
+	// Mean is the variant's own mean. MeanDifference is the mean of the differences seed by
+	// seed; Low and High are the bounds of its 95 in 100 confidence interval.
 	Mean, MeanDifference, Low, High float64
-	// SeedsWithViolations is on how many seeds a promise was broken.
+	// SeedsWithViolations is the number of seeds on which the variant violated a guarantee.
 	SeedsWithViolations int
 }
 
-// Run plays all, and returns the results by variant and seed.
+// Run runs all variants with all seeds, and returns the results by variant and seed.
 func (e *Experiment) Run() ([][]*Result, error) {
 	if e.Seeds < 1 || len(e.Variants) < 1 {
-		return nil, errors.Wrap(ErrScenario, "an experiment needs a variant and a seed")
+		return nil, errors.Wrap(ErrScenario, "an experiment needs at least one variant and one seed")
 	}
-	jobs := e.Parallelism
-	if jobs < 1 {
-		jobs = runtime.NumCPU()
+	parallelism := e.Parallelism
+	if parallelism < 1 {
+		parallelism = runtime.NumCPU()
 	}
 	results := make([][]*Result, len(e.Variants))
 	var group errgroup.Group
-	group.SetLimit(jobs)
+	group.SetLimit(parallelism)
 	for v := range e.Variants {
 		results[v] = make([]*Result, e.Seeds)
 		for i := range e.Seeds {
@@ -60,38 +60,38 @@
 	return results, group.Wait()
 }
 
-// Differences compares each variant with the first, seed by seed.
+// Differences compares each variant with the first one, seed by seed.
 func Differences(results [][]*Result) []Difference {
 	var list []Difference
 	for _, runs := range results {
 		for _, name := range FigureNames {
 			d := Difference{Variant: runs[0].Variant.Name, Figure: name}
-			var own, by []float64
+			var values, differences []float64
 			for i, r := range runs {
-				own = append(own, r.Figures()[name])
-				by = append(by, r.Figures()[name]-results[0][i].Figures()[name])
+				values = append(values, r.Figures()[name])
+				differences = append(differences, r.Figures()[name]-results[0][i].Figures()[name])
 				if len(r.Violations) > 0 {
 					d.SeedsWithViolations++
 				}
 			}
-			d.Mean = stat.Mean(own, nil)
-			d.MeanDifference, d.Low, d.High = interval(by)
+			d.Mean = stat.Mean(values, nil)
+			d.MeanDifference, d.Low, d.High = interval(differences)
 			list = append(list, d)
 		}
 	}
 	return list
 }
 
-// confidence is the part of the cases in which a mean lies in its interval.
+// confidence is the level of the confidence intervals.
 const confidence = 0.95
 
-// interval returns the mean of some figures, and the bounds of its interval.
-func interval(list []float64) (mean, low, high float64) {
-	mean, deviation := stat.MeanStdDev(list, nil)
-	if len(list) < 2 {
+// interval returns the mean of a sample and the bounds of its confidence interval.
+func interval(sample []float64) (mean, low, high float64) {
+	mean, deviation := stat.MeanStdDev(sample, nil)
+	if len(sample) < 2 {
 		return mean, mean, mean
 	}
-	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(list) - 1)}.Quantile((1 + confidence) / 2)
-	half := t * stat.StdErr(deviation, float64(len(list)))
+	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(sample) - 1)}.Quantile((1 + confidence) / 2)
+	half := t * stat.StdErr(deviation, float64(len(sample)))
 	return mean, mean - half, mean + half
 }
--- a/lab/fault.go
+++ b/lab/fault.go
@@ -11,85 +11,89 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// FaultKind is a kind of trouble.
+// FaultKind is a kind of fault.
 type FaultKind string
 
-// The kinds of trouble.
+// The kinds of fault. X is the magnitude that a scenario sets with x=.
 const (
-	// EngineCrash ends engines; they start again, empty and under other ids, at their addresses.
+	// EngineCrash crashes engines. New processes start at their addresses, without layers and
+	// under other IDs.
 	EngineCrash FaultKind = "crash"
-	// EngineSlow has engines work x times as long.
+	// EngineSlow multiplies the execution times of engines by x.
 	EngineSlow FaultKind = "slow"
-	// EngineRefuse has engines turn a part x of the requests away that begin there, with room
-	// left.
+	// EngineRefuse makes engines refuse a share x of the requests that begin at them, although
+	// they have capacity.
 	EngineRefuse FaultKind = "refuse"
-	// EngineBackOff has engines turn all requests away that begin there, and ask for x seconds of
-	// rest.
+	// EngineBackOff makes engines refuse all requests that begin at them and request a back-off
+	// of x seconds.
 	EngineBackOff FaultKind = "rest"
-	// EngineLimit has engines name x requests a second that they take from all nodes together.
+	// EngineLimit makes engines advertise a limit of x requests a second from all nodes
+	// together.
 	EngineLimit FaultKind = "limit"
-	// CrashingRequest has a part x of all requests end the engine that begins to run them; one such
-	// request comes again and again.
+	// CrashingRequest makes a share x of all requests crash the engine that begins to
+	// execute them. All of these requests have the same work ID.
 	CrashingRequest FaultKind = "deadly"
-	// LoadBurst has x times as many requests come.
+	// LoadBurst multiplies the request rate by x.
 	LoadBurst FaultKind = "burst"
-	// NodeKill ends nodes, which start again.
+	// NodeKill kills nodes, which then restart.
 	NodeKill FaultKind = "node_kill"
-	// ListFrozen has the list stand still; in a rehearsal the store answers nobody.
+	// ListFrozen stops updates of the engine list; in a rehearsal the store stops answering.
 	ListFrozen FaultKind = "list_away"
-	// NodeFreeze has nodes stand still, NodeRollingRestart has them stopped and started one after the
-	// other, StoreSlow has the store take x ms for an answer, and PlainServiceFull has the plain
-	// service run nothing. They are for rehearsals with real processes.
+	// NodeFreeze suspends nodes, NodeRollingRestart restarts nodes one after the other,
+	// StoreSlow makes the store take x ms for an answer, and PlainServiceFull makes the plain
+	// service refuse all requests. Only rehearsals with real processes support them.
 	NodeFreeze         FaultKind = "node_freeze"
 	NodeRollingRestart FaultKind = "node_roll"
 	StoreSlow          FaultKind = "store_slow"
 	PlainServiceFull   FaultKind = "plain_full"
 )
 
-// emulated are those that the emulator plays, and rehearsed those that only rehearsals do.
+// emulatedKinds are the kinds that the emulator supports, and rehearsalKinds those that only
+// rehearsals support.
 var (
 	emulatedKinds  = []FaultKind{EngineCrash, EngineSlow, EngineRefuse, EngineBackOff, EngineLimit, CrashingRequest, LoadBurst, NodeKill, ListFrozen}
 	rehearsalKinds = []FaultKind{NodeFreeze, NodeRollingRestart, StoreSlow, PlainServiceFull}
 )
 
-// Emulated tells whether the emulator plays a kind of trouble.
+// Emulated reports whether the emulator supports a kind of fault.
 func (k FaultKind) Emulated() bool { return slices.Contains(emulatedKinds, k) }
 
-// Fault is a trouble at a time.
+// Fault is a fault with its times and strength.
 type Fault struct {
 	Name string
 	Kind FaultKind
-	// At is when it begins, from the first request on, and For how long it lasts.
+	// At is the start, counted from the first request, and Duration how long the fault lasts.
 	At, Duration clock.Millis
-	// Share is the part of the engines or nodes that it strikes.
+	// Share is the share of the engines or nodes that are affected.
 	Share float64
-	// Magnitude is how strong it is. Where MaxMagnitude is more, each that it strikes draws a number between
-	// the two.
+	// Magnitude is the x of the kind. If MaxMagnitude is greater, a number between the two is
+	// drawn for each affected engine.
 	Magnitude, MaxMagnitude float64
-	// Interval repeats it, each time on others; zero for once. Until bounds that.
+	// Interval repeats the fault, each time on other targets, up to Until; zero means no
+	// repetition.
 	Interval, Until clock.Millis
 }
 
-// parseFault reads "5.0 crash share=0.2 for=3 every=4 until=30".
+// parseFault parses "5.0 crash share=0.2 for=3 every=4 until=30".
 func parseFault(name, text string) (Fault, error) {
 	f := Fault{Name: name, Duration: 5000, Share: 0.15, Magnitude: 1}
-	words := strings.Fields(text)
-	if len(words) < 2 {
+	fields := strings.Fields(text)
+	if len(fields) < 2 {
 		return f, faultError(name, text, "write its time in seconds and its kind first")
 	}
-	at, err := strconv.ParseFloat(words[0], 64)
+	at, err := strconv.ParseFloat(fields[0], 64)
 	if err != nil || at < 0 {
 		return f, faultError(name, text, "write its time in seconds first")
 	}
-	f.At, f.Kind = fromSeconds(at), FaultKind(words[1])
+	f.At, f.Kind = fromSeconds(at), FaultKind(fields[1])
 	if !f.Kind.Emulated() && !slices.Contains(rehearsalKinds, f.Kind) {
 		return f, faultError(name, text, "there is no such kind of trouble")
 	}
-	for _, word := range words[2:] {
-		key, value, _ := strings.Cut(word, "=")
+	for _, field := range fields[2:] {
+		key, value, _ := strings.Cut(field, "=")
 		if low, high, isRange := strings.Cut(value, ".."); isRange && key == "x" {
 			if f.MaxMagnitude, err = strconv.ParseFloat(high, 64); err != nil {
-				return f, faultError(name, text, "write x= and a number, or two with .. between")
+				return f, faultError(name, text, "write x= and a number, or two numbers with .. between")
 			}
 			value = low
 		}
@@ -115,31 +119,31 @@
 	return f, nil
 }
 
-// StartTimes are the times at which it begins: once, or again and again.
+// StartTimes returns the times at which the fault starts.
 func (f Fault) StartTimes() []clock.Millis {
-	begins := []clock.Millis{f.At}
+	starts := []clock.Millis{f.At}
 	if f.Interval <= 0 {
-		return begins
+		return starts
 	}
 	for next := f.At.Add(f.Interval); next <= f.Until; next = next.Add(f.Interval) {
-		begins = append(begins, next)
+		starts = append(starts, next)
 	}
-	return begins
+	return starts
 }
 
-// drawMagnitude is how strong it is for one that it strikes.
-func (f Fault) drawMagnitude(random *rand.Rand) float64 {
+// drawMagnitude returns the magnitude for one affected engine.
+func (f Fault) drawMagnitude(source *rand.Rand) float64 {
 	if f.MaxMagnitude <= f.Magnitude {
 		return f.Magnitude
 	}
-	return f.Magnitude + random.Float64()*(f.MaxMagnitude-f.Magnitude)
+	return f.Magnitude + source.Float64()*(f.MaxMagnitude-f.Magnitude)
 }
 
 func faultError(name, text, remedy string) error {
 	return errors.Wrapf(ErrScenario, "[faults] %s = %q: %s, as in 5.0 crash share=0.2 for=3", name, text, remedy)
 }
 
-// fromSeconds converts what a scenario says.
+// fromSeconds converts seconds, the unit of scenario files.
 func fromSeconds(s float64) clock.Millis {
 	return clock.Millis(s * msPerSecond)
 }
--- a/lab/hunt.go
+++ b/lab/hunt.go
@@ -9,27 +9,27 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// Finding is a run in which a promise was broken.
+// Finding is a run in which a guarantee was violated.
 type Finding struct {
 	Seed       uint64
 	Faults     []Fault
 	Violations map[string]string
 }
 
-// faultDrawSeed draws the troubles of hunted runs, beside the run's seed.
+// faultDrawSeed is combined with the run's seed to draw the faults of FindViolation.
 const faultDrawSeed = 4
 
-// maxDrawnFaults bounds the troubles of a hunted run.
+// maxDrawnFaults bounds the number of faults that are drawn for a run.
 const maxDrawnFaults = 6
 
-// FindViolation plays a scenario with troubles drawn at random, and returns the first run that breaks a
-// promise; ok is false where none of so many does.
-func FindViolation(s *Scenario, v Variant, first uint64, runs int, step func()) (find Finding, ok bool) {
+// FindViolation runs a scenario with randomly drawn faults, and returns the first run that
+// violates a guarantee; ok is false if none of the runs does.
+func FindViolation(s *Scenario, v Variant, firstSeed uint64, runs int, runDone func()) (find Finding, ok bool) {
 	for i := range runs {
-		seed := first + uint64(i)
+		seed := firstSeed + uint64(i)
 		drawn := drawFaults(rand.New(rand.NewPCG(seed, faultDrawSeed)), s.Load.DurationMS)
 		r := Run(s.withFaults(drawn), v, seed)
-		step()
+		runDone()
 		if len(r.Violations) > 0 {
 			return Finding{Seed: seed, Faults: drawn, Violations: r.Violations}, true
 		}
@@ -37,35 +37,36 @@
 	return Finding{}, false
 }
 
-// withFaults is the scenario with other troubles.
+// withFaults returns a copy of the scenario with other faults.
 func (s *Scenario) withFaults(faults []Fault) *Scenario {
 	other := *s
 	other.Faults = faults
 	return &other
 }
 
-// drawFaults draws some troubles. The last third of the time is left to recover.
-func drawFaults(random *rand.Rand, lasts clock.Millis) []Fault {
+// drawFaults draws random faults. They start within about the first two thirds of the run; the
+// rest is left for recovery.
+func drawFaults(source *rand.Rand, duration clock.Millis) []Fault {
 	var list []Fault
-	for i := range 1 + random.IntN(maxDrawnFaults) {
+	for i := range 1 + source.IntN(maxDrawnFaults) {
 		f := Fault{
-			Name: fmt.Sprintf("t%d", i+1), Kind: emulatedKinds[random.IntN(len(emulatedKinds))], At: 2000 + clock.Millis(random.Int64N(int64(lasts)*2/3)),
-			Duration: 500 + clock.Millis(random.IntN(6000)), Share: 0.05 + 0.6*random.Float64(), Magnitude: 1,
+			Name: fmt.Sprintf("t%d", i+1), Kind: emulatedKinds[source.IntN(len(emulatedKinds))], At: 2000 + clock.Millis(source.Int64N(int64(duration)*2/3)),
+			Duration: 500 + clock.Millis(source.IntN(6000)), Share: 0.05 + 0.6*source.Float64(), Magnitude: 1,
 		}
 		switch f.Kind {
 		case EngineSlow:
-			f.Magnitude = 2 + 6*random.Float64()
+			f.Magnitude = 2 + 6*source.Float64()
 		case EngineRefuse:
-			f.Magnitude = 0.1 + 0.8*random.Float64()
+			f.Magnitude = 0.1 + 0.8*source.Float64()
 		case EngineBackOff:
-			f.Magnitude = 0.5 + 4*random.Float64()
+			f.Magnitude = 0.5 + 4*source.Float64()
 		case EngineLimit:
-			f.Magnitude, f.MaxMagnitude = 0.2+5*random.Float64(), 6
+			f.Magnitude, f.MaxMagnitude = 0.2+5*source.Float64(), 6
 			f.Duration += 3000
 		case CrashingRequest:
-			f.Magnitude = 0.005 + 0.02*random.Float64()
+			f.Magnitude = 0.005 + 0.02*source.Float64()
 		case LoadBurst:
-			f.Magnitude = 1.5 + 2*random.Float64()
+			f.Magnitude = 1.5 + 2*source.Float64()
 		case EngineCrash, NodeKill, ListFrozen, NodeFreeze, NodeRollingRestart, StoreSlow, PlainServiceFull:
 		}
 		list = append(list, f)
@@ -74,21 +75,21 @@
 	return list
 }
 
-// Shrink takes troubles away, and makes the others weaker and shorter, as long as one of the
-// same promises is still broken.
-func Shrink(s *Scenario, v Variant, f Finding, step func()) Finding {
-	breaks := func(faults []Fault) bool {
+// Shrink removes faults and makes the others weaker and shorter, as long as the run still
+// violates one of the same guarantees.
+func Shrink(s *Scenario, v Variant, f Finding, runDone func()) Finding {
+	violates := func(faults []Fault) bool {
 		r := Run(s.withFaults(faults), v, f.Seed)
-		step()
-		for promise := range r.Violations {
-			if _, same := f.Violations[promise]; same {
+		runDone()
+		for guarantee := range r.Violations {
+			if _, same := f.Violations[guarantee]; same {
 				return true
 			}
 		}
 		return false
 	}
 	for i := 0; i < len(f.Faults); {
-		if fewer := slices.Delete(slices.Clone(f.Faults), i, i+1); breaks(fewer) {
+		if fewer := slices.Delete(slices.Clone(f.Faults), i, i+1); violates(fewer) {
 			f.Faults = fewer
 			continue
 		}
@@ -101,7 +102,7 @@
 		} {
 			weaker := slices.Clone(f.Faults)
 			weaken(&weaker[i])
-			if breaks(weaker) {
+			if violates(weaker) {
 				f.Faults = weaker
 			}
 		}
@@ -109,7 +110,7 @@
 	return f
 }
 
-// ScenarioLine is the trouble as a scenario file has it.
+// ScenarioLine formats the fault as a line of a scenario file.
 func (f Fault) ScenarioLine() string {
 	line := fmt.Sprintf("%s = %.2f %s share=%.3g for=%.3g x=%.3g", f.Name, float64(f.At)/msPerSecond, f.Kind, f.Share, float64(f.Duration)/msPerSecond, f.Magnitude)
 	if f.MaxMagnitude > f.Magnitude {
--- a/lab/limit.go
+++ b/lab/limit.go
@@ -7,9 +7,10 @@
 	"github.com/hoistjunction/hoistjunction/limit"
 )
 
-// What is promised of a limit: later than limitGrace after an engine has named it first, no
-// limitWindow brings more than limitTolerance times what it allows, and limitAllowance requests, from
-// the nodes that were told minNotifiedFor or earlier.
+// Guarantee for advertised limits. Starting limitGrace after an engine has first advertised a
+// limit, no span of limitWindow brings more than limitTolerance times the requests that the
+// limit allows, plus limitAllowance. Requests count if their node received the limit at least
+// minNotifiedFor earlier.
 const (
 	limitWindow    clock.Millis = 4000
 	limitGrace     clock.Millis = 3000
@@ -18,21 +19,24 @@
 	limitAllowance              = 5
 )
 
-// advertisedLimit is what the judge keeps of a limit that an engine names. The zero value is none.
+// advertisedLimit is an engine's advertised limit with the requests that count towards it. The
+// zero value means no limit.
 type advertisedLimit struct {
-	// rate is in requests a second from all nodes together; zero for no limit.
+	// rate is in requests a second from all nodes together; zero means no limit.
 	rate         float64
 	advertisedAt clock.Millis
-	// notifiedAt is since when the lives of nodes have known it from the engine, and visits are the
-	// requests that have come.
+	// notifiedAt is when each boot of a node first received the limit from the engine, and
+	// arrivals are the recent requests.
 	notifiedAt map[nodeBoot]clock.Millis
 	arrivals   []arrival
-	// countFrom is since when use is counted, and used how many requests came since.
+	// countFrom is when counting for the utilization begins, and counted the requests since
+	// then.
 	countFrom clock.Millis
 	counted   int
 }
 
-// nodeBoot is one life of a node: what is promised excuses one that has started anew.
+// nodeBoot is one boot of a node. After a restart, the node must receive the limit again before
+// its requests count.
 type nodeBoot struct {
 	node *node
 	boot int
@@ -44,75 +48,77 @@
 	from nodeBoot
 }
 
-// setLimit has an engine name a limit; zero for none.
+// setLimit makes an engine advertise a limit; zero removes it.
 func (e *engine) setLimit(rate float64) {
 	w := e.world
 	if e.advertised.rate > 0 && e.held.Len() > 0 && e.held.From == 0 {
 		w.result.addLimitUse(e.advertised, w.now)
 	}
-	visits := e.advertised.arrivals
-	e.advertised = advertisedLimit{rate: rate, advertisedAt: w.now, notifiedAt: make(map[nodeBoot]clock.Millis), arrivals: visits, countFrom: w.now.Add(limitGrace)}
+	arrivals := e.advertised.arrivals
+	e.advertised = advertisedLimit{rate: rate, advertisedAt: w.now, notifiedAt: make(map[nodeBoot]clock.Millis), arrivals: arrivals, countFrom: w.now.Add(limitGrace)}
 }
 
-// recordArrival counts a request that has reached an engine, and judges the window that it ends.
+// recordArrival counts a request that has reached an engine, and checks the limit over the last
+// limitWindow.
 func (e *engine) recordArrival(n *node) {
-	w, d := e.world, &e.advertised
-	d.arrivals = append(d.arrivals, arrival{at: w.now, from: nodeBoot{n, n.boot}})
-	for d.arrivals[0].at <= w.now.Sub(limitWindow) {
-		d.arrivals = d.arrivals[1:]
+	w, l := e.world, &e.advertised
+	l.arrivals = append(l.arrivals, arrival{at: w.now, from: nodeBoot{n, n.boot}})
+	for l.arrivals[0].at <= w.now.Sub(limitWindow) {
+		l.arrivals = l.arrivals[1:]
 	}
-	if d.rate == 0 || w.now < d.countFrom {
+	if l.rate == 0 || w.now < l.countFrom {
 		return
 	}
-	d.counted++
+	l.counted++
 	count := 0
-	for _, v := range d.arrivals {
-		if told, ok := d.notifiedAt[v.from]; ok && told <= w.now.Sub(minNotifiedFor) {
+	for _, a := range l.arrivals {
+		if notifiedAt, ok := l.notifiedAt[a.from]; ok && notifiedAt <= w.now.Sub(minNotifiedFor) {
 			count++
 		}
 	}
-	allows := d.rate * limitWindow.Duration().Seconds()
-	w.result.PeakLimitRatio = max(w.result.PeakLimitRatio, float64(count)/allows)
-	if float64(count) > limitTolerance*allows+limitAllowance {
-		w.result.violate("limit", "more requests than an engine takes from all nodes")
+	allowed := l.rate * limitWindow.Duration().Seconds()
+	w.result.PeakLimitRatio = max(w.result.PeakLimitRatio, float64(count)/allowed)
+	if float64(count) > limitTolerance*allowed+limitAllowance {
+		w.result.violate("limit", "more requests than an engine's advertised limit allows")
 	}
 }
 
-// sendLimit has an engine's answer to a request of a node, sent at an age of its process, say
-// what it takes.
-func (e *engine) sendLimit(n *node, sent clock.Millis) {
+// sendLimit sends a node the engine's advertised limit with a response. sentAt is the node's
+// uptime when it sent the request.
+func (e *engine) sendLimit(n *node, sentAt clock.Millis) {
 	w := e.world
 	if e.advertised.rate > 0 {
-		if _, told := e.advertised.notifiedAt[nodeBoot{n, n.boot}]; !told {
+		if _, notified := e.advertised.notifiedAt[nodeBoot{n, n.boot}]; !notified {
 			e.advertised.notifiedAt[nodeBoot{n, n.boot}] = w.now
 		}
 	}
 	if w.variant.NoAdvertisedLimits {
 		return
 	}
-	started, id, rate := n.boot, e.id, e.advertised.rate
+	boot, id, rate := n.boot, e.id, e.advertised.rate
 	w.after(networkDelay, func() {
 		switch {
-		case !n.running || n.boot != started:
+		case !n.running || n.boot != boot:
 		case rate > 0:
 			n.update(dispatch.AdvertisedLimitMsg{Upstream: id, Rate: rate})
 		default:
-			n.update(dispatch.NoAdvertisedLimitMsg{Upstream: id, SentAt: sent})
+			n.update(dispatch.NoAdvertisedLimitMsg{Upstream: id, SentAt: sentAt})
 		}
 	})
 }
 
-// addLimitUse adds a limit that has ended, or the run with it.
-func (r *Result) addLimitUse(d advertisedLimit, until clock.Millis) {
-	if until <= d.countFrom {
+// addLimitUse adds the use of a limit that ends, or of one that is active at the end of the
+// run.
+func (r *Result) addLimitUse(l advertisedLimit, until clock.Millis) {
+	if until <= l.countFrom {
 		return
 	}
-	r.limitAllowed += d.rate * until.Sub(d.countFrom).Duration().Seconds()
-	r.limitUsed += float64(d.counted)
+	r.limitAllowed += l.rate * until.Sub(l.countFrom).Duration().Seconds()
+	r.limitUsed += float64(l.counted)
 }
 
-// LimitUtilization is the part of what limited engines at which streams begin allowed that reached
-// them, from limitGrace after they named it on; 1 where there were none.
+// LimitUtilization returns how much of their advertised limits was used by engines that hold
+// the first layer, counted from limitGrace after the advertisement; 1 if there were no limits.
 func (r *Result) LimitUtilization() float64 {
 	if r.limitAllowed == 0 {
 		return 1
@@ -120,7 +126,7 @@
 	return r.limitUsed / r.limitAllowed
 }
 
-// requestPermits sends another node a question for permits. Ages are counted on its clock there.
+// requestPermits sends another node a request for permits, with times on that node's clock.
 func (n *node) requestPermits(cmd limit.AskCmd) {
 	n.sendPermitMessage(cmd.To, func(o *node) {
 		ask := cmd.Ask
@@ -129,7 +135,7 @@
 	})
 }
 
-// grantPermits answers another node's question.
+// grantPermits sends another node the answer to its request for permits.
 func (n *node) grantPermits(cmd dispatch.GrantPermitsCmd) {
 	n.sendPermitMessage(cmd.To, func(o *node) {
 		grant := cmd.Grant
@@ -138,19 +144,19 @@
 	})
 }
 
-// limitsOnClockOf is what is known of limits, by the clock of another node.
+// limitsOnClockOf returns limits with their times converted to another node's clock.
 func (n *node) limitsOnClockOf(o *node, limits map[fleet.Incarnation]limit.Named) map[fleet.Incarnation]limit.Named {
 	if n.world.variant.NoAdvertisedLimits {
 		return nil
 	}
-	there := make(map[fleet.Incarnation]limit.Named, len(limits))
+	converted := make(map[fleet.Incarnation]limit.Named, len(limits))
 	for id, named := range limits {
-		there[id] = n.limitOnClockOf(o, named)
+		converted[id] = n.limitOnClockOf(o, named)
 	}
-	return there
+	return converted
 }
 
-// limitOnClockOf is what is known of a limit, by the clock of another node.
+// limitOnClockOf returns a limit with its time converted to another node's clock.
 func (n *node) limitOnClockOf(o *node, named limit.Named) limit.Named {
 	if named.ReceivedAt != clock.Never {
 		named.ReceivedAt = o.uptime().Sub(n.uptime().Sub(named.ReceivedAt))
--- a/lab/list.go
+++ b/lab/list.go
@@ -5,39 +5,39 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// engineList is the list of engines that nodes follow, late.
+// engineList is the list of engines, which nodes read with a delay.
 type engineList struct {
 	world   *world
 	entries map[fleet.Incarnation]fleet.Upstream
 	order   []fleet.Incarnation
-	// frozen tells that it stands still.
+	// frozen stops the delivery of changes to nodes.
 	frozen bool
-	// changes are all that there were, and when.
+	// changes are all changes since the start of the run.
 	changes []timedChange
 }
 
-// timedChange is a change of the list.
+// timedChange is a change of the list with its time.
 type timedChange struct {
 	at     clock.Millis
 	change fleet.Change
 }
 
-// listPollInterval is how often a node looks for changes: they come in batches.
+// listPollInterval is how often a node polls for changes, which makes them arrive in batches.
 const listPollInterval clock.Millis = 250
 
-// publish has an engine write its entry.
+// publish writes the current entry of an engine.
 func (l *engineList) publish(e *engine) {
 	if !e.running {
 		return
 	}
-	if _, known := l.entries[e.id]; !known {
+	if _, exists := l.entries[e.id]; !exists {
 		l.order = append(l.order, e.id)
 	}
 	l.entries[e.id] = e.listEntry()
 	l.addChange(fleet.Change{ID: e.id, Upstream: e.listEntry()})
 }
 
-// scheduleRemoval has the entry of an engine that has ended go after a time.
+// scheduleRemoval removes the entry of a crashed engine after RemovalDelayMS.
 func (l *engineList) scheduleRemoval(e *engine) {
 	l.world.after(l.world.scenario.RemovalDelayMS, func() {
 		delete(l.entries, e.id)
@@ -49,8 +49,8 @@
 	l.changes = append(l.changes, timedChange{at: l.world.now, change: c})
 }
 
-// visibleSince returns the changes after a number of them that a node with some lag sees now, and how
-// many there were then.
+// visibleSince returns the changes after the first seen ones that are visible with a delay of
+// lag, and the total number of changes seen by then.
 func (l *engineList) visibleSince(seen int, lag clock.Millis) ([]fleet.Change, int) {
 	var changes []fleet.Change
 	for !l.frozen && seen < len(l.changes) && l.changes[seen].at.Add(lag) <= l.world.now {
@@ -60,11 +60,11 @@
 	return changes, seen
 }
 
-// snapshot is the whole list, for a node that starts.
+// snapshot returns all current entries, for a node that starts.
 func (l *engineList) snapshot() []fleet.Change {
 	var changes []fleet.Change
 	for _, id := range l.order {
-		if u, there := l.entries[id]; there {
+		if u, exists := l.entries[id]; exists {
 			changes = append(changes, fleet.Change{ID: id, Upstream: u})
 		}
 	}
--- a/lab/names.go
+++ b/lab/names.go
@@ -8,7 +8,7 @@
 	"github.com/hoistjunction/hoistjunction/dispatch"
 )
 
-// sortedKeys returns the keys of a map, sorted, so that the same follows from the same.
+// sortedKeys returns the keys of a map in sorted order, which keeps runs deterministic.
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
 func sortedRequestIDs(m map[dispatch.RequestID]*session) []dispatch.RequestID {
--- a/lab/node.go
+++ b/lab/node.go
@@ -13,30 +13,33 @@
 )
 
 const (
-	// tickInterval and planInterval are how often the models are told the time.
+	// tickInterval and planInterval are how often the dispatcher and the planner receive a
+	// tick.
 	tickInterval clock.Millis = 100
 	planInterval clock.Millis = 250
-	// planStagger sets the nodes' orders apart.
+	// planStagger is the delay between the planners of two nodes, so that their orders don't
+	// collide.
 	planStagger clock.Millis = 300
-	// engineRoundTrip is how long a question to an engine takes that answers.
+	// engineRoundTrip is how long an engine takes to answer a probe or an order.
 	engineRoundTrip clock.Millis = 4
-	// maxPlanners is how many nodes plan: the first of those that are up. The others would find
-	// the same plan, later, and leave its orders to these.
+	// maxPlanners is how many running nodes plan, starting with the first. The others would
+	// find the same plan later, and would find its orders already given.
 	maxPlanners = 8
-	// fullMeshBelow is up to how many nodes all tell each other what they have in use.
+	// fullMeshBelow is the number of nodes below which all exchange their usage with each
+	// other.
 	fullMeshBelow = 24
-	// topologyInterval is how often a node of a large data centre looks who the hubs are.
+	// topologyInterval is how often a node updates which nodes of its data centre are hubs.
 	topologyInterval clock.Millis = 150
 )
 
-// node is a relay node: the real models, and what their shells would do.
+// node is a relay node: the real models, and a simulation of the I/O code around them.
 type node struct {
 	world      *world
 	name       string
 	dataCentre string
 	rank       int
 	running    bool
-	// boot counts its starts: what was on its way to an earlier one is lost.
+	// boot counts the starts of the node. Messages on their way to an earlier boot are lost.
 	boot      int
 	startedAt clock.Millis
 
@@ -45,12 +48,12 @@
 	view          *fleet.View
 	sessions      map[dispatch.RequestID]*session
 	lastRequestID dispatch.RequestID
-	// seenChanges is how many changes of the list it has seen.
+	// seenChanges is how many changes of the engine list the node has read.
 	seenChanges int
-	// roster knows the nodes of its data centre, and circle its place among them.
+	// roster tracks the nodes of the data centre, and topology is the current choice of hubs.
 	roster   *reading.Roster
 	topology reading.Topology
-	// received and sent count the datagrams that nodes tell each other.
+	// received and sent count the datagrams exchanged with other nodes.
 	received, sent int
 }
 
@@ -59,7 +62,7 @@
 	w := n.world
 	n.running, n.startedAt = true, w.now
 	n.boot++
-	life := n.boot
+	boot := n.boot
 	s := w.scenario
 	n.dispatcher = dispatch.New(dispatch.WithDataCentre(n.dataCentre), dispatch.WithSeed(uint64(n.rank)+1), dispatch.WithStoredQuarantine(),
 		dispatch.WithLimits(limit.New(limit.WithSelf(n.name), limit.WithBootID(uint64(n.boot)))),
@@ -76,32 +79,32 @@
 	n.roster.SetGroup(w.dataCentrePeers(n))
 	n.updateTopology(true)
 	w.repeat(topologyInterval, func() bool {
-		if n.running && n.boot == life {
+		if n.running && n.boot == boot {
 			n.updateTopology(false)
 		}
-		return n.running && n.boot == life
+		return n.running && n.boot == boot
 	})
 	w.repeat(tickInterval, func() bool {
-		if n.running && n.boot == life {
+		if n.running && n.boot == boot {
 			n.update(dispatch.TickMsg{})
 		}
-		return n.running && n.boot == life
+		return n.running && n.boot == boot
 	})
 	w.repeat(listPollInterval, func() bool {
-		if n.running && n.boot == life {
+		if n.running && n.boot == boot {
 			n.pollList()
 		}
-		return n.running && n.boot == life
+		return n.running && n.boot == boot
 	})
 	w.repeat(planInterval, func() bool {
-		if n.running && n.boot == life && (!w.variant.NoReplacement || w.now < 0) && w.isPlanner(n) {
+		if n.running && n.boot == boot && (!w.variant.NoReplacement || w.now < 0) && w.isPlanner(n) {
 			n.updatePlanner(placement.TickMsg{})
 		}
-		return n.running && n.boot == life
+		return n.running && n.boot == boot
 	})
 }
 
-// kill ends the node's process. Its callers' connections break.
+// kill ends the node's process and breaks the connections of its callers.
 func (n *node) kill() {
 	n.running = false
 	for _, id := range sortedRequestIDs(n.sessions) {
@@ -112,10 +115,10 @@
 	n.sessions = make(map[dispatch.RequestID]*session)
 }
 
-// uptime is the time since its start, which its models count in.
+// uptime returns the time since the node's start, which is the clock of its models.
 func (n *node) uptime() clock.Millis { return n.world.now.Sub(n.startedAt) }
 
-// update hands the model a message and does what follows.
+// update passes a message to the dispatcher and executes the resulting commands.
 func (n *node) update(msg dispatch.Msg) {
 	if !n.running {
 		return
@@ -125,14 +128,14 @@
 	}
 }
 
-// updatePlanner hands the planner a message and gives its orders.
+// updatePlanner passes a message to the planner and sends the resulting orders.
 func (n *node) updatePlanner(msg placement.Msg) {
 	for _, cmd := range n.planner.Update(n.uptime(), msg) {
 		n.sendOrder(cmd)
 	}
 }
 
-// pollList takes in what the list shows by now, with a lag that differs from time to time.
+// pollList reads new changes of the engine list, with a delay that varies from poll to poll.
 func (n *node) pollList() {
 	lag := n.world.eventRand.Int64N(int64(max(n.world.scenario.ListLagMS-listPollInterval, 1)))
 	var changes []fleet.Change
@@ -142,7 +145,7 @@
 	}
 }
 
-// applyChanges takes in changes of the list.
+// applyChanges applies changes of the engine list to the node's view.
 func (n *node) applyChanges(changes []fleet.Change) {
 	if changes = n.view.Apply(n.uptime(), changes, false); len(changes) > 0 {
 		n.forwardChanges(changes)
@@ -154,14 +157,14 @@
 	n.updatePlanner(placement.FleetMsg{Changes: changes})
 }
 
-// noteReplaced takes in that another engine has answered at the address of one.
+// noteReplaced records that another engine has answered at an engine's address.
 func (n *node) noteReplaced(id fleet.Incarnation, address string) {
-	if ended := n.view.NoteReplacement(id, address); len(ended) > 0 {
-		n.forwardChanges(ended)
+	if changes := n.view.NoteReplacement(id, address); len(changes) > 0 {
+		n.forwardChanges(changes)
 	}
 }
 
-// execute does what the model says.
+// execute executes a command of the dispatcher.
 func (n *node) execute(cmd dispatch.Cmd) {
 	switch cmd := cmd.(type) {
 	case dispatch.ShareUsageCmd:
@@ -193,7 +196,7 @@
 	}
 }
 
-// requestOf is whom a command concerns.
+// requestOf returns the request that a command belongs to; 0 if there is none.
 func requestOf(cmd dispatch.Cmd) dispatch.RequestID {
 	switch cmd := cmd.(type) {
 	case dispatch.SendCmd:
@@ -212,4 +215,4 @@
 	return 0
 }
 
-func nodeName(centre string, i int) string { return fmt.Sprintf("%s-%d", centre, i+1) }
+func nodeName(dataCentre string, i int) string { return fmt.Sprintf("%s-%d", dataCentre, i+1) }
--- a/lab/node_share.go
+++ b/lab/node_share.go
@@ -10,7 +10,7 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// dataCentrePeers are the other nodes of a node's data centre.
+// dataCentrePeers returns the other nodes of a node's data centre.
 func (w *world) dataCentrePeers(n *node) []*wire.Member {
 	var group []*wire.Member
 	for _, o := range w.nodes {
@@ -21,58 +21,60 @@
 	return group
 }
 
-// updateTopology takes in who the hubs are, if that has changed, and at first.
-func (n *node) updateTopology(first bool) {
+// updateTopology passes the choice of hubs to the models if it has changed, or always if force
+// is set.
+func (n *node) updateTopology(force bool) {
 	w := n.world
-	circle := n.roster.Topology(w.now)
-	same := circle.FullMesh == n.topology.FullMesh && circle.HubIndex == n.topology.HubIndex && slices.Equal(circle.Hubs, n.topology.Hubs)
-	if same && !first {
+	topology := n.roster.Topology(w.now)
+	same := topology.FullMesh == n.topology.FullMesh && topology.HubIndex == n.topology.HubIndex && slices.Equal(topology.Hubs, n.topology.Hubs)
+	if same && !force {
 		return
 	}
-	n.topology = circle
+	n.topology = topology
 	msg := dispatch.PeersMsg{TotalNodes: len(w.nodes), UsagePeers: w.usagePeers(n), Members: w.limitMembers()}
 	rank := placement.RankMsg{Delay: planStagger * clock.Millis(n.rank)}
-	if !circle.FullMesh {
-		msg.Aggregated = !circle.IsHub
-		if circle.IsHub {
-			msg.LocalNodes = circle.PeerCount + 1
+	if !topology.FullMesh {
+		msg.Aggregated = !topology.IsHub
+		if topology.IsHub {
+			msg.LocalNodes = topology.PeerCount + 1
 		}
-		rank = placement.RankMsg{Delay: planStagger * clock.Millis(circle.HubIndex), Standby: !circle.IsHub, ExcludedDataCentres: w.otherDataCentres(n)}
+		rank = placement.RankMsg{Delay: planStagger * clock.Millis(topology.HubIndex), Standby: !topology.IsHub, ExcludedDataCentres: w.otherDataCentres(n)}
 	}
 	n.update(msg)
 	n.updatePlanner(rank)
 }
 
-// otherDataCentres are the data centres in which other nodes stand.
+// otherDataCentres returns the other data centres that have nodes.
 func (w *world) otherDataCentres(n *node) []string {
-	var centres []string
+	var dataCentres []string
 	for _, o := range w.nodes {
-		if o.dataCentre != n.dataCentre && !slices.Contains(centres, o.dataCentre) {
-			centres = append(centres, o.dataCentre)
+		if o.dataCentre != n.dataCentre && !slices.Contains(dataCentres, o.dataCentre) {
+			dataCentres = append(dataCentres, o.dataCentre)
 		}
 	}
-	return centres
+	return dataCentres
 }
 
-// shareUsage tells others what the node has in use. In larger systems each tells its own data
-// centre, or the hubs there, and one of them others what it has in all.
+// shareUsage sends the node's usage to others. In larger systems a node sends it only to its
+// own data centre, or to the hubs of that, and one node sends the data centre's total to the
+// others.
 func (n *node) shareUsage(cmd dispatch.ShareUsageCmd) {
 	w := n.world
 	if w.variant.NoUsageSharing {
 		return
 	}
-	used := func(o *node) {
+	sendUsage := func(o *node) {
 		o.roster.Heard(w.now, n.name, true)
 		o.update(dispatch.UsageMsg{Node: n.name, DataCentre: n.dataCentre, Used: cmd.Used, Limits: n.limitsOnClockOf(o, cmd.Limits)})
 	}
 	if n.topology.FullMesh {
 		for _, o := range w.nodes {
 			if o != n && (len(w.nodes) < fullMeshBelow || o.dataCentre == n.dataCentre) {
-				n.send(o, used)
+				n.send(o, sendUsage)
 			}
 		}
 	} else {
-		n.sendEach(n.topology.Hubs, used)
+		n.sendEach(n.topology.Hubs, sendUsage)
 	}
 	if n.topology.FullMesh && len(w.nodes) >= fullMeshBelow && w.usageSender(n.dataCentre) == n || n.topology.IsFirstHub() {
 		n.shareDataCentreTotal(cmd)
@@ -82,15 +84,15 @@
 	}
 }
 
-// shareDataCentreTotal tells other data centres what the nodes of this one's have in use.
+// shareDataCentreTotal sends the total usage of this data centre to nodes of the others.
 func (n *node) shareDataCentreTotal(cmd dispatch.ShareUsageCmd) {
 	w := n.world
-	told := make(map[string]int)
+	sent := make(map[string]int)
 	for _, o := range w.nodes {
-		if o.dataCentre == n.dataCentre || told[o.dataCentre] == reading.BroadcastFanout(w.scenario.Nodes.PerDataCentre) {
+		if o.dataCentre == n.dataCentre || sent[o.dataCentre] == reading.BroadcastFanout(w.scenario.Nodes.PerDataCentre) {
 			continue
 		}
-		told[o.dataCentre]++
+		sent[o.dataCentre]++
 		n.send(o, func(o *node) {
 			o.update(dispatch.UsageMsg{
 				Node: "all of " + n.dataCentre, Used: cmd.WholeDataCentre, WholeDataCentre: true, DataCentre: n.dataCentre,
@@ -100,7 +102,8 @@
 	}
 }
 
-// shareSystemTotal tells a leaf that a hub is there and, if it is the first, what all have in use.
+// shareSystemTotal sends a hub's heartbeat to a leaf. The first hub adds the usage of all
+// nodes.
 func (n *node) shareSystemTotal(o *node, cmd dispatch.ShareUsageCmd) {
 	o.roster.Heard(n.world.now, n.name, true)
 	if n.topology.IsFirstHub() {
@@ -111,9 +114,9 @@
 	}
 }
 
-// sendEach tells nodes something by a datagram each.
-func (n *node) sendEach(members []*wire.Member, tell func(o *node)) {
+// sendEach sends a datagram to each of the members.
+func (n *node) sendEach(members []*wire.Member, deliver func(o *node)) {
 	for _, m := range members {
-		n.send(n.world.nodeByName[m.GetName()], tell)
+		n.send(n.world.nodeByName[m.GetName()], deliver)
 	}
 }
--- a/lab/node_tell.go
+++ b/lab/node_tell.go
@@ -10,34 +10,35 @@
 	"github.com/hoistjunction/hoistjunction/quarantine"
 )
 
-// broadcast tells each other node something by a datagram, which may be lost.
-func (n *node) broadcast(tell func(o *node)) {
+// broadcast sends a datagram to each other node. Datagrams may be lost.
+func (n *node) broadcast(deliver func(o *node)) {
 	w := n.world
 	for _, o := range w.nodes {
 		if o != n {
-			n.send(o, tell)
+			n.send(o, deliver)
 		}
 	}
 }
 
-// send tells another node something by a datagram, which may be lost.
-func (n *node) send(o *node, tell func(o *node)) {
+// send sends a datagram, which may be lost, and calls deliver on arrival.
+func (n *node) send(o *node, deliver func(o *node)) {
 	w := n.world
 	n.sent++
 	if w.eventRand.Float64() < w.scenario.Nodes.DatagramLoss {
 		return
 	}
-	life := o.boot
+	boot := o.boot
 	w.after(1+clock.Millis(w.eventRand.IntN(3)), func() {
-		if o.running && o.boot == life {
+		if o.running && o.boot == boot {
 			o.received++
-			tell(o)
+			deliver(o)
 		}
 	})
 }
 
-// sendPermitMessage tells another node something by a datagram, which may be lost.
-func (n *node) sendPermitMessage(name string, tell func(o *node)) {
+// sendPermitMessage sends a datagram about permits, which may be lost, and calls deliver on
+// arrival.
+func (n *node) sendPermitMessage(name string, deliver func(o *node)) {
 	w := n.world
 	w.result.PermitDatagrams++
 	i := slices.IndexFunc(w.nodes, func(o *node) bool { return o.name == name })
@@ -45,15 +46,16 @@
 		return
 	}
 	o := w.nodes[i]
-	life := o.boot
+	boot := o.boot
 	w.after(1+clock.Millis(w.eventRand.IntN(2)), func() {
-		if o.running && o.boot == life {
-			tell(o)
+		if o.running && o.boot == boot {
+			deliver(o)
 		}
 	})
 }
 
-// probe asks who is at an address how it is. Reports bear no name.
+// probe requests the status of the engine at an address. The status does not include the
+// engine's ID.
 func (n *node) probe(cmd dispatch.ProbeCmd) {
 	w := n.world
 	w.result.Probes++
@@ -66,7 +68,7 @@
 	})
 }
 
-// identify asks who is at an address for its name.
+// identify requests the ID of the engine at an address.
 func (n *node) identify(cmd dispatch.IdentifyCmd) {
 	w := n.world
 	w.after(engineRoundTrip, func() {
@@ -81,10 +83,11 @@
 	})
 }
 
-// maxQuarantineSyncMS bounds the time until peers have asked for a verdict that they lack.
+// maxQuarantineSyncMS bounds the time, in ms, until peers have fetched a missing quarantine
+// entry.
 const maxQuarantineSyncMS = 700
 
-// shareQuarantineNews tells others what is known of requests that end engines.
+// shareQuarantineNews sends others the news about requests that crash engines.
 func (n *node) shareQuarantineNews(news quarantine.News) {
 	w := n.world
 	if w.variant.NoQuarantineSharing {
@@ -110,12 +113,12 @@
 	}
 }
 
-// sendOrder gives an order to an engine, as the placer does.
+// sendOrder sends a placement order to an engine, as the placer does.
 func (n *node) sendOrder(cmd placement.OrderCmd) {
 	w := n.world
-	life := n.boot
+	boot := n.boot
 	w.after(engineRoundTrip, func() {
-		if !n.running || n.boot != life {
+		if !n.running || n.boot != boot {
 			return
 		}
 		msg := placement.OrderResultMsg{Upstream: cmd.Upstream, Result: placement.Unanswered}
@@ -135,12 +138,12 @@
 	})
 }
 
-// announceOrder tells all nodes of an order that was taken or carried out.
-func (n *node) announceOrder(cmd placement.OrderCmd, holds bool) {
-	take := func(o *node) {
-		o.update(dispatch.PlacedMsg{Upstream: cmd.Upstream, Layers: cmd.Layers, Completed: holds})
-		o.updatePlanner(placement.PlacedMsg{Upstream: cmd.Upstream, Layers: cmd.Layers, Completed: holds})
+// announceOrder reports to all nodes that an order was accepted or completed.
+func (n *node) announceOrder(cmd placement.OrderCmd, completed bool) {
+	deliver := func(o *node) {
+		o.update(dispatch.PlacedMsg{Upstream: cmd.Upstream, Layers: cmd.Layers, Completed: completed})
+		o.updatePlanner(placement.PlacedMsg{Upstream: cmd.Upstream, Layers: cmd.Layers, Completed: completed})
 	}
-	take(n)
-	n.broadcast(take)
+	deliver(n)
+	n.broadcast(deliver)
 }
--- a/lab/queue.go
+++ b/lab/queue.go
@@ -6,28 +6,28 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// event is something that happens at a time.
+// event is a scheduled action.
 type event struct {
 	at clock.Millis
-	// sequence keeps events of the same time in the order in which they were planned.
+	// sequence orders events of the same time by when they were scheduled.
 	sequence uint64
 	action   func()
 }
 
-// queue holds what is to happen, the earliest first.
+// queue is the event queue of the simulation, ordered by time.
 type queue struct {
 	now      clock.Millis
 	events   eventHeap
 	sequence uint64
 }
 
-// after plans something for a time from now.
-func (q *queue) after(d clock.Millis, do func()) {
+// after schedules an action after a delay.
+func (q *queue) after(delay clock.Millis, action func()) {
 	q.sequence++
-	heap.Push(&q.events, &event{at: q.now.Add(max(d, 0)), sequence: q.sequence, action: do})
+	heap.Push(&q.events, &event{at: q.now.Add(max(delay, 0)), sequence: q.sequence, action: action})
 }
 
-// runUntil has everything happen up to a time.
+// runUntil runs all events up to a time.
 func (q *queue) runUntil(until clock.Millis) {
 	for len(q.events) > 0 && q.events[0].at <= until {
 		e := heap.Pop(&q.events).(*event)
--- a/lab/result.go
+++ b/lab/result.go
@@ -5,49 +5,53 @@
 	"slices"
 )
 
-// Outcome is what became of a request.
+// Outcome is how a request ended.
 type Outcome int
 
-// The outcomes.
+// The outcomes, from best to worst.
 const (
-	// InTime: served whole within its aims, counted from its first try.
+	// InTime means that the complete answer met the latency targets, counted from the first
+	// try.
 	InTime Outcome = iota
-	// Late: served whole.
+	// Late means that the complete answer missed a latency target.
 	Late
-	// Refused: not served, and not run.
+	// Refused means that the request was not served and not executed.
 	Refused
-	// Failed: not served; it may have run.
+	// Failed means that the request was not served and may have been executed.
 	Failed
 	outcomeCount
 )
 
 var outcomeNames = [outcomeCount]string{"in time", "late", "refused", "failed"}
 
-// String names the outcome.
+// String returns the name of the outcome.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Result is what came of a run. Requests that end engines are counted apart.
+// Result holds the measurements of a run. Requests that crash engines are not part of the
+// outcomes.
 type Result struct {
 	Scenario *Scenario
 	Variant  Variant
 	Seed     uint64
-	// BySecond count outcomes by the second of the first try.
+	// BySecond counts outcomes by the second of the first try.
 	BySecond [][outcomeCount]int
 	Total    [outcomeCount]int
-	// Causes counts why requests were not served.
+	// Causes counts the causes for which requests were not served.
 	Causes map[string]int
-	// ClientAttempts counts requests at nodes, Sends attempts at engines, Repeats those that reached
-	// one again, RefusedRetries returns that were refused, ArrivalsInBackOff arrivals in a rest.
+	// ClientAttempts counts requests at nodes, EngineAttempts attempts sent to engines,
+	// RepeatedArrivals arrivals at an engine after the first, RefusedRetries refused client
+	// retries, and ArrivalsInBackOff arrivals at an engine during its back-off.
 	ClientAttempts, EngineAttempts, RepeatedArrivals, RefusedRetries, ArrivalsInBackOff, Migrations, PlacementOrders, Probes, EngineCrashes, RequestCrashes int
-	// PermitDatagrams counts what nodes tell each other of permits, and PeakLimitRatio is the
-	// most that an engine got in a window over what its limit allows in it.
+	// PermitDatagrams counts the datagrams about permits between nodes. PeakLimitRatio is the
+	// maximum ratio of requests in a window to those that the engine's limit allows in it.
 	PermitDatagrams int
 	PeakLimitRatio  float64
-	// Received and Sent are what nodes tell each other while there is load.
+	// Received and Sent are the rates of datagrams between nodes while there is load.
 	Received, Sent Traffic
-	// limitAllowed and limitUsed are requests, over all limits.
+	// limitAllowed and limitUsed count allowed and received requests over all limits.
 	limitAllowed, limitUsed float64
-	// Violations are the promises that were broken, each with what it was first.
+	// Violations are the violated guarantees by name, each with a description of its first
+	// violation.
 	Violations map[string]string
 }
 
@@ -58,24 +62,24 @@
 	}
 }
 
-func (r *Result) add(c *caller, o Outcome, why string) {
+func (r *Result) add(c *caller, o Outcome, cause string) {
 	if c.crashesEngines {
 		return
 	}
 	r.Total[o]++
 	r.BySecond[min(int(c.firstSentAt/1000), len(r.BySecond)-1)][o]++
-	if why != "" {
-		r.Causes[why]++
+	if cause != "" {
+		r.Causes[cause]++
 	}
 }
 
-func (r *Result) violate(promise, what string) {
-	if _, known := r.Violations[promise]; !known {
-		r.Violations[promise] = what
+func (r *Result) violate(guarantee, description string) {
+	if _, known := r.Violations[guarantee]; !known {
+		r.Violations[guarantee] = description
 	}
 }
 
-// RequestCount is how many requests ended.
+// RequestCount returns the number of requests that have ended.
 func (r *Result) RequestCount() int { return sum(r.Total) }
 
 func sum(counts [outcomeCount]int) int {
@@ -86,7 +90,8 @@
 	return n
 }
 
-// lateCredit is what a late answer is worth of one in time, as on the users' smaller sites.
+// lateCredit is the credit for a late answer, compared to 1 for one in time. The users' smaller
+// sites weigh late answers in the same way.
 const lateCredit = 0.5
 
 func credit(counts [outcomeCount]int) float64 {
@@ -97,18 +102,18 @@
 	return (float64(counts[InTime]) + lateCredit*float64(counts[Late])) / float64(n)
 }
 
-// ServedShare is the part of the requests that were served, also late.
+// ServedShare returns the share of requests that were served, in time or late.
 func (r *Result) ServedShare() float64 {
 	return float64(r.Total[InTime]+r.Total[Late]) / float64(max(r.RequestCount(), 1))
 }
 
-// Credit is the part of the worth that was earned: half of it for a late answer.
+// Credit returns the mean credit of a request: 1 in time, half of that late, 0 if not served.
 func (r *Result) Credit() float64 { return credit(r.Total) }
 
-// worstWindowSeconds is the length of a worst window, in seconds.
+// worstWindowSeconds is the length of the window in WorstWindow.
 const worstWindowSeconds = 5
 
-// WorstWindow is the credit of the worst window of five seconds.
+// WorstWindow returns the lowest credit of any window of five seconds.
 func (r *Result) WorstWindow() float64 {
 	worst := 1.0
 	for from := 0; from+worstWindowSeconds <= len(r.BySecond); from++ {
@@ -123,7 +128,7 @@
 	return worst
 }
 
-// Figures are what experiments compare, by name.
+// Figures returns the figures that experiments compare, by name.
 func (r *Result) Figures() map[string]float64 {
 	n := float64(max(r.RequestCount(), 1))
 	return map[string]float64{
@@ -134,16 +139,16 @@
 	}
 }
 
-// FigureNames are the names of the figures in the order in which they are shown.
+// FigureNames are the names of the figures in display order.
 var FigureNames = []string{"credit", "worst 5 s", "served", "refused", "failed", "refused again", "repeats", "in a rest", "most of a limit", "used of limits"}
 
-// TopCauses returns the most frequent causes, at most a number of them.
-func (r *Result) TopCauses(most int) []string {
+// TopCauses returns the most frequent causes, at most limit of them.
+func (r *Result) TopCauses(limit int) []string {
 	causes := slices.SortedFunc(maps.Keys(r.Causes), func(a, b string) int {
 		if r.Causes[a] != r.Causes[b] {
 			return r.Causes[b] - r.Causes[a]
 		}
 		return slices.Compare([]byte(a), []byte(b))
 	})
-	return causes[:min(most, len(causes))]
+	return causes[:min(limit, len(causes))]
 }
--- a/lab/run_test.go
+++ b/lab/run_test.go
@@ -25,82 +25,85 @@
 	return v
 }
 
-func TestSameSeedGivesTheSame(t *testing.T) {
+func TestSameSeedGivesSameResult(t *testing.T) {
 	s := load(t, "small")
 	first, again, other := Run(s, Variant{}, 3), Run(s, Variant{}, 3), Run(s, Variant{}, 4)
 	if !reflect.DeepEqual(first.Figures(), again.Figures()) || !reflect.DeepEqual(first.BySecond, again.BySecond) {
 		t.Errorf("got %v and %v with the same seed, want the same", first.Figures(), again.Figures())
 	}
 	if reflect.DeepEqual(first.BySecond, other.BySecond) {
-		t.Error("got the same with another seed")
+		t.Error("got the same result with another seed, want a different one")
 	}
 }
 
-// Half of the engines turn all requests away for three seconds of every four and ask for that
-// rest. Nobody is sent there meanwhile, and that serves callers better than to go on trying.
-func TestRestIsKept(t *testing.T) {
+// Guards against requests sent to engines during a back-off: half of the engines refuse all
+// requests for three seconds of every four and request a back-off for that time. Honouring it
+// must also serve callers better than to keep trying.
+func TestBackOffIsHonoured(t *testing.T) {
 	s := load(t, "rest")
-	kept, unread := Run(s, Variant{}, 1), Run(s, without(t, "rest"), 1)
-	if kept.ArrivalsInBackOff != 0 || len(kept.Violations) != 0 {
-		t.Errorf("got %d requests in a rest, %v broken, want none", kept.ArrivalsInBackOff, kept.Violations)
+	honoured, ignored := Run(s, Variant{}, 1), Run(s, without(t, "rest"), 1)
+	if honoured.ArrivalsInBackOff != 0 || len(honoured.Violations) != 0 {
+		t.Errorf("got %d requests during a back-off, violations %v, want none", honoured.ArrivalsInBackOff, honoured.Violations)
 	}
-	if _, broken := unread.Violations["rest"]; !broken {
-		t.Errorf("got %v broken by nodes that do not read it, want the rest", unread.Violations)
+	if _, violated := ignored.Violations["rest"]; !violated {
+		t.Errorf("got violations %v by nodes that ignore back-offs, want a violation of rest", ignored.Violations)
 	}
-	if kept.Credit() <= unread.Credit() {
-		t.Errorf("got credit %.3f, want more than the %.3f of nodes that do not read it", kept.Credit(), unread.Credit())
+	if honoured.Credit() <= ignored.Credit() {
+		t.Errorf("got credit %.3f, want more than the %.3f of nodes that ignore back-offs", honoured.Credit(), ignored.Credit())
 	}
-	if kept.ServedShare() < 0.95 {
-		t.Errorf("got %.3f served, want 0.95: the other half has room for all", kept.ServedShare())
+	if honoured.ServedShare() < 0.95 {
+		t.Errorf("got %.3f served, want at least 0.95: the other half has capacity for all", honoured.ServedShare())
 	}
 }
 
-// One request ends each engine that begins to run it, and others come back at their addresses.
-func TestDeadlyRequestIsGivenUp(t *testing.T) {
+// Guards against a request that crashes engine after engine although nodes share its crashes.
+// New engines start at the addresses of the crashed ones.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	s := load(t, "deadly")
 	for seed := range uint64(3) {
 		r := Run(s, Variant{}, seed)
 		if r.RequestCrashes > maxCrashes+1 || len(r.Violations) != 0 {
-			t.Errorf("seed %d: got %d ends, %v broken, want %d at the most and none", seed, r.RequestCrashes, r.Violations, maxCrashes+1)
+			t.Errorf("seed %d: got %d crashes and violations %v, want at most %d and none", seed, r.RequestCrashes, r.Violations, maxCrashes+1)
 		}
 	}
-	alone := Run(s, without(t, "verdicts"), 0)
-	if alone.RequestCrashes <= maxCrashes+1 {
-		t.Errorf("got %d ends by nodes that tell each other nothing, want more than %d", alone.RequestCrashes, maxCrashes+1)
+	unshared := Run(s, without(t, "verdicts"), 0)
+	if unshared.RequestCrashes <= maxCrashes+1 {
+		t.Errorf("got %d crashes with nodes that do not share crashes, want more than %d", unshared.RequestCrashes, maxCrashes+1)
 	}
 }
 
-// A hunt finds what nodes break that do not read a rest, and shrinks it to that.
-func TestHuntShrinks(t *testing.T) {
-	s, v, step := load(t, "small"), without(t, "rest"), func() {}
-	find, found := FindViolation(s, v, 10, 1, step)
+// Guards against a search that misses the violations of nodes that ignore back-offs, and against
+// shrinking that keeps unrelated faults.
+func TestFindViolationAndShrink(t *testing.T) {
+	s, v, runDone := load(t, "small"), without(t, "rest"), func() {}
+	finding, found := FindViolation(s, v, 10, 1, runDone)
 	if !found {
-		t.Fatal("got no promise broken, want one")
+		t.Fatal("got no violation, want one")
 	}
-	small := Shrink(s, v, find, step)
-	if len(small.Faults) != 1 || small.Faults[0].Kind != EngineBackOff {
-		t.Errorf("got %v, want one trouble, a rest", small.Faults)
+	shrunk := Shrink(s, v, finding, runDone)
+	if len(shrunk.Faults) != 1 || shrunk.Faults[0].Kind != EngineBackOff {
+		t.Errorf("got %v, want one fault, a back-off", shrunk.Faults)
 	}
-	parsed, err := parseFault(small.Faults[0].Name, strings.SplitN(small.Faults[0].ScenarioLine(), "= ", 2)[1])
+	parsed, err := parseFault(shrunk.Faults[0].Name, strings.SplitN(shrunk.Faults[0].ScenarioLine(), "= ", 2)[1])
 	if err != nil || parsed.Kind != EngineBackOff {
-		t.Errorf("got %v, %v of the line %q, want the trouble", parsed, err, small.Faults[0].ScenarioLine())
+		t.Errorf("got %v, %v from line %q, want the fault", parsed, err, shrunk.Faults[0].ScenarioLine())
 	}
 }
 
-func TestExperimentIsPaired(t *testing.T) {
-	steps := 0
-	e := Experiment{Scenario: load(t, "rest"), Variants: []Variant{{Name: "as it is"}, without(t, "rest")}, Seeds: 3, FirstSeed: 1, Parallelism: 1, RunDone: func() { steps++ }}
+func TestExperimentComparesSeedBySeed(t *testing.T) {
+	runs := 0
+	e := Experiment{Scenario: load(t, "rest"), Variants: []Variant{{Name: "as it is"}, without(t, "rest")}, Seeds: 3, FirstSeed: 1, Parallelism: 1, RunDone: func() { runs++ }}
 	results, err := e.Run()
-	if err != nil || steps != 6 {
-		t.Fatalf("got %d runs, %v, want 6", steps, err)
+	if err != nil || runs != 6 {
+		t.Fatalf("got %d runs, %v, want 6", runs, err)
 	}
 	for _, d := range Differences(results) {
 		same := d.Variant == "as it is"
 		if same && (d.MeanDifference != 0 || d.Low != 0 || d.High != 0) {
-			t.Errorf("got %+v, want no difference to itself", d)
+			t.Errorf("got %+v, want no difference from itself", d)
 		}
 		if !same && d.Figure == "credit" && d.High >= 0 {
-			t.Errorf("got %+v, want less credit on all seeds", d)
+			t.Errorf("got %+v, want lower credit with the whole interval below zero", d)
 		}
 		if d.Low > d.MeanDifference || d.High < d.MeanDifference {
 			t.Errorf("got %+v, want the mean in its interval", d)
@@ -108,7 +111,7 @@
 	}
 }
 
-func TestReportIsAPage(t *testing.T) {
+func TestReportIsEscapedHTML(t *testing.T) {
 	var page bytes.Buffer
 	r := Run(load(t, "small"), Variant{Name: "<b>"}, 1)
 	if err := r.WriteReport(&page, "a <day>"); err != nil {
@@ -121,33 +124,34 @@
 	}
 }
 
-// All engines take fewer requests from all nodes together than come. They get no more than
-// that, beside lost nodes and lost datagrams too, and nearly all of it is used.
-func TestLimitsAreKept(t *testing.T) {
+// Guards against requests above the advertised limits of engines, also with killed nodes and lost
+// datagrams, and against limits that are left unused: the load exceeds the limits of all engines.
+func TestAdvertisedLimitsAreHonoured(t *testing.T) {
 	s := load(t, "limit")
 	s.Nodes.DatagramLoss = 0.02
 	for seed := range uint64(3) {
 		r := Run(s, Variant{}, seed+1)
 		if len(r.Violations) != 0 {
-			t.Errorf("seed %d: got %v broken, want none", seed+1, r.Violations)
+			t.Errorf("seed %d: got violations %v, want none", seed+1, r.Violations)
 		}
 		if got := r.LimitUtilization(); got < 0.9 {
-			t.Errorf("seed %d: got %.2f of the limits used, want 0.9", seed+1, got)
+			t.Errorf("seed %d: got %.2f of the limits used, want at least 0.9", seed+1, got)
 		}
 	}
-	if unread := Run(s, without(t, "limits"), 1); unread.Violations["limit"] == "" {
-		t.Errorf("got %v broken by nodes that do not read limits, want the limit", unread.Violations)
+	if ignored := Run(s, without(t, "limits"), 1); ignored.Violations["limit"] == "" {
+		t.Errorf("got violations %v by nodes that ignore limits, want a violation of limit", ignored.Violations)
 	}
 	s = s.withFaults(append([]Fault{{Name: "lost", Kind: NodeKill, At: 9000, Duration: 1500, Share: 0.5, Interval: 7000, Until: 30000}}, s.Faults...))
 	if r := Run(s, Variant{}, 4); len(r.Violations) != 0 {
-		t.Errorf("with nodes lost: got %v broken, want none", r.Violations)
+		t.Errorf("with killed nodes: got violations %v, want none", r.Violations)
 	}
 }
 
-// What hunts have found. In the first two most of a window came before the limit was named,
-// and the rest from nodes that nobody had told; in the third the owner of the permits was lost
-// as the limit was named, and with it what it had been told of earlier requests.
-func TestLimitsAreKeptWhereHuntsBrokeThem(t *testing.T) {
+// Guards against violations found by FindViolation. In the first two cases most requests of a
+// window arrived before the limit was advertised, and the others came from nodes that had not
+// received it. In the third the owner of the permits was killed as the limit was advertised, and
+// its count of earlier requests was lost.
+func TestAdvertisedLimitsInFoundViolations(t *testing.T) {
 	for seed, lines := range map[uint64][]string{
 		72:  {"12.41 deadly share=0.0512 for=5.17 x=0.0195", "12.95 crash share=0.168 for=2.24 x=1", "19.55 limit share=0.303 for=5.7 x=5.15..6"},
 		138: {"6.13 limit share=0.17 for=6.55 x=1.38..6"},
@@ -162,7 +166,7 @@
 			faults = append(faults, f)
 		}
 		if r := Run(load(t, "small").withFaults(faults), Variant{}, seed); len(r.Violations) != 0 {
-			t.Errorf("seed %d: got %v broken, want none", seed, r.Violations)
+			t.Errorf("seed %d: got violations %v, want none", seed, r.Violations)
 		}
 	}
 }
--- a/lab/scale.go
+++ b/lab/scale.go
@@ -2,38 +2,39 @@
 
 import "math"
 
-// Scaled returns a scenario of about so many nodes, with engines, loads at once and the budget
-// of repeats in proportion, and the load too unless it is held.
-func (s *Scenario) Scaled(nodes int, held bool) *Scenario {
+// Scaled returns the scenario scaled to about the given number of nodes. Engines, full-speed
+// loads and the slack of the retry budget grow in proportion, and so does the load unless
+// keepLoad is set.
+func (s *Scenario) Scaled(nodes int, keepLoad bool) *Scenario {
 	scaled := *s
-	centres := len(s.Fleet.DataCentres())
-	scaled.Nodes.PerDataCentre = max(1, int(math.Round(float64(nodes)/float64(centres))))
-	times := float64(scaled.Nodes.PerDataCentre) / float64(s.Nodes.PerDataCentre)
-	scaled.Fleet = s.Fleet.Scaled(times)
-	scaled.FullSpeedLoads = max(1, int(float64(s.FullSpeedLoads)*times))
-	scaled.Nodes.RetrySlack = s.Nodes.RetrySlack * times
-	if !held {
-		scaled.Load.StreamsPerSecond = s.Load.StreamsPerSecond * times
+	dataCentres := len(s.Fleet.DataCentres())
+	scaled.Nodes.PerDataCentre = max(1, int(math.Round(float64(nodes)/float64(dataCentres))))
+	factor := float64(scaled.Nodes.PerDataCentre) / float64(s.Nodes.PerDataCentre)
+	scaled.Fleet = s.Fleet.Scaled(factor)
+	scaled.FullSpeedLoads = max(1, int(float64(s.FullSpeedLoads)*factor))
+	scaled.Nodes.RetrySlack = s.Nodes.RetrySlack * factor
+	if !keepLoad {
+		scaled.Load.StreamsPerSecond = s.Load.StreamsPerSecond * factor
 	}
 	return &scaled
 }
 
-// EngineCount is how many engines a scenario has.
+// EngineCount returns the number of engines in all data centres.
 func (s *Scenario) EngineCount() int {
 	n := 0
-	for _, centre := range s.Fleet.DataCentres() {
+	for _, dataCentre := range s.Fleet.DataCentres() {
 		for kind := range s.Fleet.Pipeline().Accelerators {
-			n += s.Fleet.EngineCount(centre, kind)
+			n += s.Fleet.EngineCount(dataCentre, kind)
 		}
 	}
 	return n
 }
 
-// GrowthExponent is by which power of the size a figure grows between two sizes; NaN where it is
-// nothing at one of them.
-func GrowthExponent(size, larger int, figure, then float64) float64 {
-	if figure <= 0 || then <= 0 || size == larger {
+// GrowthExponent returns the exponent of the power law by which a figure grows from one size to
+// a larger one; NaN if the figure is not positive at one of them.
+func GrowthExponent(size, largerSize int, value, largerValue float64) float64 {
+	if value <= 0 || largerValue <= 0 || size == largerSize {
 		return math.NaN()
 	}
-	return math.Log(then/figure) / math.Log(float64(larger)/float64(size))
+	return math.Log(largerValue/value) / math.Log(float64(largerSize)/float64(size))
 }
--- a/lab/scale_test.go
+++ b/lab/scale_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// What nodes tell each other must not grow with the nodes of a data centre, nor what they do
-// for each engine: a hub's share does, and is the only one. Two hundred nodes of a data centre
-// heard 660 datagrams a second each.
-func TestWhatNodesTellDoesNotGrow(t *testing.T) {
+// Guards against datagram rates that grow with the number of nodes or engines of a data centre;
+// only the rate of a hub may grow. With a full mesh, each of two hundred nodes of a data centre
+// received 660 datagrams a second.
+func TestDatagramRatesDoNotGrow(t *testing.T) {
 	s, err := LoadScenario("../examples/lab/scale.ini")
 	if err != nil {
 		t.Fatal(err)
@@ -18,16 +18,16 @@
 	}
 	for i, r := range results {
 		if len(r.Violations) > 0 {
-			t.Errorf("%d nodes: got promises broken: %v", sizes[i], r.Violations)
+			t.Errorf("%d nodes: got violations %v, want none", sizes[i], r.Violations)
 		}
 		if got, want := r.Received.Median, 40.0; got > want {
-			t.Errorf("%d nodes: got %.1f datagrams heard a second at the middle node, want %.0f at most", sizes[i], got, want)
+			t.Errorf("%d nodes: got %.1f datagrams received a second at the median node, want at most %.0f", sizes[i], got, want)
 		}
 		if got, want := r.Sent.Median, 40.0; got > want {
-			t.Errorf("%d nodes: got %.1f datagrams sent a second at the middle node, want %.0f at most", sizes[i], got, want)
+			t.Errorf("%d nodes: got %.1f datagrams sent a second at the median node, want at most %.0f", sizes[i], got, want)
 		}
 		if got, want := r.Received.Max, 5.0*float64(sizes[i]); got > want {
-			t.Errorf("%d nodes: got %.1f datagrams heard a second at the busiest node, want %.0f at most", sizes[i], got, want)
+			t.Errorf("%d nodes: got %.1f datagrams received a second at the busiest node, want at most %.0f", sizes[i], got, want)
 		}
 	}
 }
--- a/lab/scenario.go
+++ b/lab/scenario.go
@@ -11,64 +11,66 @@
 	"github.com/hoistjunction/hoistjunction/sizing"
 )
 
-// ErrScenario means that a scenario file says something that cannot be.
+// ErrScenario means that a scenario file has an invalid value.
 var ErrScenario = errors.New("lab: the scenario is not valid")
 
-// Scenario is a system, its load and its troubles.
+// Scenario describes a system, its load and its faults.
 type Scenario struct {
 	Fleet *sizing.Fleet
 	Nodes Nodes
 	Load  Load
-	// Slots is how many streams an engine takes that begin there; it refuses more.
+	// Slots is how many streams may begin at an engine at a time; it refuses more.
 	Slots int
-	// FullSpeedLoads is how many engines load at full speed from the store of weights.
+	// FullSpeedLoads is how many engines can load weights at the same time at full speed.
 	FullSpeedLoads int
-	// LocalHopMS is a pass between engines of a data centre, and RemoteHopMS one to another.
+	// LocalHopMS and RemoteHopMS are the delays between two engines of one data centre and of
+	// different data centres.
 	LocalHopMS, RemoteHopMS float64
-	// ListLagMS bounds how late the list shows a change, and RemovalDelayMS is after how long an
-	// engine that has ended goes from it.
+	// ListLagMS bounds the delay of changes in the engine list. RemovalDelayMS is how long the
+	// entry of a crashed engine stays in the list.
 	ListLagMS, RemovalDelayMS clock.Millis
 	Faults                    []Fault
-	// Deployment is what a rehearsal with real processes has beside these.
+	// Deployment holds the settings that only a rehearsal with real processes uses.
 	Deployment Deployment
 }
 
-// Nodes are the relay nodes, and what operators set for them.
+// Nodes describes the relay nodes and their settings.
 type Nodes struct {
-	// PerDataCentre is how many there are in each data centre.
+	// PerDataCentre is the number of nodes in each data centre.
 	PerDataCentre int
-	// DatagramLoss is the part of datagrams that are lost.
+	// DatagramLoss is the share of datagrams that are lost.
 	DatagramLoss  float64
 	RetryShare    float64
 	RetrySlack    float64
 	RetryWindowMS clock.Millis
-	// MaxAttempts bounds the upstreams that may run a request.
+	// MaxAttempts bounds the upstreams that may execute a request.
 	MaxAttempts int
 }
 
-// Load is what callers ask for.
+// Load describes the requests of callers.
 type Load struct {
-	// StreamsPerSecond is how many streams a second begin, DurationMS for how long, and WarmupMS what
-	// passes before the first.
+	// StreamsPerSecond is the rate of new streams, DurationMS how long new streams arrive, and
+	// WarmupMS the time before the first.
 	StreamsPerSecond     float64
 	DurationMS, WarmupMS clock.Millis
-	// PromptTokens and Answer are mean sizes in tokens, and TokensPerEvent how many an event has.
+	// PromptTokens and AnswerTokens are mean sizes, and TokensPerEvent is the size of an event.
 	PromptTokens, AnswerTokens, TokensPerEvent int
-	// FirstEventTargetMS is for the first event, EventGapTargetMS for pauses, TimeoutMS for the whole.
+	// FirstEventTargetMS is the target for the first event, EventGapTargetMS for gaps between
+	// events, and TimeoutMS the time limit for the whole request.
 	FirstEventTargetMS, EventGapTargetMS, TimeoutMS clock.Millis
-	// MaxRetries is how often a caller comes back after a failure or a refusal.
+	// MaxRetries is how often a caller retries after a failure or a refusal.
 	MaxRetries int
-	// UrgentShare is the part of callers with the first rank; the others have the second.
+	// UrgentShare is the share of requests with the first priority; the others have the second.
 	UrgentShare float64
 }
 
-// Bounds of what a scenario may say.
+// Bounds of values in scenario files.
 const (
 	maxCount = 1_000_000
 	maxRate  = 1e6
 )
 
-// LoadScenario reads a scenario file. Errors name the section, the key, the line and the remedy.
+// LoadScenario reads a scenario file. Errors name the section, the key, the line and a remedy.
 func LoadScenario(path string) (*Scenario, error) {
 	s := &Scenario{Fleet: sizing.New()}
 	faults := make(map[string]string)
@@ -94,8 +96,8 @@
 	return s, nil
 }
 
-// declare declares what a scenario has beside its fleet. Defaults are those of the users'
-// smaller deployments.
+// declare declares the settings of a scenario except those of its fleet. The defaults match the
+// users' smaller deployments.
 func (s *Scenario) declare(set *settings.Set) {
 	set.Int("engine", "slots", &s.Slots, 1, maxCount, settings.WithDefault("192"))
 	set.Int("engine", "loads_at_once", &s.FullSpeedLoads, 1, maxCount, settings.WithDefault("6"))
--- a/lab/scenario_test.go
+++ b/lab/scenario_test.go
@@ -11,11 +11,11 @@
 	"github.com/hoistjunction/hoistjunction/sizing"
 )
 
-func TestFaultsAreRead(t *testing.T) {
+func TestParseFault(t *testing.T) {
 	tests := []struct {
-		text string
-		want Fault
-		bad  bool
+		text    string
+		want    Fault
+		invalid bool
 	}{
 		{"5.0 crash share=0.2 for=3", Fault{Kind: EngineCrash, At: 5000, Duration: 3000, Share: 0.2, Magnitude: 1}, false},
 		{"1 limit x=0.5..4", Fault{Kind: EngineLimit, At: 1000, Duration: 5000, Share: 0.15, Magnitude: 0.5, MaxMagnitude: 4}, false},
@@ -32,31 +32,31 @@
 	}
 	for _, tt := range tests {
 		got, err := parseFault("", tt.text)
-		if errors.Is(err, ErrScenario) != tt.bad || !tt.bad && got != tt.want {
+		if errors.Is(err, ErrScenario) != tt.invalid || !tt.invalid && got != tt.want {
 			t.Errorf("%q: got %+v, %v, want %+v", tt.text, got, err, tt.want)
 		}
 	}
 }
 
-func TestScenariosAreChecked(t *testing.T) {
-	good, err := os.ReadFile("../examples/lab/small.ini")
+func TestLoadScenarioValidation(t *testing.T) {
+	valid, err := os.ReadFile("../examples/lab/small.ini")
 	if err != nil {
 		t.Fatal(err)
 	}
 	tests := []struct {
-		name, more string
-		want       error
+		name, extra string
+		want        error
 	}{
-		{"as it is", "", nil},
-		{"an unknown key", "[nodes]\nmany = 3\n", settings.ErrSettings},
-		{"an unknown section", "[extra]\na = 3\n", settings.ErrSettings},
-		{"an unknown kind", "[faults]\nx = 1 flood\n", ErrScenario},
-		{"an unknown accelerator", "[engines]\nnorth = none:3\n", sizing.ErrFleet},
+		{"valid", "", nil},
+		{"unknown key", "[nodes]\nmany = 3\n", settings.ErrSettings},
+		{"unknown section", "[extra]\na = 3\n", settings.ErrSettings},
+		{"unknown fault kind", "[faults]\nx = 1 flood\n", ErrScenario},
+		{"unknown accelerator", "[engines]\nnorth = none:3\n", sizing.ErrFleet},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "s.ini")
-			if err := os.WriteFile(path, append(good, tt.more...), 0o600); err != nil {
+			if err := os.WriteFile(path, append(valid, tt.extra...), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			if _, err := LoadScenario(path); !errors.Is(err, tt.want) {
@@ -66,14 +66,14 @@
 	}
 }
 
-func TestWithoutNamesMechanisms(t *testing.T) {
+func TestWithoutMechanism(t *testing.T) {
 	if _, err := Without("rest,nothing"); !errors.Is(err, ErrScenario) {
 		t.Errorf("got %v, want %v", err, ErrScenario)
 	}
 	for _, name := range Mechanisms() {
 		v, err := Without(name)
 		if err != nil || v == (Variant{Name: v.Name}) {
-			t.Errorf("%s: got %+v, %v, want something switched off", name, v, err)
+			t.Errorf("%s: got %+v, %v, want one mechanism switched off", name, v, err)
 		}
 	}
 }
--- a/lab/session.go
+++ b/lab/session.go
@@ -7,22 +7,23 @@
 	"github.com/hoistjunction/hoistjunction/dispatch"
 )
 
-// session is a try of a caller at a node.
+// session is one try of a caller at a node.
 type session struct {
 	node    *node
 	id      dispatch.RequestID
 	caller  *caller
 	attempt *attempt
-	// receivedEvents are those that the caller has of this try.
+	// receivedEvents is the number of events that the caller has received in this try.
 	receivedEvents int
-	// reachedEngine tells that it has reached an engine: what comes later is a repeat.
+	// reachedEngine reports whether an attempt has reached an engine; later arrivals are
+	// repeats.
 	reachedEngine bool
 }
 
-// deliverEvents passes events on.
-func (s *session) deliverEvents(events int, pause clock.Millis) {
+// deliverEvents delivers events to the caller.
+func (s *session) deliverEvents(events int, gap clock.Millis) {
 	s.receivedEvents += events
-	s.caller.recordEvents(pause)
+	s.caller.recordEvents(gap)
 }
 
 // finish ends the try at its node.
@@ -31,7 +32,7 @@
 	s.node.update(dispatch.RequestEndedMsg{Request: s.id})
 }
 
-// execute does what the node's model says.
+// execute executes a command of the dispatcher for this request.
 func (s *session) execute(cmd dispatch.Cmd) {
 	switch cmd := cmd.(type) {
 	case dispatch.SendCmd:
@@ -58,7 +59,7 @@
 	}
 }
 
-// recheck looks after a stream that passes an engine under suspicion.
+// recheck checks a stalled stream whose chain includes a suspected engine.
 func (s *session) recheck(cmd dispatch.RecheckAttemptCmd) {
 	a := s.attempt
 	if a == nil || a.finished || a.cmd.Attempt != cmd.Attempt || a.stalledOn == nil {
@@ -67,7 +68,7 @@
 	a.reportStall(a.planVersion)
 }
 
-// abandon ends the try since its caller has left, or its node was killed.
+// abandon ends the try because its caller has stopped waiting or its node was killed.
 func (s *session) abandon() {
 	if s.attempt != nil && !s.attempt.finished {
 		s.attempt.cancel()
--- a/lab/spent.go
+++ b/lab/spent.go
@@ -2,10 +2,10 @@
 
 import "github.com/hoistjunction/hoistjunction/clock"
 
-// attemptTimes are the times at which requests have reached engines for the first time, and again.
+// attemptTimes are the times at which requests reached an engine for the first time, and again.
 type attemptTimes struct{ first, repeated []clock.Millis }
 
-// countArrival counts an arrival of a request.
+// countArrival records that an attempt of a request has reached an engine.
 func (w *world) countArrival(s *session) {
 	if !s.reachedEngine {
 		s.reachedEngine = true
@@ -16,7 +16,7 @@
 	w.attemptTimes.repeated = append(w.attemptTimes.repeated, w.now)
 }
 
-// countWithin counts the times in a span, from included and to not.
+// countWithin counts the times t with from <= t < to.
 func countWithin(times []clock.Millis, from, to clock.Millis) int {
 	n := 0
 	for _, at := range times {
@@ -27,20 +27,20 @@
 	return n
 }
 
-// checkGuarantees tells which promises were broken in the whole run.
+// checkGuarantees checks the guarantees that concern the whole run.
 func (w *world) checkGuarantees() {
 	n := w.scenario.Nodes
 	const step = 500
 	for from := clock.Millis(0); from < w.scenario.Load.DurationMS; from += step {
 		to := from.Add(n.RetryWindowMS)
-		most := max(countWithin(w.attemptTimes.first, from, to), countWithin(w.attemptTimes.first, from-n.RetryWindowMS, from), countWithin(w.attemptTimes.first, from-n.RetryWindowMS/2, to-n.RetryWindowMS/2))
-		if got := countWithin(w.attemptTimes.repeated, from, to); float64(got) > n.RetryShare*float64(most)+n.RetrySlack {
-			w.result.violate("budget", "more repeats in a window than operators allow")
+		firsts := max(countWithin(w.attemptTimes.first, from, to), countWithin(w.attemptTimes.first, from-n.RetryWindowMS, from), countWithin(w.attemptTimes.first, from-n.RetryWindowMS/2, to-n.RetryWindowMS/2))
+		if got := countWithin(w.attemptTimes.repeated, from, to); float64(got) > n.RetryShare*float64(firsts)+n.RetrySlack {
+			w.result.violate("budget", "more repeated requests in a window than the retry budget allows")
 			break
 		}
 	}
 	if w.crashFault.lateAttempts > maxLateAttempts {
-		w.result.violate("ends", "a request that ends engines was sent too often after the third")
+		w.result.violate("ends", "request that crashes engines was sent too often after its third crash")
 	}
 	w.result.RequestCrashes = len(w.crashFault.crashes)
 }
--- a/lab/traffic.go
+++ b/lab/traffic.go
@@ -2,11 +2,10 @@
 
 import "slices"
 
-// Traffic is what nodes tell each other, in datagrams a second at the middle node and at the
-// busiest.
+// Traffic holds the rates of datagrams at the median and at the busiest node, per second.
 type Traffic struct{ Median, Max float64 }
 
-// newTraffic sums up counts of nodes over a time in seconds.
+// newTraffic computes the rates from the counts of all nodes over a time in seconds.
 func newTraffic(counts []int, seconds float64) Traffic {
 	if len(counts) == 0 || seconds <= 0 {
 		return Traffic{}
@@ -15,18 +14,18 @@
 	return Traffic{Median: float64(counts[len(counts)/2]) / seconds, Max: float64(counts[len(counts)-1]) / seconds}
 }
 
-// resetTraffic begins to count what nodes tell each other.
+// resetTraffic resets the datagram counts of all nodes.
 func (w *world) resetTraffic() {
 	for _, n := range w.nodes {
 		n.received, n.sent = 0, 0
 	}
 }
 
-// recordTraffic notes what they have told each other since, for a time in seconds.
+// recordTraffic stores the rates since resetTraffic, which was called the given seconds ago.
 func (w *world) recordTraffic(seconds float64) {
-	var heard, sent []int
+	var received, sent []int
 	for _, n := range w.nodes {
-		heard, sent = append(heard, n.received), append(sent, n.sent)
+		received, sent = append(received, n.received), append(sent, n.sent)
 	}
-	w.result.Received, w.result.Sent = newTraffic(heard, seconds), newTraffic(sent, seconds)
+	w.result.Received, w.result.Sent = newTraffic(received, seconds), newTraffic(sent, seconds)
 }
--- a/lab/troubles.go
+++ b/lab/troubles.go
@@ -6,14 +6,14 @@
 	"github.com/hoistjunction/hoistjunction/work"
 )
 
-// scheduleFault plans a trouble, once or again and again.
+// scheduleFault schedules a fault and its repetitions.
 func (w *world) scheduleFault(f Fault) {
 	for _, at := range f.StartTimes() {
 		w.after(max(at-w.now, 0), func() { w.startFault(f) })
 	}
 }
 
-// startFault has a trouble begin, and end after its time.
+// startFault starts a fault and schedules its end.
 func (w *world) startFault(f Fault) {
 	switch f.Kind {
 	case EngineCrash:
@@ -50,71 +50,75 @@
 		w.list.frozen = true
 		w.after(f.Duration, func() { w.list.frozen = false })
 	case NodeFreeze, NodeRollingRestart, StoreSlow, PlainServiceFull:
-		// Only rehearsals play these.
+		// Only rehearsals support these.
 	}
 }
 
-// affectEngines does something to some engines, and undoes it.
-func (w *world) affectEngines(f Fault, do, undo func(*engine)) {
+// affectEngines applies a fault to some engines, and undoes it after its duration.
+func (w *world) affectEngines(f Fault, apply, undo func(*engine)) {
 	for _, e := range w.drawEngines(f.Share) {
-		do(e)
+		apply(e)
 		w.after(f.Duration, func() { undo(e) })
 	}
 }
 
-// drawEngines draws a part of the engines that run.
+// drawEngines draws a share of the running engines at random.
 func (w *world) drawEngines(share float64) []*engine {
-	var up []*engine
+	var running []*engine
 	for _, e := range w.engines {
 		if e.running {
-			up = append(up, e)
+			running = append(running, e)
 		}
 	}
-	w.faultRand.Shuffle(len(up), func(i, j int) { up[i], up[j] = up[j], up[i] })
-	return up[:shareCount(share, len(up))]
+	w.faultRand.Shuffle(len(running), func(i, j int) { running[i], running[j] = running[j], running[i] })
+	return running[:shareCount(share, len(running))]
 }
 
-// shareCount is a part of a number of things: one at least, unless there are none.
-func shareCount(share float64, of int) int { return min(max(int(share*float64(of)+0.5), 1), of) }
+// shareCount returns a share of a number of things, rounded, and at least one unless there are
+// none.
+func shareCount(share float64, total int) int {
+	return min(max(int(share*float64(total)+0.5), 1), total)
+}
 
-// crashFault is the request that ends engines.
+// crashFault is the state of the CrashingRequest fault.
 type crashFault struct {
 	share float64
-	// downtime is how long an engine is away that it has ended.
+	// downtime is how long an engine stays down that the request has crashed.
 	downtime clock.Millis
-	// crashes are the times at which it has ended one, and late how often it was sent later than
-	// 3 s after the third.
+	// crashes are the times at which the request crashed an engine. lateAttempts counts its
+	// attempts more than 3 s after the third crash.
 	crashes      []clock.Millis
 	lateAttempts int
 }
 
-// crashingWork names what the deadly request asks for.
+// crashingWork identifies the work of the crashing request.
 var crashingWork = work.ID{}.ForAccount("deadly")
 
 const (
-	// maxCrashes is how many engines a request may end before it is to be sent to none, crashNewsDelay
-	// how long after that nodes may need to know, and maxLateAttempts how often it may be sent then.
+	// maxCrashes is how many engines a request may crash before it must be quarantined,
+	// crashNewsDelay how long nodes may take to learn of the crashes, and maxLateAttempts how
+	// often the request may be sent after that.
 	maxCrashes                   = 3
 	crashNewsDelay  clock.Millis = 3000
 	maxLateAttempts              = 3
 )
 
-// scheduleCrash has an attempt of the deadly request end its first engine.
-func (w *world) scheduleCrash(a *attempt, in clock.Millis) {
+// scheduleCrash schedules the crash of the first engine of a crashing request's attempt.
+func (w *world) scheduleCrash(a *attempt, delay clock.Millis) {
 	if n := len(w.crashFault.crashes); n >= maxCrashes && w.now > w.crashFault.crashes[maxCrashes-1].Add(crashNewsDelay) {
 		w.crashFault.lateAttempts++
 	}
-	w.after(in, func() {
-		e := a.hops
-		if a.finished || len(e) == 0 || !e[0].engine.running {
+	w.after(delay, func() {
+		hops := a.hops
+		if a.finished || len(hops) == 0 || !hops[0].engine.running {
 			return
 		}
 		w.crashFault.crashes = append(w.crashFault.crashes, w.now)
-		e[0].engine.crash(w.crashFault.downtime)
+		hops[0].engine.crash(w.crashFault.downtime)
 	})
 }
 
-// requestBackOff has an engine ask a node for rest.
+// requestBackOff requests a back-off from a node while the EngineBackOff fault is active.
 func (e *engine) requestBackOff(n *node) {
 	if e.backOff <= 0 {
 		return
@@ -124,28 +128,28 @@
 		e.backOffs[n] = backOffRequest{boot: n.boot, from: w.now.Add(backOffGrace), until: w.now.Add(e.backOff)}
 	}
 	if !w.variant.NoBackOff {
-		id, asks := e.id, e.backOff
-		w.after(networkDelay, func() { n.update(dispatch.BackOffMsg{Upstream: id, For: asks}) })
+		id, backOff := e.id, e.backOff
+		w.after(networkDelay, func() { n.update(dispatch.BackOffMsg{Upstream: id, For: backOff}) })
 	}
 }
 
-// backOffGrace is how long after a rest was asked for requests may still come that were on their
-// way.
+// backOffGrace is how long after a back-off request the node's requests may still arrive, as the
+// node may have sent them before it received the request.
 const backOffGrace clock.Millis = 500
 
-// maxDuringBackOff is how many may come in the rest of it.
+// maxDuringBackOff is how many requests of a node may arrive after backOffGrace.
 const maxDuringBackOff = 2
 
-// checkBackOff counts a request of a node that reaches an engine in a rest.
+// checkBackOff counts a node's request that reaches an engine during its back-off.
 func (e *engine) checkBackOff(n *node) {
-	r, asked := e.backOffs[n]
-	if !asked || r.boot != n.boot || e.world.now <= r.from || e.world.now >= r.until {
+	r, requested := e.backOffs[n]
+	if !requested || r.boot != n.boot || e.world.now <= r.from || e.world.now >= r.until {
 		return
 	}
 	e.world.result.ArrivalsInBackOff++
 	r.arrivals++
 	e.backOffs[n] = r
 	if r.arrivals == maxDuringBackOff+1 {
-		e.world.result.violate("rest", "more than two requests of a node in a rest")
+		e.world.result.violate("rest", "more than two requests of a node during a back-off")
 	}
 }
--- a/lab/variant.go
+++ b/lab/variant.go
@@ -6,34 +6,34 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Variant is what is switched off of the nodes, or set otherwise. The zero value is the
-// product as it is. What is switched off is what shells tell the models, so the models
-// themselves are the same in all variants.
+// Variant switches mechanisms of the nodes off. The zero value is the product unchanged. The
+// models are the same in all variants; a mechanism is switched off by withholding messages from
+// them or by their settings.
 type Variant struct {
 	Name string
-	// NoBackOff: what upstreams ask for beside a refusal is not read.
+	// NoBackOff ignores the back-off that upstreams request with a refusal.
 	NoBackOff bool
-	// NoAdvertisedLimits: what upstreams take from all nodes together is not read.
+	// NoAdvertisedLimits ignores the rate limits that upstreams advertise.
 	NoAdvertisedLimits bool
-	// NoUsageSharing: nodes do not tell each other what they have in use.
+	// NoUsageSharing stops nodes from sending each other their usage.
 	NoUsageSharing bool
-	// NoUnresponsiveReports: nodes do not tell each other of engines that do not answer.
+	// NoUnresponsiveReports stops nodes from reporting unresponsive engines to each other.
 	NoUnresponsiveReports bool
-	// NoMemoryReports: engines' words on their memory are not taken in.
+	// NoMemoryReports ignores the free memory that engines report.
 	NoMemoryReports bool
-	// NoMigration: streams stay on their chains, and are sent again where these fail.
+	// NoMigration keeps streams on their chains; if a chain fails, the request is sent again.
 	NoMigration bool
-	// NoReplacement: no layers are ordered after the first plan.
+	// NoReplacement gives no placement orders after the initial placement.
 	NoReplacement bool
-	// NoQuarantineSharing: nodes do not tell each other what they lose, and know nothing at a start.
+	// NoQuarantineSharing stops nodes from sharing crashes and quarantine entries.
 	NoQuarantineSharing bool
-	// IgnoreRetryAfter: callers come back after 300 ms, whatever they are told.
+	// IgnoreRetryAfter makes callers retry after 300 ms, whatever Retry-After requests.
 	IgnoreRetryAfter bool
-	// NoRetries: requests are not repeated.
+	// NoRetries stops nodes from repeating requests.
 	NoRetries bool
 }
 
-// disablers are the mechanisms by name.
+// disablers switch off the mechanisms, by their names.
 var disablers = map[string]func(*Variant){
 	"rest":        func(v *Variant) { v.NoBackOff = true },
 	"limits":      func(v *Variant) { v.NoAdvertisedLimits = true },
@@ -47,15 +47,15 @@
 	"repeats":     func(v *Variant) { v.NoRetries = true },
 }
 
-// Without returns the product without some mechanisms, named with commas between.
+// Without returns the variant with the given mechanisms switched off, separated by commas.
 func Without(names string) (Variant, error) {
 	v := Variant{Name: "without " + names}
 	for name := range strings.SplitSeq(names, ",") {
-		turn, known := disablers[name]
+		disable, known := disablers[name]
 		if !known {
 			return v, errors.Wrapf(ErrScenario, "there is no mechanism %q; there are %s", name, strings.Join(Mechanisms(), ", "))
 		}
-		turn(&v)
+		disable(&v)
 	}
 	return v, nil
 }
--- a/lab/world.go
+++ b/lab/world.go
@@ -14,36 +14,37 @@
 	"github.com/hoistjunction/hoistjunction/work"
 )
 
-// What the configuration calls the only service, and its host.
+// The name and the host of the only service in the configuration.
 const (
 	serviceName = "writer"
 	host        = "lab"
 )
 
-// world is a system that runs. Times before 0 are those before the first request.
+// world is the simulated system. Times before 0 are before the first request.
 type world struct {
 	queue
 	scenario *Scenario
 	variant  Variant
-	// Arrivals and troubles are drawn apart, so that all variants meet the same.
+	// Arrivals and faults have their own random sources, so that they are the same in all
+	// variants.
 	eventRand, arrivalRand, faultRand *rand.Rand
 
 	catalog  *catalog.Catalog
 	pipeline *catalog.Pipeline
 	engines  []*engine
-	// engineAt is who has an address now.
+	// engineAt holds the current engine of each address.
 	engineAt map[string]*engine
 	nodes    []*node
-	// nodeByName are the nodes by their names.
+	// nodeByName indexes nodes by their names.
 	nodeByName map[string]*node
 	list       *engineList
-	// activeLoads is how many engines load now.
+	// activeLoads is how many engines are loading layers.
 	activeLoads int
-	// quarantined are what the store keeps of requests that end engines.
+	// quarantined are the stored quarantine entries.
 	quarantined map[work.ID]dispatch.Quarantined
 	callers     []*caller
 	callerCount int
-	// loadFactor is how many times as many requests come.
+	// loadFactor multiplies the request rate; 0 stops new requests.
 	loadFactor   float64
 	crashFault   crashFault
 	attemptTimes attemptTimes
@@ -52,14 +53,14 @@
 
 const msPerSecond = 1000
 
-// Seeds of what is drawn, beside the run's own.
+// Seeds of the random sources, each combined with the seed of the run.
 const (
 	arrivalSeed = 1
 	faultSeed   = 2
 	worldSeed   = 3
 )
 
-// Run plays a scenario.
+// Run runs a scenario.
 func Run(s *Scenario, v Variant, seed uint64) *Result {
 	w := newWorld(s, v, seed)
 	w.now = -s.Load.WarmupMS
@@ -93,18 +94,18 @@
 	w.catalog = newCatalog(s, w.pipeline)
 	w.list = &engineList{world: w, entries: make(map[fleet.Incarnation]fleet.Upstream)}
 	number := 0
-	for _, centre := range s.Fleet.DataCentres() {
+	for _, dataCentre := range s.Fleet.DataCentres() {
 		for _, kind := range sortedKeys(w.pipeline.Accelerators) {
-			for range s.Fleet.EngineCount(centre, kind) {
+			for range s.Fleet.EngineCount(dataCentre, kind) {
 				number++
-				e := w.newEngine(fmt.Sprintf("e%d", number), fmt.Sprintf("10.0.%d.%d:80", number/250, number%250), centre, w.pipeline.Accelerators[kind])
+				e := w.newEngine(fmt.Sprintf("e%d", number), fmt.Sprintf("10.0.%d.%d:80", number/250, number%250), dataCentre, w.pipeline.Accelerators[kind])
 				w.engines = append(w.engines, e)
 				w.list.entries[e.id] = e.listEntry()
 				w.list.order = append(w.list.order, e.id)
 			}
 		}
 		for i := range s.Nodes.PerDataCentre {
-			n := &node{world: w, name: nodeName(centre, i), dataCentre: centre, rank: len(w.nodes)}
+			n := &node{world: w, name: nodeName(dataCentre, i), dataCentre: dataCentre, rank: len(w.nodes)}
 			w.nodes = append(w.nodes, n)
 			w.nodeByName[n.name] = n
 		}
@@ -138,16 +139,16 @@
 	return w.scenario.Nodes.RetrySlack
 }
 
-// repeat does something again and again, until it says no.
-func (w *world) repeat(d clock.Millis, do func() bool) {
-	w.after(d, func() {
-		if do() {
-			w.repeat(d, do)
+// repeat runs an action at an interval until it returns false.
+func (w *world) repeat(interval clock.Millis, action func() bool) {
+	w.after(interval, func() {
+		if action() {
+			w.repeat(interval, action)
 		}
 	})
 }
 
-// linkDelay is the time of a pass from one engine to another, in ms.
+// linkDelay returns the delay between two engines, in ms.
 func (w *world) linkDelay(a, b *engine) float64 {
 	switch {
 	case a == b:
@@ -158,7 +159,7 @@
 	return w.scenario.RemoteHopMS
 }
 
-// nextArrival has the next request come, and plans the one after it.
+// nextArrival creates a request and schedules the next one.
 func (w *world) nextArrival() {
 	if w.now >= w.scenario.Load.DurationMS || w.loadFactor <= 0 {
 		return
@@ -175,10 +176,10 @@
 func (w *world) newCaller() *caller {
 	w.callerCount++
 	l := w.scenario.Load
-	centres := w.scenario.Fleet.DataCentres()
+	dataCentres := w.scenario.Fleet.DataCentres()
 	size := func(mean int) int { return max(int(float64(mean)*(0.5+w.arrivalRand.Float64())), 1) }
 	c := &caller{
-		world: w, number: w.callerCount, dataCentre: centres[w.arrivalRand.IntN(len(centres))], workID: work.ID{}.ForAccount(fmt.Sprint(w.callerCount)),
+		world: w, number: w.callerCount, dataCentre: dataCentres[w.arrivalRand.IntN(len(dataCentres))], workID: work.ID{}.ForAccount(fmt.Sprint(w.callerCount)),
 		urgent: w.arrivalRand.Float64() < l.UrgentShare, prompt: size(l.PromptTokens), answerEvents: max(size(l.AnswerTokens)/l.TokensPerEvent, 1), firstSentAt: w.now, deadline: w.now.Add(l.TimeoutMS),
 	}
 	if w.arrivalRand.Float64() < w.crashFault.share {
@@ -187,7 +188,8 @@
 	return c
 }
 
-// expireCallers has callers give up that have waited for too long, and reports that there may be more.
+// expireCallers ends the requests of callers that have timed out. It always returns true, so
+// that repeat continues.
 func (w *world) expireCallers() bool {
 	w.callers = slices.DeleteFunc(w.callers, func(c *caller) bool { return c.finished })
 	for _, c := range w.callers {
@@ -198,28 +200,29 @@
 	return true
 }
 
-// pickNode is the node that a caller meets; nil where none is there.
-func (w *world) pickNode(centre string, number int) *node {
-	var here, all []*node
+// pickNode returns the node for a caller's try: a running node of the data centre if there is
+// one, else any running node; nil if no node is running.
+func (w *world) pickNode(dataCentre string, number int) *node {
+	var local, running []*node
 	for _, n := range w.nodes {
 		if !n.running {
 			continue
 		}
-		all = append(all, n)
-		if n.dataCentre == centre {
-			here = append(here, n)
+		running = append(running, n)
+		if n.dataCentre == dataCentre {
+			local = append(local, n)
 		}
 	}
-	if len(here) == 0 {
-		here = all
+	if len(local) == 0 {
+		local = running
 	}
-	if len(here) == 0 {
+	if len(local) == 0 {
 		return nil
 	}
-	return here[number%len(here)]
+	return local[number%len(local)]
 }
 
-// limitMembers are all nodes.
+// limitMembers returns all nodes as members of the permit exchange.
 func (w *world) limitMembers() []limit.Member {
 	list := make([]limit.Member, 0, len(w.nodes))
 	for _, n := range w.nodes {
@@ -228,55 +231,56 @@
 	return list
 }
 
-// usagePeers is how many others tell a node alone what they have in use.
+// usagePeers returns how many other nodes send their own usage to a node.
 func (w *world) usagePeers(n *node) int {
 	if len(w.nodes) < fullMeshBelow {
 		return len(w.nodes) - 1
 	}
-	near := -1
+	peers := -1
 	for _, o := range w.nodes {
 		if o.dataCentre == n.dataCentre {
-			near++
+			peers++
 		}
 	}
-	return near
+	return peers
 }
 
-// isPlanner tells whether a node is one of those that plan.
+// isPlanner reports whether a node plans placements.
 func (w *world) isPlanner(n *node) bool {
 	if !n.topology.FullMesh {
 		return n.topology.IsHub
 	}
-	before := 0
+	earlier := 0
 	for _, o := range w.nodes {
 		if o == n {
-			return before < maxPlanners
+			return earlier < maxPlanners
 		}
 		if o.running {
-			before++
+			earlier++
 		}
 	}
 	return false
 }
 
-// usageSender is the node that tells other data centres what its own has in use.
-func (w *world) usageSender(centre string) *node {
+// usageSender returns the node that sends the total usage of a data centre to the others.
+func (w *world) usageSender(dataCentre string) *node {
 	for _, n := range w.nodes {
-		if n.running && n.dataCentre == centre {
+		if n.running && n.dataCentre == dataCentre {
 			return n
 		}
 	}
 	return nil
 }
 
-// watchOrder tells all nodes once an order has been carried out, as its giver finds out.
+// watchOrder polls an engine until its order is completed, and then announces this to all
+// nodes.
 func (w *world) watchOrder(n *node, e *engine, cmd placement.OrderCmd) {
-	const every, longest = 300, 12_000
-	until := w.now.Add(longest)
-	life := n.boot
-	w.repeat(every, func() bool {
+	const interval, timeout = 300, 12_000
+	deadline := w.now.Add(timeout)
+	boot := n.boot
+	w.repeat(interval, func() bool {
 		switch {
-		case !n.running || n.boot != life || !e.running || w.now > until:
+		case !n.running || n.boot != boot || !e.running || w.now > deadline:
 			return false
 		case e.orderActive || e.held != cmd.Layers:
 			return true
@@ -286,14 +290,15 @@
 	})
 }
 
-// storeQuarantine keeps a verdict in the store. What is certain is not replaced by what is not.
+// storeQuarantine writes a quarantine entry to the store. A suspicion does not replace a
+// confirmed entry.
 func (w *world) storeQuarantine(q dispatch.Quarantined) {
 	if known, ok := w.quarantined[q.Work]; !ok || len(known.Ended) > 0 {
 		w.quarantined[q.Work] = q
 	}
 }
 
-// storedQuarantines is what the store keeps.
+// storedQuarantines returns the stored quarantine entries.
 func (w *world) storedQuarantines() []dispatch.Quarantined {
 	var list []dispatch.Quarantined
 	for _, id := range slices.SortedFunc(mapKeys(w.quarantined), work.ID.Compare) {
--- a/sizing/doc.go
+++ b/sizing/doc.go
@@ -1,9 +1,9 @@
-// Package sizing tells an operator what a fleet of engines bears: how many requests
-// a second each data centre, what the loss of one engine costs, and which kind of
+// Package sizing estimates the capacity of a fleet of engines for operators: how many requests
+// a second each data centre can serve, what the crash of one engine costs, and which kind of
 // accelerator to add next.
 //
-// It asks the planner that places layers on the users' platform, so what it says is
-// what that planner expects. A fleet is an INI file:
+// The estimates are the forecasts of package placement, which also plans the layers of running
+// fleets. A fleet file is an INI file:
 //
 //	[model]
 //	layers = 80
--- a/sizing/fleet.go
+++ b/sizing/fleet.go
@@ -16,24 +16,24 @@
 	"github.com/hoistjunction/hoistjunction/settings"
 )
 
-// ErrFleet means that a fleet file says something that cannot be.
+// ErrFleet means that a fleet file has an invalid value.
 var ErrFleet = errors.New("sizing: the fleet file is not valid")
 
-// Bounds of what a fleet file may say.
+// Bounds of values in fleet files.
 const (
 	maxLayers  = 10_000
 	maxNumber  = 1e12
 	maxEngines = 100_000
 )
 
-// Fleet is a model and the engines that are to hold it.
+// Fleet is a model and the engines that hold it.
 type Fleet struct {
 	pipeline catalog.Pipeline
-	// engineCounts counts them by data centre and kind of accelerator.
+	// engineCounts holds the number of engines by data centre and kind of accelerator.
 	engineCounts map[string]map[string]int
 }
 
-// New returns a fleet without engines, for Declare.
+// New returns a fleet without engines, to be filled through Declare.
 func New() *Fleet { return &Fleet{engineCounts: make(map[string]map[string]int)} }
 
 // Load reads a fleet file.
@@ -56,25 +56,25 @@
 // DataCentres returns the names of the data centres, sorted.
 func (f *Fleet) DataCentres() []string { return f.dataCentres() }
 
-// EngineCount returns how many engines of a kind a data centre has.
-func (f *Fleet) EngineCount(centre, kind string) int { return f.engineCounts[centre][kind] }
+// EngineCount returns the number of engines of a kind in a data centre.
+func (f *Fleet) EngineCount(dataCentre, kind string) int { return f.engineCounts[dataCentre][kind] }
 
-// Scaled returns a fleet with so many times as many engines of each kind in each data centre.
-func (f *Fleet) Scaled(times float64) *Fleet {
+// Scaled returns a fleet with all numbers of engines multiplied by a factor and rounded up.
+func (f *Fleet) Scaled(factor float64) *Fleet {
 	scaled := &Fleet{pipeline: f.pipeline, engineCounts: make(map[string]map[string]int)}
-	for centre, kinds := range f.engineCounts {
-		scaled.engineCounts[centre] = make(map[string]int)
+	for dataCentre, kinds := range f.engineCounts {
+		scaled.engineCounts[dataCentre] = make(map[string]int)
 		for kind, n := range kinds {
-			scaled.engineCounts[centre][kind] = int(math.Ceil(float64(n) * times))
+			scaled.engineCounts[dataCentre][kind] = int(math.Ceil(float64(n) * factor))
 		}
 	}
 	return scaled
 }
 
-// Declare declares what a fleet file may hold, also as a part of a larger file. Finish reads
-// the rest once the file is loaded.
+// Declare declares the settings of a fleet, which may be part of a larger file. The caller
+// loads the file and then calls finish, which parses the accelerators and engines.
 func (f *Fleet) Declare(set *settings.Set) (finish func() error) {
-	kinds, centres := make(map[string]string), make(map[string]string)
+	kinds, dataCentres := make(map[string]string), make(map[string]string)
 	p := &f.pipeline
 	set.Int("model", "layers", &p.Layers, 1, maxLayers, settings.Required())
 	set.Float("model", "layer_mb", &p.LayerMB, 0, maxNumber, settings.Required())
@@ -89,11 +89,11 @@
 	set.Float("model", "prompt_tokens", &p.MeanPromptTokens, 0, maxNumber, settings.Required())
 	set.Float("model", "answer_tokens", &p.MeanAnswerTokens, 0, maxNumber, settings.Required())
 	set.Map("accelerators", kinds)
-	set.Map("engines", centres)
-	return func() error { return errors.CombineErrors(f.parseAccelerators(kinds), f.parseEngines(centres)) }
+	set.Map("engines", dataCentres)
+	return func() error { return errors.CombineErrors(f.parseAccelerators(kinds), f.parseEngines(dataCentres)) }
 }
 
-// parseAccelerators reads lines like "large = 72000 2.4 3.2": the memory in MB, and the
+// parseAccelerators parses lines like "large = 72000 2.4 3.2": the memory in MB, and the
 // factors on the time of a step and of reading.
 func (f *Fleet) parseAccelerators(kinds map[string]string) error {
 	f.pipeline.Accelerators = make(map[string]catalog.Accelerator)
@@ -107,17 +107,17 @@
 	return nil
 }
 
-// parseEngines reads lines like "north = large:2 small:4".
-func (f *Fleet) parseEngines(centres map[string]string) error {
-	for centre, text := range centres {
-		f.engineCounts[centre] = make(map[string]int)
-		for _, word := range strings.Fields(text) {
-			kind, number, _ := strings.Cut(word, ":")
+// parseEngines parses lines like "north = large:2 small:4".
+func (f *Fleet) parseEngines(dataCentres map[string]string) error {
+	for dataCentre, text := range dataCentres {
+		f.engineCounts[dataCentre] = make(map[string]int)
+		for _, field := range strings.Fields(text) {
+			kind, number, _ := strings.Cut(field, ":")
 			n, err := strconv.Atoi(number)
 			if _, known := f.pipeline.Accelerators[kind]; !known || err != nil || n < 0 || n > maxEngines {
-				return errors.Wrapf(ErrFleet, "[engines] %s: %q: write a kind from [accelerators] and a number, as in large:2", centre, word)
+				return errors.Wrapf(ErrFleet, "[engines] %s: %q: write a kind from [accelerators] and a number, as in large:2", dataCentre, field)
 			}
-			f.engineCounts[centre][kind] += n
+			f.engineCounts[dataCentre][kind] += n
 		}
 	}
 	if len(f.engineCounts) == 0 {
@@ -126,19 +126,19 @@
 	return nil
 }
 
-// engineList returns the engines of a data centre, with some more of a kind; extra may be
+// engineList returns the engines of a data centre, plus one of the kind extra unless that is
 // empty.
-func (f *Fleet) engineList(centre, extra string) []placement.Engine {
+func (f *Fleet) engineList(dataCentre, extra string) []placement.Engine {
 	var list []placement.Engine
 	for _, kind := range f.acceleratorKinds() {
-		n := f.engineCounts[centre][kind]
+		n := f.engineCounts[dataCentre][kind]
 		if kind == extra {
 			n++
 		}
 		a := f.pipeline.Accelerators[kind]
 		for i := range n {
 			list = append(list, placement.Engine{
-				ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("%s-%s-%d", centre, kind, i+1))), DataCentre: centre,
+				ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("%s-%s-%d", dataCentre, kind, i+1))), DataCentre: dataCentre,
 				MaxLayers: f.pipeline.MaxLayers(a), MemoryLayers: f.pipeline.MemoryInLayers(a),
 				LayerTime: f.pipeline.StepTime(a, 1), ReadTime: f.pipeline.ReadTime(a, 1),
 			})
--- a/sizing/report.go
+++ b/sizing/report.go
@@ -8,8 +8,8 @@
 	"github.com/hoistjunction/hoistjunction/placement"
 )
 
-// Report prints what the fleet bears, what the worst loss costs, and what one more
-// engine of each kind brings.
+// Report prints the capacity of each data centre, the cost of its worst engine crash, and the
+// gain from one more engine of each kind.
 func (f *Fleet) Report(out io.Writer) error {
 	if err := f.reportCapacity(out); err != nil {
 		return err
@@ -20,8 +20,8 @@
 	return f.reportExtraEngine(out)
 }
 
-// forecast returns a data centre's outlook, with one more engine of a kind; extra may
-// be empty.
+// forecast returns the forecast for a data centre, with one more engine of the kind extra
+// unless that is empty.
 func (f *Fleet) forecast(centre, extra string) placement.Forecast {
 	list := placement.Forecasts(placement.ShapeOf(&f.pipeline), f.engineList(centre, extra))
 	if len(list) == 0 {
@@ -83,8 +83,8 @@
 	return w.Flush()
 }
 
-// bestDataCentre returns the data centre that gains most by one more engine of a kind, and
-// what it bears without and with it.
+// bestDataCentre returns the data centre that gains most from one more engine of a kind, and
+// its request rate without and with that engine.
 func (f *Fleet) bestDataCentre(kind string) (centre string, before, after float64) {
 	for _, c := range f.dataCentres() {
 		without, with := f.forecast(c, "").Rate, f.forecast(c, kind).Rate
