--- a/follow/catalog.go
+++ b/follow/catalog.go
@@ -69,7 +69,7 @@
 	for ctx.Err() == nil {
 		reader, pending := f.selectReader(p.hasRead)
 		if pending {
-			clock.Pause(ctx, pollInterval(p.hasRead))
+			clock.Sleep(ctx, pollInterval(p.hasRead))
 			continue
 		}
 		sent := f.clock.Now()
@@ -118,7 +118,7 @@
 		}
 		p.failures++
 		// Subtracts the duration of the call from the pause.
-		clock.Pause(ctx, f.lastRequest.Add(retryPause(p.failures)).Sub(f.clock.Now()).Duration())
+		clock.Sleep(ctx, f.lastRequest.Add(retryPause(p.failures)).Sub(f.clock.Now()).Duration())
 	}
 }
 
--- a/follow/fleet.go
+++ b/follow/fleet.go
@@ -96,7 +96,7 @@
 		reader, pending := f.selectReader(p.hasRead)
 		if pending {
 			f.applyPeerList(f.clock.Now())
-			clock.Pause(ctx, pollInterval(p.hasRead))
+			clock.Sleep(ctx, pollInterval(p.hasRead))
 			continue
 		}
 		p.setReader(reader, f.clock.Now())
@@ -117,7 +117,7 @@
 		p = fleetProgress{asOf: reading.AsOf, hasRead: true, reader: p.reader, readerSince: p.readerSince}
 		if len(reading.Changes) > 0 {
 			p.paused = f.gatherPause(reader != nil)
-			clock.Pause(ctx, p.paused.Duration())
+			clock.Sleep(ctx, p.paused.Duration())
 		}
 	}
 	return ctx.Err()
@@ -183,7 +183,7 @@
 			return
 		}
 		f.applyPeerList(f.clock.Now())
-		clock.Pause(ctx, minRetryPause.Duration())
+		clock.Sleep(ctx, minRetryPause.Duration())
 		lost = lost || f.outage.Ongoing()
 		if f.clock.Now() >= until || lost && !f.outage.Ongoing() {
 			return
--- a/follow/reader_test.go
+++ b/follow/reader_test.go
@@ -175,7 +175,7 @@
 func endOutageSoon(ctx context.Context, outage *Outage, c *clock.Clock) {
 	for ctx.Err() == nil {
 		outage.RecordAnswer(c.Now())
-		clock.Pause(ctx, minRetryPause.Duration())
+		clock.Sleep(ctx, minRetryPause.Duration())
 	}
 }
 
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -113,7 +113,7 @@
 			found <- address
 			found = nil
 		}
-		if path, ok := strings.CutPrefix(line, standin.EndedBy); ok && p.ended != nil {
+		if path, ok := strings.CutPrefix(line, standin.CrashedBy); ok && p.ended != nil {
 			p.ended(path)
 		}
 	}
--- a/peering/peering.go
+++ b/peering/peering.go
@@ -133,7 +133,7 @@
 func (p *Peering) MaintainRegistration(ctx context.Context) error {
 	registered := p.registerInitially(ctx)
 	for reads := 1; ctx.Err() == nil; reads++ {
-		clock.Pause(ctx, registryReadInterval)
+		clock.Sleep(ctx, registryReadInterval)
 		status, err := p.readRegistry(ctx)
 		if err != nil {
 			p.log.Info("members_not_read", logging.Err(err))
@@ -156,11 +156,11 @@
 	delay, lowCapacity := startDelay(p.directory.self.GetStrength())
 	switch {
 	case p.firstStart && !lowCapacity:
-		clock.Pause(ctx, (p.registrationDelay % spreadFor(p.directory.self.GetStrength())).Duration())
+		clock.Sleep(ctx, (p.registrationDelay % spreadFor(p.directory.self.GetStrength())).Duration())
 		p.registerAndRead(ctx)
 		return true
 	case p.firstStart:
-		clock.Pause(ctx, (delay + p.registrationDelay%lowCapacitySpread).Duration())
+		clock.Sleep(ctx, (delay + p.registrationDelay%lowCapacitySpread).Duration())
 	}
 	status, err := p.readRegistry(ctx)
 	if err != nil {
@@ -180,7 +180,7 @@
 // registered, and reads the registry.
 func (p *Peering) registerAndRead(ctx context.Context) {
 	p.retry(ctx, "not_registered", func() error { return p.register(ctx) })
-	clock.Pause(ctx, othersRegisteredAfter)
+	clock.Sleep(ctx, othersRegisteredAfter)
 	p.retry(ctx, "members_not_read", func() error {
 		_, err := p.readRegistry(ctx)
 		return err
@@ -196,7 +196,7 @@
 			return
 		}
 		p.log.Info(event, logging.Err(err))
-		clock.Pause(ctx, registryRetryPause)
+		clock.Sleep(ctx, registryRetryPause)
 	}
 }
 
--- a/peering/restore_registration.go
+++ b/peering/restore_registration.go
@@ -37,7 +37,7 @@
 		if p.clock.Now() >= clock.Millis(p.registeredAt.Load()).Add(moment.MaxBackupAge) {
 			continue
 		}
-		clock.Pause(ctx, (p.registrationDelay % spreadFor(p.directory.self.GetStrength())).Duration())
+		clock.Sleep(ctx, (p.registrationDelay % spreadFor(p.directory.self.GetStrength())).Duration())
 		p.retry(ctx, "not_registered", func() error { return p.register(ctx) })
 	}
 }
--- a/peering/stalled_connections_test.go
+++ b/peering/stalled_connections_test.go
@@ -101,7 +101,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := clocktest.NewClock()
 		peers := startSlowPeers(t, c, 3)
-		transport := platform.NewQuestionTransport()
+		transport := platform.NewOneShotTransport()
 		transport.DialContext = peers.network.DialContext
 		t.Cleanup(transport.CloseIdleConnections)
 		node := &testNode{}
--- a/proof/freeze_test.go
+++ b/proof/freeze_test.go
@@ -102,7 +102,7 @@
 // check compares what callers were told with what has run.
 func (w *world) check(t testing.TB, results []load.Result) {
 	t.Helper()
-	runs := w.bed.Services[0].Runs()
+	runs := w.bed.Services[0].Executions()
 	for key, n := range runs {
 		if n > 1 {
 			t.Errorf("key %s: got %d runs, want at most 1", key, n)
@@ -148,7 +148,7 @@
 func TestKilledNodeUnderStoreOutage(t *testing.T) {
 	w := startWorld(t, 3)
 	testbed.After(t, 200*time.Millisecond, func() {
-		w.bed.Platform.SetFaults(standin.PlatformFaults{LoseAnswers: true})
+		w.bed.Platform.SetFaults(standin.PlatformFaults{LoseResponses: true})
 		signal(t, w.nodes[0], syscall.SIGKILL)
 		time.Sleep(600 * time.Millisecond)
 		w.bed.Platform.SetFaults(standin.PlatformFaults{})
--- a/standin/deployment_config.go
+++ b/standin/deployment_config.go
@@ -11,9 +11,9 @@
 
 // The names of a deployment's services and host.
 const (
-	DeploymentHost   = "deployment.example"
-	DeploymentStream = "writer"
-	DeploymentPlain  = "desk"
+	DeploymentHost          = "deployment.example"
+	DeploymentStreamService = "writer"
+	DeploymentPlainService  = "desk"
 )
 
 // DeploymentKey is the key of a client account, by its number.
@@ -26,8 +26,8 @@
 	config := &platformpb.Config{
 		Version: version, Limits: &platformpb.Limits{MaxBodyBytes: bodyBytes},
 		Services: []*platformpb.Service{
-			{Name: DeploymentStream, HealthPath: "/health", Engine: deploymentEngine(s)},
-			{Name: DeploymentPlain, HealthPath: "/health"},
+			{Name: DeploymentStreamService, HealthPath: "/health", Engine: deploymentEngine(s)},
+			{Name: DeploymentPlainService, HealthPath: "/health"},
 		},
 	}
 	for _, k := range s.Deployment.RequestKinds {
@@ -42,14 +42,14 @@
 func deploymentRoute(s *lab.Scenario, k lab.RequestKind) *platformpb.Route {
 	route := &platformpb.Route{
 		Name: k.Name, Host: DeploymentHost, PathPrefix: "/" + k.Name + "/", TimeoutMs: float64(k.RouteTimeoutMS), TargetLatencyMs: float64(k.FirstEventTargetMS),
-		GapAimMs: float64(k.EventGapTargetMS), Priority: float64(k.Priority), MaxAttempts: float64(s.Nodes.MaxAttempts), Service: DeploymentPlain,
+		GapAimMs: float64(k.EventGapTargetMS), Priority: float64(k.Priority), MaxAttempts: float64(s.Nodes.MaxAttempts), Service: DeploymentPlainService,
 	}
 	if k.RouteTimeoutMS == 0 {
 		route.TimeoutMs = float64(k.DeadlineMS)
 	}
 	switch k.Mode {
 	case lab.ModeStream:
-		route.Kind, route.Service, route.StreamResume, route.Affinity = "streaming", DeploymentStream, true, true
+		route.Kind, route.Service, route.StreamResume, route.Affinity = "streaming", DeploymentStreamService, true, true
 	case lab.ModeOnce:
 		route.Kind, route.MaxAttempts = "unsafe", 1
 	case lab.ModeRead:
