--- a/lab/limit.go
+++ b/lab/limit.go
@@ -7,153 +7,159 @@
 	"github.com/hoistjunction/hoistjunction/limit"
 )
 
-// What is promised of a limit: later than limitContact after an engine has named it first, no
-// limitWindow brings more than limitLeeway times what it allows, and limitSpare requests, from
-// the nodes that were told toldBefore or earlier.
+// Guarantee for advertised limits. Starting limitGrace after an engine has first advertised a
+// limit, no span of limitWindow brings more than limitTolerance times the requests that the
+// limit allows, plus limitAllowance. Requests count if their node received the limit at least
+// minNotifiedFor earlier.
 const (
-	limitWindow  clock.Millis = 4000
-	limitContact clock.Millis = 3000
-	toldBefore   clock.Millis = 500
-	limitLeeway               = 1.5
-	limitSpare                = 5
+	limitWindow    clock.Millis = 4000
+	limitGrace     clock.Millis = 3000
+	minNotifiedFor clock.Millis = 500
+	limitTolerance              = 1.5
+	limitAllowance              = 5
 )
 
-// need is what the judge keeps of a limit that an engine names. The zero value is none.
-type need struct {
-	// rate is in requests a second from all nodes together; zero for no limit.
-	rate  float64
-	named clock.Millis
-	// told is since when the lives of nodes have known it from the engine, and visits are the
-	// requests that have come.
-	told   map[life]clock.Millis
-	visits []visit
-	// counted is since when use is counted, and used how many requests came since.
-	counted clock.Millis
-	used    int
+// advertisedLimit is an engine's advertised limit with the requests that count towards it. The
+// zero value means no limit.
+type advertisedLimit struct {
+	// rate is in requests a second from all nodes together; zero means no limit.
+	rate         float64
+	advertisedAt clock.Millis
+	// notifiedAt is when each boot of a node first received the limit from the engine, and
+	// arrivals are the recent requests.
+	notifiedAt map[nodeBoot]clock.Millis
+	arrivals   []arrival
+	// countFrom is when counting for the utilization begins, and counted the requests since
+	// then.
+	countFrom clock.Millis
+	counted   int
 }
 
-// life is one life of a node: what is promised excuses one that has started anew.
-type life struct {
-	node   *node
-	number int
+// nodeBoot is one boot of a node. After a restart, the node must receive the limit again before
+// its requests count.
+type nodeBoot struct {
+	node *node
+	boot int
 }
 
-// visit is a request that has reached an engine.
-type visit struct {
+// arrival is a request that has reached an engine.
+type arrival struct {
 	at   clock.Millis
-	from life
+	from nodeBoot
 }
 
-// setLimit has an engine name a limit; zero for none.
+// setLimit makes an engine advertise a limit; zero removes it.
 func (e *engine) setLimit(rate float64) {
 	w := e.world
-	if e.need.rate > 0 && e.held.Len() > 0 && e.held.From == 0 {
-		w.result.countUse(e.need, w.now)
+	if e.advertised.rate > 0 && e.held.Len() > 0 && e.held.From == 0 {
+		w.result.addLimitUse(e.advertised, w.now)
 	}
-	visits := e.need.visits
-	e.need = need{rate: rate, named: w.now, told: make(map[life]clock.Millis), visits: visits, counted: w.now.Add(limitContact)}
+	arrivals := e.advertised.arrivals
+	e.advertised = advertisedLimit{rate: rate, advertisedAt: w.now, notifiedAt: make(map[nodeBoot]clock.Millis), arrivals: arrivals, countFrom: w.now.Add(limitGrace)}
 }
 
-// visited counts a request that has reached an engine, and judges the window that it ends.
-func (e *engine) visited(n *node) {
-	w, d := e.world, &e.need
-	d.visits = append(d.visits, visit{at: w.now, from: life{n, n.life}})
-	for d.visits[0].at <= w.now.Sub(limitWindow) {
-		d.visits = d.visits[1:]
+// recordArrival counts a request that has reached an engine, and checks the limit over the last
+// limitWindow.
+func (e *engine) recordArrival(n *node) {
+	w, l := e.world, &e.advertised
+	l.arrivals = append(l.arrivals, arrival{at: w.now, from: nodeBoot{n, n.boot}})
+	for l.arrivals[0].at <= w.now.Sub(limitWindow) {
+		l.arrivals = l.arrivals[1:]
 	}
-	if d.rate == 0 || w.now < d.counted {
+	if l.rate == 0 || w.now < l.countFrom {
 		return
 	}
-	d.used++
+	l.counted++
 	count := 0
-	for _, v := range d.visits {
-		if told, ok := d.told[v.from]; ok && told <= w.now.Sub(toldBefore) {
+	for _, a := range l.arrivals {
+		if notifiedAt, ok := l.notifiedAt[a.from]; ok && notifiedAt <= w.now.Sub(minNotifiedFor) {
 			count++
 		}
 	}
-	allows := d.rate * limitWindow.Duration().Seconds()
-	w.result.MostOfLimit = max(w.result.MostOfLimit, float64(count)/allows)
-	if float64(count) > limitLeeway*allows+limitSpare {
-		w.result.breach("limit", "more requests than an engine takes from all nodes")
+	allowed := l.rate * limitWindow.Duration().Seconds()
+	w.result.PeakLimitRatio = max(w.result.PeakLimitRatio, float64(count)/allowed)
+	if float64(count) > limitTolerance*allowed+limitAllowance {
+		w.result.violate("limit", "more requests than an engine's advertised limit allows")
 	}
 }
 
-// answers has an engine's answer to a request of a node, sent at an age of its process, say
-// what it takes.
-func (e *engine) answers(n *node, sent clock.Millis) {
+// sendLimit sends a node the engine's advertised limit with a response. sentAt is the node's
+// uptime when it sent the request.
+func (e *engine) sendLimit(n *node, sentAt clock.Millis) {
 	w := e.world
-	if e.need.rate > 0 {
-		if _, told := e.need.told[life{n, n.life}]; !told {
-			e.need.told[life{n, n.life}] = w.now
+	if e.advertised.rate > 0 {
+		if _, notified := e.advertised.notifiedAt[nodeBoot{n, n.boot}]; !notified {
+			e.advertised.notifiedAt[nodeBoot{n, n.boot}] = w.now
 		}
 	}
-	if w.variant.NoLimits {
+	if w.variant.NoAdvertisedLimits {
 		return
 	}
-	started, id, rate := n.life, e.id, e.need.rate
-	w.after(onTheWay, func() {
+	boot, id, rate := n.boot, e.id, e.advertised.rate
+	w.after(networkDelay, func() {
 		switch {
-		case !n.up || n.life != started:
+		case !n.running || n.boot != boot:
 		case rate > 0:
-			n.tell(dispatch.AdvertisedLimitMsg{Upstream: id, Rate: rate})
+			n.update(dispatch.AdvertisedLimitMsg{Upstream: id, Rate: rate})
 		default:
-			n.tell(dispatch.NoAdvertisedLimitMsg{Upstream: id, SentAt: sent})
+			n.update(dispatch.NoAdvertisedLimitMsg{Upstream: id, SentAt: sentAt})
 		}
 	})
 }
 
-// countUse adds a limit that has ended, or the run with it.
-func (r *Result) countUse(d need, until clock.Millis) {
-	if until <= d.counted {
+// addLimitUse adds the use of a limit that ends, or of one that is active at the end of the
+// run.
+func (r *Result) addLimitUse(l advertisedLimit, until clock.Millis) {
+	if until <= l.countFrom {
 		return
 	}
-	r.limitAllowed += d.rate * until.Sub(d.counted).Duration().Seconds()
-	r.limitUsed += float64(d.used)
+	r.limitAllowed += l.rate * until.Sub(l.countFrom).Duration().Seconds()
+	r.limitUsed += float64(l.counted)
 }
 
-// LimitUsed is the part of what limited engines at which streams begin allowed that reached
-// them, from limitContact after they named it on; 1 where there were none.
-func (r *Result) LimitUsed() float64 {
+// LimitUtilization returns how much of their advertised limits was used by engines that hold
+// the first layer, counted from limitGrace after the advertisement; 1 if there were no limits.
+func (r *Result) LimitUtilization() float64 {
 	if r.limitAllowed == 0 {
 		return 1
 	}
 	return r.limitUsed / r.limitAllowed
 }
 
-// askPermits sends another node a question for permits. Ages are counted on its clock there.
-func (n *node) askPermits(cmd limit.AskCmd) {
-	n.one(cmd.To, func(o *node) {
+// requestPermits sends another node a request for permits, with times on that node's clock.
+func (n *node) requestPermits(cmd limit.AskCmd) {
+	n.sendPermitMessage(cmd.To, func(o *node) {
 		ask := cmd.Ask
-		ask.Named = n.namedFor(o, ask.Named)
-		o.tell(dispatch.PermitRequestMsg{From: n.name, Ask: ask})
+		ask.Named = n.limitOnClockOf(o, ask.Named)
+		o.update(dispatch.PermitRequestMsg{From: n.name, Ask: ask})
 	})
 }
 
-// givePermits answers another node's question.
-func (n *node) givePermits(cmd dispatch.GrantPermitsCmd) {
-	n.one(cmd.To, func(o *node) {
+// grantPermits sends another node the answer to its request for permits.
+func (n *node) grantPermits(cmd dispatch.GrantPermitsCmd) {
+	n.sendPermitMessage(cmd.To, func(o *node) {
 		grant := cmd.Grant
-		grant.Named = n.namedFor(o, grant.Named)
-		o.tell(dispatch.PermitGrantMsg{From: n.name, Grant: grant})
+		grant.Named = n.limitOnClockOf(o, grant.Named)
+		o.update(dispatch.PermitGrantMsg{From: n.name, Grant: grant})
 	})
 }
 
-// limitsFor is what is known of limits, by the clock of another node.
-func (n *node) limitsFor(o *node, limits map[fleet.Incarnation]limit.Named) map[fleet.Incarnation]limit.Named {
-	if n.world.variant.NoLimits {
+// limitsOnClockOf returns limits with their times converted to another node's clock.
+func (n *node) limitsOnClockOf(o *node, limits map[fleet.Incarnation]limit.Named) map[fleet.Incarnation]limit.Named {
+	if n.world.variant.NoAdvertisedLimits {
 		return nil
 	}
-	there := make(map[fleet.Incarnation]limit.Named, len(limits))
+	converted := make(map[fleet.Incarnation]limit.Named, len(limits))
 	for id, named := range limits {
-		there[id] = n.namedFor(o, named)
+		converted[id] = n.limitOnClockOf(o, named)
 	}
-	return there
+	return converted
 }
 
-// namedFor is what is known of a limit, by the clock of another node.
-func (n *node) namedFor(o *node, named limit.Named) limit.Named {
+// limitOnClockOf returns a limit with its time converted to another node's clock.
+func (n *node) limitOnClockOf(o *node, named limit.Named) limit.Named {
 	if named.ReceivedAt != clock.Never {
-		named.ReceivedAt = o.age().Sub(n.age().Sub(named.ReceivedAt))
+		named.ReceivedAt = o.uptime().Sub(n.uptime().Sub(named.ReceivedAt))
 	}
 	return named
 }
--- a/lab/list.go
+++ b/lab/list.go
@@ -5,66 +5,66 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// list is the list of engines that nodes follow, late.
-type list struct {
+// engineList is the list of engines, which nodes read with a delay.
+type engineList struct {
 	world   *world
 	entries map[fleet.Incarnation]fleet.Upstream
 	order   []fleet.Incarnation
-	// away tells that it stands still.
-	away bool
-	// changes are all that there were, and when.
-	changes []listed
+	// frozen stops the delivery of changes to nodes.
+	frozen bool
+	// changes are all changes since the start of the run.
+	changes []timedChange
 }
 
-// listed is a change of the list.
-type listed struct {
+// timedChange is a change of the list with its time.
+type timedChange struct {
 	at     clock.Millis
 	change fleet.Change
 }
 
-// listEvery is how often a node looks for changes: they come in batches.
-const listEvery clock.Millis = 250
+// listPollInterval is how often a node polls for changes, which makes them arrive in batches.
+const listPollInterval clock.Millis = 250
 
-// publish has an engine write its entry.
-func (l *list) publish(e *engine) {
-	if !e.up {
+// publish writes the current entry of an engine.
+func (l *engineList) publish(e *engine) {
+	if !e.running {
 		return
 	}
-	if _, known := l.entries[e.id]; !known {
+	if _, exists := l.entries[e.id]; !exists {
 		l.order = append(l.order, e.id)
 	}
-	l.entries[e.id] = e.entry()
-	l.change(fleet.Change{ID: e.id, Upstream: e.entry()})
+	l.entries[e.id] = e.listEntry()
+	l.addChange(fleet.Change{ID: e.id, Upstream: e.listEntry()})
 }
 
-// lapse has the entry of an engine that has ended go after a time.
-func (l *list) lapse(e *engine) {
-	l.world.after(l.world.scenario.LapseMS, func() {
+// scheduleRemoval removes the entry of a crashed engine after RemovalDelayMS.
+func (l *engineList) scheduleRemoval(e *engine) {
+	l.world.after(l.world.scenario.RemovalDelayMS, func() {
 		delete(l.entries, e.id)
-		l.change(fleet.Change{ID: e.id, Gone: true})
+		l.addChange(fleet.Change{ID: e.id, Gone: true})
 	})
 }
 
-func (l *list) change(c fleet.Change) {
-	l.changes = append(l.changes, listed{at: l.world.now, change: c})
+func (l *engineList) addChange(c fleet.Change) {
+	l.changes = append(l.changes, timedChange{at: l.world.now, change: c})
 }
 
-// since returns the changes after a number of them that a node with some lag sees now, and how
-// many there were then.
-func (l *list) since(seen int, lag clock.Millis) ([]fleet.Change, int) {
+// visibleSince returns the changes after the first seen ones that are visible with a delay of
+// lag, and the total number of changes seen by then.
+func (l *engineList) visibleSince(seen int, lag clock.Millis) ([]fleet.Change, int) {
 	var changes []fleet.Change
-	for !l.away && seen < len(l.changes) && l.changes[seen].at.Add(lag) <= l.world.now {
+	for !l.frozen && seen < len(l.changes) && l.changes[seen].at.Add(lag) <= l.world.now {
 		changes = append(changes, l.changes[seen].change)
 		seen++
 	}
 	return changes, seen
 }
 
-// all is the whole list, for a node that starts.
-func (l *list) all() []fleet.Change {
+// snapshot returns all current entries, for a node that starts.
+func (l *engineList) snapshot() []fleet.Change {
 	var changes []fleet.Change
 	for _, id := range l.order {
-		if u, there := l.entries[id]; there {
+		if u, exists := l.entries[id]; exists {
 			changes = append(changes, fleet.Change{ID: id, Upstream: u})
 		}
 	}
--- a/lab/node.go
+++ b/lab/node.go
@@ -13,165 +13,168 @@
 )
 
 const (
-	// tickEvery and planEvery are how often the models are told the time.
-	tickEvery clock.Millis = 100
-	planEvery clock.Millis = 250
-	// planSlot sets the nodes' orders apart.
-	planSlot clock.Millis = 300
-	// asked is how long a question to an engine takes that answers.
-	asked clock.Millis = 4
-	// planners is how many nodes plan: the first of those that are up. The others would find
-	// the same plan, later, and leave its orders to these.
-	planners = 8
-	// nearAll is up to how many nodes all tell each other what they have in use.
-	nearAll = 24
-	// circleEvery is how often a node of a large data centre looks who the hubs are.
-	circleEvery clock.Millis = 150
+	// tickInterval and planInterval are how often the dispatcher and the planner receive a
+	// tick.
+	tickInterval clock.Millis = 100
+	planInterval clock.Millis = 250
+	// planStagger is the delay between the planners of two nodes, so that their orders don't
+	// collide.
+	planStagger clock.Millis = 300
+	// engineRoundTrip is how long an engine takes to answer a probe or an order.
+	engineRoundTrip clock.Millis = 4
+	// maxPlanners is how many running nodes plan, starting with the first. The others would
+	// find the same plan later, and would find its orders already given.
+	maxPlanners = 8
+	// fullMeshBelow is the number of nodes below which all exchange their usage with each
+	// other.
+	fullMeshBelow = 24
+	// topologyInterval is how often a node updates which nodes of its data centre are hubs.
+	topologyInterval clock.Millis = 150
 )
 
-// node is a relay node: the real models, and what their shells would do.
+// node is a relay node: the real models, and a simulation of the I/O code around them.
 type node struct {
-	world  *world
-	name   string
-	centre string
-	rank   int
-	up     bool
-	// life counts its starts: what was on its way to an earlier one is lost.
-	life    int
-	started clock.Millis
-
-	model    *dispatch.Model
-	planner  *placement.Model
-	view     *fleet.View
-	sessions map[dispatch.RequestID]*session
-	next     dispatch.RequestID
-	// seen is how many changes of the list it has seen.
-	seen int
-	// roster knows the nodes of its data centre, and circle its place among them.
-	roster *reading.Roster
-	circle reading.Topology
-	// heard and sent count the datagrams that nodes tell each other.
-	heard, sent int
+	world      *world
+	name       string
+	dataCentre string
+	rank       int
+	running    bool
+	// boot counts the starts of the node. Messages on their way to an earlier boot are lost.
+	boot      int
+	startedAt clock.Millis
+
+	dispatcher    *dispatch.Model
+	planner       *placement.Model
+	view          *fleet.View
+	sessions      map[dispatch.RequestID]*session
+	lastRequestID dispatch.RequestID
+	// seenChanges is how many changes of the engine list the node has read.
+	seenChanges int
+	// roster tracks the nodes of the data centre, and topology is the current choice of hubs.
+	roster   *reading.Roster
+	topology reading.Topology
+	// received and sent count the datagrams exchanged with other nodes.
+	received, sent int
 }
 
 // start starts the node's process.
 func (n *node) start() {
 	w := n.world
-	n.up, n.started = true, w.now
-	n.life++
-	life := n.life
+	n.running, n.startedAt = true, w.now
+	n.boot++
+	boot := n.boot
 	s := w.scenario
-	n.model = dispatch.New(dispatch.WithDataCentre(n.centre), dispatch.WithSeed(uint64(n.rank)+1), dispatch.WithStoredQuarantine(),
-		dispatch.WithLimits(limit.New(limit.WithSelf(n.name), limit.WithBootID(uint64(n.life)))),
-		dispatch.WithPolicy(dispatch.Policy{RetryWindow: s.Nodes.WindowMS, RetryShare: w.retryShare(), RetrySlack: w.retrySlack()}))
-	n.planner = placement.New(placement.WithDelay(clock.Millis(n.rank)*planSlot), placement.WithStart(0))
+	n.dispatcher = dispatch.New(dispatch.WithDataCentre(n.dataCentre), dispatch.WithSeed(uint64(n.rank)+1), dispatch.WithStoredQuarantine(),
+		dispatch.WithLimits(limit.New(limit.WithSelf(n.name), limit.WithBootID(uint64(n.boot)))),
+		dispatch.WithPolicy(dispatch.Policy{RetryWindow: s.Nodes.RetryWindowMS, RetryShare: w.retryShare(), RetrySlack: w.retrySlack()}))
+	n.planner = placement.New(placement.WithDelay(clock.Millis(n.rank)*planStagger), placement.WithStart(0))
 	n.view = fleet.NewView()
 	n.sessions = make(map[dispatch.RequestID]*session)
-	n.tell(dispatch.CatalogMsg{Catalog: w.catalog, ConfirmedAt: 0})
-	n.plan(placement.CatalogMsg{Catalog: w.catalog})
-	n.hear(w.list.all())
-	n.seen = len(w.list.changes)
-	n.tell(dispatch.QuarantinedMsg{Works: w.kept()})
+	n.update(dispatch.CatalogMsg{Catalog: w.catalog, ConfirmedAt: 0})
+	n.updatePlanner(placement.CatalogMsg{Catalog: w.catalog})
+	n.applyChanges(w.list.snapshot())
+	n.seenChanges = len(w.list.changes)
+	n.update(dispatch.QuarantinedMsg{Works: w.storedQuarantines()})
 	n.roster = reading.NewRoster(&wire.Member{Name: n.name}, w.now, 0)
-	n.roster.SetGroup(w.group(n))
-	n.lookAround(true)
-	w.every(circleEvery, func() bool {
-		if n.up && n.life == life {
-			n.lookAround(false)
+	n.roster.SetGroup(w.dataCentrePeers(n))
+	n.updateTopology(true)
+	w.repeat(topologyInterval, func() bool {
+		if n.running && n.boot == boot {
+			n.updateTopology(false)
 		}
-		return n.up && n.life == life
+		return n.running && n.boot == boot
 	})
-	w.every(tickEvery, func() bool {
-		if n.up && n.life == life {
-			n.tell(dispatch.TickMsg{})
+	w.repeat(tickInterval, func() bool {
+		if n.running && n.boot == boot {
+			n.update(dispatch.TickMsg{})
 		}
-		return n.up && n.life == life
+		return n.running && n.boot == boot
 	})
-	w.every(listEvery, func() bool {
-		if n.up && n.life == life {
-			n.follow()
+	w.repeat(listPollInterval, func() bool {
+		if n.running && n.boot == boot {
+			n.pollList()
 		}
-		return n.up && n.life == life
+		return n.running && n.boot == boot
 	})
-	w.every(planEvery, func() bool {
-		if n.up && n.life == life && (!w.variant.NoHealing || w.now < 0) && w.plans(n) {
-			n.plan(placement.TickMsg{})
+	w.repeat(planInterval, func() bool {
+		if n.running && n.boot == boot && (!w.variant.NoReplacement || w.now < 0) && w.isPlanner(n) {
+			n.updatePlanner(placement.TickMsg{})
 		}
-		return n.up && n.life == life
+		return n.running && n.boot == boot
 	})
 }
 
-// kill ends the node's process. Its callers' connections break.
+// kill ends the node's process and breaks the connections of its callers.
 func (n *node) kill() {
-	n.up = false
-	for _, id := range sortedIDs(n.sessions) {
+	n.running = false
+	for _, id := range sortedRequestIDs(n.sessions) {
 		s := n.sessions[id]
-		s.leave()
-		s.caller.failed("node lost")
+		s.abandon()
+		s.caller.handleFailure("node lost")
 	}
 	n.sessions = make(map[dispatch.RequestID]*session)
 }
 
-// age is the time since its start, which its models count in.
-func (n *node) age() clock.Millis { return n.world.now.Sub(n.started) }
+// uptime returns the time since the node's start, which is the clock of its models.
+func (n *node) uptime() clock.Millis { return n.world.now.Sub(n.startedAt) }
 
-// tell hands the model a message and does what follows.
-func (n *node) tell(msg dispatch.Msg) {
-	if !n.up {
+// update passes a message to the dispatcher and executes the resulting commands.
+func (n *node) update(msg dispatch.Msg) {
+	if !n.running {
 		return
 	}
-	for _, cmd := range n.model.Update(n.age(), msg) {
-		n.carry(cmd)
+	for _, cmd := range n.dispatcher.Update(n.uptime(), msg) {
+		n.execute(cmd)
 	}
 }
 
-// plan hands the planner a message and gives its orders.
-func (n *node) plan(msg placement.Msg) {
-	for _, cmd := range n.planner.Update(n.age(), msg) {
-		n.order(cmd)
+// updatePlanner passes a message to the planner and sends the resulting orders.
+func (n *node) updatePlanner(msg placement.Msg) {
+	for _, cmd := range n.planner.Update(n.uptime(), msg) {
+		n.sendOrder(cmd)
 	}
 }
 
-// follow takes in what the list shows by now, with a lag that differs from time to time.
-func (n *node) follow() {
-	lag := n.world.random.Int64N(int64(max(n.world.scenario.LagMS-listEvery, 1)))
+// pollList reads new changes of the engine list, with a delay that varies from poll to poll.
+func (n *node) pollList() {
+	lag := n.world.eventRand.Int64N(int64(max(n.world.scenario.ListLagMS-listPollInterval, 1)))
 	var changes []fleet.Change
-	changes, n.seen = n.world.list.since(n.seen, clock.Millis(lag))
+	changes, n.seenChanges = n.world.list.visibleSince(n.seenChanges, clock.Millis(lag))
 	if len(changes) > 0 {
-		n.hear(changes)
+		n.applyChanges(changes)
 	}
 }
 
-// hear takes in changes of the list.
-func (n *node) hear(changes []fleet.Change) {
-	if changes = n.view.Apply(n.age(), changes, false); len(changes) > 0 {
-		n.pass(changes)
+// applyChanges applies changes of the engine list to the node's view.
+func (n *node) applyChanges(changes []fleet.Change) {
+	if changes = n.view.Apply(n.uptime(), changes, false); len(changes) > 0 {
+		n.forwardChanges(changes)
 	}
 }
 
-func (n *node) pass(changes []fleet.Change) {
-	n.tell(dispatch.FleetMsg{Changes: changes})
-	n.plan(placement.FleetMsg{Changes: changes})
+func (n *node) forwardChanges(changes []fleet.Change) {
+	n.update(dispatch.FleetMsg{Changes: changes})
+	n.updatePlanner(placement.FleetMsg{Changes: changes})
 }
 
-// replaced takes in that another engine has answered at the address of one.
-func (n *node) replaced(id fleet.Incarnation, address string) {
-	if ended := n.view.NoteReplacement(id, address); len(ended) > 0 {
-		n.pass(ended)
+// noteReplaced records that another engine has answered at an engine's address.
+func (n *node) noteReplaced(id fleet.Incarnation, address string) {
+	if changes := n.view.NoteReplacement(id, address); len(changes) > 0 {
+		n.forwardChanges(changes)
 	}
 }
 
-// carry does what the model says.
-func (n *node) carry(cmd dispatch.Cmd) {
+// execute executes a command of the dispatcher.
+func (n *node) execute(cmd dispatch.Cmd) {
 	switch cmd := cmd.(type) {
 	case dispatch.ShareUsageCmd:
-		n.share(cmd)
+		n.shareUsage(cmd)
 	case dispatch.ResponsivenessCmd:
-		n.plan(placement.ResponsivenessMsg{Upstream: cmd.Upstream, Unresponsive: cmd.Unresponsive, Confirmed: cmd.Confirmed})
-		if cmd.Unresponsive && !cmd.Confirmed && !n.world.variant.NoSilence {
-			n.others(func(o *node) {
-				if o.centre == n.centre || len(n.world.nodes) < nearAll {
-					o.tell(dispatch.PeerUnresponsiveMsg{Upstream: cmd.Upstream})
+		n.updatePlanner(placement.ResponsivenessMsg{Upstream: cmd.Upstream, Unresponsive: cmd.Unresponsive, Confirmed: cmd.Confirmed})
+		if cmd.Unresponsive && !cmd.Confirmed && !n.world.variant.NoUnresponsiveReports {
+			n.broadcast(func(o *node) {
+				if o.dataCentre == n.dataCentre || len(n.world.nodes) < fullMeshBelow {
+					o.update(dispatch.PeerUnresponsiveMsg{Upstream: cmd.Upstream})
 				}
 			})
 		}
@@ -180,20 +183,20 @@
 	case dispatch.IdentifyCmd:
 		n.identify(cmd)
 	case dispatch.QuarantineCmd:
-		n.spread(cmd.News)
+		n.shareQuarantineNews(cmd.News)
 	case dispatch.RequestPermitsCmd:
-		n.askPermits(cmd.AskCmd)
+		n.requestPermits(cmd.AskCmd)
 	case dispatch.GrantPermitsCmd:
-		n.givePermits(cmd)
+		n.grantPermits(cmd)
 	case dispatch.SuspectCmd, dispatch.BackOffCmd, dispatch.RecheckDeadlineCmd, dispatch.LimitChangedCmd:
 	default:
 		if s := n.sessions[requestOf(cmd)]; s != nil {
-			s.obey(cmd)
+			s.execute(cmd)
 		}
 	}
 }
 
-// requestOf is whom a command concerns.
+// requestOf returns the request that a command belongs to; 0 if there is none.
 func requestOf(cmd dispatch.Cmd) dispatch.RequestID {
 	switch cmd := cmd.(type) {
 	case dispatch.SendCmd:
@@ -212,4 +215,4 @@
 	return 0
 }
 
-func nodeName(centre string, i int) string { return fmt.Sprintf("%s-%d", centre, i+1) }
+func nodeName(dataCentre string, i int) string { return fmt.Sprintf("%s-%d", dataCentre, i+1) }
--- a/lab/result.go
+++ b/lab/result.go
@@ -5,80 +5,84 @@
 	"slices"
 )
 
-// Outcome is what became of a request.
+// Outcome is how a request ended.
 type Outcome int
 
-// The outcomes.
+// The outcomes, from best to worst.
 const (
-	// InTime: served whole within its aims, counted from its first try.
+	// InTime means that the complete answer met the latency targets, counted from the first
+	// try.
 	InTime Outcome = iota
-	// Late: served whole.
+	// Late means that the complete answer missed a latency target.
 	Late
-	// Refused: not served, and not run.
+	// Refused means that the request was not served and not executed.
 	Refused
-	// Failed: not served; it may have run.
+	// Failed means that the request was not served and may have been executed.
 	Failed
-	outcomes
+	outcomeCount
 )
 
-var outcomeNames = [outcomes]string{"in time", "late", "refused", "failed"}
+var outcomeNames = [outcomeCount]string{"in time", "late", "refused", "failed"}
 
-// String names the outcome.
+// String returns the name of the outcome.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Result is what came of a run. Requests that end engines are counted apart.
+// Result holds the measurements of a run. Requests that crash engines are not part of the
+// outcomes.
 type Result struct {
 	Scenario *Scenario
 	Variant  Variant
 	Seed     uint64
-	// Seconds count outcomes by the second of the first try.
-	Seconds [][outcomes]int
-	Total   [outcomes]int
-	// Why counts why requests were not served.
-	Why map[string]int
-	// Tries counts requests at nodes, Sends attempts at engines, Repeats those that reached
-	// one again, RefusedAgain returns that were refused, InRest arrivals in a rest.
-	Tries, Sends, Repeats, RefusedAgain, InRest, Moves, Orders, Probes, Ended, DeadlyEnds int
-	// PermitDatagrams counts what nodes tell each other of permits, and MostOfLimit is the
-	// most that an engine got in a window over what its limit allows in it.
+	// BySecond counts outcomes by the second of the first try.
+	BySecond [][outcomeCount]int
+	Total    [outcomeCount]int
+	// Causes counts the causes for which requests were not served.
+	Causes map[string]int
+	// ClientAttempts counts requests at nodes, EngineAttempts attempts sent to engines,
+	// RepeatedArrivals arrivals at an engine after the first, RefusedRetries refused client
+	// retries, and ArrivalsInBackOff arrivals at an engine during its back-off.
+	ClientAttempts, EngineAttempts, RepeatedArrivals, RefusedRetries, ArrivalsInBackOff, Migrations, PlacementOrders, Probes, EngineCrashes, RequestCrashes int
+	// PermitDatagrams counts the datagrams about permits between nodes. PeakLimitRatio is the
+	// maximum ratio of requests in a window to those that the engine's limit allows in it.
 	PermitDatagrams int
-	MostOfLimit     float64
-	// Heard and Sent are what nodes tell each other while there is load.
-	Heard, Sent Traffic
-	// limitAllowed and limitUsed are requests, over all limits.
+	PeakLimitRatio  float64
+	// Received and Sent are the rates of datagrams between nodes while there is load.
+	Received, Sent Traffic
+	// limitAllowed and limitUsed count allowed and received requests over all limits.
 	limitAllowed, limitUsed float64
-	// Broken are the promises that were broken, each with what it was first.
-	Broken map[string]string
+	// Violations are the violated guarantees by name, each with a description of its first
+	// violation.
+	Violations map[string]string
 }
 
 func newResult(s *Scenario, v Variant, seed uint64) *Result {
 	return &Result{
-		Scenario: s, Variant: v, Seed: seed, Why: make(map[string]int), Broken: make(map[string]string),
-		Seconds: make([][outcomes]int, s.Load.ForMS/1000+1),
+		Scenario: s, Variant: v, Seed: seed, Causes: make(map[string]int), Violations: make(map[string]string),
+		BySecond: make([][outcomeCount]int, s.Load.DurationMS/1000+1),
 	}
 }
 
-func (r *Result) add(c *caller, o Outcome, why string) {
-	if c.deadly {
+func (r *Result) add(c *caller, o Outcome, cause string) {
+	if c.crashesEngines {
 		return
 	}
 	r.Total[o]++
-	r.Seconds[min(int(c.sent/1000), len(r.Seconds)-1)][o]++
-	if why != "" {
-		r.Why[why]++
+	r.BySecond[min(int(c.firstSentAt/1000), len(r.BySecond)-1)][o]++
+	if cause != "" {
+		r.Causes[cause]++
 	}
 }
 
-func (r *Result) breach(promise, what string) {
-	if _, known := r.Broken[promise]; !known {
-		r.Broken[promise] = what
+func (r *Result) violate(guarantee, description string) {
+	if _, known := r.Violations[guarantee]; !known {
+		r.Violations[guarantee] = description
 	}
 }
 
-// Count is how many requests ended.
-func (r *Result) Count() int { return sum(r.Total) }
+// RequestCount returns the number of requests that have ended.
+func (r *Result) RequestCount() int { return sum(r.Total) }
 
-func sum(counts [outcomes]int) int {
+func sum(counts [outcomeCount]int) int {
 	n := 0
 	for _, c := range counts {
 		n += c
@@ -86,34 +90,35 @@
 	return n
 }
 
-// lateWorth is what a late answer is worth of one in time, as on the users' smaller sites.
-const lateWorth = 0.5
+// lateCredit is the credit for a late answer, compared to 1 for one in time. The users' smaller
+// sites weigh late answers in the same way.
+const lateCredit = 0.5
 
-func credit(counts [outcomes]int) float64 {
+func credit(counts [outcomeCount]int) float64 {
 	n := sum(counts)
 	if n == 0 {
 		return 1
 	}
-	return (float64(counts[InTime]) + lateWorth*float64(counts[Late])) / float64(n)
+	return (float64(counts[InTime]) + lateCredit*float64(counts[Late])) / float64(n)
 }
 
-// Served is the part of the requests that were served, also late.
-func (r *Result) Served() float64 {
-	return float64(r.Total[InTime]+r.Total[Late]) / float64(max(r.Count(), 1))
+// ServedShare returns the share of requests that were served, in time or late.
+func (r *Result) ServedShare() float64 {
+	return float64(r.Total[InTime]+r.Total[Late]) / float64(max(r.RequestCount(), 1))
 }
 
-// Credit is the part of the worth that was earned: half of it for a late answer.
+// Credit returns the mean credit of a request: 1 in time, half of that late, 0 if not served.
 func (r *Result) Credit() float64 { return credit(r.Total) }
 
-// worstSpan is the length of a worst window, in seconds.
-const worstSpan = 5
+// worstWindowSeconds is the length of the window in WorstWindow.
+const worstWindowSeconds = 5
 
-// Worst is the credit of the worst window of five seconds.
-func (r *Result) Worst() float64 {
+// WorstWindow returns the lowest credit of any window of five seconds.
+func (r *Result) WorstWindow() float64 {
 	worst := 1.0
-	for from := 0; from+worstSpan <= len(r.Seconds); from++ {
-		var window [outcomes]int
-		for _, s := range r.Seconds[from : from+worstSpan] {
+	for from := 0; from+worstWindowSeconds <= len(r.BySecond); from++ {
+		var window [outcomeCount]int
+		for _, s := range r.BySecond[from : from+worstWindowSeconds] {
 			for o := range window {
 				window[o] += s[o]
 			}
@@ -123,27 +128,27 @@
 	return worst
 }
 
-// Figures are what experiments compare, by name.
+// Figures returns the figures that experiments compare, by name.
 func (r *Result) Figures() map[string]float64 {
-	n := float64(max(r.Count(), 1))
+	n := float64(max(r.RequestCount(), 1))
 	return map[string]float64{
-		"credit": r.Credit(), "worst 5 s": r.Worst(), "served": r.Served(),
+		"credit": r.Credit(), "worst 5 s": r.WorstWindow(), "served": r.ServedShare(),
 		"refused": float64(r.Total[Refused]) / n, "failed": float64(r.Total[Failed]) / n,
-		"refused again": float64(r.RefusedAgain) / n, "repeats": float64(r.Repeats) / n, "in a rest": float64(r.InRest),
-		"most of a limit": r.MostOfLimit, "used of limits": r.LimitUsed(),
+		"refused again": float64(r.RefusedRetries) / n, "repeats": float64(r.RepeatedArrivals) / n, "in a rest": float64(r.ArrivalsInBackOff),
+		"most of a limit": r.PeakLimitRatio, "used of limits": r.LimitUtilization(),
 	}
 }
 
-// FigureNames are the names of the figures in the order in which they are shown.
+// FigureNames are the names of the figures in display order.
 var FigureNames = []string{"credit", "worst 5 s", "served", "refused", "failed", "refused again", "repeats", "in a rest", "most of a limit", "used of limits"}
 
-// Largest returns the most frequent causes, at most a number of them.
-func (r *Result) Largest(most int) []string {
-	causes := slices.SortedFunc(maps.Keys(r.Why), func(a, b string) int {
-		if r.Why[a] != r.Why[b] {
-			return r.Why[b] - r.Why[a]
+// TopCauses returns the most frequent causes, at most limit of them.
+func (r *Result) TopCauses(limit int) []string {
+	causes := slices.SortedFunc(maps.Keys(r.Causes), func(a, b string) int {
+		if r.Causes[a] != r.Causes[b] {
+			return r.Causes[b] - r.Causes[a]
 		}
 		return slices.Compare([]byte(a), []byte(b))
 	})
-	return causes[:min(most, len(causes))]
+	return causes[:min(limit, len(causes))]
 }
--- a/lab/variant.go
+++ b/lab/variant.go
@@ -6,59 +6,59 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Variant is what is switched off of the nodes, or set otherwise. The zero value is the
-// product as it is. What is switched off is what shells tell the models, so the models
-// themselves are the same in all variants.
+// Variant switches mechanisms of the nodes off. The zero value is the product unchanged. The
+// models are the same in all variants; a mechanism is switched off by withholding messages from
+// them or by their settings.
 type Variant struct {
 	Name string
-	// NoRest: what upstreams ask for beside a refusal is not read.
-	NoRest bool
-	// NoLimits: what upstreams take from all nodes together is not read.
-	NoLimits bool
-	// NoUsage: nodes do not tell each other what they have in use.
-	NoUsage bool
-	// NoSilence: nodes do not tell each other of engines that do not answer.
-	NoSilence bool
-	// NoReports: engines' words on their memory are not taken in.
-	NoReports bool
-	// NoMoves: streams stay on their chains, and are sent again where these fail.
-	NoMoves bool
-	// NoHealing: no layers are ordered after the first plan.
-	NoHealing bool
-	// NoVerdicts: nodes do not tell each other what they lose, and know nothing at a start.
-	NoVerdicts bool
-	// NoReturnTime: callers come back after 300 ms, whatever they are told.
-	NoReturnTime bool
-	// NoRepeats: requests are not repeated.
-	NoRepeats bool
+	// NoBackOff ignores the back-off that upstreams request with a refusal.
+	NoBackOff bool
+	// NoAdvertisedLimits ignores the rate limits that upstreams advertise.
+	NoAdvertisedLimits bool
+	// NoUsageSharing stops nodes from sending each other their usage.
+	NoUsageSharing bool
+	// NoUnresponsiveReports stops nodes from reporting unresponsive engines to each other.
+	NoUnresponsiveReports bool
+	// NoMemoryReports ignores the free memory that engines report.
+	NoMemoryReports bool
+	// NoMigration keeps streams on their chains; if a chain fails, the request is sent again.
+	NoMigration bool
+	// NoReplacement gives no placement orders after the initial placement.
+	NoReplacement bool
+	// NoQuarantineSharing stops nodes from sharing crashes and quarantine entries.
+	NoQuarantineSharing bool
+	// IgnoreRetryAfter makes callers retry after 300 ms, whatever Retry-After requests.
+	IgnoreRetryAfter bool
+	// NoRetries stops nodes from repeating requests.
+	NoRetries bool
 }
 
-// switches are the mechanisms by name.
-var switches = map[string]func(*Variant){
-	"rest":        func(v *Variant) { v.NoRest = true },
-	"limits":      func(v *Variant) { v.NoLimits = true },
-	"usage":       func(v *Variant) { v.NoUsage = true },
-	"silence":     func(v *Variant) { v.NoSilence = true },
-	"reports":     func(v *Variant) { v.NoReports = true },
-	"moves":       func(v *Variant) { v.NoMoves = true },
-	"healing":     func(v *Variant) { v.NoHealing = true },
-	"verdicts":    func(v *Variant) { v.NoVerdicts = true },
-	"return_time": func(v *Variant) { v.NoReturnTime = true },
-	"repeats":     func(v *Variant) { v.NoRepeats = true },
+// disablers switch off the mechanisms, by their names.
+var disablers = map[string]func(*Variant){
+	"rest":        func(v *Variant) { v.NoBackOff = true },
+	"limits":      func(v *Variant) { v.NoAdvertisedLimits = true },
+	"usage":       func(v *Variant) { v.NoUsageSharing = true },
+	"silence":     func(v *Variant) { v.NoUnresponsiveReports = true },
+	"reports":     func(v *Variant) { v.NoMemoryReports = true },
+	"moves":       func(v *Variant) { v.NoMigration = true },
+	"healing":     func(v *Variant) { v.NoReplacement = true },
+	"verdicts":    func(v *Variant) { v.NoQuarantineSharing = true },
+	"return_time": func(v *Variant) { v.IgnoreRetryAfter = true },
+	"repeats":     func(v *Variant) { v.NoRetries = true },
 }
 
-// Without returns the product without some mechanisms, named with commas between.
+// Without returns the variant with the given mechanisms switched off, separated by commas.
 func Without(names string) (Variant, error) {
 	v := Variant{Name: "without " + names}
 	for name := range strings.SplitSeq(names, ",") {
-		turn, known := switches[name]
+		disable, known := disablers[name]
 		if !known {
 			return v, errors.Wrapf(ErrScenario, "there is no mechanism %q; there are %s", name, strings.Join(Mechanisms(), ", "))
 		}
-		turn(&v)
+		disable(&v)
 	}
 	return v, nil
 }
 
 // Mechanisms returns the names of all mechanisms, sorted.
-func Mechanisms() []string { return sortedNames(switches) }
+func Mechanisms() []string { return sortedKeys(disablers) }
--- a/rehearse/caller.go
+++ b/rehearse/caller.go
@@ -85,7 +85,7 @@
 	defer cancel()
 	for number := 0; ; number++ {
 		delay, retry := s.attempt(ctx, number)
-		if s.served || !retry || number >= s.kind.Returns {
+		if s.served || !retry || number >= s.kind.MaxRetries {
 			break
 		}
 		if s.remaining() <= delay {
@@ -107,7 +107,7 @@
 	resp, err := s.send(ctx, number)
 	if err != nil {
 		s.FailureReason = failureReason(ctx, err)
-		return 0, s.kind.How != lab.HowOnce || errors.Is(err, errNotReached)
+		return 0, s.kind.Mode != lab.ModeOnce || errors.Is(err, errNotReached)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	switch resp.StatusCode {
@@ -116,18 +116,18 @@
 		if err != nil {
 			s.FailureReason = failureReason(ctx, err)
 		}
-		return 0, s.kind.How != lab.HowOnce
+		return 0, s.kind.Mode != lab.ModeOnce
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		return s.recordRefusal(resp), true
 	default:
 		s.FailureReason = fmt.Sprintf("status_%d_%s", resp.StatusCode, refusalReason(resp.Body))
-		return 0, s.kind.How != lab.HowOnce
+		return 0, s.kind.Mode != lab.ModeOnce
 	}
 }
 
 func (s *sender) send(ctx context.Context, number int) (*http.Response, error) {
 	method, body := http.MethodPost, io.Reader(strings.NewReader(s.ID))
-	if s.kind.How == lab.HowRead {
+	if s.kind.Mode == lab.ModeRead {
 		method, body = http.MethodGet, nil
 	}
 	node := s.client.node(number)
@@ -189,7 +189,7 @@
 // readAnswer reads and checks a response. A stream that resumes must continue with the next
 // event.
 func (s *sender) readAnswer(resp *http.Response) error {
-	if s.kind.How != lab.HowStream {
+	if s.kind.Mode != lab.ModeStream {
 		body, err := io.ReadAll(resp.Body)
 		if err != nil {
 			return err
@@ -247,7 +247,7 @@
 }
 
 func (s *sender) inTime() bool {
-	return s.FirstEventMS <= float64(s.kind.AimMS) && (s.kind.PauseMS == 0 || s.MaxPauseMS <= float64(s.kind.PauseMS))
+	return s.FirstEventMS <= float64(s.kind.FirstEventTargetMS) && (s.kind.EventGapTargetMS == 0 || s.MaxPauseMS <= float64(s.kind.EventGapTargetMS))
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/rehearse/deployment.go
+++ b/rehearse/deployment.go
@@ -81,8 +81,8 @@
 // prepareNodes chooses the addresses of all nodes and writes their settings.
 func (d *Deployment) prepareNodes(template string) error {
 	var places []standin.NodeAddresses
-	for c, dataCentre := range d.scenario.Fleet.Centres() {
-		for i := range d.scaledNodes(d.scenario.Deployment.NodesIn[dataCentre]) {
+	for c, dataCentre := range d.scenario.Fleet.DataCentres() {
+		for i := range d.scaledNodes(d.scenario.Deployment.NodesByDataCentre[dataCentre]) {
 			p, err := newNodePlace(fmt.Sprintf("node-%s-%d", dataCentre, i+1), dataCentre, c+1, i+1)
 			if err != nil {
 				return err
--- a/rehearse/evaluate.go
+++ b/rehearse/evaluate.go
@@ -56,7 +56,7 @@
 
 // countOutcomes counts the outcomes in total, by second and by each dimension of the breakdown.
 func (r *Report) countOutcomes(s *lab.Scenario) {
-	r.Seconds = make([]OutcomeCounts, int(s.Load.ForMS/msPerSecond)+1)
+	r.Seconds = make([]OutcomeCounts, int(s.Load.DurationMS/msPerSecond)+1)
 	sizes := sizeClasses(r.Requests)
 	r.Breakdown = map[string]map[string]*OutcomeCounts{"kind": {}, "data_centre": {}, "account": {}, "caller": {}, "subject": {}, "size": {}}
 	for _, q := range r.Requests {
@@ -153,7 +153,7 @@
 // couldServe reports whether the upstreams had the capacity for a request at some time between
 // its refusal and its deadline.
 func couldServe(s *lab.Scenario, q *Request, refusal Refusal, samples []standin.FreeCapacity) bool {
-	needs := int64(s.Deployment.Plain.WorkMS)
+	needs := int64(s.Deployment.PlainService.ServiceTimeMS)
 	from := slices.IndexFunc(samples, func(o standin.FreeCapacity) bool { return o.AtMS >= refusal.AtMS })
 	if from < 0 {
 		return false
@@ -170,7 +170,7 @@
 }
 
 func isStream(s *lab.Scenario, q *Request) bool {
-	return slices.ContainsFunc(s.Deployment.Requests, func(k lab.RequestKind) bool { return k.Name == q.Kind && k.How == lab.HowStream })
+	return slices.ContainsFunc(s.Deployment.RequestKinds, func(k lab.RequestKind) bool { return k.Name == q.Kind && k.Mode == lab.ModeStream })
 }
 
 // checkServed compares the served shares, outside of faults and during faults, with the
@@ -205,8 +205,8 @@
 // duringFault reports whether a span overlaps a fault or the recovery time after it.
 func duringFault(s *lab.Scenario, from, to clock.Millis) bool {
 	for _, f := range s.Faults {
-		for _, begins := range f.Begins() {
-			if to >= begins && from < begins.Add(f.For+s.Deployment.RecoveryMS) {
+		for _, begins := range f.StartTimes() {
+			if to >= begins && from < begins.Add(f.Duration+s.Deployment.RecoveryMS) {
 				return true
 			}
 		}
@@ -228,10 +228,10 @@
 	}
 	result := lab.Run(s, lab.Variant{}, o.seed)
 	return func(second int) float64 {
-		if second >= len(result.Seconds) {
+		if second >= len(result.BySecond) {
 			return 1
 		}
-		c := result.Seconds[second]
+		c := result.BySecond[second]
 		all := c[lab.InTime] + c[lab.Late] + c[lab.Refused] + c[lab.Failed]
 		return float64(c[lab.InTime]+c[lab.Late]) / float64(max(all, 1))
 	}
--- a/rehearse/evaluate_test.go
+++ b/rehearse/evaluate_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Load.ForMS, s.Faults = 20_000, faults
+	s.Load.DurationMS, s.Faults = 20_000, faults
 	l := &loadGenerator{}
 	for _, list := range requests {
 		l.requests = append(l.requests, list...)
@@ -46,7 +46,7 @@
 func servedNever(int) bool  { return false }
 
 func TestVerdict(t *testing.T) {
-	freeze := lab.Fault{Kind: lab.NodeFreeze, At: 2000, For: 1000}
+	freeze := lab.Fault{Kind: lab.NodeFreeze, At: 2000, Duration: 1000}
 	for _, tt := range []struct {
 		name   string
 		report *Report
--- a/rehearse/faults.go
+++ b/rehearse/faults.go
@@ -36,7 +36,7 @@
 func (fi *faultInjector) run(ctx context.Context, startedAt time.Time) {
 	var group sync.WaitGroup
 	for _, f := range fi.deployment.scenario.Faults {
-		for _, at := range f.Begins() {
+		for _, at := range f.StartTimes() {
 			group.Go(func() {
 				sleep(ctx, time.Until(startedAt.Add(at.Duration())))
 				if ctx.Err() == nil {
@@ -60,10 +60,10 @@
 // inject applies one fault. It waits for the end of the fault and reverts it, except for a
 // fault of the upstreams, which the stand-in reverts by itself.
 func (fi *faultInjector) inject(ctx context.Context, f lab.Fault) error {
-	duration := f.For.Duration()
+	duration := f.Duration.Duration()
 	switch f.Kind {
-	case lab.Burst:
-		fi.load.setBurst(f.X)
+	case lab.LoadBurst:
+		fi.load.setBurst(f.Magnitude)
 		sleep(ctx, duration)
 		fi.load.setBurst(1)
 	case lab.NodeKill:
@@ -79,7 +79,7 @@
 			n.Signal(syscall.SIGCONT)
 			return nil
 		})
-	case lab.NodeRoll:
+	case lab.NodeRollingRestart:
 		for _, n := range fi.pickNodes(f.Share) {
 			n.Stop()
 			if err := n.Start(nodeReadyText); err != nil {
@@ -87,12 +87,12 @@
 			}
 			sleep(ctx, duration)
 		}
-	case lab.ListAway:
+	case lab.ListFrozen:
 		return fi.injectStoreFault(ctx, standin.RowStoreFaults{Down: true}, duration)
 	case lab.StoreSlow:
-		return fi.injectStoreFault(ctx, standin.RowStoreFaults{ResponseDelayMS: int64(f.X)}, duration)
+		return fi.injectStoreFault(ctx, standin.RowStoreFaults{ResponseDelayMS: int64(f.Magnitude)}, duration)
 	default:
-		return fi.post(fi.deployment.upstreams, "/harm", standin.FaultInjection{Kind: f.Kind, Share: f.Share, X: f.X, XMost: f.XMost, ForMS: int64(f.For)})
+		return fi.post(fi.deployment.upstreams, "/harm", standin.FaultInjection{Kind: f.Kind, Share: f.Share, X: f.Magnitude, XMost: f.MaxMagnitude, ForMS: int64(f.Duration)})
 	}
 	return nil
 }
--- a/rehearse/load.go
+++ b/rehearse/load.go
@@ -69,7 +69,7 @@
 
 func newLoadGenerator(s *lab.Scenario, b *balancer, o options) *loadGenerator {
 	l := &loadGenerator{
-		scenario: s, balancer: b, random: rand.New(rand.NewPCG(o.seed, 11)), scale: o.scale, dataCentres: s.Fleet.Centres(),
+		scenario: s, balancer: b, random: rand.New(rand.NewPCG(o.seed, 11)), scale: o.scale, dataCentres: s.Fleet.DataCentres(),
 		noKeepAlive: newTransport(true),
 	}
 	l.setBurst(1)
@@ -88,7 +88,7 @@
 
 // rate returns the current request rate per second.
 func (l *loadGenerator) rate() float64 {
-	return l.scenario.Deployment.PerSecond() * l.scale * math.Float64frombits(l.burstFactor.Load())
+	return l.scenario.Deployment.RequestsPerSecond() * l.scale * math.Float64frombits(l.burstFactor.Load())
 }
 
 // run sends requests for a duration, and returns when all of them have ended.
@@ -124,9 +124,9 @@
 		balancer: l.balancer, name: fmt.Sprint("client-", number), dataCentre: l.dataCentres[dataCentre], number: uint64(number),
 		keepAlive: l.keepAlive[number], noKeepAlive: l.noKeepAlive, reconnect: l.random.Float64() < newConnectionShare,
 	}}
-	if kind.How == lab.HowStream {
-		s.wantedEvents, s.promptTokens = l.drawSize(kind.Events), l.drawSize(kind.Prompt)
-		s.answerTokens = s.wantedEvents * l.scenario.Load.EventTokens
+	if kind.Mode == lab.ModeStream {
+		s.wantedEvents, s.promptTokens = l.drawSize(kind.Events), l.drawSize(kind.PromptTokens)
+		s.answerTokens = s.wantedEvents * l.scenario.Load.TokensPerEvent
 	}
 	s.Request = &Request{
 		ID: fmt.Sprintf("r%d", len(l.requests)+1), Kind: kind.Name, DataCentre: s.client.dataCentre, Account: l.drawAccount(),
@@ -137,8 +137,8 @@
 }
 
 func (l *loadGenerator) drawKind() lab.RequestKind {
-	kinds := l.scenario.Deployment.Requests
-	x := l.random.Float64() * l.scenario.Deployment.PerSecond()
+	kinds := l.scenario.Deployment.RequestKinds
+	x := l.random.Float64() * l.scenario.Deployment.RequestsPerSecond()
 	for _, k := range kinds {
 		if x -= k.PerSecond; x < 0 {
 			return k
--- a/rehearse/report.go
+++ b/rehearse/report.go
@@ -197,14 +197,14 @@
 
 // WriteHTML writes the report as the HTML page that hoistlab writes for its runs.
 func (r *Report) WriteHTML(out io.Writer) error {
-	result := &lab.Result{Seed: r.Seed, Variant: lab.Variant{Name: "real processes"}, Why: r.failureCounts(), Broken: make(map[string]string)}
+	result := &lab.Result{Seed: r.Seed, Variant: lab.Variant{Name: "real processes"}, Causes: r.failureCounts(), Violations: make(map[string]string)}
 	for _, s := range r.Seconds {
-		result.Seconds = append(result.Seconds, s.outcomes())
+		result.BySecond = append(result.BySecond, s.outcomes())
 	}
 	result.Total = r.Total.outcomes()
-	result.RefusedAgain = r.RefusedRepeatedly
+	result.RefusedRetries = r.RefusedRepeatedly
 	for i, violation := range r.BrokenPromises {
-		result.Broken[fmt.Sprint(i+1)] = violation
+		result.Violations[fmt.Sprint(i+1)] = violation
 	}
 	return result.WriteReport(out, r.Scenario)
 }
--- a/rehearse/run.go
+++ b/rehearse/run.go
@@ -26,7 +26,7 @@
 		return nil, ErrScale
 	}
 	if o.loadDuration > 0 {
-		s.Load.ForMS = o.loadDuration
+		s.Load.DurationMS = o.loadDuration
 	}
 	o.scenario = path
 	stopBusy := occupyProcessors(o.busyProcessors)
@@ -47,7 +47,7 @@
 	balancer := newBalancer(d.nodes)
 	go balancer.run(background)
 	generator := newLoadGenerator(s, balancer, o)
-	sleep(ctx, s.Load.SettleMS.Duration())
+	sleep(ctx, s.Load.WarmupMS.Duration())
 	startedAt := time.Now()
 	sampler := &capacitySampler{upstreams: d.upstreams.Address(), client: &http.Client{Timeout: time.Second}}
 	go sampler.run(background)
@@ -55,7 +55,7 @@
 	injector := newFaultInjector(d, generator, o.seed)
 	var group sync.WaitGroup
 	group.Go(func() { injector.run(ctx, startedAt) })
-	generator.run(ctx, startedAt, s.Load.ForMS.Duration())
+	generator.run(ctx, startedAt, s.Load.DurationMS.Duration())
 	group.Wait()
 	stop()
 	r := evaluate(s, o, generator, sampler.recorded())
--- a/standin/deployment.go
+++ b/standin/deployment.go
@@ -42,7 +42,7 @@
 
 // FaultInjection is a fault that a rehearsal injects into some upstreams.
 type FaultInjection struct {
-	Kind lab.Kind `json:"kind"`
+	Kind lab.FaultKind `json:"kind"`
 	// Share is the share of the engines that get the fault.
 	Share float64 `json:"share"`
 	// X is the strength of the fault, in the unit of its kind. If XMost is larger,
@@ -68,10 +68,10 @@
 // store until ctx is cancelled.
 func NewDeployment(ctx context.Context, s *lab.Scenario, store string, seed uint64) (*Deployment, error) {
 	d := &Deployment{scenario: s, store: store, registry: NewEngineRegistry(), random: rand.New(rand.NewPCG(seed, 21))}
-	for c, centre := range s.Fleet.Centres() {
+	for c, centre := range s.Fleet.DataCentres() {
 		n := 0
 		for _, kind := range slices.Sorted(maps.Keys(s.Fleet.Pipeline().Accelerators)) {
-			for range s.Fleet.Count(centre, kind) {
+			for range s.Fleet.EngineCount(centre, kind) {
 				n++
 				e := &deployedEngine{centre: centre, accelerator: kind}
 				if err := d.startEngine(ctx, e, fmt.Sprintf("127.2.%d.%d:0", c+1, n)); err != nil {
@@ -80,7 +80,7 @@
 				d.engines = append(d.engines, e)
 			}
 		}
-		for i := range s.Deployment.Plain.EachCentre {
+		for i := range s.Deployment.PlainService.PerDataCentre {
 			if err := d.startPlainServer(ctx, centre, fmt.Sprintf("127.3.%d.%d:0", c+1, i+1)); err != nil {
 				return nil, err
 			}
@@ -104,7 +104,7 @@
 	id := fmt.Sprintf("%s-%s-%d", e.centre, e.address, e.starts)
 	p := d.scenario.Fleet.Pipeline()
 	e.engine = d.registry.NewEngine(id, e.address, &PipelineModel{
-		Pipeline: p, Accelerator: p.Accelerators[e.accelerator], Slots: d.scenario.Slots, EventTokens: d.scenario.Load.EventTokens,
+		Pipeline: p, Accelerator: p.Accelerators[e.accelerator], Slots: d.scenario.Slots, EventTokens: d.scenario.Load.TokensPerEvent,
 	})
 	server := NewServer(e.engine.Handler())
 	running, cancel := context.WithCancel(ctx)
@@ -121,7 +121,7 @@
 }
 
 func (d *Deployment) heartbeatInterval() time.Duration {
-	return d.scenario.Deployment.HeartbeatMS.Duration()
+	return d.scenario.Deployment.HeartbeatIntervalMS.Duration()
 }
 
 func (d *Deployment) startPlainServer(ctx context.Context, centre, listen string) error {
@@ -130,9 +130,9 @@
 		return err
 	}
 	address := listener.Addr().String()
-	plain := d.scenario.Deployment.Plain
-	server := NewPlainServer("desk-"+address, address, millis(plain.WorkMS))
-	server.SetSlots(plain.Slots, plain.Queue)
+	plain := d.scenario.Deployment.PlainService
+	server := NewPlainServer("desk-"+address, address, millis(plain.ServiceTimeMS))
+	server.SetSlots(plain.Slots, plain.QueueLength)
 	d.plainServers = append(d.plainServers, server)
 	go func() { _ = NewServer(server.Handler()).Serve(listener) }()
 	go SendHeartbeatsEvery(ctx, d.heartbeatInterval(), d.store, "desk-"+address, func() *platformpb.Server { return server.Entry(centre) })
--- a/standin/deployment_faults.go
+++ b/standin/deployment_faults.go
@@ -14,7 +14,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	duration := time.Duration(f.ForMS) * time.Millisecond
-	if f.Kind == lab.PlainFull {
+	if f.Kind == lab.PlainServiceFull {
 		for _, server := range d.plainServers {
 			server.SetRejectAll(true)
 			time.AfterFunc(duration, func() { server.SetRejectAll(false) })
@@ -35,7 +35,7 @@
 func (d *Deployment) injectEngineFault(ctx context.Context, e *deployedEngine, f FaultInjection, duration time.Duration) {
 	engine := e.engine
 	switch f.Kind {
-	case lab.Crash:
+	case lab.EngineCrash:
 		e.stop()
 		time.AfterFunc(duration, func() {
 			d.mu.Lock()
@@ -46,14 +46,14 @@
 				_ = d.startEngine(ctx, e, e.address)
 			}
 		})
-	case lab.Slow:
+	case lab.EngineSlow:
 		engine.SetSlowdown(f.X)
 		time.AfterFunc(duration, func() { engine.SetSlowdown(1) })
-	case lab.Rest:
+	case lab.EngineBackOff:
 		engine.SetRest(BackOffFaults{ForMS: int(f.ForMS), RetryAfter: strconv.FormatFloat(f.X, 'f', -1, 64)})
-	case lab.Refuse:
+	case lab.EngineRefuse:
 		engine.SetRest(BackOffFaults{ForMS: int(f.ForMS)})
-	case lab.Limit:
+	case lab.EngineLimit:
 		limit := f.X
 		if f.XMost > f.X {
 			limit += d.random.Float64() * (f.XMost - f.X)
--- a/standin/node_template.go
+++ b/standin/node_template.go
@@ -37,11 +37,11 @@
 		"nodeName": n.Name, "zone": n.Centre, "ip": n.IP, "bootstrap": true, "seeds": seeds,
 		"portRange": []string{n.Metrics, anyPort},
 		"listen":    TemplateFields{"front": n.HostPort(n.Front), "readiness": n.HostPort(n.Readiness), "control": n.HostPort(n.Peers)},
-		"limits":    TemplateFields{"cores": nodeCores, "cpuShare": cpuShare, "linkMbps": linkMbps, "memoryMb": s.Deployment.NodeMB},
+		"limits":    TemplateFields{"cores": nodeCores, "cpuShare": cpuShare, "linkMbps": linkMbps, "memoryMb": s.Deployment.NodeMemoryMB},
 		"platform":  TemplateFields{"address": store},
 		"bounds": TemplateFields{
 			"graceS": shutdownGraceSeconds, "revokeFailClosed": revokeFailClosed, "revokeMs": keyRevocationMS, "configApplyMs": configApplyMS, "drainMs": drainMS,
-			"budgetWindowS": float64(s.Nodes.WindowMS) / msPerSecond, "retryBudgetRatio": s.Nodes.RetryShare, "budgetSlack": s.Nodes.RetrySlack,
+			"budgetWindowS": float64(s.Nodes.RetryWindowMS) / msPerSecond, "retryBudgetRatio": s.Nodes.RetryShare, "budgetSlack": s.Nodes.RetrySlack,
 		},
 	}
 }
