--- a/follow/catalog.go
+++ b/follow/catalog.go
@@ -186,7 +186,7 @@
 // fail together with this node's, would find its proof too old and call the store themselves.
 func (f *Catalog) renewalTimeout(p catalogProgress) (clock.Millis, bool) {
 	timeout := p.provenAt.Add(ProofLifetime - renewalTime).Sub(f.clock.Now())
-	return timeout, p.target == trusted && f.readers.Followed() && timeout >= p.nextWait+renewalTime
+	return timeout, p.target == trusted && f.readers.HasFollowers() && timeout >= p.nextWait+renewalTime
 }
 
 // nextWait returns how long the store may hold the next call. For a node with followers it is
@@ -198,9 +198,9 @@
 	switch {
 	case p.target == unresponsive:
 		return 0, p.skippedWait
-	case f.readers.Overdue() && !p.skippedWait:
+	case f.readers.NeedsProof() && !p.skippedWait:
 		return 0, true
-	case f.readers.Followed():
+	case f.readers.HasFollowers():
 		return max(followedConfigWait-latencyFactor*p.extraLatency, minWait), false
 	default:
 		return f.limits.configWait, false
--- a/follow/fleet.go
+++ b/follow/fleet.go
@@ -131,11 +131,11 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.view.Returned(now)
+	f.view.MarkRestored(now)
 	if p.hasRead {
 		f.restoredAt = now
 		f.checkRestore("fleet", p.asOf, asOf)
-		f.publisher.Returned()
+		f.publisher.MarkRestored()
 	}
 }
 
@@ -234,7 +234,7 @@
 		return min(max(next.Sub(f.clock.Now()), minWait), expiryCheckInterval)
 	case fromReader:
 		return readerListWait
-	case f.readers.Followed():
+	case f.readers.HasFollowers():
 		return min(f.limits.listWait, followedListWait)
 	default:
 		return f.limits.listWait
@@ -249,7 +249,7 @@
 	case ok:
 		// Held entries must be checked when their grace period ends.
 		return min(max(next.Sub(f.clock.Now()), minWait), gatherFollowed)
-	case fromReader, f.readers.Followed():
+	case fromReader, f.readers.HasFollowers():
 		return gatherFollowed
 	case f.clock.Now() < startPeriod:
 		return gatherAtStart
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -115,9 +115,9 @@
 	}
 }
 
-// StoreReturned records that the store was restored from a backup, which may lack the most recent
+// StoreRestored records that the store was restored from a backup, which may lack the most recent
 // writes.
-func (k *Keeper) StoreReturned() {
+func (k *Keeper) StoreRestored() {
 	select {
 	case k.restored <- struct{}{}:
 	default:
--- a/lab/limit.go
+++ b/lab/limit.go
@@ -127,11 +127,11 @@
 }
 
 // requestPermits sends another node a request for permits, with times on that node's clock.
-func (n *node) requestPermits(cmd limit.AskCmd) {
+func (n *node) requestPermits(cmd limit.PermitRequestCmd) {
 	n.sendPermitMessage(cmd.To, func(o *node) {
-		ask := cmd.Ask
-		ask.Named = n.limitOnClockOf(o, ask.Named)
-		o.update(dispatch.PermitRequestMsg{From: n.name, Ask: ask})
+		ask := cmd.PermitRequest
+		ask.Advertised = n.limitOnClockOf(o, ask.Advertised)
+		o.update(dispatch.PermitRequestMsg{From: n.name, PermitRequest: ask})
 	})
 }
 
@@ -139,17 +139,17 @@
 func (n *node) grantPermits(cmd dispatch.GrantPermitsCmd) {
 	n.sendPermitMessage(cmd.To, func(o *node) {
 		grant := cmd.Grant
-		grant.Named = n.limitOnClockOf(o, grant.Named)
+		grant.Advertised = n.limitOnClockOf(o, grant.Advertised)
 		o.update(dispatch.PermitGrantMsg{From: n.name, Grant: grant})
 	})
 }
 
 // limitsOnClockOf returns limits with their times converted to another node's clock.
-func (n *node) limitsOnClockOf(o *node, limits map[fleet.Incarnation]limit.Named) map[fleet.Incarnation]limit.Named {
+func (n *node) limitsOnClockOf(o *node, limits map[fleet.Incarnation]limit.Advertised) map[fleet.Incarnation]limit.Advertised {
 	if n.world.variant.NoAdvertisedLimits {
 		return nil
 	}
-	converted := make(map[fleet.Incarnation]limit.Named, len(limits))
+	converted := make(map[fleet.Incarnation]limit.Advertised, len(limits))
 	for id, named := range limits {
 		converted[id] = n.limitOnClockOf(o, named)
 	}
@@ -157,7 +157,7 @@
 }
 
 // limitOnClockOf returns a limit with its time converted to another node's clock.
-func (n *node) limitOnClockOf(o *node, named limit.Named) limit.Named {
+func (n *node) limitOnClockOf(o *node, named limit.Advertised) limit.Advertised {
 	if named.ReceivedAt != clock.Never {
 		named.ReceivedAt = o.uptime().Sub(n.uptime().Sub(named.ReceivedAt))
 	}
--- a/lab/node.go
+++ b/lab/node.go
@@ -185,7 +185,7 @@
 	case dispatch.QuarantineCmd:
 		n.shareQuarantineNews(cmd.News)
 	case dispatch.RequestPermitsCmd:
-		n.requestPermits(cmd.AskCmd)
+		n.requestPermits(cmd.PermitRequestCmd)
 	case dispatch.GrantPermitsCmd:
 		n.grantPermits(cmd)
 	case dispatch.SuspectCmd, dispatch.BackOffCmd, dispatch.RecheckDeadlineCmd, dispatch.LimitChangedCmd:
--- a/lab/node_share.go
+++ b/lab/node_share.go
@@ -64,7 +64,7 @@
 		return
 	}
 	sendUsage := func(o *node) {
-		o.roster.Heard(w.now, n.name, true)
+		o.roster.UpdateStatus(w.now, n.name, true)
 		o.update(dispatch.UsageMsg{Node: n.name, DataCentre: n.dataCentre, Used: cmd.Used, Limits: n.limitsOnClockOf(o, cmd.Limits)})
 	}
 	if n.topology.FullMesh {
@@ -105,7 +105,7 @@
 // shareSystemTotal sends a hub's heartbeat to a leaf. The first hub adds the usage of all
 // nodes.
 func (n *node) shareSystemTotal(o *node, cmd dispatch.ShareUsageCmd) {
-	o.roster.Heard(n.world.now, n.name, true)
+	o.roster.UpdateStatus(n.world.now, n.name, true)
 	if n.topology.IsFirstHub() {
 		o.update(dispatch.UsageMsg{
 			Node: n.name, DataCentre: n.dataCentre, Used: cmd.AllNodes, AllNodes: true, IncludedDataCentres: cmd.IncludedDataCentres,
--- a/lab/node_tell.go
+++ b/lab/node_tell.go
@@ -88,27 +88,27 @@
 const maxQuarantineSyncMS = 700
 
 // shareQuarantineNews sends others the news about requests that crash engines.
-func (n *node) shareQuarantineNews(news quarantine.News) {
+func (n *node) shareQuarantineNews(news quarantine.Event) {
 	w := n.world
 	if w.variant.NoQuarantineSharing {
 		return
 	}
 	switch news := news.(type) {
-	case quarantine.LossNews:
+	case quarantine.LossEvent:
 		n.broadcast(func(o *node) { o.update(dispatch.PeerLossMsg{Work: news.Work, Upstream: news.Upstream}) })
-	case quarantine.ClearedNews:
+	case quarantine.ClearedEvent:
 		delete(w.quarantined, news.Work)
 		if news.Local {
 			n.broadcast(func(o *node) { o.update(dispatch.PeerAnswerMsg{Work: news.Work}) })
 		}
-	case quarantine.QuarantinedNews:
-		w.storeQuarantine(dispatch.Quarantined{Work: news.Work, Ended: news.Ended})
+	case quarantine.QuarantinedEvent:
+		w.storeQuarantine(dispatch.Quarantined{Work: news.Work, Ended: news.Crashed})
 		w.after(clock.Millis(w.eventRand.IntN(maxQuarantineSyncMS)), func() {
 			n.broadcast(func(o *node) {
-				o.update(dispatch.QuarantinedMsg{Works: []dispatch.Quarantined{{Work: news.Work, Ended: news.Ended}}})
+				o.update(dispatch.QuarantinedMsg{Works: []dispatch.Quarantined{{Work: news.Work, Ended: news.Crashed}}})
 			})
 		})
-	case quarantine.ConfirmedNews:
+	case quarantine.ConfirmedEvent:
 		w.storeQuarantine(dispatch.Quarantined{Work: news.Work})
 	}
 }
--- a/node/backoff_test.go
+++ b/node/backoff_test.go
@@ -32,8 +32,8 @@
 
 // backOffRequester is a stand-in that can request back-off.
 type backOffRequester interface {
-	SetRest(f standin.BackOffFaults)
-	Visits() []standin.ReceivedRequest
+	SetBackOff(f standin.BackOffFaults)
+	ReceivedRequests() []standin.ReceivedRequest
 }
 
 // onlyNode returns the node of each attempt; there is one node.
@@ -57,7 +57,7 @@
 			n.awaitServing(t)
 			upstreams := []backOffRequester{s.plainService, s.engines["e1"].engine, s.engines["e2"].engine}
 			for _, u := range upstreams {
-				u.SetRest(standin.BackOffFaults{ForMS: int(rejectDuration.Milliseconds()), RetryAfter: requestedBackOff})
+				u.SetBackOff(standin.BackOffFaults{ForMS: int(rejectDuration.Milliseconds()), RetryAfter: requestedBackOff})
 			}
 			i := 0
 			for until := time.Now().Add(backOffTestDuration); time.Now().Before(until); i++ {
@@ -69,10 +69,10 @@
 			}
 			rejected := 0
 			for _, u := range upstreams {
-				for _, b := range standin.BackOffBreaches(u.Visits(), onlyNode) {
+				for _, b := range standin.BackOffBreaches(u.ReceivedRequests(), onlyNode) {
 					t.Errorf("got %d requests at an upstream during its requested back-off, want none", b.Count)
 				}
-				rejected += len(u.Visits())
+				rejected += len(u.ReceivedRequests())
 			}
 			if rejected == 0 {
 				t.Error("got no request at any upstream, want some")
--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -35,8 +35,8 @@
 
 // limitAdvertiser is a stand-in that can advertise a limit.
 type limitAdvertiser interface {
-	SetLimit(f standin.LimitFaults)
-	Visits() []standin.ReceivedRequest
+	SetAdvertisedLimit(f standin.LimitFaults)
+	ReceivedRequests() []standin.ReceivedRequest
 }
 
 // nodeOfAttempt returns the node of an attempt, which is the first part of the attempt's id.
@@ -66,13 +66,13 @@
 			}
 			upstreams := []limitAdvertiser{s.plainService, service, s.engines["e1"].engine, s.engines["e2"].engine}
 			for _, u := range upstreams {
-				u.SetLimit(standin.LimitFaults{Advertised: fmt.Sprint(advertisedLimit)})
+				u.SetAdvertisedLimit(standin.LimitFaults{Advertised: fmt.Sprint(advertisedLimit)})
 			}
 			sendRequests(t, nodes, kind.method, kind.prefix)
 			visits := 0
 			for _, u := range upstreams {
-				visits += len(u.Visits())
-				for _, b := range standin.LimitBreaches(u.Visits(), nodeOfAttempt, limitGrace, noExemption) {
+				visits += len(u.ReceivedRequests())
+				for _, b := range standin.LimitBreaches(u.ReceivedRequests(), nodeOfAttempt, limitGrace, noExemption) {
 					t.Errorf("got %d requests in 4 s at an upstream that advertises %v a second, nodes %v, want at most %d", b.Count, b.Limit, b.RequestsByNode, b.Allowed)
 				}
 			}
--- a/node/local_state.go
+++ b/node/local_state.go
@@ -39,11 +39,11 @@
 // Fleet implements peering.LocalState.
 func (s *localState) Fleet() ([]fleet.Upstream, bool) { return s.node.fleetFollower.ConfirmedList() }
 
-// Listed implements peering.LocalState.
-func (s *localState) Listed() bool { return s.node.fleetFollower.HasList() }
+// HasList implements peering.LocalState.
+func (s *localState) HasList() bool { return s.node.fleetFollower.HasList() }
 
-// LearnConfig implements peering.Receiver.
-func (s *localState) LearnConfig(edition catalog.Edition, raw []byte, confirmed clock.Millis) {
+// ReceiveConfig implements peering.Receiver.
+func (s *localState) ReceiveConfig(edition catalog.Edition, raw []byte, confirmed clock.Millis) {
 	proof := follow.Proof{Edition: edition, Confirmed: confirmed}
 	if len(raw) > 0 {
 		c, err := platform.DecodeCatalog(raw, edition.Written())
@@ -56,8 +56,8 @@
 	s.node.applyConfig(proof)
 }
 
-// LearnFleet implements peering.Receiver.
-func (s *localState) LearnFleet(list []fleet.Upstream) { s.node.fleetFollower.AddPeerList(list) }
+// ReceiveFleet implements peering.Receiver.
+func (s *localState) ReceiveFleet(list []fleet.Upstream) { s.node.fleetFollower.AddPeerList(list) }
 
 // maxMeshUsageNodes bounds the systems in which all nodes send their usage to each other across
 // data centres too, since chains use engines of other data centres when a local one crashes. In
@@ -66,8 +66,8 @@
 // of nodes, and traffic between data centres is expensive.
 const maxMeshUsageNodes = 24
 
-// LearnMembers implements peering.Receiver.
-func (s *localState) LearnMembers(others []*wire.Member, rank int) {
+// ReceiveMembers implements peering.Receiver.
+func (s *localState) ReceiveMembers(others []*wire.Member, rank int) {
 	s.node.roster.SetGroup(readingGroup(others, s.node.settings.DataCentre))
 	s.node.members.set(others, rank)
 }
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -163,18 +163,18 @@
 
 // handleQuarantineNews shares, stores or removes requests after the relay has decided about
 // them.
-func (n *Node) handleQuarantineNews(news quarantine.News) {
+func (n *Node) handleQuarantineNews(news quarantine.Event) {
 	switch news := news.(type) {
-	case quarantine.LossNews:
+	case quarantine.LossEvent:
 		n.log.Info("lost", zap.Stringer("work", news.Work), zap.Stringer("upstream", news.Upstream))
 		n.usage.SendCrash(news.Work, news.Upstream)
-	case quarantine.QuarantinedNews:
-		n.log.Warn("quarantined", zap.Stringer("work", news.Work), zap.Stringers("ended", news.Ended), zap.Bool("own", news.Local))
-		n.addQuarantined(dispatch.Quarantined{Work: news.Work, Ended: news.Ended}, news.Local)
-	case quarantine.ConfirmedNews:
+	case quarantine.QuarantinedEvent:
+		n.log.Warn("quarantined", zap.Stringer("work", news.Work), zap.Stringers("ended", news.Crashed), zap.Bool("own", news.Local))
+		n.addQuarantined(dispatch.Quarantined{Work: news.Work, Ended: news.Crashed}, news.Local)
+	case quarantine.ConfirmedEvent:
 		n.log.Info("quarantine_certain", zap.Stringer("work", news.Work), zap.Bool("own", news.Local))
 		n.addQuarantined(dispatch.Quarantined{Work: news.Work}, news.Local)
-	case quarantine.ClearedNews:
+	case quarantine.ClearedEvent:
 		n.log.Info("cleared", zap.Stringer("work", news.Work), zap.Bool("own", news.Local), zap.Bool("quarantined", news.WasQuarantined))
 		n.releaseQuarantined(news)
 	}
@@ -191,7 +191,7 @@
 }
 
 // releaseQuarantined removes a request that an upstream has answered from quarantine.
-func (n *Node) releaseQuarantined(news quarantine.ClearedNews) {
+func (n *Node) releaseQuarantined(news quarantine.ClearedEvent) {
 	n.quarantined.remove(news.Work)
 	if news.Local {
 		n.usage.SendAnswered(news.Work)
@@ -217,17 +217,17 @@
 	}
 }
 
-// HearLost implements usage.Listener.
-func (l usageListener) HearLost(id work.ID, upstream fleet.Incarnation) {
+// ReceiveCrash implements usage.Listener.
+func (l usageListener) ReceiveCrash(id work.ID, upstream fleet.Incarnation) {
 	l.node.observeIncarnation(upstream)
 	l.node.relay.HandlePeerLoss(id, upstream)
 }
 
-// HearAnswered implements usage.Listener.
-func (l usageListener) HearAnswered(id work.ID) { l.node.relay.HandlePeerAnswer(id) }
+// ReceiveAnswered implements usage.Listener.
+func (l usageListener) ReceiveAnswered(id work.ID) { l.node.relay.HandlePeerAnswer(id) }
 
 // Quarantined implements peering.LocalState.
 func (s *localState) Quarantined() []dispatch.Quarantined { return s.node.quarantined.list() }
 
-// LearnQuarantined implements peering.Receiver.
-func (s *localState) LearnQuarantined(list []dispatch.Quarantined) { s.node.applyQuarantined(list) }
+// ReceiveQuarantined implements peering.Receiver.
+func (s *localState) ReceiveQuarantined(list []dispatch.Quarantined) { s.node.applyQuarantined(list) }
--- a/node/readers.go
+++ b/node/readers.go
@@ -102,8 +102,8 @@
 	return errors.Newf("%v: %v", errInitialRead, err)
 }
 
-// First implements follow.Readers.
-func (r *readers) First() (follow.Reader, bool) {
+// InitialReader implements follow.Readers.
+func (r *readers) InitialReader() (follow.Reader, bool) {
 	m, wait := r.node.roster.InitialReader(r.node.clock.Now())
 	if m == nil {
 		return nil, wait
@@ -117,8 +117,8 @@
 	return &namedSource{Source: reading.NewSource(r.client, m.GetAddress(), r.node.roster.Self().GetAddress(), requestWait), name: m.GetName()}
 }
 
-// Failed implements follow.Readers.
-func (r *readers) Failed(reader follow.Reader) {
+// ReaderFailed implements follow.Readers.
+func (r *readers) ReaderFailed(reader follow.Reader) {
 	switch source := reader.(type) {
 	case *namedSource:
 		r.node.roster.ReaderFailed(r.node.clock.Now(), source.name)
@@ -127,26 +127,26 @@
 	}
 }
 
-// Overdue implements follow.Readers.
-func (r *readers) Overdue() bool { return r.node.readLog.NeedsProof() }
+// NeedsProof implements follow.Readers.
+func (r *readers) NeedsProof() bool { return r.node.readLog.NeedsProof() }
 
-// Waits implements follow.Readers.
-func (r *readers) Waits() bool {
+// ShouldWait implements follow.Readers.
+func (r *readers) ShouldWait() bool {
 	return r.node.roster.ShouldWait(r.node.clock.Now(), r.node.readLog.HasFollowers())
 }
 
 // StoreLost implements follow.Readers.
 func (r *readers) StoreLost() { r.node.roster.StoreLost(r.node.clock.Now()) }
 
-// StoreBack implements follow.Readers.
-func (r *readers) StoreBack() { r.node.roster.StoreRecovered(r.node.clock.Now()) }
+// StoreRecovered implements follow.Readers.
+func (r *readers) StoreRecovered() { r.node.roster.StoreRecovered(r.node.clock.Now()) }
 
-// StoreReturned implements follow.Readers.
-func (r *readers) StoreReturned() { r.node.restoreEntries() }
+// StoreRestored implements follow.Readers.
+func (r *readers) StoreRestored() { r.node.restoreEntries() }
 
-// Followed implements follow.Readers. A node that is selected as reader is ready before the
+// HasFollowers implements follow.Readers. A node that is selected as reader is ready before the
 // first request of a follower.
-func (r *readers) Followed() bool {
+func (r *readers) HasFollowers() bool {
 	return r.node.roster.IsReader(r.node.clock.Now()) || r.node.readLog.HasFollowers()
 }
 
--- a/node/restore.go
+++ b/node/restore.go
@@ -11,8 +11,8 @@
 // nodes that have stopped since.
 func (n *Node) restoreEntries() {
 	n.log.Info("put_back")
-	n.peers.StoreReturned()
-	n.keeper.StoreReturned()
+	n.peers.StoreRestored()
+	n.keeper.StoreRestored()
 	if !n.roster.IsReader(n.clock.Now()) {
 		return
 	}
--- a/node/simsite_test.go
+++ b/node/simsite_test.go
@@ -338,7 +338,7 @@
 			if recipients != nil && !recipients[other.settings.Name] || loss.Float64() < s.setting.loss {
 				continue
 			}
-			other.roster.Heard(other.clock.Now(), n.settings.Name, n.isFollowable())
+			other.roster.UpdateStatus(other.clock.Now(), n.settings.Name, n.isFollowable())
 		}
 		clock.Sleep(ctx, simStatusInterval)
 	}
@@ -351,7 +351,7 @@
 		return nil
 	}
 	recipients := make(map[string]bool)
-	for _, m := range slices.Concat(circle.Hubs, circle.Leaves, circle.Absent) {
+	for _, m := range slices.Concat(circle.Hubs, circle.Leaves, circle.MissingHubs) {
 		recipients[m.GetName()] = true
 	}
 	return recipients
--- a/node/topology.go
+++ b/node/topology.go
@@ -59,7 +59,7 @@
 	if c.FullMesh {
 		return "meshed"
 	}
-	return strconv.Itoa(c.HubIndex) + " " + joinNames(c.Hubs) + " " + joinNames(c.Absent)
+	return strconv.Itoa(c.HubIndex) + " " + joinNames(c.Hubs) + " " + joinNames(c.MissingHubs)
 }
 
 func joinNames(members []*wire.Member) string {
@@ -133,12 +133,12 @@
 // hubRecipients returns the recipients for a node in a data centre with hubs.
 func hubRecipients(topology *reading.Topology, others []*wire.Member, here string) usage.Recipients {
 	hubs, leaves, far := usageAddresses(topology.Hubs), usageAddresses(topology.Leaves), usageAddresses(remoteBroadcastTargets(others, here))
-	absent := usageAddresses(topology.Absent)
+	absent := usageAddresses(topology.MissingHubs)
 	if !topology.IsHub {
-		return usage.Recipients{Usage: hubs, Absent: absent, Placements: hubs, Unresponsive: hubs, Outcomes: slices.Concat(hubs, far)}
+		return usage.Recipients{Usage: hubs, MissingHubs: absent, Placements: hubs, Unresponsive: hubs, Outcomes: slices.Concat(hubs, far)}
 	}
 	near := slices.Concat(hubs, leaves)
-	r := usage.Recipients{Usage: hubs, Absent: absent, Hubs: topology.Hubs, DataCentreTotal: far, Leaves: leaves, Placements: near, Unresponsive: near, Outcomes: slices.Concat(near, far)}
+	r := usage.Recipients{Usage: hubs, MissingHubs: absent, Hubs: topology.Hubs, DataCentreTotal: far, Leaves: leaves, Placements: near, Unresponsive: near, Outcomes: slices.Concat(near, far)}
 	if topology.HubIndex < forwardingHubs {
 		r.Forward = near
 	}
--- a/node/updates.go
+++ b/node/updates.go
@@ -72,7 +72,7 @@
 	n.log.Info("silent", zap.Stringer("upstream", cmd.Upstream), zap.Bool("silent", cmd.Unresponsive), zap.Bool("agreed", cmd.Confirmed))
 	n.placer.Send(placement.ResponsivenessMsg{Upstream: cmd.Upstream, Unresponsive: cmd.Unresponsive, Confirmed: cmd.Confirmed})
 	if cmd.Unresponsive && !cmd.Confirmed {
-		n.usage.Silent(cmd.Upstream)
+		n.usage.Unresponsive(cmd.Upstream)
 	}
 }
 
@@ -97,43 +97,43 @@
 // usageListener applies messages of other nodes. It implements usage.Listener.
 type usageListener struct{ node *Node }
 
-// HearUse implements usage.Listener.
-func (l usageListener) HearUse(from *wire.Member, msg usage.Report) {
+// ReceiveUsage implements usage.Listener.
+func (l usageListener) ReceiveUsage(from *wire.Member, msg usage.Report) {
 	n := l.node
-	n.peers.Heard(from)
+	n.peers.AddSender(from)
 	n.peers.AddReported(msg.Hubs)
 	n.compareQuarantine(from, msg.QuarantineDigest)
 	for engine := range msg.Used {
 		n.observeIncarnation(engine)
 	}
-	if !msg.Total {
-		n.roster.Heard(n.clock.Now(), from.GetName(), msg.Followable)
+	if !msg.WholeDataCentre {
+		n.roster.UpdateStatus(n.clock.Now(), from.GetName(), msg.Followable)
 	}
 	n.relay.HandleUsage(dispatch.UsageMsg{
-		Node: from.GetName(), Used: msg.Used, WholeDataCentre: msg.Total, AllNodes: msg.Whole, IncludedDataCentres: msg.HeardOf, Nodes: msg.Nodes,
+		Node: from.GetName(), Used: msg.Used, WholeDataCentre: msg.WholeDataCentre, AllNodes: msg.AllNodes, IncludedDataCentres: msg.IncludedDataCentres, Nodes: msg.Nodes,
 		DataCentre: from.GetDataCentre(), Limits: msg.Limits,
 	})
 }
 
-// HearAsk implements usage.Listener.
-func (l usageListener) HearAsk(from *wire.Member, ask limit.Ask) {
+// ReceivePermitRequest implements usage.Listener.
+func (l usageListener) ReceivePermitRequest(from *wire.Member, ask limit.PermitRequest) {
 	l.node.observeIncarnation(ask.Upstream)
 	l.node.relay.HandlePermitRequest(from.GetName(), ask)
 }
 
-// HearGrant implements usage.Listener.
-func (l usageListener) HearGrant(from *wire.Member, grant limit.Grant) {
+// ReceivePermitGrant implements usage.Listener.
+func (l usageListener) ReceivePermitGrant(from *wire.Member, grant limit.Grant) {
 	l.node.relay.HandlePermitGrant(from.GetName(), grant)
 }
 
-// HearPlaced implements usage.Listener.
-func (l usageListener) HearPlaced(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool) {
+// ReceivePlacement implements usage.Listener.
+func (l usageListener) ReceivePlacement(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool) {
 	l.node.observeIncarnation(upstream)
 	l.node.applyPlacement(upstream, layers, holds)
 }
 
-// HearSilent implements usage.Listener.
-func (l usageListener) HearSilent(from *wire.Member, upstream fleet.Incarnation) {
+// ReceiveUnresponsive implements usage.Listener.
+func (l usageListener) ReceiveUnresponsive(from *wire.Member, upstream fleet.Incarnation) {
 	l.node.observeIncarnation(upstream)
 	if !l.node.unresponsive.isNew(l.node.clock.Now(), upstream) {
 		return
--- a/peering/restore_registration.go
+++ b/peering/restore_registration.go
@@ -16,8 +16,8 @@
 	return err
 }
 
-// StoreReturned notifies RestoreRegistration that the store was restored from a backup.
-func (p *Peering) StoreReturned() {
+// StoreRestored notifies RestoreRegistration that the store was restored from a backup.
+func (p *Peering) StoreRestored() {
 	select {
 	case p.storeRestored <- struct{}{}:
 	default:
--- a/rehearse/caller.go
+++ b/rehearse/caller.go
@@ -138,7 +138,7 @@
 	}
 	req.Host, req.GetBody = standin.DeploymentHost, nil
 	req.Header = standin.StreamClient{
-		ID: fmt.Sprintf("%s-%d", s.ID, number), Key: standin.DeploymentKey(s.Account), Subject: s.Subject,
+		ID: fmt.Sprintf("%s-%d", s.ID, number), Key: standin.DeploymentKey(s.Account), PromptID: s.Subject,
 		RemainingMS: int(s.remaining().Milliseconds()), PromptTokens: s.promptTokens, AnswerTokens: s.answerTokens, LastEventID: s.eventsReceived,
 	}.Header()
 	resp, err := s.client.transport(number).RoundTrip(req)
--- a/rehearse/faults.go
+++ b/rehearse/faults.go
@@ -92,7 +92,7 @@
 	case lab.StoreSlow:
 		return fi.injectStoreFault(ctx, standin.RowStoreFaults{ResponseDelayMS: int64(f.Magnitude)}, duration)
 	default:
-		return fi.post(fi.deployment.upstreams, "/harm", standin.FaultInjection{Kind: f.Kind, Share: f.Share, X: f.Magnitude, XMost: f.MaxMagnitude, ForMS: int64(f.Duration)})
+		return fi.post(fi.deployment.upstreams, "/harm", standin.FaultInjection{Kind: f.Kind, Share: f.Share, Magnitude: f.Magnitude, MaxMagnitude: f.MaxMagnitude, ForMS: int64(f.Duration)})
 	}
 	return nil
 }
--- a/relay/decider.go
+++ b/relay/decider.go
@@ -55,12 +55,12 @@
 	shareUsage func(dispatch.ShareUsageCmd)
 	// requestPermits sends requests for rate-limit permits to other nodes, and grantPermits the
 	// answers to the requests of others.
-	requestPermits func(limit.AskCmd)
+	requestPermits func(limit.PermitRequestCmd)
 	grantPermits   func(to string, grant limit.Grant)
 	// onLimitChanged is called when the rate limit of an upstream starts, changes or ends.
 	onLimitChanged func(upstream fleet.Incarnation, limited bool)
 	// onQuarantine is called with news of requests suspected of crashing upstreams.
-	onQuarantine func(quarantine.News)
+	onQuarantine func(quarantine.Event)
 	ready        atomic.Bool
 	// limitLoggedAt is the time of the last log line on an upstream's limit, and unloggedLimits
 	// counts the changes that were not logged since.
@@ -74,10 +74,10 @@
 	return &decider{
 		model: model, clock: c, log: log, probe: probe, identify: identify, onResponsiveness: func(dispatch.ResponsivenessCmd) {},
 		shareUsage:     func(dispatch.ShareUsageCmd) {},
-		requestPermits: func(limit.AskCmd) {},
+		requestPermits: func(limit.PermitRequestCmd) {},
 		grantPermits:   func(string, limit.Grant) {},
 		onLimitChanged: func(fleet.Incarnation, bool) {},
-		onQuarantine:   func(quarantine.News) {},
+		onQuarantine:   func(quarantine.Event) {},
 		inbox:          ring.New[envelope](maxQueuedMessages), commands: make(map[dispatch.RequestID]chan dispatch.Cmd),
 		limitLoggedAt: make(map[fleet.Incarnation]clock.Millis),
 	}
@@ -154,7 +154,7 @@
 	case dispatch.QuarantineCmd:
 		d.onQuarantine(cmd.News)
 	case dispatch.RequestPermitsCmd:
-		d.requestPermits(cmd.AskCmd)
+		d.requestPermits(cmd.PermitRequestCmd)
 	case dispatch.GrantPermitsCmd:
 		d.grantPermits(cmd.To, cmd.Grant)
 	case dispatch.LimitChangedCmd:
--- a/relay/protocol.go
+++ b/relay/protocol.go
@@ -81,8 +81,8 @@
 type EngineReport struct {
 	// Stalled are the stalled streams for which the engine is the first of the chain.
 	Stalled []StalledStream
-	// Named reports whether the report names the incarnation that was asked for.
-	Named bool
+	// Identified reports whether the report names the incarnation that was asked for.
+	Identified bool
 	dispatch.Report
 }
 
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -76,13 +76,13 @@
 
 // WithQuarantine sets the function that is called with news of requests suspected of
 // crashing upstreams.
-func WithQuarantine(handle func(quarantine.News)) Option {
+func WithQuarantine(handle func(quarantine.Event)) Option {
 	return func(r *Relay) { r.decider.onQuarantine = handle }
 }
 
 // WithPermitExchange sets the functions that send requests for rate-limit permits to other
 // nodes, and grants for their requests.
-func WithPermitExchange(request func(limit.AskCmd), grant func(to string, g limit.Grant)) Option {
+func WithPermitExchange(request func(limit.PermitRequestCmd), grant func(to string, g limit.Grant)) Option {
 	return func(r *Relay) { r.decider.requestPermits, r.decider.grantPermits = request, grant }
 }
 
@@ -161,8 +161,8 @@
 func (r *Relay) SetPeers(msg dispatch.PeersMsg) { r.decider.notify(r.lifetime, msg) }
 
 // HandlePermitRequest handles another node's request for rate-limit permits.
-func (r *Relay) HandlePermitRequest(from string, ask limit.Ask) {
-	r.decider.notify(r.lifetime, dispatch.PermitRequestMsg{From: from, Ask: ask})
+func (r *Relay) HandlePermitRequest(from string, ask limit.PermitRequest) {
+	r.decider.notify(r.lifetime, dispatch.PermitRequestMsg{From: from, PermitRequest: ask})
 }
 
 // HandlePermitGrant handles the answer to a request for rate-limit permits.
--- a/relay/stall.go
+++ b/relay/stall.go
@@ -246,7 +246,7 @@
 		if cmd.Engine {
 			var report EngineReport
 			report, err = r.reports.get(r.lifetime, cmd.Address, cmd.Upstream)
-			msg.Report, msg.Named = report.Report, report.Named
+			msg.Report, msg.Identified = report.Report, report.Identified
 		} else {
 			err = r.engines.Probe(r.lifetime, cmd.Address, cmd.Upstream)
 		}
--- a/sizing/fleet.go
+++ b/sizing/fleet.go
@@ -139,7 +139,7 @@
 		for i := range n {
 			list = append(list, placement.Engine{
 				ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("%s-%s-%d", dataCentre, kind, i+1))), DataCentre: dataCentre,
-				MaxLayers: f.pipeline.MaxLayers(a), MemoryLayers: f.pipeline.MemoryInLayers(a),
+				LayerCapacity: f.pipeline.MaxLayers(a), MemoryLayers: f.pipeline.MemoryInLayers(a),
 				LayerTime: f.pipeline.StepTime(a, 1), ReadTime: f.pipeline.ReadTime(a, 1),
 			})
 		}
--- a/standin/advertised_limit.go
+++ b/standin/advertised_limit.go
@@ -22,8 +22,8 @@
 	value string
 }
 
-// SetLimit sets the limit that the server advertises.
-func (l *advertisedLimit) SetLimit(f LimitFaults) {
+// SetAdvertisedLimit sets the limit that the server advertises.
+func (l *advertisedLimit) SetAdvertisedLimit(f LimitFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.value = f.Advertised
@@ -48,7 +48,7 @@
 
 // registerHandlers adds the handler that sets the advertised limit.
 func (l *advertisedLimit) registerHandlers(mux *http.ServeMux) {
-	mux.Handle("POST /limit", jsonSetHandler(l.SetLimit))
+	mux.Handle("POST /limit", jsonSetHandler(l.SetAdvertisedLimit))
 }
 
 const (
--- a/standin/back_off.go
+++ b/standin/back_off.go
@@ -25,8 +25,8 @@
 	retryAfter string
 }
 
-// SetRest sets the back-off that the server requests from now on.
-func (r *backOffFault) SetRest(f BackOffFaults) {
+// SetBackOff sets the back-off that the server requests from now on.
+func (r *backOffFault) SetBackOff(f BackOffFaults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.until, r.retryAfter = time.Now().Add(time.Duration(f.ForMS)*time.Millisecond), f.RetryAfter
@@ -42,7 +42,7 @@
 
 // registerHandlers adds the handler that sets the back-off.
 func (r *backOffFault) registerHandlers(mux *http.ServeMux) {
-	mux.Handle("POST /rest", jsonSetHandler(r.SetRest))
+	mux.Handle("POST /rest", jsonSetHandler(r.SetBackOff))
 }
 
 // retryAfterMS returns the back-off of a Retry-After value in ms, or zero if the
--- a/standin/deployment.go
+++ b/standin/deployment.go
@@ -45,10 +45,10 @@
 	Kind lab.FaultKind `json:"kind"`
 	// Share is the share of the engines that get the fault.
 	Share float64 `json:"share"`
-	// X is the strength of the fault, in the unit of its kind. If XMost is larger,
+	// Magnitude is the strength of the fault, in the unit of its kind. If MaxMagnitude is larger,
 	// the value of an advertised limit is drawn between the two.
-	X     float64 `json:"x"`
-	XMost float64 `json:"x_most"`
+	Magnitude    float64 `json:"x"`
+	MaxMagnitude float64 `json:"x_most"`
 	// ForMS is the duration of the fault, in ms.
 	ForMS int64 `json:"for_ms"`
 }
--- a/standin/deployment_faults.go
+++ b/standin/deployment_faults.go
@@ -47,19 +47,19 @@
 			}
 		})
 	case lab.EngineSlow:
-		engine.SetSlowdown(f.X)
+		engine.SetSlowdown(f.Magnitude)
 		time.AfterFunc(duration, func() { engine.SetSlowdown(1) })
 	case lab.EngineBackOff:
-		engine.SetRest(BackOffFaults{ForMS: int(f.ForMS), RetryAfter: strconv.FormatFloat(f.X, 'f', -1, 64)})
+		engine.SetBackOff(BackOffFaults{ForMS: int(f.ForMS), RetryAfter: strconv.FormatFloat(f.Magnitude, 'f', -1, 64)})
 	case lab.EngineRefuse:
-		engine.SetRest(BackOffFaults{ForMS: int(f.ForMS)})
+		engine.SetBackOff(BackOffFaults{ForMS: int(f.ForMS)})
 	case lab.EngineLimit:
-		limit := f.X
-		if f.XMost > f.X {
-			limit += d.random.Float64() * (f.XMost - f.X)
+		limit := f.Magnitude
+		if f.MaxMagnitude > f.Magnitude {
+			limit += d.random.Float64() * (f.MaxMagnitude - f.Magnitude)
 		}
-		engine.SetLimit(LimitFaults{Advertised: strconv.FormatFloat(limit, 'f', 2, 64)})
-		time.AfterFunc(duration, func() { engine.SetLimit(LimitFaults{}) })
+		engine.SetAdvertisedLimit(LimitFaults{Advertised: strconv.FormatFloat(limit, 'f', 2, 64)})
+		time.AfterFunc(duration, func() { engine.SetAdvertisedLimit(LimitFaults{}) })
 	default:
 		// The other faults are injected into nodes, clients or the store.
 	}
--- a/standin/received_requests.go
+++ b/standin/received_requests.go
@@ -43,8 +43,8 @@
 	l.list = append(l.list, r)
 }
 
-// Visits returns the recorded requests in the order of their receipt.
-func (l *requestLog) Visits() []ReceivedRequest {
+// ReceivedRequests returns the recorded requests in the order of their receipt.
+func (l *requestLog) ReceivedRequests() []ReceivedRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]ReceivedRequest{}, l.list...)
@@ -52,7 +52,7 @@
 
 // registerHandlers adds the handler that returns the recorded requests.
 func (l *requestLog) registerHandlers(mux *http.ServeMux) {
-	mux.Handle("GET /visits", jsonGetHandler(func() any { return l.Visits() }))
+	mux.Handle("GET /visits", jsonGetHandler(func() any { return l.ReceivedRequests() }))
 }
 
 // backOffGrace is the time after a response with Retry-After in which requests
--- a/standin/stream_client.go
+++ b/standin/stream_client.go
@@ -10,7 +10,7 @@
 type StreamClient struct {
 	// ID is the attempt's id, Key the API key of the client account. Subject
 	// identifies the part of the prompt that is not shared with other prompts.
-	ID, Key, Subject string
+	ID, Key, PromptID string
 	// RemainingMS is the time until the client's deadline, in ms. PromptTokens and
 	// AnswerTokens are sizes in tokens. LastEventID is the last received event when
 	// a stream is resumed; zero means none.
@@ -26,7 +26,7 @@
 	h := ClientHeader(c.ID, c.Key, c.RemainingMS)
 	h.Set("Token-Count", fmt.Sprintf("%d,%d", c.PromptTokens, c.AnswerTokens))
 	h.Set("Length-Hint", strconv.Itoa(c.AnswerTokens))
-	h.Set("Prompt-Prefix", fmt.Sprintf("%s,%x:%d", sharedPromptPrefix, c.Subject, c.PromptTokens))
+	h.Set("Prompt-Prefix", fmt.Sprintf("%s,%x:%d", sharedPromptPrefix, c.PromptID, c.PromptTokens))
 	if c.LastEventID > 0 {
 		h.Set("Last-Event-Id", strconv.Itoa(c.LastEventID))
 	}
