--- a/cmd/hoistburn/main.go
+++ b/cmd/hoistburn/main.go
@@ -1,5 +1,5 @@
-// Command hoistburn reads the entry nodes and reports the service-level burn
-// of each route and client account, the worst first.
+// Command hoistburn reports the burn rate of the service-level objective for each route
+// and client account, worst first, as read from the entry nodes.
 package main
 
 import (
@@ -17,18 +17,18 @@
 	"github.com/hoistjunction/hoistjunction/operator"
 )
 
-// readTimeout bounds the reading of one node.
+// readTimeout bounds the request to one node.
 const readTimeout = 3 * time.Second
 
 var errNoNode = errors.New("no node could be read")
 
 type arguments struct {
-	Nodes     []string `arg:"--nodes,required" help:"operators' ports of the entry nodes, as ip:port"`
-	TokenFile string   `arg:"--token-file,env:HOIST_TOKEN_FILE,required" help:"file that holds the operator's token"`
-	CA        string   `arg:"--ca" help:"authority of the nodes' certificates; without it the ports are spoken to in clear"`
-	Objective float64  `arg:"--objective" default:"0.95" help:"share of requests that must be within their bounds"`
+	Nodes     []string `arg:"--nodes,required" help:"operators' addresses of the entry nodes, as ip:port"`
+	TokenFile string   `arg:"--token-file,env:HOIST_TOKEN_FILE,required" help:"file with the operator's token"`
+	CA        string   `arg:"--ca" help:"CA certificate of the nodes; without it connections are not encrypted"`
+	Objective float64  `arg:"--objective" default:"0.95" help:"share of requests that must meet their latency bounds"`
 	JSON      bool     `arg:"--json" help:"print JSON instead of a table"`
-	HTML      string   `arg:"--html" help:"write a page with a chart to this file"`
+	HTML      string   `arg:"--html" help:"file to which an HTML page with a chart is written"`
 }
 
 func main() {
--- a/cmd/hoistctl/account.go
+++ b/cmd/hoistctl/account.go
@@ -20,16 +20,16 @@
 type accountPut struct {
 	proposal
 	Name        string `arg:"positional,required"`
-	KeyFile     string `arg:"--key-file,required" help:"file that holds the account's key; only its hash is sent"`
-	Weight      uint32 `arg:"--weight" default:"1" help:"share relative to other accounts"`
-	Priority    uint32 `arg:"--priority" default:"4" help:"0 is served first, 9 last"`
-	MaxInFlight uint32 `arg:"--max-in-flight" help:"most requests in progress at a node; 0 for no limit"`
+	KeyFile     string `arg:"--key-file,required" help:"file with the account's key; only the hash of the key is sent"`
+	Weight      uint32 `arg:"--weight" default:"1" help:"weight of the account's share of capacity, relative to other accounts"`
+	Priority    uint32 `arg:"--priority" default:"4" help:"from 0 (served first) to 9 (served last)"`
+	MaxInFlight uint32 `arg:"--max-in-flight" help:"maximum number of requests in progress per node; 0 for no limit"`
 }
 
 func (c *accountPut) run(ctx context.Context, s *session) error {
 	key, err := os.ReadFile(c.KeyFile)
 	if err != nil {
-		return errors.Newf("cannot read the key from %s", c.KeyFile)
+		return errors.Newf("read account key: cannot read file %s", c.KeyFile)
 	}
 	hash := sha256.Sum256([]byte(strings.TrimSpace(string(key))))
 	return c.propose(ctx, s, &wire.Change{Edit: &wire.Change_PutAccount{PutAccount: &wire.ClientAccount{
--- a/cmd/hoistctl/exit.go
+++ b/cmd/hoistctl/exit.go
@@ -6,15 +6,15 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// Errors that have an exit code of their own.
+// Errors with a separate exit code.
 var (
-	errSpreading = errors.New("committed for good, and still spreading")
-	errConflict  = errors.New("another change was first; nothing of this one is in force")
-	errInvalid   = errors.New("not valid; nothing of it is in force")
-	errUnknown   = errors.New("not known whether it is in force; run the same command with the same --change-id")
+	errSpreading = errors.New("change is committed but not yet confirmed in two data centres")
+	errConflict  = errors.New("conflict with another change; nothing was applied")
+	errInvalid   = errors.New("change is invalid; nothing was applied")
+	errUnknown   = errors.New("outcome is unknown; repeat the command with the same --change-id")
 )
 
-// The exit codes, for scripts.
+// exitCodes maps errors to the exit codes of the program.
 var exitCodes = []struct {
 	err  error
 	code int
@@ -37,7 +37,7 @@
 	return 1
 }
 
-// stateError turns the state of a proposal into an error, or nil.
+// stateError returns the error for the state of a proposal, or nil if it was accepted.
 func stateError(r *wire.ProposeReply) error {
 	switch r.GetState() {
 	case wire.ProposeState_PROPOSE_STATE_ACCEPTED:
@@ -48,7 +48,7 @@
 		if w := r.GetWinner(); w.GetChangeId() != "" {
 			return errors.Wrapf(errConflict, "version %d is %s by %s", w.GetVersion(), w.GetChangeId(), w.GetOperator())
 		}
-		return errors.Wrapf(errConflict, "the newest version is %d", r.GetVersion())
+		return errors.Wrapf(errConflict, "newest version is %d", r.GetVersion())
 	case wire.ProposeState_PROPOSE_STATE_INVALID:
 		return errors.Wrap(errInvalid, r.GetDetail())
 	default:
--- a/cmd/hoistctl/explain.go
+++ b/cmd/hoistctl/explain.go
@@ -6,10 +6,10 @@
 	"github.com/hoistjunction/hoistjunction/explain"
 )
 
-// explainCommand prints what bears on one request, from log files. It speaks to
-// no node.
+// explainCommand prints the log lines that concern one request. It reads log files and
+// connects to no node.
 type explainCommand struct {
-	ID   string   `arg:"positional,required" help:"the caller's name of the request"`
+	ID   string   `arg:"positional,required" help:"request ID chosen by the caller"`
 	Logs []string `arg:"positional,required" help:"log files of relay nodes"`
 }
 
--- a/cmd/hoistctl/limits.go
+++ b/cmd/hoistctl/limits.go
@@ -15,13 +15,13 @@
 	"github.com/hoistjunction/hoistjunction/limit"
 )
 
-// limitsCommand prints the limits that upstreams name, and the orders to engines by what came
-// of them, as relay nodes tell them in their metrics.
+// limitsCommand prints the limits that upstreams advertise, and the number of orders to
+// engines by result, from the metrics of relay nodes.
 type limitsCommand struct {
 	Metrics []string `arg:"positional,required" help:"metrics addresses of relay nodes, as ip:port"`
 }
 
-// relayMetrics is what of a relay node's metrics is shown.
+// relayMetrics is the part of a relay node's metrics that hoistctl prints.
 type relayMetrics struct {
 	Limits []limit.Summary `json:"limits"`
 	Orders map[string]int  `json:"orders"`
@@ -35,7 +35,7 @@
 	for _, address := range c.Metrics {
 		metrics, err := fetchMetrics(ctx, address)
 		if err != nil {
-			// The others may answer.
+			// Continue with the remaining nodes.
 			failed = errors.CombineErrors(failed, err)
 			continue
 		}
@@ -47,7 +47,7 @@
 func fetchMetrics(ctx context.Context, address string) (*relayMetrics, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/debug/vars", nil)
 	if err != nil {
-		return nil, errors.Wrapf(err, "metrics address %q; write it as ip:port", address)
+		return nil, errors.Wrapf(err, "invalid metrics address %q, want ip:port", address)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -66,8 +66,8 @@
 	return metrics.Relay, nil
 }
 
-// errNoRelay means that metrics are not those of a relay node.
-var errNoRelay = errors.New("no relay node answers there")
+// errNoRelay means that the metrics are not those of a relay node.
+var errNoRelay = errors.New("not a relay node")
 
 func (m *relayMetrics) write(out io.Writer, address string) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
--- a/cmd/hoistctl/losses.go
+++ b/cmd/hoistctl/losses.go
@@ -6,10 +6,10 @@
 	"github.com/hoistjunction/hoistjunction/explain"
 )
 
-// lossesCommand prints what became of the requests that were lost or late, from
-// log files. It speaks to no node.
+// lossesCommand prints the causes of lost and late requests. It reads log files and
+// connects to no node.
 type lossesCommand struct {
-	Logs []string `arg:"positional,required" help:"log files of relay nodes; give all lines of one node each, or of several that begin with the node's name"`
+	Logs []string `arg:"positional,required" help:"log files of relay nodes; each holds all lines of one node, or lines of several nodes that begin with the node's name"`
 }
 
 func (c *lossesCommand) runOffline() error {
--- a/cmd/hoistctl/main.go
+++ b/cmd/hoistctl/main.go
@@ -1,8 +1,9 @@
-// Command hoistctl is the operators' tool. It changes the configuration, shows
-// it and its history, and tells of nodes and upstreams.
+// Command hoistctl is the command line tool for operators. It changes and prints the
+// configuration, its history, and the state of nodes and upstreams.
 //
-// Exit codes: 0 done or accepted, 1 no answer, 2 wrong usage, 3 committed and
-// still spreading, 4 another change was first, 5 not valid, 6 not known.
+// Exit codes: 0 success or change accepted, 1 other error, 2 usage error, 3 change
+// committed but not yet confirmed in two data centres, 4 conflict with another change,
+// 5 invalid change, 6 outcome unknown.
 package main
 
 import (
@@ -20,38 +21,38 @@
 	"github.com/hoistjunction/hoistjunction/wire/wireconnect"
 )
 
-// callTimeout bounds a command.
+// callTimeout bounds the calls of one command.
 const callTimeout = 15 * time.Second
 
 type arguments struct {
-	Node      string `arg:"--node,env:HOIST_NODE" help:"operators' port of any entry node, as ip:port"`
-	TokenFile string `arg:"--token-file,env:HOIST_TOKEN_FILE" help:"file that holds the operator's token"`
-	CA        string `arg:"--ca" help:"authority of the node's certificate; without it the port is spoken to in clear"`
+	Node      string `arg:"--node,env:HOIST_NODE" help:"operators' address of any entry node, as ip:port"`
+	TokenFile string `arg:"--token-file,env:HOIST_TOKEN_FILE" help:"file with the operator's token"`
+	CA        string `arg:"--ca" help:"CA certificate of the node; without it the connection is not encrypted"`
 	JSON      bool   `arg:"--json" help:"print JSON instead of tables"`
 
-	Apply    *applyCommand    `arg:"subcommand:apply" help:"make the changes of a JSON file"`
+	Apply    *applyCommand    `arg:"subcommand:apply" help:"apply the changes of a JSON file"`
 	Route    *routeCommand    `arg:"subcommand:route" help:"put, list or delete routes"`
 	Pipeline *pipelineCommand `arg:"subcommand:pipeline" help:"put, list or delete pipelines"`
 	Account  *accountCommand  `arg:"subcommand:account" help:"put, list or delete client accounts"`
-	History  *historyCommand  `arg:"subcommand:history" help:"show who changed what, newest first"`
-	Diff     *diffCommand     `arg:"subcommand:diff" help:"show what differs between two versions"`
+	History  *historyCommand  `arg:"subcommand:history" help:"show the change history, newest first"`
+	Diff     *diffCommand     `arg:"subcommand:diff" help:"show the differences between two versions"`
 	Status   *statusCommand   `arg:"subcommand:status" help:"show nodes and upstreams"`
-	Leaving  *leavingCommand  `arg:"subcommand:leaving" help:"give an upstream no more new work"`
-	Drain    *drainCommand    `arg:"subcommand:drain" help:"stop the node when its work is done"`
+	Leaving  *leavingCommand  `arg:"subcommand:leaving" help:"mark an upstream as leaving, so that it gets no new work"`
+	Drain    *drainCommand    `arg:"subcommand:drain" help:"stop the node after its requests in progress have finished"`
 	LogLevel *logLevelCommand `arg:"subcommand:log-level" help:"change the node's log level"`
 	Record   *recordCommand   `arg:"subcommand:recording" help:"print the node's recorded messages"`
-	Explain  *explainCommand  `arg:"subcommand:explain" help:"print what bears on a request, from log files; needs no node"`
-	Losses   *lossesCommand   `arg:"subcommand:losses" help:"print why requests were lost or late, from log files; needs no node"`
-	Limits   *limitsCommand   `arg:"subcommand:limits" help:"print the limits that upstreams name, and orders to engines by what came of them, from the metrics of relay nodes"`
-	Store    *storeCommand    `arg:"subcommand:store" help:"print what relay nodes believe of the store: era, configuration, and by whose word"`
+	Explain  *explainCommand  `arg:"subcommand:explain" help:"print the log lines that concern a request; needs no node"`
+	Losses   *lossesCommand   `arg:"subcommand:losses" help:"print the causes of lost and late requests from log files; needs no node"`
+	Limits   *limitsCommand   `arg:"subcommand:limits" help:"print the limits that upstreams advertise, and orders to engines by result, from the metrics of relay nodes"`
+	Store    *storeCommand    `arg:"subcommand:store" help:"print the relay nodes' view of the store: era, configuration, and the node it was read from"`
 }
 
-// command is one of the subcommands.
+// command is a subcommand that calls an entry node.
 type command interface {
 	run(ctx context.Context, s *session) error
 }
 
-// offlineCommand is a subcommand that speaks to no node.
+// offlineCommand is a subcommand that calls no entry node.
 type offlineCommand interface {
 	runOffline() error
 }
@@ -67,9 +68,9 @@
 		if args.Node == "" || args.TokenFile == "" {
 			p.Fail("--node and --token-file are required (or the environment variables HOIST_NODE and HOIST_TOKEN_FILE)")
 		}
-		err = start(args, c)
+		err = runCommand(args, c)
 	default:
-		p.Fail("say what to do; see --help")
+		p.Fail("missing subcommand; see --help")
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "hoistctl:", err)
@@ -77,7 +78,7 @@
 	os.Exit(exitCode(err))
 }
 
-func start(args arguments, c command) error {
+func runCommand(args arguments, c command) error {
 	s, err := newSession(args)
 	if err != nil {
 		return err
@@ -87,7 +88,7 @@
 	return c.run(ctx, s)
 }
 
-// session is what the subcommands share.
+// session holds the admin client and the printer that the subcommands use.
 type session struct {
 	admin wireconnect.AdminClient
 	out   *printer
@@ -95,7 +96,7 @@
 
 func newSession(args arguments) (*session, error) {
 	if _, _, err := net.SplitHostPort(args.Node); err != nil {
-		return nil, errors.Newf("--node %q is not ip:port", args.Node)
+		return nil, errors.Newf("invalid --node %q, want ip:port", args.Node)
 	}
 	client, err := operator.NewClient(args.TokenFile, args.CA)
 	if err != nil {
--- a/cmd/hoistctl/node.go
+++ b/cmd/hoistctl/node.go
@@ -43,7 +43,7 @@
 		return err
 	}
 	if n := resp.Msg.GetDropped(); n > 0 {
-		fmt.Fprintf(os.Stderr, "hoistctl: the oldest %d messages are gone; this recording does not replay\n", n)
+		fmt.Fprintf(os.Stderr, "hoistctl: the oldest %d messages were dropped; this recording cannot be replayed\n", n)
 	}
 	_, err = s.out.w.Write(resp.Msg.GetLines())
 	return err
--- a/cmd/hoistctl/pipeline.go
+++ b/cmd/hoistctl/pipeline.go
@@ -21,7 +21,7 @@
 	proposal
 	Name   string   `arg:"positional,required"`
 	Model  string   `arg:"--model,required"`
-	Layers uint32   `arg:"--layers,required" help:"layers of the model"`
+	Layers uint32   `arg:"--layers,required" help:"number of layers of the model"`
 	Stages []string `arg:"--stage,required,separate" help:"a stage as pool:first-last, in order"`
 }
 
@@ -37,7 +37,7 @@
 	return c.propose(ctx, s, &wire.Change{Edit: &wire.Change_PutPipeline{PutPipeline: p}})
 }
 
-// parseStage reads a stage such as low:0-3.
+// parseStage parses a stage in the form pool:first-last, such as low:0-3.
 func parseStage(text string) (*wire.Stage, error) {
 	pool, layers, _ := strings.Cut(text, ":")
 	first, last, _ := strings.Cut(layers, "-")
--- a/cmd/hoistctl/printer.go
+++ b/cmd/hoistctl/printer.go
@@ -10,13 +10,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// printer writes tables for people, or JSON for scripts.
+// printer writes results as tables or as JSON.
 type printer struct {
 	w    io.Writer
 	json bool
 }
 
-// show writes a message as JSON, or as the table that rows make.
+// show writes m as JSON, or header and rows as a table.
 func (p *printer) show(m proto.Message, header string, rows [][]string) error {
 	if p.json {
 		_, err := fmt.Fprintln(p.w, protojson.Format(m))
@@ -34,7 +34,7 @@
 	return t.Flush()
 }
 
-// cells turns values into the cells of a row.
+// cells formats values as the cells of a table row.
 func cells(values ...any) []string {
 	row := make([]string, 0, len(values))
 	for _, v := range values {
--- a/cmd/hoistctl/propose.go
+++ b/cmd/hoistctl/propose.go
@@ -13,13 +13,13 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// proposal is the flags that all changes share.
+// proposal holds the flags shared by all commands that change the configuration.
 type proposal struct {
-	ChangeID string `arg:"--change-id" help:"name of the change; repeat it to learn what came of a lost answer"`
-	Base     uint64 `arg:"--base" help:"version that the change builds on; the newest when left out"`
+	ChangeID string `arg:"--change-id" help:"ID of the change; repeat the command with the same ID if the response was lost"`
+	Base     uint64 `arg:"--base" help:"version that the change is based on; default is the newest"`
 }
 
-// propose proposes changes and prints the version that they became.
+// propose proposes changes and prints the resulting version and state.
 func (p proposal) propose(ctx context.Context, s *session, changes ...*wire.Change) error {
 	if p.ChangeID == "" {
 		p.ChangeID = randomID()
@@ -54,20 +54,20 @@
 
 func randomID() string {
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // never fails, as its documentation says
+	_, _ = rand.Read(b[:]) // crypto/rand documents that Read never returns an error
 	return hex.EncodeToString(b[:])
 }
 
-// applyCommand makes all the changes of a file at once.
+// applyCommand proposes the changes of a file as one atomic change.
 type applyCommand struct {
 	proposal
-	File string `arg:"positional,required" help:"JSON of a ProposeRequest; see examples"`
+	File string `arg:"positional,required" help:"JSON file with a ProposeRequest; see examples"`
 }
 
 func (c *applyCommand) run(ctx context.Context, s *session) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
-		return errors.Newf("cannot read %s", c.File)
+		return errors.Newf("cannot read file %s", c.File)
 	}
 	var req wire.ProposeRequest
 	if err := protojson.Unmarshal(text, &req); err != nil {
--- a/cmd/hoistctl/route.go
+++ b/cmd/hoistctl/route.go
@@ -16,10 +16,10 @@
 	proposal
 	Name       string `arg:"positional,required"`
 	Pipeline   string `arg:"--pipeline" help:"pipeline that serves the route"`
-	Service    string `arg:"--service" help:"pool of plain services that serves the route"`
-	FirstToken uint32 `arg:"--first-token-ms,required" help:"bound on the first token, or on a plain call's answer"`
-	Token      uint32 `arg:"--token-ms" help:"bound between tokens"`
-	MaxTokens  uint32 `arg:"--max-tokens" help:"most tokens that a caller may ask for"`
+	Service    string `arg:"--service" help:"pool of plain service upstreams that serves the route"`
+	FirstToken uint32 `arg:"--first-token-ms,required" help:"bound on the time to the first token, or to the response of a plain call, in ms"`
+	Token      uint32 `arg:"--token-ms" help:"bound on the time between tokens, in ms"`
+	MaxTokens  uint32 `arg:"--max-tokens" help:"maximum number of tokens per request"`
 }
 
 func (c *routePut) run(ctx context.Context, s *session) error {
--- a/cmd/hoistctl/show.go
+++ b/cmd/hoistctl/show.go
@@ -13,7 +13,7 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// config reads a version of the configuration; zero for the one in force.
+// config fetches a version of the configuration; 0 stands for the active version.
 func (s *session) config(ctx context.Context, version uint64) (*wire.Config, error) {
 	resp, err := s.admin.GetConfig(ctx, connect.NewRequest(&wire.GetConfigRequest{Version: version}))
 	if err != nil {
@@ -39,7 +39,7 @@
 	return s.out.show(resp.Msg, "VERSION WHEN OPERATOR CHANGE WHAT", rows)
 }
 
-// describe tells changes in a few words.
+// describe returns a short description of changes.
 func describe(changes []*wire.Change) string {
 	var words []string
 	for _, c := range changes {
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	before, after := itemsOf(from), itemsOf(to)
+	before, after := itemLines(from), itemLines(to)
 	for _, line := range before {
 		if !contains(after, line) {
 			_, _ = fmt.Fprintln(s.out.w, "-", line)
@@ -98,8 +98,8 @@
 	return false
 }
 
-// itemsOf tells a configuration in lines, one for each item.
-func itemsOf(c *wire.Config) []string {
+// itemLines returns one line for each route, pipeline and account of a configuration.
+func itemLines(c *wire.Config) []string {
 	var lines []string
 	for _, r := range c.GetRoutes() {
 		lines = append(lines, "route "+compact(r))
@@ -114,7 +114,7 @@
 }
 
 func compact(m proto.Message) string {
-	// protojson varies its white space on purpose; a diff must not.
+	// protojson varies its white space randomly, which would show up as differences.
 	return strings.ReplaceAll(protojson.MarshalOptions{}.Format(m), " ", "")
 }
 
--- a/cmd/hoistctl/store.go
+++ b/cmd/hoistctl/store.go
@@ -10,12 +10,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// storeCommand prints what relay nodes believe of the store, as they tell it in their metrics.
+// storeCommand prints the relay nodes' view of the store from their metrics.
 type storeCommand struct {
 	Metrics []string `arg:"positional,required" help:"metrics addresses of relay nodes, as ip:port"`
 }
 
-// storeMetrics is what a node believes of the store. Moments are ERA:REVISION, ages in ms.
+// storeMetrics is a node's view of the store. Moments have the form ERA:REVISION; ages are in ms.
 type storeMetrics struct {
 	AsOf        string           `json:"as_of"`
 	From        string           `json:"from"`
@@ -33,14 +33,14 @@
 	var failed error
 	for i, address := range c.Metrics {
 		metrics, err := fetchMetrics(ctx, address)
-		// The others may answer.
+		// Continue with the remaining nodes.
 		failed = errors.CombineErrors(failed, err)
 		views[i] = metrics
 	}
 	return errors.CombineErrors(failed, writeStores(os.Stdout, c.Metrics, views))
 }
 
-// writeStores writes a line for each node that has answered.
+// writeStores writes a table with a line for each node whose metrics were fetched.
 func writeStores(out io.Writer, addresses []string, views []*relayMetrics) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if _, err := fmt.Fprintln(t, "node\tlist as of\tfrom\tanswered ms ago\tconfig\twritten\tconfirmed ms ago\treturns seen\tanswers refused"); err != nil {
--- a/cmd/hoistctl/store_test.go
+++ b/cmd/hoistctl/store_test.go
@@ -18,12 +18,12 @@
 	}
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if got, want := len(lines), 3; got != want {
-		t.Fatalf("got %d lines, want a heading and %d nodes:\n%s", got, want-1, out.String())
+		t.Fatalf("got %d lines, want a header and %d nodes:\n%s", got, want-1, out.String())
 	}
 	if got, want := strings.Join(strings.Fields(lines[1]), " "), "a:1 3:105 n1 40 56 2:98 600 2 1"; got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
 	if got, want := lines[2], "the store"; !strings.Contains(got, want) {
-		t.Errorf("got %q, want %q in it", got, want)
+		t.Errorf("got %q, want it to contain %q", got, want)
 	}
 }
--- a/cmd/hoistexplain/main.go
+++ b/cmd/hoistexplain/main.go
@@ -1,5 +1,5 @@
-// Command hoistexplain prints what bears on one request, from the logs of the
-// relay nodes: its own lines, and what the node believed at the time.
+// Command hoistexplain prints the lines of relay nodes' logs that concern one request: the
+// lines with its ID, and the state of the node at that time.
 //
 //	hoistexplain 5b1267fc1e607f84 node-1.log node-2.log
 package main
@@ -14,13 +14,13 @@
 )
 
 type arguments struct {
-	ID   string   `arg:"positional,required" help:"the caller's name of the request"`
-	Logs []string `arg:"positional,required" help:"log files; give all lines of one node, or of several"`
+	ID   string   `arg:"positional,required" help:"request ID chosen by the caller"`
+	Logs []string `arg:"positional,required" help:"log files with all lines of one or several nodes"`
 }
 
 // Description implements arg.Described.
 func (arguments) Description() string {
-	return "hoistexplain prints what bears on one request, from the logs of relay nodes."
+	return "hoistexplain prints the lines of relay nodes' logs that concern one request."
 }
 
 func main() {
--- a/cmd/hoistjunction/main.go
+++ b/cmd/hoistjunction/main.go
@@ -1,5 +1,5 @@
-// Command hoistjunction is the entry node. It stands between callers and
-// upstreams and keeps nothing on disk.
+// Command hoistjunction is the entry node. It routes requests from callers to upstreams
+// and stores nothing on disk.
 //
 //	hoistjunction --settings node.ini
 //	hoistjunction --settings node.ini --check
@@ -21,8 +21,8 @@
 )
 
 type arguments struct {
-	Settings string `arg:"--settings,required" help:"path of the INI file"`
-	Check    bool   `arg:"--check" help:"check the settings, print those in force, and exit"`
+	Settings string `arg:"--settings,required" help:"path of the INI settings file"`
+	Check    bool   `arg:"--check" help:"check the settings, print the effective values and exit"`
 }
 
 // Description implements arg.Described.
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// drainOn begins a planned stop at each signal. A second signal changes
-// nothing: what is in progress is not cut off by impatience.
+// drainOn starts a planned stop at each signal. Repeated signals have no further
+// effect, so that they do not abort requests in progress.
 func drainOn(stop <-chan os.Signal, node *entry.Node, log *logging.Log) {
 	for s := range stop {
 		log.Info("signal", zap.Stringer("signal", s))
--- a/cmd/hoistlab/compare.go
+++ b/cmd/hoistlab/compare.go
@@ -10,23 +10,23 @@
 	"github.com/hoistjunction/hoistjunction/lab"
 )
 
-// experimentOptions are those of all experiments.
+// experimentOptions are the options shared by compare and ablate.
 type experimentOptions struct {
 	Scenario string `arg:"positional,required" help:"scenario file"`
-	Seeds    int    `arg:"--seeds" default:"12" help:"how many seeds each variant plays"`
+	Seeds    int    `arg:"--seeds" default:"12" help:"number of seeds played with each variant"`
 	First    uint64 `arg:"--first" default:"1" help:"the first seed"`
-	Jobs     int    `arg:"--jobs" default:"0" help:"runs at a time; 0 for one on each processor"`
+	Jobs     int    `arg:"--jobs" default:"0" help:"number of concurrent runs; 0 for one per processor"`
 }
 
-// compareCommand compares variants with the product as it is.
+// compareCommand compares variants of the product with the unmodified product.
 type compareCommand struct {
 	experimentOptions
-	Without []string `arg:"--without,separate" help:"a variant: mechanisms that are off, with commas between"`
+	Without []string `arg:"--without,separate" help:"a variant, given as the mechanisms to disable, separated by commas"`
 }
 
 func (c *compareCommand) run() error { return c.compare(c.Without) }
 
-// ablateCommand switches each mechanism off in turn.
+// ablateCommand compares variants that each have one mechanism disabled.
 type ablateCommand struct{ experimentOptions }
 
 func (c *ablateCommand) run() error { return c.compare(lab.Mechanisms()) }
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	variants := []lab.Variant{{Name: asItIs}}
+	variants := []lab.Variant{{Name: unmodified}}
 	for _, names := range without {
 		v, err := lab.Without(names)
 		if err != nil {
@@ -45,7 +45,7 @@
 		variants = append(variants, v)
 	}
 	bar := progressbar.NewOptions(o.Seeds*len(variants), progressbar.OptionSetWriter(os.Stderr), progressbar.OptionClearOnFinish())
-	e := lab.Experiment{Scenario: s, Variants: variants, Seeds: o.Seeds, First: o.First, Jobs: o.Jobs, Step: func() { step(bar) }}
+	e := lab.Experiment{Scenario: s, Variants: variants, Seeds: o.Seeds, First: o.First, Jobs: o.Jobs, Step: func() { advance(bar) }}
 	results, err := e.Run()
 	if err != nil {
 		return err
@@ -53,10 +53,10 @@
 	return printDifferences(lab.Differences(results))
 }
 
-// step moves a bar on. A bar that cannot be drawn harms nothing.
-func step(bar *progressbar.ProgressBar) { _ = bar.Add(1) }
+// advance advances a progress bar by one. Drawing errors are ignored, since they do not affect results.
+func advance(bar *progressbar.ProgressBar) { _ = bar.Add(1) }
 
-// printDifferences prints a table: a row for each variant and figure that differs at all.
+// printDifferences prints all figures of the first variant, and for the others those that differ.
 func printDifferences(list []lab.Difference) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	if _, err := fmt.Fprintln(w, "variant\tfigure\tmean\tdifference\t95 in 100\tseeds with a promise broken"); err != nil {
--- a/cmd/hoistlab/main.go
+++ b/cmd/hoistlab/main.go
@@ -1,6 +1,7 @@
-// Command hoistlab plays pipelines over mixed accelerators in simulated time: engines, nodes,
-// callers and troubles of a scenario file. It compares ways, prints what each mechanism is
-// worth, looks for troubles that break a promise, and tells what a fleet bears.
+// Command hoistlab simulates pipelines over mixed accelerators in virtual time, with the
+// engines, nodes, callers and faults of a scenario file. It compares variants, measures the
+// effect of each mechanism, searches for faults that break a promise, and computes the
+// capacity of a fleet.
 //
 //	hoistlab run examples/lab/small.ini --report day.html
 //	hoistlab compare examples/lab/rest.ini --without rest --without usage
@@ -15,14 +16,14 @@
 
 type arguments struct {
 	Run     *runCommand     `arg:"subcommand:run" help:"play a scenario once"`
-	Compare *compareCommand `arg:"subcommand:compare" help:"play variants of a scenario over many seeds, and print how they differ"`
-	Ablate  *ablateCommand  `arg:"subcommand:ablate" help:"the same, with each mechanism off in turn"`
-	Hunt    *huntCommand    `arg:"subcommand:hunt" help:"draw troubles until a promise is broken, and shrink them"`
-	Scale   *scaleCommand   `arg:"subcommand:scale" help:"play a scenario at several sizes, and print what grows"`
-	Size    *sizeCommand    `arg:"subcommand:size" help:"print what a fleet of engines bears, from a fleet file or a scenario"`
+	Compare *compareCommand `arg:"subcommand:compare" help:"play variants of a scenario with many seeds and print their differences"`
+	Ablate  *ablateCommand  `arg:"subcommand:ablate" help:"compare variants that each have one mechanism disabled"`
+	Hunt    *huntCommand    `arg:"subcommand:hunt" help:"inject random faults until a promise is broken, and shrink the list of faults"`
+	Scale   *scaleCommand   `arg:"subcommand:scale" help:"play a scenario at several sizes and print the growth of each figure"`
+	Size    *sizeCommand    `arg:"subcommand:size" help:"print the capacity of a fleet of engines, from a fleet file or a scenario"`
 }
 
-// command is what a verb does.
+// command is a subcommand.
 type command interface{ run() error }
 
 func main() {
--- a/cmd/hoistlab/run.go
+++ b/cmd/hoistlab/run.go
@@ -10,19 +10,19 @@
 	"github.com/hoistjunction/hoistjunction/lab"
 )
 
-// errBroken means that a promise was broken.
+// errBroken means that a run has broken a promise of the product.
 var errBroken = errors.New("a promise was broken")
 
 // runCommand plays a scenario once.
 type runCommand struct {
 	Scenario string `arg:"positional,required" help:"scenario file"`
 	Seed     uint64 `arg:"--seed" default:"1"`
-	Without  string `arg:"--without" help:"mechanisms that are off, with commas between"`
-	Report   string `arg:"--report" help:"write a page of HTML there"`
+	Without  string `arg:"--without" help:"mechanisms to disable, separated by commas"`
+	Report   string `arg:"--report" help:"file to which an HTML report is written"`
 }
 
 func (c *runCommand) run() error {
-	s, v, err := load(c.Scenario, c.Without)
+	s, v, err := loadScenario(c.Scenario, c.Without)
 	if err != nil {
 		return err
 	}
@@ -41,27 +41,27 @@
 	return nil
 }
 
-// asItIs names the product with nothing switched off.
-const asItIs = "as it is"
+// unmodified is the name of the variant with all mechanisms enabled.
+const unmodified = "as it is"
 
-// load reads a scenario, and the product without some mechanisms; without none as it is.
-func load(scenario, without string) (*lab.Scenario, lab.Variant, error) {
+// loadScenario reads a scenario and returns it with the variant that has the given mechanisms disabled.
+func loadScenario(scenario, without string) (*lab.Scenario, lab.Variant, error) {
 	s, err := lab.LoadScenario(scenario)
 	if err == nil {
-		err = emulated(s)
+		err = checkEmulated(s)
 	}
 	if err != nil || without == "" {
-		return s, lab.Variant{Name: asItIs}, err
+		return s, lab.Variant{Name: unmodified}, err
 	}
 	v, err := lab.Without(without)
 	return s, v, err
 }
 
-// emulated refuses what only a rehearsal with real processes can play.
-func emulated(s *lab.Scenario) error {
+// checkEmulated returns an error if a fault can be injected only by a rehearsal with real processes.
+func checkEmulated(s *lab.Scenario) error {
 	for _, f := range s.Faults {
 		if !f.Kind.Emulated() {
-			return errors.Newf("%s: the emulator does not play %s; hoistrehearse does", f.Name, f.Kind)
+			return errors.Newf("%s: fault %s is not supported by the emulator; use hoistrehearse", f.Name, f.Kind)
 		}
 	}
 	return nil
--- a/cmd/hoistlab/scale.go
+++ b/cmd/hoistlab/scale.go
@@ -10,43 +10,43 @@
 	"github.com/hoistjunction/hoistjunction/lab"
 )
 
-// scaleCommand plays one scenario at several sizes, and prints what grows.
+// scaleCommand plays a scenario at several sizes and prints the growth of each figure.
 type scaleCommand struct {
 	Scenario string `arg:"positional,required" help:"scenario file"`
-	Nodes    []int  `arg:"--nodes" help:"numbers of nodes, rising; 10 30 100 if not given"`
-	Held     bool   `arg:"--held" help:"the load stays as it is while nodes and engines grow"`
+	Nodes    []int  `arg:"--nodes" help:"numbers of nodes in ascending order; default 10 30 100"`
+	Held     bool   `arg:"--held" help:"keep the load constant while nodes and engines grow"`
 	Seed     uint64 `arg:"--seed" default:"1"`
-	Without  string `arg:"--without" help:"mechanisms that are off, with commas between"`
+	Without  string `arg:"--without" help:"mechanisms to disable, separated by commas"`
 }
 
-// scaled is what one size has come to.
-type scaled struct {
+// sizeResult is the result of a run at one size.
+type sizeResult struct {
 	scenario *lab.Scenario
 	result   *lab.Result
 	nodes    int
 }
 
-// figure is a row of the table.
-type figure struct {
-	name string
-	of   func(scaled) float64
+// scaleFigure is a row of the table printed by scale.
+type scaleFigure struct {
+	name  string
+	value func(sizeResult) float64
 }
 
-var scaleFigures = []figure{
-	{"engines", func(s scaled) float64 { return float64(s.scenario.Engines()) }},
-	{"streams a second", func(s scaled) float64 { return s.scenario.Load.PerSecond }},
-	{"served", func(s scaled) float64 { return s.result.Served() }},
-	{"datagrams heard a second, middle node", func(s scaled) float64 { return s.result.Heard.Middle }},
-	{"busiest", func(s scaled) float64 { return s.result.Heard.Most }},
-	{"sent a second, middle node", func(s scaled) float64 { return s.result.Sent.Middle }},
-	{"busiest", func(s scaled) float64 { return s.result.Sent.Most }},
-	{"orders", func(s scaled) float64 { return float64(s.result.Orders) }},
-	{"probes", func(s scaled) float64 { return float64(s.result.Probes) }},
-	{"repeats", func(s scaled) float64 { return float64(s.result.Repeats) }},
+var scaleFigures = []scaleFigure{
+	{"engines", func(s sizeResult) float64 { return float64(s.scenario.Engines()) }},
+	{"streams a second", func(s sizeResult) float64 { return s.scenario.Load.PerSecond }},
+	{"served", func(s sizeResult) float64 { return s.result.Served() }},
+	{"datagrams heard a second, middle node", func(s sizeResult) float64 { return s.result.Heard.Middle }},
+	{"busiest", func(s sizeResult) float64 { return s.result.Heard.Most }},
+	{"sent a second, middle node", func(s sizeResult) float64 { return s.result.Sent.Middle }},
+	{"busiest", func(s sizeResult) float64 { return s.result.Sent.Most }},
+	{"orders", func(s sizeResult) float64 { return float64(s.result.Orders) }},
+	{"probes", func(s sizeResult) float64 { return float64(s.result.Probes) }},
+	{"repeats", func(s sizeResult) float64 { return float64(s.result.Repeats) }},
 }
 
 func (c *scaleCommand) run() error {
-	s, v, err := load(c.Scenario, c.Without)
+	s, v, err := loadScenario(c.Scenario, c.Without)
 	if err != nil {
 		return err
 	}
@@ -54,12 +54,12 @@
 	if len(sizes) == 0 {
 		sizes = []int{10, 30, 100}
 	}
-	var played []scaled
+	var played []sizeResult
 	broken := false
 	for _, nodes := range sizes {
 		scenario := s.Scaled(nodes, c.Held)
 		r := lab.Run(scenario, v, c.Seed)
-		played = append(played, scaled{scenario: scenario, result: r, nodes: scenario.Nodes.EachCentre * len(scenario.Fleet.Centres())})
+		played = append(played, sizeResult{scenario: scenario, result: r, nodes: scenario.Nodes.EachCentre * len(scenario.Fleet.Centres())})
 		for promise, what := range r.Broken {
 			broken = true
 			fmt.Printf("%d nodes broke %s: %s\n", nodes, promise, what)
@@ -74,9 +74,9 @@
 	return nil
 }
 
-// printScale prints a column for each size, the power by which a figure grows between the last
-// two, and what it comes to by that at twice the last.
-func printScale(out io.Writer, played []scaled) error {
+// printScale prints a column for each size, the exponent of growth between the last two sizes,
+// and the figure extrapolated to twice the last size.
+func printScale(out io.Writer, played []sizeResult) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	row := "nodes\t"
 	for _, p := range played {
@@ -88,7 +88,7 @@
 	for _, f := range scaleFigures {
 		row := f.name + "\t"
 		for _, p := range played {
-			row += fmt.Sprintf("%.4g\t", f.of(p))
+			row += fmt.Sprintf("%.4g\t", f.value(p))
 		}
 		if _, err := fmt.Fprintln(w, row+growth(played, f)); err != nil {
 			return err
@@ -97,15 +97,15 @@
 	return w.Flush()
 }
 
-// growth is how a figure grows between the last two sizes; empty for one size.
-func growth(played []scaled, f figure) string {
+// growth returns the last two cells of a row: exponent and extrapolation. Both are empty for one size.
+func growth(played []sizeResult, f scaleFigure) string {
 	if len(played) < 2 {
 		return "\t\t"
 	}
 	a, b := played[len(played)-2], played[len(played)-1]
-	power := lab.Power(a.nodes, b.nodes, f.of(a), f.of(b))
+	power := lab.Power(a.nodes, b.nodes, f.value(a), f.value(b))
 	if math.IsNaN(power) {
 		return "\t\t"
 	}
-	return fmt.Sprintf("%.2f\t%.4g\t", power, f.of(b)*math.Pow(2, power))
+	return fmt.Sprintf("%.2f\t%.4g\t", power, f.value(b)*math.Pow(2, power))
 }
--- a/cmd/hoistlab/size.go
+++ b/cmd/hoistlab/size.go
@@ -9,9 +9,9 @@
 	"github.com/hoistjunction/hoistjunction/sizing"
 )
 
-// sizeCommand prints what a fleet of engines bears.
+// sizeCommand prints the capacity of a fleet of engines.
 type sizeCommand struct {
-	Fleet string `arg:"positional,required" help:"fleet file or scenario: the model, the kinds of accelerator and the engines of each data centre"`
+	Fleet string `arg:"positional,required" help:"fleet file or scenario, with the model, the kinds of accelerator and the engines of each data centre"`
 }
 
 func (c *sizeCommand) run() error {
@@ -22,7 +22,7 @@
 	if errors.Is(err, sizing.ErrFleet) {
 		return err
 	}
-	// It may be a scenario, which has more than a fleet.
+	// The file may be a scenario, which contains a fleet among other sections.
 	s, err := lab.LoadScenario(c.Fleet)
 	if err != nil {
 		return err
--- a/cmd/hoistload/main.go
+++ b/cmd/hoistload/main.go
@@ -1,5 +1,5 @@
-// Command hoistload replays a recorded trace of requests against entry nodes
-// and checks every answer.
+// Command hoistload replays a trace of requests against entry nodes and checks every
+// response.
 package main
 
 import (
@@ -15,15 +15,15 @@
 	"github.com/hoistjunction/hoistjunction/load"
 )
 
-var errWrong = errors.New("some answers are wrong or missing")
+var errWrong = errors.New("some responses are incorrect or missing")
 
 type arguments struct {
-	Nodes   []string      `arg:"--nodes,required" help:"callers' ports of the entry nodes, as ip:port"`
-	Trace   string        `arg:"--trace,required" help:"path of the trace"`
-	Account []string      `arg:"--account,separate" help:"an account and its key, as name=key"`
-	Layers  uint32        `arg:"--layers" default:"12" help:"layers of the stand-in model"`
-	Tries   int           `arg:"--tries" default:"5" help:"how often a request is sent at the most"`
-	Wait    time.Duration `arg:"--wait" default:"20s" help:"how long one try may take"`
+	Nodes   []string      `arg:"--nodes,required" help:"caller addresses of the entry nodes, as ip:port"`
+	Trace   string        `arg:"--trace,required" help:"path of the trace file"`
+	Account []string      `arg:"--account,separate" help:"a client account and its key, as name=key"`
+	Layers  uint32        `arg:"--layers" default:"12" help:"number of layers of the stand-in model"`
+	Tries   int           `arg:"--tries" default:"5" help:"maximum number of attempts per request"`
+	Wait    time.Duration `arg:"--wait" default:"20s" help:"timeout of one attempt"`
 }
 
 func main() {
@@ -46,7 +46,7 @@
 		keys[name] = key
 	}
 	r := load.NewRunner(args.Nodes, load.WithKeys(keys), load.WithLayers(args.Layers),
-		load.WithTries(args.Tries), load.WithWait(args.Wait))
+		load.WithTries(args.Tries), load.WithAttemptTimeout(args.Wait))
 	s := load.Summarize(r.Run(context.Background(), items))
 	s.Print(os.Stdout)
 	if s.Wrong > 0 || s.Done() != s.Total {
--- a/cmd/hoistmeasure/main.go
+++ b/cmd/hoistmeasure/main.go
@@ -1,5 +1,5 @@
-// Command hoistmeasure compares the policy with its baselines on stand-ins in
-// one process, and prints the figures as ratios with their spread over seeds.
+// Command hoistmeasure compares the product's policy with baseline policies, using
+// stand-ins in one process. It prints figures with their spread over seeds.
 package main
 
 import (
@@ -15,11 +15,11 @@
 )
 
 type arguments struct {
-	Seeds     int     `arg:"--seeds" default:"3" help:"runs of each scenario with each contender"`
-	Capacity  float64 `arg:"--capacity" help:"requests a second that the stand-ins hold; found by a climb when left out"`
-	Contender string  `arg:"--contender" help:"only contenders whose name holds one of these words, separated by commas"`
-	Overhead  bool    `arg:"--overhead" help:"only what a node adds to a plain call, and the memory it keeps"`
-	Only      string  `arg:"--only" help:"only scenarios whose name holds this"`
+	Seeds     int     `arg:"--seeds" default:"3" help:"number of runs of each scenario with each policy"`
+	Capacity  float64 `arg:"--capacity" help:"capacity of the stand-ins, in requests per second; measured with rising load if not set"`
+	Contender string  `arg:"--contender" help:"run only policies whose name contains one of these words, separated by commas"`
+	Overhead  bool    `arg:"--overhead" help:"measure only the latency that a node adds to a plain call, and the node's memory"`
+	Only      string  `arg:"--only" help:"run only scenarios whose name contains this text"`
 }
 
 func main() {
@@ -60,7 +60,7 @@
 	})
 }
 
-// compare runs a scenario with every contender, alternating, over the seeds.
+// compare runs a scenario with each policy in turn for every seed, and prints a table.
 func compare(s measure.Scenario, args arguments) error {
 	contenders := measure.Contenders(args.Contender)
 	all := make([]measure.Series, len(contenders))
--- a/cmd/hoistrehearse/main.go
+++ b/cmd/hoistrehearse/main.go
@@ -1,5 +1,5 @@
 // Command hoistrehearse plays scenarios of hoistlab in real time with the built programs as
-// processes of their own, and judges what callers got.
+// separate processes, and checks the promises against the responses that callers received.
 //
 //	hoistrehearse examples/rehearse/stalls.ini --seed 7
 package main
@@ -23,34 +23,34 @@
 type arguments struct {
 	Scenario string        `arg:"positional,required" help:"scenario file"`
 	Seed     uint64        `arg:"--seed" default:"1"`
-	Seeds    int           `arg:"--seeds" default:"1" help:"how many seeds to play, one after the other"`
-	Scale    float64       `arg:"--scale" default:"1" help:"part of the nodes and of the load"`
-	For      time.Duration `arg:"--for" help:"how long callers ask; the scenario's time without it"`
-	Busy     int           `arg:"--busy" help:"processors that are kept busy beside it"`
-	Bin      string        `arg:"--bin" default:"bin" help:"where the programs are"`
-	Template string        `arg:"--template" default:"deploy/relay.ini.tmpl" help:"template of a node's settings"`
-	Logs     string        `arg:"--logs" help:"where logs, report.json and report.html go; kept only if named or if a seed fails"`
-	Quiet    bool          `arg:"--quiet" help:"no line a second"`
+	Seeds    int           `arg:"--seeds" default:"1" help:"number of seeds, played one after the other"`
+	Scale    float64       `arg:"--scale" default:"1" help:"factor applied to the number of nodes and to the load"`
+	For      time.Duration `arg:"--for" help:"duration of the load; default is the scenario's duration"`
+	Busy     int           `arg:"--busy" help:"number of processors to keep busy with other work"`
+	Bin      string        `arg:"--bin" default:"bin" help:"directory of the programs"`
+	Template string        `arg:"--template" default:"deploy/relay.ini.tmpl" help:"template of the nodes' settings"`
+	Logs     string        `arg:"--logs" help:"directory for logs, report.json and report.html; if not set, they are kept only for failed seeds"`
+	Quiet    bool          `arg:"--quiet" help:"print no progress"`
 }
 
-// exitNotValid is the exit code where the machine was too busy for a verdict, and no promise was
-// found broken.
+// exitNotValid is the exit code if no promise was found broken, but the machine was too busy
+// for a valid verdict.
 const exitNotValid = 3
 
 // Description implements arg.Described.
 func (arguments) Description() string {
-	return "hoistrehearse plays a scenario with real processes in real time, judged by what callers get."
+	return "hoistrehearse plays a scenario in real time with separate processes and checks the responses to callers."
 }
 
 func main() {
 	var args arguments
 	arg.MustParse(&args)
-	// A signal ends the seed under way, and with it the processes that it started.
+	// A signal aborts the current seed and terminates the processes that it started.
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	failed, notValid := 0, 0
 	for i := range args.Seeds {
-		err := play(ctx, args, args.Seed+uint64(i))
+		err := runSeed(ctx, args, args.Seed+uint64(i))
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "hoistrehearse:", err)
 		}
@@ -73,7 +73,7 @@
 	}
 }
 
-func play(ctx context.Context, args arguments, seed uint64) error {
+func runSeed(ctx context.Context, args arguments, seed uint64) error {
 	logs := args.Logs
 	if logs == "" {
 		made, err := os.MkdirTemp("", "hoistrehearse-")
@@ -92,7 +92,7 @@
 	}
 	report, err := rehearse.Run(ctx, args.Scenario, opts...)
 	if report != nil {
-		err = errors.CombineErrors(err, errors.CombineErrors(report.Print(os.Stdout), write(report, logs)))
+		err = errors.CombineErrors(err, errors.CombineErrors(report.Print(os.Stdout), writeReportFiles(report, logs)))
 		err = errors.CombineErrors(err, report.Verdict())
 	}
 	if err != nil {
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// write writes the report's files.
-func write(r *rehearse.Report, folder string) error {
+// writeReportFiles writes report.json and report.html.
+func writeReportFiles(r *rehearse.Report, folder string) error {
 	data, err := os.Create(filepath.Join(folder, "report.json"))
 	if err != nil {
 		return err
--- a/cmd/hoistrelay/main.go
+++ b/cmd/hoistrelay/main.go
@@ -1,5 +1,5 @@
-// Command hoistrelay is a node that relays callers' requests to engines which
-// run pipelines by themselves, and to plain services.
+// Command hoistrelay is the relay node. It relays callers' requests to plain services and
+// to engines that pass requests along a pipeline themselves.
 //
 //	hoistrelay --settings relay.ini
 //	hoistrelay --settings relay.ini --check
@@ -23,8 +23,8 @@
 )
 
 type arguments struct {
-	Settings string `arg:"--settings,required" help:"path of the INI file"`
-	Check    bool   `arg:"--check" help:"check the settings, print those in force, and exit"`
+	Settings string `arg:"--settings,required" help:"path of the INI settings file"`
+	Check    bool   `arg:"--check" help:"check the settings, print the effective values and exit"`
 }
 
 // Description implements arg.Described.
@@ -41,8 +41,8 @@
 	}
 }
 
-// memoryShare is the part of the VM's memory that the heap may take before
-// the collector works harder; the rest is for stacks, sockets and the program.
+// memoryShare is the share of the VM's memory above which the garbage collector runs
+// more often. The rest is for stacks, sockets and the program.
 const memoryShare = 0.6
 
 const bytesPerMB = 1 << 20
@@ -79,16 +79,16 @@
 	return nil
 }
 
-// drainOn begins a planned stop at the first signal. Further ones change
-// nothing: what is in progress is not cut off by impatience.
+// drainOn starts a planned stop at the first signal. Further signals have no effect,
+// so that they do not abort requests in progress.
 func drainOn(stop <-chan os.Signal, n *node.Node, log *logging.Log) {
 	s := <-stop
 	log.Info("signal", zap.Stringer("signal", s))
 	n.Drain()
 }
 
-// reloadOn reads the settings again at each SIGHUP. What a running node can
-// take over is the level of its logs.
+// reloadOn reads the settings again at each SIGHUP. The log level is the only setting
+// that changes in a running node.
 func reloadOn(reload <-chan os.Signal, path string, log *logging.Log) {
 	for range reload {
 		s, _, err := node.Load(path)
--- a/cmd/hoistreplay/main.go
+++ b/cmd/hoistreplay/main.go
@@ -1,5 +1,5 @@
-// Command hoistreplay plays recordings of a node's messages to the decision
-// core, and checks their stated outcomes and the promises that always hold.
+// Command hoistreplay replays recordings of a node's messages in the decision core. It
+// compares the outcomes with those in the recording and checks the core's invariants.
 package main
 
 import (
@@ -14,7 +14,7 @@
 )
 
 type arguments struct {
-	Files []string `arg:"positional,required" help:"recordings"`
+	Files []string `arg:"positional,required" help:"files with recordings"`
 	Print bool     `arg:"--print" help:"print every message and command"`
 }
 
@@ -25,7 +25,7 @@
 	for _, file := range args.Files {
 		var opts []record.ReplayOption
 		if args.Print {
-			opts = append(opts, record.WithPrint(show))
+			opts = append(opts, record.WithPrint(printMessage))
 		}
 		if err := record.File(file, opts...); err != nil {
 			failed = true
@@ -39,7 +39,7 @@
 	}
 }
 
-func show(at clock.Millis, kind string, v any) {
+func printMessage(at clock.Millis, kind string, v any) {
 	text, err := json.Marshal(v)
 	if err != nil {
 		text = []byte(err.Error())
--- a/cmd/hoistsoak/main.go
+++ b/cmd/hoistsoak/main.go
@@ -1,5 +1,5 @@
-// Command hoistsoak runs the fault soak: the real programs as processes, harm
-// from outside, and the promises checked from what callers and upstreams see.
+// Command hoistsoak runs the fault soak: it starts the programs as processes, injects
+// faults, and checks the promises by what callers and upstreams observe.
 //
 //	hoistsoak --seed 7 --for 60s
 package main
@@ -20,24 +20,24 @@
 
 type arguments struct {
 	Seed    uint64        `arg:"--seed" default:"1"`
-	Seeds   int           `arg:"--seeds" default:"1" help:"how many seeds to play, one after the other"`
-	For     time.Duration `arg:"--for" default:"20s" help:"how long harm is done"`
+	Seeds   int           `arg:"--seeds" default:"1" help:"number of seeds, played one after the other"`
+	For     time.Duration `arg:"--for" default:"20s" help:"duration of the fault injection"`
 	Nodes   int           `arg:"--nodes" default:"3"`
 	Engines int           `arg:"--engines" default:"6"`
 	Callers int           `arg:"--callers" default:"12"`
-	Bin     string        `arg:"--bin" default:"bin" help:"where the programs are"`
-	Logs    string        `arg:"--logs" help:"where logs go; kept only for seeds that fail"`
+	Bin     string        `arg:"--bin" default:"bin" help:"directory of the programs"`
+	Logs    string        `arg:"--logs" help:"directory for logs; kept only for failed seeds"`
 }
 
 func main() {
 	var args arguments
 	arg.MustParse(&args)
-	// A signal ends the seed under way, and with it the processes it started.
+	// A signal aborts the current seed and terminates the processes that it started.
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	failed := 0
 	for i := range args.Seeds {
-		if !play(ctx, args, args.Seed+uint64(i)) {
+		if !runSeed(ctx, args, args.Seed+uint64(i)) {
 			failed++
 		}
 		if ctx.Err() != nil {
@@ -51,7 +51,7 @@
 	}
 }
 
-func play(ctx context.Context, args arguments, seed uint64) bool {
+func runSeed(ctx context.Context, args arguments, seed uint64) bool {
 	dir := args.Logs
 	if dir == "" {
 		dir = filepath.Join(os.TempDir(), "hoistsoak")
--- a/cmd/standin-deployment/main.go
+++ b/cmd/standin-deployment/main.go
@@ -1,5 +1,5 @@
-// Command standin-deployment plays the outside world of a scenario of hoistlab in real time, for
-// rehearsals: its store, or all of its upstreams.
+// Command standin-deployment runs the stand-ins of a hoistlab scenario in real time, for
+// rehearsals: either the store or all upstreams.
 //
 //	standin-deployment store --scenario small.ini
 //	standin-deployment upstreams --scenario small.ini --store 127.0.0.1:4711
@@ -17,20 +17,20 @@
 )
 
 type storeCommand struct {
-	Reads  float64 `arg:"--reads" default:"2000" help:"reading calls that it takes a second"`
-	Writes float64 `arg:"--writes" default:"400" help:"writing calls that it takes a second"`
+	Reads  float64 `arg:"--reads" default:"2000" help:"read calls that the store accepts per second"`
+	Writes float64 `arg:"--writes" default:"400" help:"write calls that the store accepts per second"`
 }
 
 type upstreamsCommand struct {
 	Store string `arg:"--store,required" help:"address of the store"`
-	Seed  uint64 `arg:"--seed" default:"1" help:"draws which upstreams are harmed"`
+	Seed  uint64 `arg:"--seed" default:"1" help:"seed of the choice of upstreams that get faults"`
 }
 
 type arguments struct {
 	Store     *storeCommand     `arg:"subcommand:store"`
 	Upstreams *upstreamsCommand `arg:"subcommand:upstreams"`
 	Scenario  string            `arg:"--scenario,required" help:"scenario file"`
-	Listen    string            `arg:"--listen" default:"127.0.0.1:0" help:"IP number and port of the store, or of the upstreams' switches"`
+	Listen    string            `arg:"--listen" default:"127.0.0.1:0" help:"IP address and port of the store, or of the fault control of the upstreams"`
 }
 
 func main() {
@@ -44,7 +44,7 @@
 		case args.Upstreams != nil:
 			err = serveUpstreams(args.Listen, s, args.Upstreams)
 		default:
-			p.Fail("say what to play: store or upstreams")
+			p.Fail("missing subcommand: store or upstreams")
 		}
 	}
 	if err != nil {
--- a/cmd/standin-platform/main.go
+++ b/cmd/standin-platform/main.go
@@ -1,6 +1,5 @@
-// Command standin-platform plays the platform's table service, object store
-// and list of VMs, for tests and demonstrations. It keeps everything in
-// memory.
+// Command standin-platform is a stand-in for the platform's table service, object store
+// and list of VMs, for tests and demonstrations. It keeps all data in memory.
 package main
 
 import (
@@ -15,7 +14,7 @@
 )
 
 type arguments struct {
-	Listen string `arg:"--listen" default:"127.0.0.1:0" help:"IP number and port; port 0 asks the kernel for one"`
+	Listen string `arg:"--listen" default:"127.0.0.1:0" help:"IP address and port; port 0 lets the kernel choose a port"`
 	VMs    string `arg:"--vms" help:"JSON file with the list of VMs"`
 }
 
--- a/cmd/standin-site/main.go
+++ b/cmd/standin-site/main.go
@@ -1,6 +1,6 @@
-// Command standin-site plays a part of the users' platform, for tests,
-// demonstrations and the fault soak: the store with the operator's
-// configuration, an engine that runs pipelines by itself, or a plain service.
+// Command standin-site is a stand-in for one part of the users' platform, for tests,
+// demonstrations and the fault soak: the store with the operator's configuration, an
+// engine that passes requests along a pipeline itself, or a plain service.
 package main
 
 import (
@@ -20,22 +20,22 @@
 )
 
 type storeCommand struct {
-	Keys []string `arg:"--key,separate" help:"a key of the only client account"`
+	Keys []string `arg:"--key,separate" help:"a key of the single client account"`
 }
 
 type serverCommand struct {
 	ID      string        `arg:"--id,required"`
 	Centre  string        `arg:"--centre" default:"dc-1" help:"data centre"`
 	Store   string        `arg:"--store,required" help:"address of the store"`
-	Through string        `arg:"--through" help:"address to advertise, if callers come through a proxy"`
-	Work    time.Duration `arg:"--work" default:"10ms" help:"time of a request at a desk"`
+	Through string        `arg:"--through" help:"address to advertise if callers connect through a proxy"`
+	Work    time.Duration `arg:"--work" default:"10ms" help:"time that a plain service takes for a request"`
 }
 
 type arguments struct {
-	Store  *storeCommand  `arg:"subcommand:store"`
-	Engine *serverCommand `arg:"subcommand:engine"`
-	Desk   *serverCommand `arg:"subcommand:desk"`
-	Listen string         `arg:"--listen" default:"127.0.0.1:0" help:"IP number and port; port 0 asks the kernel for one"`
+	Store   *storeCommand  `arg:"subcommand:store"`
+	Engine  *serverCommand `arg:"subcommand:engine"`
+	Service *serverCommand `arg:"subcommand:desk"`
+	Listen  string         `arg:"--listen" default:"127.0.0.1:0" help:"IP address and port; port 0 lets the kernel choose a port"`
 }
 
 func main() {
@@ -47,10 +47,10 @@
 		err = serveStore(args.Listen, args.Store)
 	case args.Engine != nil:
 		err = serveEngine(args.Listen, args.Engine)
-	case args.Desk != nil:
-		err = serveDesk(args.Listen, args.Desk)
+	case args.Service != nil:
+		err = serveService(args.Listen, args.Service)
 	default:
-		p.Fail("say what to play: store, engine or desk")
+		p.Fail("missing subcommand: store, engine or desk")
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "standin-site:", err)
@@ -65,7 +65,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("/", store.Handler())
 	mux.HandleFunc("POST /copy", func(http.ResponseWriter, *http.Request) { store.Copy() })
-	mux.HandleFunc("POST /return", func(http.ResponseWriter, *http.Request) { operator.returned() })
+	mux.HandleFunc("POST /return", func(http.ResponseWriter, *http.Request) { operator.restoreStore() })
 	mux.HandleFunc("POST /operator/{version}", func(w http.ResponseWriter, r *http.Request) {
 		var version uint64
 		if _, err := fmt.Sscan(r.PathValue("version"), &version); err != nil {
@@ -77,7 +77,7 @@
 	return standin.Serve(listen, mux, os.Stdout)
 }
 
-// operator writes the configuration, and writes it again when the store has lost it.
+// operator writes the configuration to the store, and rewrites it after a store restore has lost it.
 type operator struct {
 	store  *standin.RowStore
 	mu     sync.Mutex
@@ -91,8 +91,8 @@
 	o.store.Put("op", "config", config)
 }
 
-// returned has the store come back from its copy.
-func (o *operator) returned() {
+// restoreStore restores the store from its backup and rewrites a lost configuration.
+func (o *operator) restoreStore() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.store.Return()
@@ -101,8 +101,8 @@
 	}
 }
 
-// bound reserves an address first, since a server must know its own.
-func bound(listen string) (string, error) {
+// reserveAddress returns an address with a free port, since a server needs its address before it listens.
+func reserveAddress(listen string) (string, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
 		return "", err
@@ -111,37 +111,37 @@
 }
 
 func serveEngine(listen string, c *serverCommand) error {
-	address, err := bound(listen)
+	address, err := reserveAddress(listen)
 	if err != nil {
 		return err
 	}
-	engine := standin.NewChainEngine(c.ID, advertised(c, address), standin.WithEnd(end))
+	engine := standin.NewChainEngine(c.ID, advertisedAddress(c, address), standin.WithEnd(crash))
 	go standin.Beat(context.Background(), c.Store, c.ID, func() *platformpb.Server { return engine.Entry(c.Centre) })
 	return standin.Serve(address, engine.Handler(), os.Stdout)
 }
 
-func serveDesk(listen string, c *serverCommand) error {
-	address, err := bound(listen)
+func serveService(listen string, c *serverCommand) error {
+	address, err := reserveAddress(listen)
 	if err != nil {
 		return err
 	}
-	desk := standin.NewDesk(c.ID, advertised(c, address), c.Work, standin.WithEnd(end))
+	desk := standin.NewDesk(c.ID, advertisedAddress(c, address), c.Work, standin.WithEnd(crash))
 	go standin.Beat(context.Background(), c.Store, c.ID, func() *platformpb.Server { return desk.Entry(c.Centre) })
 	return standin.Serve(address, desk.Handler(), os.Stdout)
 }
 
-func advertised(c *serverCommand, address string) string {
+func advertisedAddress(c *serverCommand, address string) string {
 	if c.Through != "" {
 		return c.Through
 	}
 	return address
 }
 
-// ended is the exit code of a server that a request has ended.
-const ended = 3
+// crashExitCode is the exit code of a server that was crashed by a request.
+const crashExitCode = 3
 
-// end ends the process at once, as a crash does, and says by what.
-func end(path string) {
+// crash exits immediately, as a crash would, and prints the path of the request that caused it.
+func crash(path string) {
 	fmt.Println(standin.EndedBy + path)
-	os.Exit(ended)
+	os.Exit(crashExitCode)
 }
--- a/cmd/standin-upstream/main.go
+++ b/cmd/standin-upstream/main.go
@@ -1,5 +1,5 @@
-// Command standin-upstream plays a model engine that holds a range of layers,
-// or a plain service, for tests and demonstrations.
+// Command standin-upstream is a stand-in for a model engine that holds a range of layers,
+// or for a plain service, for tests and demonstrations.
 package main
 
 import (
@@ -16,10 +16,10 @@
 type engineCommand struct {
 	FirstLayer  uint32        `arg:"--first-layer" default:"0"`
 	LastLayer   uint32        `arg:"--last-layer" default:"3"`
-	Final       bool          `arg:"--final" help:"the last layer is the model's last"`
-	Base        time.Duration `arg:"--base" default:"1ms" help:"time of a batch"`
+	Final       bool          `arg:"--final" help:"whether the last layer is the last layer of the model"`
+	Base        time.Duration `arg:"--base" default:"1ms" help:"base time of a batch"`
 	PerStep     time.Duration `arg:"--per-step" default:"50us" help:"time added for each step of a batch"`
-	PerPosition time.Duration `arg:"--per-position" default:"5us" help:"time added for each position"`
+	PerPosition time.Duration `arg:"--per-position" default:"5us" help:"time added for each position of a batch"`
 	MaxBatch    int           `arg:"--max-batch" default:"64"`
 }
 
@@ -31,7 +31,7 @@
 type arguments struct {
 	Engine  *engineCommand  `arg:"subcommand:engine"`
 	Service *serviceCommand `arg:"subcommand:service"`
-	Listen  string          `arg:"--listen" default:"127.0.0.1:0" help:"IP number and port; port 0 asks the kernel for one"`
+	Listen  string          `arg:"--listen" default:"127.0.0.1:0" help:"IP address and port; port 0 lets the kernel choose a port"`
 }
 
 func main() {
@@ -45,7 +45,7 @@
 		service := standin.NewService(args.Service.Name, args.Service.Work)
 		err = standin.Serve(args.Listen, service.Handler(), os.Stdout)
 	default:
-		p.Fail("say what to play: engine or service")
+		p.Fail("missing subcommand: engine or service")
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "standin-upstream:", err)
--- a/dispatch/begun_answer_test.go
+++ b/dispatch/begun_answer_test.go
@@ -89,7 +89,7 @@
 			case 2:
 				keys := rapid.SampledFrom([]string{"all", "none"}).Draw(rt, "keys")
 				version++
-				step(dispatch.CatalogMsg{Catalog: testCatalog(script.Step{Named: map[string]string{"keys": keys, "version": strconv.Itoa(version)}}), ConfirmedAt: now})
+				step(dispatch.CatalogMsg{Catalog: testCatalog(script.Step{Params: map[string]string{"keys": keys, "version": strconv.Itoa(version)}}), ConfirmedAt: now})
 			default:
 				if c.ended || c.attempt == 0 {
 					continue
@@ -117,7 +117,7 @@
 		id := "u" + strconv.Itoa(len(changes))
 		changes = append(changes, fleet.Change{
 			ID: fleet.IncarnationByID(fleet.ID(id)), Gone: rapid.IntRange(0, 4).Draw(t, "gone") == 0,
-			Upstream: testUpstream(script.Step{Words: []string{id}, Named: attributes}),
+			Upstream: testUpstream(script.Step{Args: []string{id}, Params: attributes}),
 		})
 	}
 	return changes
--- a/dispatch/script_test.go
+++ b/dispatch/script_test.go
@@ -55,55 +55,55 @@
 	if message := limitMsg(s); message != nil {
 		return message
 	}
-	request, attempt := parseAttempt(s.Word(0))
+	request, attempt := parseAttempt(s.Arg(0))
 	switch s.Verb {
 	case "config":
 		return dispatch.CatalogMsg{Catalog: testCatalog(s), ConfirmedAt: clock.Millis(s.Int("confirmed", int(p.now)))}
 	case "confirmed":
 		return dispatch.CatalogMsg{ConfirmedAt: p.now}
 	case "upstream":
-		return dispatch.FleetMsg{Changes: []fleet.Change{{ID: script.Incarnation(s.Word(0)), Upstream: testUpstream(s)}}}
+		return dispatch.FleetMsg{Changes: []fleet.Change{{ID: script.Incarnation(s.Arg(0)), Upstream: testUpstream(s)}}}
 	case "gone", "ended":
-		return dispatch.FleetMsg{Changes: []fleet.Change{{ID: script.Incarnation(s.Word(0)), Gone: true, Ended: s.Verb == "ended"}}}
+		return dispatch.FleetMsg{Changes: []fleet.Change{{ID: script.Incarnation(s.Arg(0)), Gone: true, Ended: s.Verb == "ended"}}}
 	case "peers":
-		return dispatch.PeersMsg{TotalNodes: s.Int("all", 1), UsagePeers: s.Int("near", 0), LocalNodes: s.Int("here", 0), Aggregated: s.Named["summed"] == "yes"}
+		return dispatch.PeersMsg{TotalNodes: s.Int("all", 1), UsagePeers: s.Int("near", 0), LocalNodes: s.Int("here", 0), Aggregated: s.Params["summed"] == "yes"}
 	case "usage":
-		return dispatch.UsageMsg{Node: s.Word(0), Used: map[fleet.Incarnation]fleet.EngineUsage{
-			script.Incarnation(s.Word(1)): {Memory: float64(s.Int("amount", 0)), Streams: s.Int("streams", 0)},
-		}, WholeDataCentre: s.Named["total"] == "yes", AllNodes: s.Named["whole"] == "yes", Nodes: s.Int("nodes", 0), DataCentre: s.Named["in"]}
+		return dispatch.UsageMsg{Node: s.Arg(0), Used: map[fleet.Incarnation]fleet.EngineUsage{
+			script.Incarnation(s.Arg(1)): {Memory: float64(s.Int("amount", 0)), Streams: s.Int("streams", 0)},
+		}, WholeDataCentre: s.Params["total"] == "yes", AllNodes: s.Params["whole"] == "yes", Nodes: s.Int("nodes", 0), DataCentre: s.Params["in"]}
 	case "placed":
-		return dispatch.PlacedMsg{Upstream: script.Incarnation(s.Word(0)), Layers: testUpstream(s).Held, Completed: s.Named["holds"] == "yes"}
+		return dispatch.PlacedMsg{Upstream: script.Incarnation(s.Arg(0)), Layers: testUpstream(s).Held, Completed: s.Params["holds"] == "yes"}
 	case "report":
-		return dispatch.ReportMsg{Upstream: script.Incarnation(s.Word(0)), Report: testReport(s)}
+		return dispatch.ReportMsg{Upstream: script.Incarnation(s.Arg(0)), Report: testReport(s)}
 	case "arrive":
 		return arriveMsg(s, request)
 	case "failed":
 		return dispatch.AttemptFailedMsg{
-			Request: request, Attempt: attempt, Cause: parseCause(p.t, s.Named["cause"]), FaultyAddress: s.Named["by"],
+			Request: request, Attempt: attempt, Cause: parseCause(p.t, s.Params["cause"]), FaultyAddress: s.Params["by"],
 			Events: s.Int("events", 0), Delivered: parseDelivered(s),
 		}
 	case "done":
 		return dispatch.AttemptDoneMsg{Request: request, Attempt: attempt, Took: clock.Millis(s.Int("took", 50))}
 	case "stalled":
-		return dispatch.StalledMsg{Request: request, Attempt: attempt, FaultyAddress: s.Named["by"], Slow: s.Named["slow"] == "yes"}
+		return dispatch.StalledMsg{Request: request, Attempt: attempt, FaultyAddress: s.Params["by"], Slow: s.Params["slow"] == "yes"}
 	case "moved":
-		return dispatch.MigratedMsg{Request: request, Attempt: attempt, Result: dispatch.MigrationResult(s.Int("result", 0)), FaultyAddress: s.Named["by"]}
+		return dispatch.MigratedMsg{Request: request, Attempt: attempt, Result: dispatch.MigrationResult(s.Int("result", 0)), FaultyAddress: s.Params["by"]}
 	case "rests":
-		return dispatch.BackOffMsg{Upstream: script.Incarnation(s.Word(0)), For: clock.Millis(s.Int("for", 0))}
+		return dispatch.BackOffMsg{Upstream: script.Incarnation(s.Arg(0)), For: clock.Millis(s.Int("for", 0))}
 	case "left":
 		return dispatch.RequestEndedMsg{Request: request}
 	case "probed":
-		return dispatch.ProbedMsg{Upstream: script.Incarnation(s.Word(0)), Answered: s.Named["well"] == "yes", Named: s.Named["named"] == "yes", Report: testReport(s)}
+		return dispatch.ProbedMsg{Upstream: script.Incarnation(s.Arg(0)), Answered: s.Params["well"] == "yes", Named: s.Params["named"] == "yes", Report: testReport(s)}
 	case "identified":
-		return dispatch.IdentifiedMsg{Upstream: script.Incarnation(s.Word(0)), Presence: map[string]fleet.Presence{"itself": fleet.Present, "another": fleet.Replaced}[s.Named["as"]]}
+		return dispatch.IdentifiedMsg{Upstream: script.Incarnation(s.Arg(0)), Presence: map[string]fleet.Presence{"itself": fleet.Present, "another": fleet.Replaced}[s.Params["as"]]}
 	case "told":
-		return dispatch.PeerUnresponsiveMsg{Upstream: script.Incarnation(s.Word(0))}
+		return dispatch.PeerUnresponsiveMsg{Upstream: script.Incarnation(s.Arg(0))}
 	case "toldlost":
-		return dispatch.PeerLossMsg{Work: clinicWork(s.Word(0)), Upstream: script.Incarnation(s.Word(1))}
+		return dispatch.PeerLossMsg{Work: clinicWork(s.Arg(0)), Upstream: script.Incarnation(s.Arg(1))}
 	case "toldanswered":
-		return dispatch.PeerAnswerMsg{Work: clinicWork(s.Word(0))}
+		return dispatch.PeerAnswerMsg{Work: clinicWork(s.Arg(0))}
 	case "quarantined":
-		return dispatch.QuarantinedMsg{Works: []dispatch.Quarantined{{Work: clinicWork(s.Word(0)), Age: clock.Millis(s.Int("age", 0)), Ended: parseIncarnations(s.Named["ended"])}}}
+		return dispatch.QuarantinedMsg{Works: []dispatch.Quarantined{{Work: clinicWork(s.Arg(0)), Age: clock.Millis(s.Int("age", 0)), Ended: parseIncarnations(s.Params["ended"])}}}
 	case "woke":
 		return dispatch.VMResumedMsg{}
 	case "tick":
@@ -117,15 +117,15 @@
 func limitMsg(s script.Step) dispatch.Msg {
 	switch s.Verb {
 	case "limits":
-		rate, _ := strconv.ParseFloat(s.Named["rate"], 64)
-		return dispatch.AdvertisedLimitMsg{Upstream: script.Incarnation(s.Word(0)), Rate: rate}
+		rate, _ := strconv.ParseFloat(s.Params["rate"], 64)
+		return dispatch.AdvertisedLimitMsg{Upstream: script.Incarnation(s.Arg(0)), Rate: rate}
 	case "unlimited":
-		return dispatch.NoAdvertisedLimitMsg{Upstream: script.Incarnation(s.Word(0)), SentAt: clock.Millis(s.Int("sent", 0))}
+		return dispatch.NoAdvertisedLimitMsg{Upstream: script.Incarnation(s.Arg(0)), SentAt: clock.Millis(s.Int("sent", 0))}
 	case "members":
 		return membersMsg(s)
 	case "permits":
-		return dispatch.PermitGrantMsg{From: s.Word(0), Grant: limit.Grant{
-			Upstream: script.Incarnation(s.Word(1)), Number: uint64(s.Int("number", 1)), Permits: s.Int("permits", 0),
+		return dispatch.PermitGrantMsg{From: s.Arg(0), Grant: limit.Grant{
+			Upstream: script.Incarnation(s.Arg(1)), Number: uint64(s.Int("number", 1)), Permits: s.Int("permits", 0),
 			NextIn: clock.Millis(s.Int("next", 0)), Queue: s.Int("queue", 0),
 		}}
 	}
@@ -134,15 +134,15 @@
 
 // membersMsg returns a message with the named nodes as members, this node first.
 func membersMsg(s script.Step) dispatch.PeersMsg {
-	msg := dispatch.PeersMsg{TotalNodes: len(s.Words), UsagePeers: len(s.Words) - 1}
-	for _, name := range s.Words {
+	msg := dispatch.PeersMsg{TotalNodes: len(s.Args), UsagePeers: len(s.Args) - 1}
+	for _, name := range s.Args {
 		msg.Members = append(msg.Members, limit.Member{Name: name, DataCentre: "a"})
 	}
 	return msg
 }
 
 func testReport(s script.Step) dispatch.Report {
-	return dispatch.Report{Slowdown: float64(s.Int("pace", 0)), FreeMemory: float64(s.Int("free", 0)), TotalMemory: float64(s.Int("all", 0)), Queued: s.Int("queued", 0), Empty: s.Named["empty"] == "yes"}
+	return dispatch.Report{Slowdown: float64(s.Int("pace", 0)), FreeMemory: float64(s.Int("free", 0)), TotalMemory: float64(s.Int("all", 0)), Queued: s.Int("queued", 0), Empty: s.Params["empty"] == "yes"}
 }
 
 func parseAttempt(word string) (dispatch.RequestID, int) {
@@ -153,20 +153,20 @@
 }
 
 func arriveMsg(s script.Step, request dispatch.RequestID) dispatch.ArriveMsg {
-	key, hasKey := s.Named["key"]
-	prompt, answer, _ := strings.Cut(s.Named["tokens"], ",")
+	key, hasKey := s.Params["key"]
+	prompt, answer, _ := strings.Cut(s.Params["tokens"], ",")
 	promptTokens, _ := strconv.Atoi(prompt)
 	answerTokens, _ := strconv.Atoi(answer)
 	return dispatch.ArriveMsg{
-		Request: request, CallerID: s.Word(0), Work: requestedWork(s), Host: "h", Path: s.Named["path"], Key: key, HasKey: hasKey,
+		Request: request, CallerID: s.Arg(0), Work: requestedWork(s), Host: "h", Path: s.Params["path"], Key: key, HasKey: hasKey,
 		Remaining: clock.Millis(s.Int("remaining", 20000)), PromptTokens: promptTokens, AnswerTokens: answerTokens,
 	}
 }
 
 // requestedWork returns the work of a request: unique unless the line contains asked=.
 func requestedWork(s script.Step) work.ID {
-	name := s.Word(0)
-	if same, ok := s.Named["asked"]; ok {
+	name := s.Arg(0)
+	if same, ok := s.Params["asked"]; ok {
 		name = same
 	}
 	return work.ID{}.ForAccount(name)
@@ -190,7 +190,7 @@
 // resumed (part=yes), or the events given in the line.
 func parseDelivered(s script.Step) dispatch.Delivered {
 	switch {
-	case s.Named["part"] == "yes":
+	case s.Params["part"] == "yes":
 		return dispatch.DeliveredPartial
 	case s.Int("events", 0) > 0:
 		return dispatch.DeliveredEvents
@@ -219,7 +219,7 @@
 		},
 	}}
 	key := "k"
-	if s.Named["keys"] == "none" {
+	if s.Params["keys"] == "none" {
 		key = "another"
 	}
 	to := func(service string) []catalog.Target { return []catalog.Target{{Service: service, Weight: 1}} }
@@ -238,28 +238,28 @@
 }
 
 func testUpstream(s script.Step) fleet.Upstream {
-	from, to, _ := strings.Cut(s.Named["held"], "-")
+	from, to, _ := strings.Cut(s.Params["held"], "-")
 	held := fleet.LayerRange{}
 	held.From, _ = strconv.Atoi(from)
 	held.To, _ = strconv.Atoi(to)
-	dataCentre := s.Named["in"]
+	dataCentre := s.Params["in"]
 	if dataCentre == "" {
 		dataCentre = "a"
 	}
 	return fleet.Upstream{
-		ID: script.Incarnation(s.Word(0)), Address: addressOf(s), Service: s.Named["service"], DataCentre: dataCentre,
-		Accelerator: s.Named["kind"], Held: held, Slots: s.Int("slots", 0), Leaving: s.Named["state"] == "leaving",
-		Withheld: s.Named["state"] == "withheld",
+		ID: script.Incarnation(s.Arg(0)), Address: addressOf(s), Service: s.Params["service"], DataCentre: dataCentre,
+		Accelerator: s.Params["kind"], Held: held, Slots: s.Int("slots", 0), Leaving: s.Params["state"] == "leaving",
+		Withheld: s.Params["state"] == "withheld",
 	}
 }
 
 // addressOf returns the address of an upstream. Its incarnations share one unless the line
 // contains address=.
 func addressOf(s script.Step) string {
-	if address, ok := s.Named["address"]; ok {
+	if address, ok := s.Params["address"]; ok {
 		return address
 	}
-	return string(script.Incarnation(s.Word(0)).ID()) + ":80"
+	return string(script.Incarnation(s.Arg(0)).ID()) + ":80"
 }
 
 func show(cmd dispatch.Cmd) string {
--- a/entry/bed_test.go
+++ b/entry/bed_test.go
@@ -40,7 +40,7 @@
 		t.Fatalf("got %v, want a testbed", err)
 	}
 	t.Cleanup(bed.Close)
-	if err := bed.Configure(testbed.ChangesWithin(first, token)...); err != nil {
+	if err := bed.Configure(testbed.ChangesWithBounds(first, token)...); err != nil {
 		t.Fatalf("got %v, want a configuration in force", err)
 	}
 	return bed
@@ -58,7 +58,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	all := []load.Option{
-		load.WithKeys(map[string]string{"clinic": testbed.KeyOf("clinic")}), load.WithLayers(testbed.Layers), load.WithTries(20),
+		load.WithKeys(map[string]string{"clinic": testbed.AccountKey("clinic")}), load.WithLayers(testbed.Layers), load.WithTries(20),
 	}
 	return load.NewRunner(bed.Addresses(), append(all, opts...)...).Run(ctx, items)
 }
@@ -68,7 +68,7 @@
 	var items []load.Item
 	for i := range n {
 		items = append(items, load.Item{
-			AtMS: int64(i * 5), Account: "clinic", Route: "notices", MaxTokens: tokens,
+			ArrivalMS: int64(i * 5), Account: "clinic", Route: "notices", MaxTokens: tokens,
 			Prompt: fmt.Sprintf("Expediente %d: audiencia el lunes a las 9:30", i),
 		})
 	}
@@ -80,7 +80,7 @@
 	var items []load.Item
 	for i := range n {
 		items = append(items, load.Item{
-			AtMS: int64(i * 5), Account: "clinic", Route: "orders", Service: "order-desk", Path: "/confirm",
+			ArrivalMS: int64(i * 5), Account: "clinic", Route: "orders", Service: "order-desk", Path: "/confirm",
 			Body: fmt.Sprintf(`{"order":%d}`, i), Key: fmt.Sprintf("order-%d", i),
 		})
 	}
--- a/entry/config_test.go
+++ b/entry/config_test.go
@@ -94,7 +94,7 @@
 func TestLostCommitAnswerIsNotCommittedTwice(t *testing.T) {
 	bed := start(t)
 	bed.Platform.SetFaults(standin.PlatformFaults{LoseAnswers: true})
-	testbed.After(t, 600*time.Millisecond, func() { bed.Platform.SetFaults(standin.PlatformFaults{}) })
+	testbed.AfterFunc(t, 600*time.Millisecond, func() { bed.Platform.SetFaults(standin.PlatformFaults{}) })
 	base := version(t, bed, bed.Nodes[0]).GetVersion()
 	r := propose(t, bed, bed.Nodes[0], &wire.ProposeRequest{ChangeId: "lost", Changes: []*wire.Change{putAccount("late")}})
 	if r.GetState() != wire.ProposeState_PROPOSE_STATE_ACCEPTED || r.GetVersion() != base+1 {
--- a/entry/input_test.go
+++ b/entry/input_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	req.Header.Set("Authorization", "Bearer "+testbed.KeyOf("clinic"))
+	req.Header.Set("Authorization", "Bearer "+testbed.AccountKey("clinic"))
 	for i := 0; i+1 < len(headers); i += 2 {
 		req.Header.Set(headers[i], headers[i+1])
 	}
@@ -73,7 +73,7 @@
 	address := bed.Nodes[0].CallerAddress()
 	body := `{"model":"notices","prompt":"hola","max_tokens":50,"stream":true}`
 	whole := fmt.Sprintf("POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s",
-		testbed.KeyOf("clinic"), len(body), body)
+		testbed.AccountKey("clinic"), len(body), body)
 	for cut := 10; cut <= len(whole); cut += 40 {
 		hangUp(t, address, whole[:cut], false)
 	}
--- a/entry/left_test.go
+++ b/entry/left_test.go
@@ -38,7 +38,7 @@
 				t.Fatal(err)
 			}
 			if _, err := fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s",
-				tt.path, testbed.KeyOf("clinic"), len(tt.body), tt.body); err != nil {
+				tt.path, testbed.AccountKey("clinic"), len(tt.body), tt.body); err != nil {
 				t.Fatal(err)
 			}
 			answer := bufio.NewReader(conn)
--- a/entry/once_test.go
+++ b/entry/once_test.go
@@ -40,7 +40,7 @@
 	bed := start(t, testbed.WithNodes(3), testbed.WithServices(2, 10*time.Millisecond))
 	items := orders(150)
 	addresses := bed.Addresses()
-	testbed.After(t, 200*time.Millisecond, func() { bed.Nodes[1].Kill() })
+	testbed.AfterFunc(t, 200*time.Millisecond, func() { bed.Nodes[1].Kill() })
 	results := run(bed, items, load.WithTries(6))
 	wantAccounted(t, bed, results)
 	done := load.Summarize(results).Done()
@@ -57,7 +57,7 @@
 	for _, item := range orders(20) {
 		for _, node := range bed.Addresses() {
 			wg.Go(func() {
-				answer, err := client.Send(context.Background(), node, testbed.KeyOf("clinic"), item, 2)
+				answer, err := client.Send(context.Background(), node, testbed.AccountKey("clinic"), item, 2)
 				if err != nil || answer.Outcome != outcome.Done {
 					t.Errorf("key %s: got %s (%v), want the one answer at both nodes", item.Key, answer.Outcome, err)
 				}
@@ -97,7 +97,7 @@
 func TestLostStoreAnswersAreReadBack(t *testing.T) {
 	bed := start(t)
 	bed.Platform.SetFaults(standin.PlatformFaults{LoseAnswers: true})
-	testbed.After(t, 400*time.Millisecond, func() { bed.Platform.SetFaults(standin.PlatformFaults{}) })
+	testbed.AfterFunc(t, 400*time.Millisecond, func() { bed.Platform.SetFaults(standin.PlatformFaults{}) })
 	results := run(bed, orders(40))
 	wantWhole(t, results)
 	wantAccounted(t, bed, results)
--- a/entry/silent_peers_test.go
+++ b/entry/silent_peers_test.go
@@ -50,7 +50,7 @@
 
 		beat()
 		<-answered
-		network.Mute()
+		network.Blackhole()
 		const every = 500 * time.Millisecond
 		silent := member.DefaultLiveness.Duration()
 		for began := time.Now(); time.Since(began) < silent; time.Sleep(every) {
--- a/entry/silent_services_test.go
+++ b/entry/silent_services_test.go
@@ -35,7 +35,7 @@
 				t.Fatalf("got no answer of %s before any connection went silent", address)
 			}
 		}
-		network.Mute()
+		network.Blackhole()
 		if _, ok := call(1, "a:80").(core.CallFailedMsg); !ok {
 			t.Error("got an answer on a silent connection, want none")
 		}
--- a/entry/stage_test.go
+++ b/entry/stage_test.go
@@ -10,13 +10,13 @@
 
 func TestStageKilledMidStream(t *testing.T) {
 	bed := startPatient(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
-	testbed.After(t, 150*time.Millisecond, func() { bed.Engines[2].Kill() })
+	testbed.AfterFunc(t, 150*time.Millisecond, func() { bed.Engines[2].Kill() })
 	wantWhole(t, run(bed, notices(60, 20)))
 }
 
 func TestStageFrozenMidStream(t *testing.T) {
 	bed := startPatient(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
-	testbed.After(t, 150*time.Millisecond, func() { bed.Engines[0].SetFaults(standin.EngineFaults{Frozen: true}) })
+	testbed.AfterFunc(t, 150*time.Millisecond, func() { bed.Engines[0].SetFaults(standin.EngineFaults{Frozen: true}) })
 	wantWhole(t, run(bed, notices(60, 20)))
 }
 
@@ -30,14 +30,14 @@
 
 func TestTwoStagesKilledAndOneBack(t *testing.T) {
 	bed := startPatient(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
-	testbed.After(t, 100*time.Millisecond, func() {
+	testbed.AfterFunc(t, 100*time.Millisecond, func() {
 		bed.Engines[0].Kill()
 		bed.Engines[5].Kill()
 		time.Sleep(150 * time.Millisecond)
 		if err := bed.Engines[0].Restart(); err != nil {
 			t.Errorf("got %v, want the engine back", err)
 		}
-		bed.List()
+		bed.PublishUpstreams()
 	})
 	wantWhole(t, run(bed, notices(60, 20)))
 }
--- a/entry/stop_test.go
+++ b/entry/stop_test.go
@@ -15,7 +15,7 @@
 func TestPlannedStopCutsNothing(t *testing.T) {
 	bed := startPatient(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
 	stopping := bed.Nodes[0]
-	testbed.After(t, 100*time.Millisecond, func() {
+	testbed.AfterFunc(t, 100*time.Millisecond, func() {
 		stopping.Drain()
 		time.Sleep(20 * time.Millisecond)
 		stopping.Drain()
@@ -23,7 +23,7 @@
 	results := run(bed, append(notices(40, 30), orders(10)...))
 	wantWhole(t, results)
 	for i, r := range results {
-		if r.Cut > 0 && r.Outcome.String() == "none" {
+		if r.Truncated > 0 && r.Outcome.String() == "none" {
 			t.Errorf("request %d: got a cut answer, want none cut", i)
 		}
 	}
@@ -39,11 +39,11 @@
 
 func TestPlannedStopFinishesLongStreams(t *testing.T) {
 	bed := startPatient(t, testbed.WithNodes(1), testbed.WithStages(testbed.Stages(1, slowEngine())...))
-	testbed.After(t, 150*time.Millisecond, func() { bed.Nodes[0].Drain() })
+	testbed.AfterFunc(t, 150*time.Millisecond, func() { bed.Nodes[0].Drain() })
 	// As many as a new engine is given at a time, so that none has to queue.
 	items := notices(int(pool.DefaultLimits().Start), 60)
 	for i := range items {
-		items[i].AtMS = 0
+		items[i].ArrivalMS = 0
 	}
 	for i, r := range run(bed, items, load.WithTries(1)) {
 		if !r.Correct {
@@ -59,7 +59,7 @@
 	client := load.NewClient()
 	defer client.Close()
 	stopping := bed.Nodes[0]
-	tickets, err := client.Tickets(context.Background(), stopping.CallerAddress(), testbed.KeyOf("clinic"), 5)
+	tickets, err := client.Tickets(context.Background(), stopping.CallerAddress(), testbed.AccountKey("clinic"), 5)
 	if err != nil || len(tickets) != 5 {
 		t.Fatalf("got %d tickets (%v), want 5", len(tickets), err)
 	}
--- a/fleet/view_test.go
+++ b/fleet/view_test.go
@@ -22,14 +22,14 @@
 }
 
 func applyStep(t *testing.T, v *fleet.View, now clock.Millis, s script.Step) []fleet.Change {
-	afterOutage := s.Named["lapsing"] == "yes"
+	afterOutage := s.Params["lapsing"] == "yes"
 	switch s.Verb {
 	case "change":
-		return v.Apply(now, parseChanges(s.Words), afterOutage)
+		return v.Apply(now, parseChanges(s.Args), afterOutage)
 	case "list":
-		return v.ReplaceList(now, parseChanges(s.Words), afterOutage)
+		return v.ReplaceList(now, parseChanges(s.Args), afterOutage)
 	case "peer":
-		return v.ApplyPeerList(now, parseUpstreams(s.Words))
+		return v.ApplyPeerList(now, parseUpstreams(s.Args))
 	case "lost":
 		v.StoreLost()
 		return nil
@@ -43,13 +43,13 @@
 		v.OutageEnded(now)
 		return nil
 	case "services":
-		return v.SetServices(now, s.Words)
+		return v.SetServices(now, s.Args)
 	case "heard":
-		return v.NoteIncarnation(script.Incarnation(s.Word(0)))
+		return v.NoteIncarnation(script.Incarnation(s.Arg(0)))
 	case "replaced":
-		return v.NoteReplacement(script.Incarnation(s.Word(0)), s.Word(1))
+		return v.NoteReplacement(script.Incarnation(s.Arg(0)), s.Arg(1))
 	case "says":
-		return v.MarkLeaving(script.Incarnation(s.Word(0)))
+		return v.MarkLeaving(script.Incarnation(s.Arg(0)))
 	case "expire":
 		return v.Expire(now)
 	}
--- a/internal/fixedseed/main.go
+++ b/internal/fixedseed/main.go
@@ -1,5 +1,5 @@
-// Package fixedseed runs a package's tests with the seed and the size of its
-// property tests fixed, so that they reach the same verdict every time.
+// Package fixedseed runs a package's property tests with a fixed seed and fixed
+// sizes, so that their result is reproducible.
 package fixedseed
 
 import (
@@ -8,18 +8,18 @@
 	"testing"
 )
 
-// Main is to be called from TestMain. Sizes are flags of rapid and their
-// values, by name; what the command line sets goes first.
+// Main runs the tests and exits. It is called from TestMain. Sizes maps flags of rapid to
+// values; a flag set on the command line takes precedence.
 func Main(m *testing.M, sizes map[string]string) {
 	flag.Parse()
-	set("rapid.seed", "1")
+	setDefault("rapid.seed", "1")
 	for name, value := range sizes {
-		set(name, value)
+		setDefault(name, value)
 	}
 	os.Exit(m.Run())
 }
 
-func set(name, value string) {
+func setDefault(name, value string) {
 	if f := flag.Lookup(name); f != nil && f.Value.String() == f.DefValue {
 		_ = f.Value.Set(value)
 	}
--- a/internal/fixedseed/mutate.go
+++ b/internal/fixedseed/mutate.go
@@ -2,27 +2,27 @@
 
 import "math/rand/v2"
 
-// Inputs is how many inputs Mutate makes.
-const Inputs = 5000
+// InputCount is the number of inputs that Mutate generates.
+const InputCount = 5000
 
-// mostEdits bounds the edits that turn an example into an input.
-const mostEdits = 6
+// maxEdits bounds the number of edits applied to an example.
+const maxEdits = 6
 
-// Mutate calls f with Inputs inputs made from examples by random edits, the
-// same ones every time. It is what CI runs of a fuzz target; the fuzzer itself
-// is led by coverage and never tries the same twice.
+// Mutate calls f with InputCount inputs generated from examples by random edits with a
+// fixed seed. CI calls it in place of the fuzzer, whose coverage-guided inputs differ
+// from run to run.
 func Mutate(examples [][]byte, f func(input []byte)) {
 	rng := rand.New(rand.NewPCG(1, uint64(len(examples))))
-	for range Inputs {
+	for range InputCount {
 		input := append([]byte(nil), examples[rng.IntN(len(examples))]...)
-		for range 1 + rng.IntN(mostEdits) {
+		for range 1 + rng.IntN(maxEdits) {
 			input = edit(rng, input)
 		}
 		f(input)
 	}
 }
 
-// edit changes, takes out, doubles or puts in a few bytes.
+// edit overwrites, removes, duplicates or inserts a few bytes at a random position.
 func edit(rng *rand.Rand, input []byte) []byte {
 	if len(input) == 0 {
 		return []byte{byte(rng.Uint32())}
--- a/internal/pipenet/pipenet.go
+++ b/internal/pipenet/pipenet.go
@@ -1,6 +1,6 @@
-// Package pipenet is a network inside the process, for tests in virtual time. Its
-// connections can be made silent for good, as a broken middlebox does it: nothing that
-// is sent arrives any more, nothing says so, and new connections work.
+// Package pipenet provides an in-process network for tests in virtual time. Open connections
+// can be black-holed, as a faulty middlebox does: data is dropped without an error,
+// while new connections work.
 package pipenet
 
 import (
@@ -11,23 +11,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// errRefused is the error of a connection to an address at which nobody listens.
-var errRefused = errors.New("pipenet: nobody listens there")
+// errRefused means that an address has no listener.
+var errRefused = errors.New("pipenet: connection refused")
 
-// Network connects addresses. It is safe for concurrent use.
+// Network connects dialers to listeners by address. It is safe for concurrent use.
 type Network struct {
-	mu        sync.Mutex
-	listeners map[string]*listener
-	open      map[*conn]struct{}
-	dials     map[string]int
+	mu         sync.Mutex
+	listeners  map[string]*listener
+	open       map[*conn]struct{}
+	dialCounts map[string]int
 }
 
-// New returns a network at which nobody listens.
+// New returns a network without listeners.
 func New() *Network {
-	return &Network{listeners: make(map[string]*listener), open: make(map[*conn]struct{}), dials: make(map[string]int)}
+	return &Network{listeners: make(map[string]*listener), open: make(map[*conn]struct{}), dialCounts: make(map[string]int)}
 }
 
-// Listen takes connections to an address.
+// Listen returns a listener that accepts connections to an address.
 func (n *Network) Listen(address string) net.Listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -36,84 +36,84 @@
 	return l
 }
 
-// DialContext connects to an address.
+// DialContext connects to the listener of an address.
 func (n *Network) DialContext(ctx context.Context, _, address string) (net.Conn, error) {
 	n.mu.Lock()
 	l := n.listeners[address]
-	n.dials[address]++
+	n.dialCounts[address]++
 	n.mu.Unlock()
 	if l == nil {
 		return nil, errRefused
 	}
-	near, far := net.Pipe()
+	local, remote := net.Pipe()
 	select {
-	case l.incoming <- far:
+	case l.incoming <- remote:
 	case <-l.closed:
 		return nil, errRefused
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	c := &conn{Conn: near, network: n, muted: make(chan struct{}), closed: make(chan struct{})}
+	c := &conn{Conn: local, network: n, blackholed: make(chan struct{}), closed: make(chan struct{})}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.open[c] = struct{}{}
 	return c, nil
 }
 
-// Dials returns how many connections to an address were asked for.
-func (n *Network) Dials(address string) int {
+// DialCount returns the number of dials to an address, failed ones included.
+func (n *Network) DialCount(address string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.dials[address]
+	return n.dialCounts[address]
 }
 
-// Mute makes all connections silent for good that are open now.
-func (n *Network) Mute() {
+// Blackhole makes all currently open connections drop data permanently.
+func (n *Network) Blackhole() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.open {
-		close(c.muted)
+		close(c.blackholed)
 		delete(n.open, c)
 	}
 }
 
-func (n *Network) forget(c *conn) {
+func (n *Network) remove(c *conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.open, c)
 }
 
-// conn is the dialling end of a connection.
+// conn is the dialer's end of a connection.
 type conn struct {
 	net.Conn
-	network *Network
-	muted   chan struct{}
-	closing sync.Once
-	closed  chan struct{}
+	network    *Network
+	blackholed chan struct{}
+	closing    sync.Once
+	closed     chan struct{}
 }
 
-func (c *conn) silent() bool {
+func (c *conn) isBlackholed() bool {
 	select {
-	case <-c.muted:
+	case <-c.blackholed:
 		return true
 	default:
 		return false
 	}
 }
 
-// Read implements net.Conn. A silent connection does not even end.
+// Read implements net.Conn. On a black-holed connection it blocks until Close.
 func (c *conn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
-	if !c.silent() {
+	if !c.isBlackholed() {
 		return n, err
 	}
 	<-c.closed
 	return 0, net.ErrClosed
 }
 
-// Write implements net.Conn. A silent connection takes what is written.
+// Write implements net.Conn. A black-holed connection discards the data and reports success.
 func (c *conn) Write(data []byte) (int, error) {
-	if c.silent() {
+	if c.isBlackholed() {
 		return len(data), nil
 	}
 	return c.Conn.Write(data)
@@ -121,12 +121,12 @@
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
-	c.network.forget(c)
+	c.network.remove(c)
 	c.closing.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
-// listener hands over the far ends of connections.
+// listener accepts the remote ends of connections.
 type listener struct {
 	address  string
 	incoming chan net.Conn
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,5 +1,5 @@
-// Package process starts programs as processes of their own, does harm to them from outside,
-// and keeps what they print. Fault soaks and rehearsals are made of it.
+// Package process starts programs as child processes, signals or kills them, and logs
+// their output. Fault soaks and rehearsals use it.
 package process
 
 import (
@@ -17,40 +17,42 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// ErrNotStarted means that a process did not say where it listens.
-var ErrNotStarted = errors.New("process: it did not start")
+// ErrNotStarted means that a process did not print its address in time.
+var ErrNotStarted = errors.New("process: no address printed after start")
 
-// startTime bounds the wait for a process to say where it listens.
-const startTime = 20 * time.Second
+// startTimeout bounds the wait for a process to print its address.
+const startTimeout = 20 * time.Second
 
-// Process is one program that was started.
+// Process is a child process that may be started several times.
 type Process struct {
 	name string
 	args []string
 	log  *os.File
 
-	// env is added to its environment, and ended told by which request it has ended.
-	env   []string
-	ended func(path string)
+	// env is added to the environment. onCrash receives the path of a request that crashed the process.
+	env     []string
+	onCrash func(path string)
 
 	mu      sync.Mutex
 	cmd     *exec.Cmd
-	over    chan struct{}
+	exited  chan struct{}
 	paused  bool
 	address string
 }
 
-// Option sets up a Process.
+// Option configures a Process.
 type Option func(*Process)
 
-// WithEnv adds variables to its environment, as NAME=text.
+// WithEnv adds variables to the environment, as NAME=VALUE.
 func WithEnv(env ...string) Option { return func(p *Process) { p.env = env } }
 
-// WithEnded sets who is told by which request it has ended.
-func WithEnded(ended func(path string)) Option { return func(p *Process) { p.ended = ended } }
+// WithCrashHandler sets a function that is called with the path of a request that crashed the process.
+func WithCrashHandler(onCrash func(path string)) Option {
+	return func(p *Process) { p.onCrash = onCrash }
+}
 
-// New returns a process that is not started, of a program with its arguments. What it prints
-// goes into the log, which Close closes.
+// New returns a process that has not been started. Args holds the program and its
+// arguments. The output of the process goes to log, which Close closes.
 func New(name string, log *os.File, args []string, opts ...Option) *Process {
 	p := &Process{name: name, args: args, log: log}
 	for _, opt := range opts {
@@ -59,14 +61,14 @@
 	return p
 }
 
-// Name is what it is called.
+// Name returns the name of the process.
 func (p *Process) Name() string { return p.name }
 
-// Close closes its log.
+// Close closes the log.
 func (p *Process) Close() error { return p.log.Close() }
 
-// Start runs the program, and waits for a line with a mark, whose rest up to a
-// blank is the address.
+// Start runs the program and waits for an output line that contains mark. The text
+// after the mark, up to a space, is the address.
 func (p *Process) Start(mark string) error {
 	cmd := exec.Command(p.args[0], p.args[1:]...)
 	out, err := cmd.StdoutPipe()
@@ -80,13 +82,13 @@
 	}
 	over := make(chan struct{})
 	p.mu.Lock()
-	p.cmd, p.paused, p.over = cmd, false, over
+	p.cmd, p.paused, p.exited = cmd, false, over
 	p.mu.Unlock()
 	found := make(chan string, 1)
 	go func() {
 		defer close(over)
 		p.read(out, mark, found)
-		// Its exit code is its own affair: most of them are killed.
+		// The exit code is ignored, since most processes are killed.
 		_ = cmd.Wait()
 	}()
 	select {
@@ -95,60 +97,60 @@
 		p.address = address
 		p.mu.Unlock()
 		return nil
-	case <-time.After(startTime):
+	case <-time.After(startTimeout):
 		return errors.Wrap(ErrNotStarted, p.name)
 	}
 }
 
-// read copies the output to the log, and reports the first marked address.
+// read copies the output to the log and sends the first address after mark to found.
 func (p *Process) read(out io.Reader, mark string, found chan<- string) {
 	lines := bufio.NewScanner(out)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
 		line := lines.Text()
-		// A full disk would fail the soak elsewhere; the log is only for people.
+		// Write errors are ignored: the log is for people only, and a full disk fails the soak elsewhere.
 		_, _ = io.WriteString(p.log, line+"\n")
 		if _, rest, ok := strings.Cut(line, mark); ok && found != nil {
 			address, _, _ := strings.Cut(rest, " ")
 			found <- address
 			found = nil
 		}
-		if path, ok := strings.CutPrefix(line, standin.EndedBy); ok && p.ended != nil {
-			p.ended(path)
+		if path, ok := strings.CutPrefix(line, standin.EndedBy); ok && p.onCrash != nil {
+			p.onCrash(path)
 		}
 	}
 }
 
-// Address is where it listens, by its own word.
+// Address returns the address that the process printed at its last start.
 func (p *Process) Address() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.address
 }
 
-// Signal sends a signal to the process, if it runs.
+// Signal sends a signal to the process if it is running.
 func (p *Process) Signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
 		return
 	}
-	// The process may have ended by itself; then there is nobody to signal.
+	// The error is ignored, since the process may have exited already.
 	_ = p.cmd.Process.Signal(s)
 	p.paused = s == syscall.SIGSTOP || p.paused && s != syscall.SIGCONT
 }
 
-// Kill ends the process at once and waits for its end.
-func (p *Process) Kill() { p.end(syscall.SIGKILL) }
+// Kill sends SIGKILL to the process and waits until it has exited.
+func (p *Process) Kill() { p.terminate(syscall.SIGKILL) }
 
-// Stop asks the process to end, and waits.
-func (p *Process) Stop() { p.end(syscall.SIGTERM) }
+// Stop sends SIGTERM to the process and waits until it has exited.
+func (p *Process) Stop() { p.terminate(syscall.SIGTERM) }
 
-func (p *Process) end(s syscall.Signal) {
+func (p *Process) terminate(s syscall.Signal) {
 	p.Signal(syscall.SIGCONT)
 	p.Signal(s)
 	p.mu.Lock()
-	cmd, over := p.cmd, p.over
+	cmd, over := p.cmd, p.exited
 	p.cmd = nil
 	p.mu.Unlock()
 	if cmd != nil {
@@ -156,19 +158,19 @@
 	}
 }
 
-// Crashed tells whether the process has ended by itself.
+// Crashed reports whether the process has exited without Kill or Stop.
 func (p *Process) Crashed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
-	case <-p.over:
+	case <-p.exited:
 		return p.cmd != nil
 	default:
 		return false
 	}
 }
 
-// PID is its number; running is false for one that is not started or was ended.
+// PID returns the process ID. Running is false before Start and after Kill or Stop.
 func (p *Process) PID() (pid int, running bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/script/script.go
+++ b/internal/script/script.go
@@ -1,8 +1,8 @@
-// Package script reads the data files of scripted tests.
+// Package script runs tests that are scripted in data files.
 //
-// A file is lines of a verb and its words; KEY=VALUE words are named. Lines
-// that begin with ">" are what the line above them must bring about, and "#"
-// begins a comment.
+// Each line of a file is a step: a verb with its arguments, in which KEY=VALUE sets a
+// parameter. Lines that begin with ">" are the expected results of the step above, and
+// lines that begin with "#" are comments.
 //
 //	at=10 arrive 1 path=/write/a
 //	> send 1.1 to e1
@@ -18,45 +18,45 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// Step is one line and what must come of it.
+// Step is one step of a script with its expected results.
 type Step struct {
-	Line  int
-	Verb  string
-	Words []string
-	Named map[string]string
-	Want  []string
+	Line   int
+	Verb   string
+	Args   []string
+	Params map[string]string
+	Want   []string
 }
 
-// Word returns a word by its place, or nothing.
-func (s Step) Word(i int) string {
-	if i >= len(s.Words) {
+// Arg returns the argument at index i, or "" if there is none.
+func (s Step) Arg(i int) string {
+	if i >= len(s.Args) {
 		return ""
 	}
-	return s.Words[i]
+	return s.Args[i]
 }
 
-// Int returns a named whole number, or a fallback.
+// Int returns a parameter as an integer, or fallback if it is missing or invalid.
 func (s Step) Int(name string, fallback int) int {
-	n, err := strconv.Atoi(s.Named[name])
+	n, err := strconv.Atoi(s.Params[name])
 	if err != nil {
 		return fallback
 	}
 	return n
 }
 
-// Run runs play on each file of a folder. Play returns a function that carries
-// out a step and says what came of it.
-func Run(t *testing.T, folder string, play func(t *testing.T) func(Step) []string) {
+// Run runs each script of directory dir as a subtest. Play returns a function that executes a
+// step and returns its results.
+func Run(t *testing.T, dir string, play func(t *testing.T) func(Step) []string) {
 	t.Helper()
-	files, err := filepath.Glob(filepath.Join(folder, "*.txt"))
+	files, err := filepath.Glob(filepath.Join(dir, "*.txt"))
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no scripts in %s: %v", folder, err)
+		t.Fatalf("no scripts in %s: %v", dir, err)
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) {
-			do := play(t)
+			execute := play(t)
 			for _, step := range read(t, file) {
-				got, want := strings.Join(do(step), "\n"), strings.Join(step.Want, "\n")
+				got, want := strings.Join(execute(step), "\n"), strings.Join(step.Want, "\n")
 				if got != want {
 					t.Errorf("%s line %d: %s:\ngot:\n%s\nwant:\n%s", file, step.Line, step.Verb, got, want)
 				}
@@ -87,23 +87,23 @@
 }
 
 func parse(number int, line string) Step {
-	s := Step{Line: number, Named: make(map[string]string)}
+	s := Step{Line: number, Params: make(map[string]string)}
 	for _, word := range strings.Fields(line) {
 		name, value, named := strings.Cut(word, "=")
 		switch {
 		case named:
-			s.Named[name] = value
+			s.Params[name] = value
 		case s.Verb == "":
 			s.Verb = word
 		default:
-			s.Words = append(s.Words, word)
+			s.Args = append(s.Args, word)
 		}
 	}
 	return s
 }
 
-// Incarnation reads the name of an upstream, with the start of its run where that is known:
-// e1 or e1@17.
+// Incarnation parses the ID of an upstream, followed by the start time of its process if
+// known: e1 or e1@17.
 func Incarnation(word string) fleet.Incarnation {
 	id, born, _ := strings.Cut(word, "@")
 	start, err := strconv.ParseInt(born, 10, 64)
--- a/internal/starved/starved.go
+++ b/internal/starved/starved.go
@@ -1,41 +1,43 @@
-// Package starved holds what callers must get at the least, for soaks and rehearsals. Its bounds
-// are those stated for the product.
+// Package starved holds the minimum service that callers must receive in soaks and rehearsals.
+// Its bounds are those stated for the product.
 package starved
 
 import "math"
 
 const (
-	// CalmAtLeast is the part of what is asked for that is served while nothing is harmed.
-	CalmAtLeast = 0.99
-	// Of those that ask fewestAsks times or more over longEnough, in s, so many times what
-	// chance would give, neverMost and neverShare of them may be served never.
-	fewestAsks  = 4
-	longEnough  = 8.0
-	timesChance = 3
-	neverMost   = 2
-	neverShare  = 0.04
+	// MinServedWithoutFaults is the least share of requests that must be served while no fault is injected.
+	MinServedWithoutFaults = 0.99
+	// Of the callers with at least minRequests requests over at least minSpanSeconds, the number
+	// that are never served may be at most chanceFactor times the number expected by chance, plus
+	// maxNeverServed, plus the share maxNeverServedShare of these callers.
+	minRequests         = 4
+	minSpanSeconds      = 8.0
+	chanceFactor        = 3
+	maxNeverServed      = 2
+	maxNeverServedShare = 0.04
 )
 
-// Asked is what one caller, or those of one subject, have asked for, and how often they were
-// served. Span is the time between the first and the last request, in s.
-type Asked struct {
-	Count, Served int
-	Span          float64
+// Demand counts the requests of one caller, or of all callers of one subject, and those that
+// were served. Span is the time between the first and the last request, in seconds.
+type Demand struct {
+	Requests, Served int
+	Span             float64
 }
 
-// Never counts those that asked often enough and were served never, and says how many that may be
-// at the most. Part is the part of all requests that was served.
-func Never(list []Asked, part float64) (never, often int, most float64) {
+// CountNeverServed returns the number of callers that were never served, the number of callers
+// with enough requests to be counted, and the limit for the former. ServedShare is the share of all
+// requests that was served.
+func CountNeverServed(list []Demand, servedShare float64) (never, counted int, limit float64) {
 	chance := 0.0
-	for _, a := range list {
-		if a.Count < fewestAsks || a.Span < longEnough {
+	for _, d := range list {
+		if d.Requests < minRequests || d.Span < minSpanSeconds {
 			continue
 		}
-		often++
-		chance += math.Pow(1-part, float64(a.Count))
-		if a.Served == 0 {
+		counted++
+		chance += math.Pow(1-servedShare, float64(d.Requests))
+		if d.Served == 0 {
 			never++
 		}
 	}
-	return never, often, timesChance*chance + neverMost + neverShare*float64(often)
+	return never, counted, chanceFactor*chance + maxNeverServed + maxNeverServedShare*float64(counted)
 }
--- a/limit/sim_test.go
+++ b/limit/sim_test.go
@@ -64,7 +64,7 @@
 
 func (p *simScript) step(s script.Step) []string {
 	number := func(name string, fallback float64) float64 {
-		if v, err := strconv.ParseFloat(s.Named[name], 64); err == nil {
+		if v, err := strconv.ParseFloat(s.Params[name], 64); err == nil {
 			return v
 		}
 		return fallback
@@ -79,8 +79,8 @@
 	var failures []string
 	minUtilization, maxRequests, datagrams := math.Inf(1), 0, 0.0
 	for seed := range s.Int("seeds", 1) {
-		w := newSim(uint64(seed+1), s.Int("nodes", 2), number("rate", 1), number("demand", 10), s.Named["how"], number("loss", 0))
-		w.events, w.strategy = p.events, s.Named["way"]
+		w := newSim(uint64(seed+1), s.Int("nodes", 2), number("rate", 1), number("demand", 10), s.Params["how"], number("loss", 0))
+		w.events, w.strategy = p.events, s.Params["way"]
 		w.run()
 		maxRequests = max(maxRequests, w.maxInWindow())
 		minUtilization = min(minUtilization, w.utilization())
@@ -88,7 +88,7 @@
 	}
 	rate := number("rate", 1)
 	bound := int(4*rate + 2)
-	if s.Named["most"] == "all" {
+	if s.Params["most"] == "all" {
 		bound = int(6*rate + 5)
 	}
 	if maxRequests > bound {
@@ -102,7 +102,7 @@
 	}
 	if testing.Verbose() {
 		fmt.Printf("nodes=%s rate=%s how=%s loss=%s way=%s: %d requests in 4 s (bound %d), %.2f of the limit used, %.1f datagrams a second per node\n",
-			s.Named["nodes"], s.Named["rate"], s.Named["how"], s.Named["loss"], s.Named["way"], maxRequests, bound, minUtilization, datagrams)
+			s.Params["nodes"], s.Params["rate"], s.Params["how"], s.Params["loss"], s.Params["way"], maxRequests, bound, minUtilization, datagrams)
 	}
 	return failures
 }
--- a/load/client.go
+++ b/load/client.go
@@ -17,43 +17,43 @@
 	"github.com/hoistjunction/hoistjunction/outcome"
 )
 
-// ErrCut means that an answer ended without its final word.
-var ErrCut = errors.New("load: cut answer")
+// ErrTruncated means that a response ended without an outcome.
+var ErrTruncated = errors.New("load: response truncated")
 
-// Answer is what one try brought.
-type Answer struct {
+// Response is the result of one attempt.
+type Response struct {
 	Outcome    outcome.Outcome
 	Reason     string
 	RetryAfter time.Duration
 	Texts      []string
 	Body       []byte
-	// First and Gaps are the time to the first token from the start of the
-	// try, and the times between tokens.
-	First time.Duration
-	Gaps  []time.Duration
+	// FirstToken is the time from the start of the attempt to the first token, or to the
+	// end of a response that is not a stream. TokenGaps are the times between tokens.
+	FirstToken time.Duration
+	TokenGaps  []time.Duration
 }
 
-// Client sends requests to an entry node as a caller would.
+// Client sends a caller's requests to entry nodes over HTTP.
 type Client struct {
 	http *http.Client
 }
 
-// NewClient returns a client that may have many requests under way.
+// NewClient returns a Client that keeps up to 1024 idle connections per node.
 func NewClient() *Client {
 	return &Client{http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}}
 }
 
-// Close closes idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Send makes one try of an item at a node.
-func (c *Client) Send(ctx context.Context, node, key string, item Item, try int) (Answer, error) {
-	req, err := request(ctx, node, item)
+// Send sends an item to a node once. Attempt counts from 1.
+func (c *Client) Send(ctx context.Context, node, key string, item Item, attempt int) (Response, error) {
+	req, err := newRequest(ctx, node, item)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	req.Header.Set("Authorization", "Bearer "+key)
-	req.Header.Set(callkey.Try, strconv.Itoa(try))
+	req.Header.Set(callkey.Try, strconv.Itoa(attempt))
 	if item.Key != "" {
 		req.Header.Set(callkey.Idempotency, item.Key)
 	}
@@ -61,16 +61,16 @@
 	start := time.Now()
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return Answer{}, errors.Mark(err, ErrCut)
+		return Response{}, errors.Mark(err, ErrTruncated)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.Header.Get("Content-Type") == "text/event-stream" {
 		return readStream(resp.Body, start)
 	}
-	return readWhole(resp, start)
+	return readBody(resp, start)
 }
 
-func request(ctx context.Context, node string, item Item) (*http.Request, error) {
+func newRequest(ctx context.Context, node string, item Item) (*http.Request, error) {
 	path, body := "/v1/services/"+item.Route+item.Path, []byte(item.Body)
 	if item.Service == "" {
 		path = "/v1/completions"
@@ -85,24 +85,24 @@
 	return http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+path, bytes.NewReader(body))
 }
 
-func readWhole(resp *http.Response, start time.Time) (Answer, error) {
+func readBody(resp *http.Response, start time.Time) (Response, error) {
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return Answer{}, errors.Mark(err, ErrCut)
+		return Response{}, errors.Mark(err, ErrTruncated)
 	}
 	o, err := outcome.Parse(resp.Header.Get(callkey.Outcome))
 	if err != nil {
-		return Answer{}, errors.Mark(err, ErrCut)
+		return Response{}, errors.Mark(err, ErrTruncated)
 	}
 	ms, _ := strconv.ParseInt(resp.Header.Get(callkey.RetryAfter), 10, 64)
-	return Answer{
+	return Response{
 		Outcome: o, Reason: resp.Header.Get(callkey.Reason), Body: body,
-		RetryAfter: time.Duration(ms) * time.Millisecond, First: time.Since(start),
+		RetryAfter: time.Duration(ms) * time.Millisecond, FirstToken: time.Since(start),
 	}, nil
 }
 
-// event is what the events of a stream hold: a piece, or the final word.
-type event struct {
+// streamEvent is the data of a server-sent event: a token, or the outcome of the request.
+type streamEvent struct {
 	Choices []struct {
 		Text string `json:"text"`
 	} `json:"choices"`
@@ -112,10 +112,10 @@
 	RetryAfterMS int64  `json:"retry_after_ms"`
 }
 
-// readStream reads server-sent events up to the final word. Without one the
-// answer was cut.
-func readStream(body io.Reader, start time.Time) (Answer, error) {
-	var a Answer
+// readStream reads server-sent events up to the outcome event. It returns
+// ErrTruncated if the stream ends without one.
+func readStream(body io.Reader, start time.Time) (Response, error) {
+	var a Response
 	last := start
 	scanner := bufio.NewScanner(body)
 	for scanner.Scan() {
@@ -123,29 +123,29 @@
 		if !ok || data == "[DONE]" {
 			continue
 		}
-		var e event
+		var e streamEvent
 		if err := json.Unmarshal([]byte(data), &e); err != nil {
-			return a, errors.Mark(err, ErrCut)
+			return a, errors.Mark(err, ErrTruncated)
 		}
 		if e.Outcome != "" {
-			return finish(a, e)
+			return applyOutcome(a, e)
 		}
 		now := time.Now()
 		if len(a.Texts) == 0 {
-			a.First = now.Sub(start)
+			a.FirstToken = now.Sub(start)
 		} else {
-			a.Gaps = append(a.Gaps, now.Sub(last))
+			a.TokenGaps = append(a.TokenGaps, now.Sub(last))
 		}
 		last = now
 		a.Texts = append(a.Texts, e.Choices[0].Text)
 	}
-	return a, ErrCut
+	return a, ErrTruncated
 }
 
-func finish(a Answer, e event) (Answer, error) {
+func applyOutcome(a Response, e streamEvent) (Response, error) {
 	o, err := outcome.Parse(e.Outcome)
 	if err != nil || e.Tokens != len(a.Texts) {
-		return a, ErrCut
+		return a, ErrTruncated
 	}
 	a.Outcome = o
 	a.Reason = e.Reason
@@ -153,7 +153,7 @@
 	return a, nil
 }
 
-// Tickets asks a node for tickets.
+// Tickets requests n tickets from a node. A ticket serves as an idempotency key.
 func (c *Client) Tickets(ctx context.Context, node, key string, n int) ([]string, error) {
 	url := "http://" + node + "/v1/tickets?count=" + strconv.Itoa(n)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, nil)
@@ -166,11 +166,11 @@
 		return nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	var answer struct {
+	var reply struct {
 		Tickets []string `json:"tickets"`
 	}
-	if err := json.NewDecoder(resp.Body).Decode(&answer); err != nil {
+	if err := json.NewDecoder(resp.Body).Decode(&reply); err != nil {
 		return nil, err
 	}
-	return answer.Tickets, nil
+	return reply.Tickets, nil
 }
--- a/load/item.go
+++ b/load/item.go
@@ -1,8 +1,8 @@
-// Package load sends recorded requests to entry nodes and checks every answer
-// against the one worked out beforehand.
+// Package load replays recorded requests against entry nodes and compares every
+// response with the expected one.
 //
-// Arrivals are open loop: a request is sent when the trace says so, however
-// late the answers before it are, and its times count from that moment.
+// The load is open loop: each request is sent at the time given in the trace, even if
+// earlier requests are still in progress. Latencies are measured from that time.
 package load
 
 import (
@@ -13,29 +13,29 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrTrace means that a line of a trace cannot be read.
-var ErrTrace = errors.New("load: bad trace")
+// ErrTrace means that a trace cannot be opened or parsed.
+var ErrTrace = errors.New("load: invalid trace")
 
 // Item is one request of a trace.
 type Item struct {
-	// AtMS is when it arrives, in milliseconds from the start.
-	AtMS    int64  `json:"at_ms"`
-	Account string `json:"account"`
-	Route   string `json:"route"`
-	// Prompt and MaxTokens are for a pipeline.
+	// ArrivalMS is the time of arrival, in milliseconds from the start of the trace.
+	ArrivalMS int64  `json:"at_ms"`
+	Account   string `json:"account"`
+	Route     string `json:"route"`
+	// Prompt and MaxTokens are set for requests to a pipeline.
 	Prompt    string `json:"prompt,omitempty"`
 	MaxTokens int    `json:"max_tokens,omitempty"`
-	// Service, Path and Body are for a plain service.
+	// Service, Path and Body are set for requests to a plain service.
 	Service string `json:"service,omitempty"`
 	Path    string `json:"path,omitempty"`
 	Body    string `json:"body,omitempty"`
-	// Key makes the request run at most once.
+	// Key is the idempotency key, with which the request is executed at most once.
 	Key string `json:"key,omitempty"`
-	// Ticket asks for a ticket to use as the key.
+	// Ticket requests a ticket from a node and uses it as Key.
 	Ticket bool `json:"ticket,omitempty"`
 }
 
-// ReadTrace reads a trace, a JSON object on each line.
+// ReadTrace reads a trace file with one JSON object per line.
 func ReadTrace(path string) ([]Item, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/load/result.go
+++ b/load/result.go
@@ -6,49 +6,49 @@
 	"github.com/hoistjunction/hoistjunction/outcome"
 )
 
-// Result is what came of an item, over all its tries.
+// Result is the final result of an item after all attempts.
 type Result struct {
-	Item    Item
-	Due     time.Time
-	Ended   time.Time
-	Tries   int
-	Outcome outcome.Outcome
-	Reason  string
-	Texts   []string
-	Body    []byte
-	// First is the time to the first token of the last try, from when the
-	// item was due; Gaps are the times between its tokens.
-	First   time.Duration
-	Gaps    []time.Duration
-	Correct bool
-	// Cut counts tries that ended without a final word.
-	Cut int
+	Item      Item
+	Scheduled time.Time
+	Finished  time.Time
+	Tries     int
+	Outcome   outcome.Outcome
+	Reason    string
+	Texts     []string
+	Body      []byte
+	// FirstToken is the time from Scheduled to the first token of the last attempt.
+	// TokenGaps are the times between its tokens.
+	FirstToken time.Duration
+	TokenGaps  []time.Duration
+	Correct    bool
+	// Truncated counts attempts that ended without an outcome.
+	Truncated int
 }
 
-func (r *Result) add(a Answer, err error, late time.Duration) {
+func (r *Result) add(a Response, err error, delay time.Duration) {
 	r.Tries++
 	r.Outcome, r.Reason = a.Outcome, a.Reason
-	r.Texts, r.Body, r.Gaps = a.Texts, a.Body, a.Gaps
-	r.First = late + a.First
+	r.Texts, r.Body, r.TokenGaps = a.Texts, a.Body, a.TokenGaps
+	r.FirstToken = delay + a.FirstToken
 	if err != nil {
 		r.Outcome, r.Reason = outcome.None, "cut"
-		r.Cut++
+		r.Truncated++
 	}
 }
 
-// lateShare is the share of tokens that may come late.
-const lateShare = 0.05
+// maxLateShare bounds the share of tokens whose gap exceeds the bound.
+const maxLateShare = 0.05
 
-// Within reports whether the answer is whole, correct, and within its bounds.
-func (r *Result) Within(first, gap time.Duration) bool {
-	if !r.Correct || r.First > first {
+// MeetsBounds reports whether the response is correct and meets the latency bounds.
+func (r *Result) MeetsBounds(first, gap time.Duration) bool {
+	if !r.Correct || r.FirstToken > first {
 		return false
 	}
 	late := 0
-	for _, g := range r.Gaps {
+	for _, g := range r.TokenGaps {
 		if g > gap {
 			late++
 		}
 	}
-	return float64(late) <= lateShare*float64(len(r.Texts))
+	return float64(late) <= maxLateShare*float64(len(r.Texts))
 }
--- a/load/runner.go
+++ b/load/runner.go
@@ -11,48 +11,48 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// Runner sends a trace to nodes and gathers what comes of it.
+// Runner replays a trace against nodes and collects the results.
 type Runner struct {
-	client *Client
-	nodes  []string
-	keys   map[string]string
-	layers uint32
-	tries  int
-	wait   time.Duration
-	seed   uint64
+	client  *Client
+	nodes   []string
+	keys    map[string]string
+	layers  uint32
+	tries   int
+	timeout time.Duration
+	seed    uint64
 }
 
-// Option sets up a Runner.
+// Option configures a Runner.
 type Option func(*Runner)
 
-// WithKeys sets the accounts' keys, by account.
+// WithKeys sets the key of each client account, by account name.
 func WithKeys(keys map[string]string) Option { return func(r *Runner) { r.keys = keys } }
 
-// WithLayers sets the number of layers of the model that answers are checked
-// against.
+// WithLayers sets the number of layers of the model from which the expected
+// responses are computed.
 func WithLayers(n uint32) Option { return func(r *Runner) { r.layers = n } }
 
-// WithTries sets how often an item is sent at the most: again when it was not
-// run, and again with the same key when that is not known.
+// WithTries sets the maximum number of attempts per item. An item is retried if it was
+// not executed, or, with the same key, if its outcome is unknown.
 func WithTries(n int) Option { return func(r *Runner) { r.tries = n } }
 
-// WithWait bounds one try.
-func WithWait(d time.Duration) Option { return func(r *Runner) { r.wait = d } }
+// WithAttemptTimeout sets the timeout of one attempt.
+func WithAttemptTimeout(d time.Duration) Option { return func(r *Runner) { r.timeout = d } }
 
-// WithSeed seeds the choice of nodes.
+// WithSeed sets the seed of the random order of nodes.
 func WithSeed(seed uint64) Option { return func(r *Runner) { r.seed = seed } }
 
-// NewRunner returns a runner that sends to nodes, each as likely as any other.
+// NewRunner returns a Runner that distributes requests uniformly over nodes.
 func NewRunner(nodes []string, opts ...Option) *Runner {
-	r := &Runner{client: NewClient(), nodes: nodes, tries: 1, wait: 30 * time.Second}
+	r := &Runner{client: NewClient(), nodes: nodes, tries: 1, timeout: 30 * time.Second}
 	for _, opt := range opts {
 		opt(r)
 	}
 	return r
 }
 
-// Run sends every item at its time and returns the results in the order of
-// the trace.
+// Run sends every item at its scheduled time and returns the results in the order
+// of the trace.
 func (r *Runner) Run(ctx context.Context, items []Item) []Result {
 	defer r.client.Close()
 	results := make([]Result, len(items))
@@ -61,44 +61,44 @@
 	var wg sync.WaitGroup
 	for i, item := range items {
 		order := rng.Perm(len(r.nodes))
-		due := start.Add(time.Duration(item.AtMS) * time.Millisecond)
+		scheduled := start.Add(time.Duration(item.ArrivalMS) * time.Millisecond)
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Until(due)):
+		case <-time.After(time.Until(scheduled)):
 		}
-		wg.Go(func() { results[i] = r.item(ctx, item, due, order) })
+		wg.Go(func() { results[i] = r.sendItem(ctx, item, scheduled, order) })
 	}
 	wg.Wait()
 	return results
 }
 
-// item sends one item until it has an answer, or its tries are used up. Each
-// try goes to the next node, as through a balancer.
-func (r *Runner) item(ctx context.Context, item Item, due time.Time, order []int) Result {
-	result := Result{Item: item, Due: due}
+// sendItem sends one item until it needs no retry or its attempts are used up. Each
+// attempt goes to the next node, as with a round-robin load balancer.
+func (r *Runner) sendItem(ctx context.Context, item Item, scheduled time.Time, order []int) Result {
+	result := Result{Item: item, Scheduled: scheduled}
 	if item.Ticket {
-		item.Key = r.ticket(ctx, item, order)
+		item.Key = r.fetchTicket(ctx, item, order)
 	}
-	for try := 1; try <= r.tries; try++ {
-		node := r.nodes[order[try%len(order)]]
-		tryCtx, cancel := context.WithTimeout(ctx, r.wait)
+	for attempt := 1; attempt <= r.tries; attempt++ {
+		node := r.nodes[order[attempt%len(order)]]
+		attemptCtx, cancel := context.WithTimeout(ctx, r.timeout)
 		sent := time.Now()
-		answer, err := r.client.Send(tryCtx, node, r.keys[item.Account], item, try)
+		resp, err := r.client.Send(attemptCtx, node, r.keys[item.Account], item, attempt)
 		cancel()
-		result.add(answer, err, sent.Sub(due))
-		if !again(item, answer, err) || try == r.tries {
+		result.add(resp, err, sent.Sub(scheduled))
+		if !shouldRetry(item, resp, err) || attempt == r.tries {
 			break
 		}
-		if !pause(ctx, answer.RetryAfter) {
+		if !sleep(ctx, resp.RetryAfter) {
 			break
 		}
 	}
-	result.Ended = time.Now()
-	result.Correct = r.correct(item, &result)
+	result.Finished = time.Now()
+	result.Correct = r.isCorrect(item, &result)
 	return result
 }
 
-func (r *Runner) ticket(ctx context.Context, item Item, order []int) string {
+func (r *Runner) fetchTicket(ctx context.Context, item Item, order []int) string {
 	for _, i := range order {
 		tickets, err := r.client.Tickets(ctx, r.nodes[i], r.keys[item.Account], 1)
 		if err == nil && len(tickets) > 0 {
@@ -108,29 +108,29 @@
 	return ""
 }
 
-// again reports whether a caller would ask again: when the request was not
-// run, or when it has a key and so cannot run twice.
-func again(item Item, a Answer, err error) bool {
+// shouldRetry reports whether a caller would retry: if the attempt returned an error, the
+// request was not executed, or its outcome is unknown and a key prevents a second execution.
+func shouldRetry(item Item, a Response, err error) bool {
 	if err != nil {
 		return true
 	}
 	return a.Outcome == outcome.NotExecuted || (a.Outcome == outcome.Unknown && item.Key != "")
 }
 
-// leastPause is how long a caller waits that has not been told.
-const leastPause = 50 * time.Millisecond
+// minRetryDelay is the shortest delay before a retry, also used when no Retry-After was received.
+const minRetryDelay = 50 * time.Millisecond
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(max(d, leastPause)):
+	case <-time.After(max(d, minRetryDelay)):
 		return true
 	}
 }
 
-// correct compares an answer with the one worked out here.
-func (r *Runner) correct(item Item, result *Result) bool {
+// isCorrect reports whether the result is done and equals the expected response.
+func (r *Runner) isCorrect(item Item, result *Result) bool {
 	if result.Outcome != outcome.Done {
 		return false
 	}
--- a/load/stream_test.go
+++ b/load/stream_test.go
@@ -10,25 +10,25 @@
 	"github.com/hoistjunction/hoistjunction/outcome"
 )
 
-const wholeStream = "data: {\"choices\":[{\"text\":\"ho\"}]}\n\n" +
+const completeStream = "data: {\"choices\":[{\"text\":\"ho\"}]}\n\n" +
 	"data: {\"choices\":[{\"text\":\"la\"}]}\n\n" +
 	"event: outcome\ndata: {\"outcome\":\"done\",\"tokens\":2}\n\ndata: [DONE]\n\n"
 
-// TestCutStreamNeverPassesForWhole cuts a stream at every byte: it is whole
-// only once its terminal event is there, with the right number of tokens.
-func TestCutStreamNeverPassesForWhole(t *testing.T) {
-	whole := strings.Index(wholeStream, "}\n\ndata: [DONE]") + 1
-	for cut := range len(wholeStream) + 1 {
-		a, err := readStream(strings.NewReader(wholeStream[:cut]), time.Now())
-		if cut < whole && !errors.Is(err, ErrCut) {
-			t.Fatalf("cut at %d: got %v, want ErrCut", cut, err)
+// TestTruncatedStreamIsDetected truncates a stream after every byte. The stream is complete
+// only with its outcome event and the number of tokens stated in that event.
+func TestTruncatedStreamIsDetected(t *testing.T) {
+	complete := strings.Index(completeStream, "}\n\ndata: [DONE]") + 1
+	for length := range len(completeStream) + 1 {
+		a, err := readStream(strings.NewReader(completeStream[:length]), time.Now())
+		if length < complete && !errors.Is(err, ErrTruncated) {
+			t.Fatalf("truncated at byte %d: got %v, want ErrTruncated", length, err)
 		}
-		if cut >= whole && (err != nil || a.Outcome != outcome.Done) {
-			t.Fatalf("cut at %d: got %s (%v), want done", cut, a.Outcome, err)
+		if length >= complete && (err != nil || a.Outcome != outcome.Done) {
+			t.Fatalf("truncated at byte %d: got %s (%v), want done", length, a.Outcome, err)
 		}
 	}
-	short := strings.Replace(wholeStream, `"tokens":2`, `"tokens":3`, 1)
-	if _, err := readStream(strings.NewReader(short), time.Now()); !errors.Is(err, ErrCut) {
-		t.Errorf("got %v for a stream that lacks a token, want ErrCut", err)
+	missingToken := strings.Replace(completeStream, `"tokens":2`, `"tokens":3`, 1)
+	if _, err := readStream(strings.NewReader(missingToken), time.Now()); !errors.Is(err, ErrTruncated) {
+		t.Errorf("got %v for a stream with a missing token, want ErrTruncated", err)
 	}
 }
--- a/load/summary.go
+++ b/load/summary.go
@@ -10,29 +10,29 @@
 	"github.com/hoistjunction/hoistjunction/outcome"
 )
 
-// Summary counts the results of a run.
+// Summary holds counts and latency histograms of the results of a run.
 type Summary struct {
 	Total    int
 	Outcomes map[string]int
 	Reasons  map[string]int
-	// Wrong counts answers that were said to be whole and are not the right
-	// ones. It must be zero.
+	// Wrong counts responses with outcome "done" whose content is incorrect. It must
+	// be zero.
 	Wrong int
 	first *hdrhistogram.Histogram
 	gaps  *hdrhistogram.Histogram
 }
 
-// The histograms count microseconds, up to a minute.
+// Histograms record microseconds, up to one minute, with three significant digits.
 const (
-	longestMicros = 60_000_000
-	digits        = 3
+	maxMicros         = 60_000_000
+	significantDigits = 3
 )
 
-// Summarize counts results.
+// Summarize returns the summary of results.
 func Summarize(results []Result) *Summary {
 	s := &Summary{
 		Total: len(results), Outcomes: make(map[string]int), Reasons: make(map[string]int),
-		first: hdrhistogram.New(1, longestMicros, digits), gaps: hdrhistogram.New(1, longestMicros, digits),
+		first: hdrhistogram.New(1, maxMicros, significantDigits), gaps: hdrhistogram.New(1, maxMicros, significantDigits),
 	}
 	for i := range results {
 		s.add(&results[i])
@@ -55,24 +55,24 @@
 	if !r.Correct {
 		s.Wrong++
 	}
-	_ = s.first.RecordValue(min(r.First.Microseconds(), longestMicros))
-	for _, g := range r.Gaps {
-		_ = s.gaps.RecordValue(min(g.Microseconds(), longestMicros))
+	_ = s.first.RecordValue(min(r.FirstToken.Microseconds(), maxMicros))
+	for _, g := range r.TokenGaps {
+		_ = s.gaps.RecordValue(min(g.Microseconds(), maxMicros))
 	}
 }
 
-// Missing counts items that never had a final word.
+// Missing returns the number of items without an outcome.
 func (s *Summary) Missing() int { return s.Outcomes["missing"] }
 
-// Done counts items whose answer is whole.
+// Done returns the number of items with outcome "done".
 func (s *Summary) Done() int { return s.Outcomes[outcome.Done.String()] }
 
-// First returns the time to the first token at a quantile from 0 to 100.
+// First returns the time to the first token at percentile q, from 0 to 100.
 func (s *Summary) First(q float64) time.Duration {
 	return time.Duration(s.first.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Gap returns the time between tokens at a quantile from 0 to 100.
+// Gap returns the time between tokens at percentile q, from 0 to 100.
 func (s *Summary) Gap(q float64) time.Duration {
 	return time.Duration(s.gaps.ValueAtQuantile(q)) * time.Microsecond
 }
--- a/measure/figures.go
+++ b/measure/figures.go
@@ -30,7 +30,7 @@
 	good, small, smallGood := 0, 0, 0
 	for i := range results {
 		r := &results[i]
-		within := r.Within(FirstBound, TokenBound)
+		within := r.MeetsBounds(FirstBound, TokenBound)
 		if within {
 			good++
 		}
@@ -59,7 +59,7 @@
 	case r.Outcome == outcome.Done && !r.Correct:
 		f.Wrong++
 	}
-	for _, g := range r.Gaps {
+	for _, g := range r.TokenGaps {
 		if r.Correct {
 			f.Stall = max(f.Stall, g)
 		}
@@ -87,13 +87,13 @@
 	last := 0
 	for i := range results {
 		r := &results[i]
-		if r.Due.Before(fault) {
+		if r.Scheduled.Before(fault) {
 			continue
 		}
-		w := int(r.Due.Sub(fault) / recoveryWindow)
+		w := int(r.Scheduled.Sub(fault) / recoveryWindow)
 		last = max(last, w)
 		total[w]++
-		if r.Within(FirstBound, TokenBound) {
+		if r.MeetsBounds(FirstBound, TokenBound) {
 			good[w]++
 		}
 	}
--- a/measure/load.go
+++ b/measure/load.go
@@ -43,7 +43,7 @@
 			return items
 		}
 		items = append(items, load.Item{
-			AtMS: int64(at * 1000), Account: account, Route: "notices",
+			ArrivalMS: int64(at * 1000), Account: account, Route: "notices",
 			Prompt:    fmt.Sprintf(prompts[rng.IntN(len(prompts))], rng.IntN(10_000)),
 			MaxTokens: leastTokens + rng.IntN(mostTokens-leastTokens+1),
 		})
@@ -70,7 +70,7 @@
 func merge(a, b []load.Item) []load.Item {
 	merged := make([]load.Item, 0, len(a)+len(b))
 	for len(a) > 0 && len(b) > 0 {
-		if a[0].AtMS <= b[0].AtMS {
+		if a[0].ArrivalMS <= b[0].ArrivalMS {
 			merged, a = append(merged, a[0]), a[1:]
 			continue
 		}
--- a/measure/overhead.go
+++ b/measure/overhead.go
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	req.Header.Set("Authorization", "Bearer "+testbed.KeyOf("clinic"))
+	req.Header.Set("Authorization", "Bearer "+testbed.AccountKey("clinic"))
 	resp, err := caller.Do(req)
 	if err != nil {
 		return err
--- a/measure/run.go
+++ b/measure/run.go
@@ -25,7 +25,7 @@
 	c.PerPosition = 20 * time.Microsecond
 	all := testbed.Stages(3, c)
 	for i := range all {
-		all[i].Speeds = []float64{1, 1, 2}
+		all[i].Slowdowns = []float64{1, 1, 2}
 	}
 	return all
 }
@@ -39,7 +39,7 @@
 	}
 	defer bed.Close()
 	accounts := append([]string{"clinic"}, s.Accounts...)
-	bounds := testbed.ChangesWithin(uint32(FirstBound.Milliseconds()), uint32(TokenBound.Milliseconds()), accounts...)
+	bounds := testbed.ChangesWithBounds(uint32(FirstBound.Milliseconds()), uint32(TokenBound.Milliseconds()), accounts...)
 	if err := bed.Configure(bounds...); err != nil {
 		return nil, err
 	}
@@ -56,10 +56,10 @@
 func send(bed *testbed.Bed, s Scenario, items []load.Item, accounts []string) []load.Result {
 	keys := make(map[string]string)
 	for _, a := range accounts {
-		keys[a] = testbed.KeyOf(a)
+		keys[a] = testbed.AccountKey(a)
 	}
 	r := load.NewRunner(bed.Addresses(), load.WithKeys(keys), load.WithLayers(testbed.Layers),
-		load.WithTries(s.Tries), load.WithWait(callerPatience), load.WithSeed(1))
+		load.WithTries(s.Tries), load.WithAttemptTimeout(callerPatience), load.WithSeed(1))
 	return r.Run(context.Background(), items)
 }
 
--- a/node/follow_sim_test.go
+++ b/node/follow_sim_test.go
@@ -66,13 +66,13 @@
 		missed, _ := playSeed(t, setting(s), uint64(s.Int("of", 0)))
 		return verdict(missed)
 	}
-	share, err := strconv.ParseFloat(s.Named["share"], 64)
+	share, err := strconv.ParseFloat(s.Params["share"], 64)
 	if err != nil {
 		share = 1
 	}
 	e := simEvent{
-		at: millis(s.Int("at", 0)), what: s.Verb, node: s.Named["node"], lasts: millis(s.Int("for", 0)),
-		share: share, how: s.Named["how"], rewrites: millis(s.Int("rewrites", 0)),
+		at: millis(s.Int("at", 0)), what: s.Verb, node: s.Params["node"], lasts: millis(s.Int("for", 0)),
+		share: share, how: s.Params["how"], rewrites: millis(s.Int("rewrites", 0)),
 	}
 	times := s.Int("times", 1)
 	for i := range times {
@@ -213,10 +213,10 @@
 
 func settingByHand(t *testing.T) simSetting {
 	t.Helper()
-	step := script.Step{Named: make(map[string]string)}
+	step := script.Step{Params: make(map[string]string)}
 	for _, word := range strings.Fields(os.Getenv(settingsByHand)) {
 		name, value, _ := strings.Cut(word, "=")
-		step.Named[name] = value
+		step.Params[name] = value
 	}
 	return setting(step)
 }
--- a/peering/stalled_connections_test.go
+++ b/peering/stalled_connections_test.go
@@ -120,7 +120,7 @@
 		})
 		time.Sleep(5 * time.Second)
 		peers.slow.Store(false)
-		peers.network.Mute()
+		peers.network.Blackhole()
 		oldest := clock.Millis(0)
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
--- a/placement/script_test.go
+++ b/placement/script_test.go
@@ -47,20 +47,20 @@
 	case "config":
 		return placement.CatalogMsg{Catalog: testCatalog(s.Int("layers", 10))}
 	case "engine":
-		return placement.FleetMsg{Changes: []fleet.Change{{ID: script.Incarnation(s.Word(0)), Upstream: fleet.Upstream{
-			ID: script.Incarnation(s.Word(0)), Service: "writer", Address: s.Word(0) + ":80", DataCentre: s.Named["in"], Accelerator: s.Named["kind"],
-			Held: parseRange(s.Named["held"]), Leaving: s.Named["state"] == "leaving", Withheld: s.Named["state"] == "withheld",
+		return placement.FleetMsg{Changes: []fleet.Change{{ID: script.Incarnation(s.Arg(0)), Upstream: fleet.Upstream{
+			ID: script.Incarnation(s.Arg(0)), Service: "writer", Address: s.Arg(0) + ":80", DataCentre: s.Params["in"], Accelerator: s.Params["kind"],
+			Held: parseRange(s.Params["held"]), Leaving: s.Params["state"] == "leaving", Withheld: s.Params["state"] == "withheld",
 		}}}}
 	case "gone":
-		return placement.FleetMsg{Changes: []fleet.Change{{ID: script.Incarnation(s.Word(0)), Gone: true}}}
+		return placement.FleetMsg{Changes: []fleet.Change{{ID: script.Incarnation(s.Arg(0)), Gone: true}}}
 	case "rank":
 		return placement.RankMsg{Delay: clock.Millis(s.Int("delay", 0))}
 	case "silent":
-		return placement.ResponsivenessMsg{Upstream: script.Incarnation(s.Word(0)), Unresponsive: s.Named["silent"] != "no", Confirmed: s.Named["agreed"] == "yes"}
+		return placement.ResponsivenessMsg{Upstream: script.Incarnation(s.Arg(0)), Unresponsive: s.Params["silent"] != "no", Confirmed: s.Params["agreed"] == "yes"}
 	case "ordered":
-		return placement.OrderResultMsg{Upstream: script.Incarnation(s.Word(0)), Result: parseResult(p.t, s.Named["result"]), Held: parseRange(s.Named["held"])}
+		return placement.OrderResultMsg{Upstream: script.Incarnation(s.Arg(0)), Result: parseResult(p.t, s.Params["result"]), Held: parseRange(s.Params["held"])}
 	case "placed":
-		return placement.PlacedMsg{Upstream: script.Incarnation(s.Word(0)), Layers: parseRange(s.Named["layers"]), Completed: s.Named["holds"] == "yes"}
+		return placement.PlacedMsg{Upstream: script.Incarnation(s.Arg(0)), Layers: parseRange(s.Params["layers"]), Completed: s.Params["holds"] == "yes"}
 	case "tick":
 		return placement.TickMsg{ListAge: clock.Millis(s.Int("list_age", 0))}
 	}
--- a/proof/cost_bench_test.go
+++ b/proof/cost_bench_test.go
@@ -13,11 +13,11 @@
 	"github.com/hoistjunction/hoistjunction/testbed"
 )
 
-// ticksPerSecond is the unit of processor time in /proc, on Linux.
+// ticksPerSecond is the number of clock ticks per second in /proc on Linux.
 const ticksPerSecond = 100
 
-// BenchmarkNodeProcess tells what a node takes as a process: processor time
-// for each step and for each plain call, and memory, at loads that double.
+// BenchmarkNodeProcess measures the processor time per step and the memory of a node
+// process at loads that double.
 func BenchmarkNodeProcess(b *testing.B) {
 	for _, rate := range []int{25, 50, 100} {
 		b.Run(fmt.Sprintf("requests=%d/s", rate), func(b *testing.B) {
@@ -28,21 +28,21 @@
 	}
 }
 
-// measureNode sends requests of 40 tokens for a few seconds.
+// measureNode sends requests of 40 tokens for 4 seconds, then measures the idle node for 2 seconds.
 func measureNode(b *testing.B, rate int) {
 	const length, tokens = 4 * time.Second, 40
-	w := startWorld(b, 1)
+	c := startCluster(b, 1)
 	var items []load.Item
 	for i := range int(length.Seconds()) * rate {
 		items = append(items, load.Item{
-			AtMS: int64(i * 1000 / rate), Account: "clinic", Route: "notices", MaxTokens: tokens,
+			ArrivalMS: int64(i * 1000 / rate), Account: "clinic", Route: "notices", MaxTokens: tokens,
 			Prompt: fmt.Sprintf("Expediente %d: audiencia el lunes a las 9:30", i),
 		})
 	}
-	before := w.nodes[0].cpu(b)
-	results := load.NewRunner([]string{w.nodes[0].caller}, load.WithTries(1), load.WithLayers(testbed.Layers),
-		load.WithKeys(map[string]string{"clinic": testbed.KeyOf("clinic")})).Run(context.Background(), items)
-	spent := w.nodes[0].cpu(b) - before
+	before := c.nodes[0].cpu(b)
+	results := load.NewRunner([]string{c.nodes[0].caller}, load.WithTries(1), load.WithLayers(testbed.Layers),
+		load.WithKeys(map[string]string{"clinic": testbed.AccountKey("clinic")})).Run(context.Background(), items)
+	spent := c.nodes[0].cpu(b) - before
 	emitted := 0
 	for _, r := range results {
 		emitted += len(r.Texts)
@@ -50,13 +50,13 @@
 	const stages = 3
 	b.ReportMetric(float64(spent.Microseconds())/float64(emitted*stages), "cpu-us/step")
 	b.ReportMetric(float64(emitted*stages)/length.Seconds(), "steps/s")
-	b.ReportMetric(float64(w.nodes[0].memory(b))/(1<<20), "rss-MB")
-	idle := w.nodes[0].cpu(b)
+	b.ReportMetric(float64(c.nodes[0].memory(b))/(1<<20), "rss-MB")
+	idle := c.nodes[0].cpu(b)
 	time.Sleep(2 * time.Second)
-	b.ReportMetric(float64((w.nodes[0].cpu(b)-idle).Milliseconds())/20, "idle-%core")
+	b.ReportMetric(float64((c.nodes[0].cpu(b)-idle).Milliseconds())/20, "idle-%core")
 }
 
-// cpu returns the processor time that a process has used.
+// cpu returns the user and system time that a process has used.
 func (p *process) cpu(t testing.TB) time.Duration {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Process.Pid))
@@ -69,7 +69,7 @@
 	return time.Duration(user+system) * time.Second / ticksPerSecond
 }
 
-// memory returns the bytes that a process has in memory.
+// memory returns the resident memory of a process, in bytes.
 func (p *process) memory(t testing.TB) int64 {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", p.Process.Pid))
--- a/proof/doc.go
+++ b/proof/doc.go
@@ -1,3 +1,3 @@
-// Package proof holds the tests that need entry nodes as processes of their
-// own: those that freeze one with SIGSTOP, and kill one with SIGKILL.
+// Package proof holds the tests that run entry nodes as separate processes, so that a
+// node can be frozen with SIGSTOP or killed with SIGKILL.
 package proof
--- a/proof/process_test.go
+++ b/proof/process_test.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// patience bounds every wait of the tests.
-const patience = 30 * time.Second
+// testTimeout bounds each wait in the tests.
+const testTimeout = 30 * time.Second
 
-// nodeBinary is the entry node, built once for all tests.
+// nodeBinary is the path of the entry node program, built once for all tests.
 var nodeBinary string
 
 func TestMain(m *testing.M) {
@@ -34,16 +34,16 @@
 	os.Exit(code)
 }
 
-// process is an entry node that runs as a process.
+// process is an entry node running as a child process.
 type process struct {
 	*exec.Cmd
 	caller string
 	admin  string
 }
 
-var listening = regexp.MustCompile(`event=listening port=(\w+) address=(\S+)`)
+var listeningLine = regexp.MustCompile(`event=listening port=(\w+) address=(\S+)`)
 
-// startProcess starts an entry node, and ends it with the test.
+// startProcess starts an entry node and kills it at the end of the test.
 func startProcess(t testing.TB, settings string) *process {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "node.ini")
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	if err := p.Start(); err != nil {
-		t.Fatalf("got %v, want a process", err)
+		t.Fatalf("got %v, want the process started", err)
 	}
 	t.Cleanup(func() {
 		_ = p.Process.Kill()
@@ -64,12 +64,12 @@
 	})
 	scanner := bufio.NewScanner(logs)
 	for (p.caller == "" || p.admin == "") && scanner.Scan() {
-		if m := listening.FindStringSubmatch(scanner.Text()); m != nil {
-			p.note(m[1], m[2])
+		if m := listeningLine.FindStringSubmatch(scanner.Text()); m != nil {
+			p.setAddress(m[1], m[2])
 		}
 	}
 	if p.admin == "" {
-		t.Fatal("got a process that does not listen, want its ports")
+		t.Fatal("got no listening address of the process, want the caller and admin ports")
 	}
 	go func() {
 		for scanner.Scan() {
@@ -79,7 +79,7 @@
 	return p
 }
 
-func (p *process) note(port, address string) {
+func (p *process) setAddress(port, address string) {
 	switch port {
 	case "caller":
 		p.caller = address
--- a/quarantine/script_test.go
+++ b/quarantine/script_test.go
@@ -38,17 +38,17 @@
 
 func (p *player) step(s script.Step) []string {
 	p.now = clock.Millis(s.Int("at", int(p.now)))
-	t, w := p.table, p.idOf(s.Word(0))
-	local := s.Named["told"] != "yes"
+	t, w := p.table, p.idOf(s.Arg(0))
+	local := s.Params["told"] != "yes"
 	switch s.Verb {
 	case "lost":
-		return p.show(t.RecordLoss(p.now, w, script.Incarnation(s.Word(1)), parseState(s.Named["fate"]), 1000, local))
+		return p.show(t.RecordLoss(p.now, w, script.Incarnation(s.Arg(1)), parseState(s.Params["fate"]), 1000, local))
 	case "silent":
-		return p.show(t.SetUpstreamState(p.now, script.Incarnation(s.Word(0)), quarantine.Unresponsive))
+		return p.show(t.SetUpstreamState(p.now, script.Incarnation(s.Arg(0)), quarantine.Unresponsive))
 	case "ended":
-		return p.show(t.SetUpstreamState(p.now, script.Incarnation(s.Word(0)), quarantine.Ended))
+		return p.show(t.SetUpstreamState(p.now, script.Incarnation(s.Arg(0)), quarantine.Ended))
 	case "answers":
-		return p.show(t.UpstreamAnswered(script.Incarnation(s.Word(0))))
+		return p.show(t.UpstreamAnswered(script.Incarnation(s.Arg(0))))
 	case "answered":
 		return p.show(t.RequestAnswered(p.now, w, local))
 	case "agree":
--- a/reading/roster_test.go
+++ b/reading/roster_test.go
@@ -21,16 +21,16 @@
 	switch s.Verb {
 	case "near":
 		var members []*wire.Member
-		for _, name := range s.Words {
+		for _, name := range s.Args {
 			members = append(members, &wire.Member{Name: name, Address: name + ":1"})
 		}
 		r.SetGroup(members)
 	case "heard", "refuses":
-		for _, name := range s.Words {
+		for _, name := range s.Args {
 			r.Heard(now, name, s.Verb == "heard")
 		}
 	case "failed":
-		for _, name := range s.Words {
+		for _, name := range s.Args {
 			r.ReaderFailed(now, name)
 		}
 	case "away":
@@ -38,7 +38,7 @@
 	case "back":
 		r.StoreRecovered(now)
 	case "reader":
-		return []string{readerName(r, now, s.Named["asked"] != "")}
+		return []string{readerName(r, now, s.Params["asked"] != "")}
 	default:
 		t.Fatalf("line %d: unknown verb %q", s.Line, s.Verb)
 	}
--- a/rehearse/judge.go
+++ b/rehearse/judge.go
@@ -182,8 +182,8 @@
 		calm.add(q)
 	}
 	r.Calm, r.Trouble = calm, trouble
-	if calm.Asked > 0 && calm.Served() < starved.CalmAtLeast {
-		r.broken("enough is served: %.3f of %d in calm, want %v", calm.Served(), calm.Asked, starved.CalmAtLeast)
+	if calm.Asked > 0 && calm.Served() < starved.MinServedWithoutFaults {
+		r.broken("enough is served: %.3f of %d in calm, want %v", calm.Served(), calm.Asked, starved.MinServedWithoutFaults)
 	}
 	if trouble.Asked > 0 {
 		r.WantedInTrouble = wanted / float64(trouble.Asked)
@@ -247,11 +247,11 @@
 
 // judgeNever looks for those that ask often and long enough, and are never served.
 func (r *Report) judgeNever(by string) {
-	var list []starved.Asked
+	var list []starved.Demand
 	for _, share := range r.By[by] {
-		list = append(list, starved.Asked{Count: share.Asked, Served: share.ServedInAll(), Span: share.last - share.first})
+		list = append(list, starved.Demand{Requests: share.Asked, Served: share.ServedInAll(), Span: share.last - share.first})
 	}
-	if never, often, most := starved.Never(list, r.Whole.Served()); float64(never) > most {
+	if never, often, most := starved.CountNeverServed(list, r.Whole.Served()); float64(never) > most {
 		r.broken("nobody starves: %d of %d by %s are never served, want %.1f at most", never, often, by, most)
 	}
 }
--- a/relay/silent_connections_test.go
+++ b/relay/silent_connections_test.go
@@ -121,7 +121,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newSilentSite(t, 3)
 		s.warm()
-		s.network.Mute()
+		s.network.Blackhole()
 		began := time.Now()
 		if got := <-s.ask(http.MethodGet, "/read/a"); got != http.StatusOK {
 			t.Errorf("got status %d, want 200", got)
@@ -140,7 +140,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newSilentSite(t, 1)
 		s.warm()
-		s.network.Mute()
+		s.network.Blackhole()
 		lost := s.ask(http.MethodPost, "/once/a")
 		time.Sleep(time.Second / 2)
 		for range 3 {
@@ -159,14 +159,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newSilentSite(t, 1)
 		s.warm()
-		before := s.network.Dials("d1:80")
+		before := s.network.DialCount("d1:80")
 		for range 10 {
 			if got := <-s.ask(http.MethodPost, "/once/a"); got != http.StatusOK {
 				t.Errorf("got status %d, want 200", got)
 			}
 			time.Sleep(time.Second)
 		}
-		if got := s.network.Dials("d1:80"); got != before {
+		if got := s.network.DialCount("d1:80"); got != before {
 			t.Errorf("got %d new connections, want none", got-before)
 		}
 	})
--- a/relay/silent_streams_test.go
+++ b/relay/silent_streams_test.go
@@ -152,7 +152,7 @@
 		}
 		running := s.stream("running")
 		time.Sleep(10 * eventEvery)
-		s.network.Mute()
+		s.network.Blackhole()
 		(<-running).check(t)
 	})
 }
@@ -183,7 +183,7 @@
 		running := s.stream("running")
 		time.Sleep(10 * eventEvery)
 		s.startEngine("e3", fleet.LayerRange{From: 6, To: 12})
-		s.network.Mute()
+		s.network.Blackhole()
 		// The engines' reports are some hundred ms behind.
 		time.Sleep(600 * time.Millisecond)
 		first.stallAt("running", "e2:80")
--- a/relay/suspended_test.go
+++ b/relay/suspended_test.go
@@ -14,7 +14,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newSilentSite(t, 1)
 		s.warm()
-		s.network.Mute()
+		s.network.Blackhole()
 		held := s.ask(http.MethodPost, "/once/a")
 		time.Sleep(100 * time.Millisecond)
 		s.vm.Suspend(10 * time.Second)
--- a/soak/served.go
+++ b/soak/served.go
@@ -59,8 +59,8 @@
 			calm.add(t)
 		}
 	}
-	if calm.part() < starved.CalmAtLeast {
-		broken = append(broken, fmt.Sprintf("%.3f of %d requests served in calm, want %v", calm.part(), calm.asked, starved.CalmAtLeast))
+	if calm.part() < starved.MinServedWithoutFaults {
+		broken = append(broken, fmt.Sprintf("%.3f of %d requests served in calm, want %v", calm.part(), calm.asked, starved.MinServedWithoutFaults))
 	}
 	if why := neverServed(callers, whole.part()); why != "" {
 		broken = append(broken, why)
@@ -74,11 +74,11 @@
 
 // neverServed tells of callers that were never served, where they are more than chance explains.
 func neverServed(callers map[string]*share, part float64) string {
-	var list []starved.Asked
+	var list []starved.Demand
 	for _, c := range callers {
-		list = append(list, starved.Asked{Count: c.asked, Served: c.served, Span: c.last.Sub(c.first).Seconds()})
+		list = append(list, starved.Demand{Requests: c.asked, Served: c.served, Span: c.last.Sub(c.first).Seconds()})
 	}
-	if never, often, most := starved.Never(list, part); float64(never) > most {
+	if never, often, most := starved.CountNeverServed(list, part); float64(never) > most {
 		return fmt.Sprintf("%d of %d callers were never served, want %.1f at most", never, often, most)
 	}
 	return ""
--- a/soak/world.go
+++ b/soak/world.go
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	p := process.New(name, log, append([]string{filepath.Join(w.bin, program)}, args...),
-		process.WithEnv(suspendedFile+"="+w.suspendedPath(name)), process.WithEnded(w.ends.note))
+		process.WithEnv(suspendedFile+"="+w.suspendedPath(name)), process.WithCrashHandler(w.ends.note))
 	return p, p.Start(mark)
 }
 
--- a/tablestore/silent_test.go
+++ b/tablestore/silent_test.go
@@ -42,7 +42,7 @@
 				t.Fatalf("got %v before any connection went silent, want rows", err)
 			}
 		}
-		network.Mute()
+		network.Blackhole()
 		if err := scan(); !errors.Is(err, tablestore.ErrNoAnswer) {
 			t.Errorf("got %v on a silent connection, want no answer", err)
 		}
--- a/testbed/after.go
+++ b/testbed/after.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// test is what After needs of a test.
-type test interface {
+// testingT is the subset of testing.TB that AfterFunc uses.
+type testingT interface {
 	Helper()
 	Cleanup(f func())
 }
 
-// After does something a while after the test has gone on, and before it ends.
-func After(t test, d time.Duration, f func()) {
+// AfterFunc calls f in a goroutine after d. The test does not finish before f has returned.
+func AfterFunc(t testingT, d time.Duration, f func()) {
 	t.Helper()
 	done := make(chan struct{})
 	go func() {
--- a/testbed/bed.go
+++ b/testbed/bed.go
@@ -1,5 +1,5 @@
-// Package testbed puts stand-ins and entry nodes together in one process, on
-// loopback ports that the kernel gives, for tests and measurements.
+// Package testbed runs stand-ins and entry nodes in one process, on loopback ports
+// chosen by the kernel, for tests and measurements.
 //
 //	bed, err := testbed.Start(testbed.WithNodes(2))
 //	defer bed.Close()
@@ -25,31 +25,31 @@
 	"github.com/hoistjunction/hoistjunction/wire/wireconnect"
 )
 
-// ErrBed means that the testbed did not come up.
-var ErrBed = errors.New("testbed")
+// ErrTestbed means that the testbed failed to start or to apply its configuration.
+var ErrTestbed = errors.New("testbed")
 
-// OperatorToken is the token of the operator that every node knows.
+// OperatorToken is the token of the operator that every node accepts.
 const OperatorToken = "testbed-operator"
 
-// peerSecret is what the nodes know each other by.
+// peerSecret is the shared secret with which nodes authenticate to each other.
 const peerSecret = "testbed-peers"
 
-// patience bounds the wait for the testbed to come up.
-const patience = 20 * time.Second
+// startTimeout bounds the wait until all nodes have applied a configuration.
+const startTimeout = 20 * time.Second
 
-// Bed is a platform, upstreams and entry nodes.
+// Bed is a running testbed: a stand-in platform, upstreams and entry nodes.
 type Bed struct {
 	Platform *standin.Platform
 	Engines  []*Engine
 	Services []*Service
 	Nodes    []*Node
 
-	options  options
-	platform *server
-	lives    int
+	options      options
+	platform     *server
+	startedNodes int
 }
 
-// Start brings a testbed up.
+// Start starts a testbed.
 func Start(opts ...Option) (*Bed, error) {
 	b := &Bed{Platform: standin.NewPlatform(), options: defaults()}
 	for _, opt := range opts {
@@ -83,18 +83,18 @@
 		}
 	}
 	for i := range b.options.services {
-		s, err := startService(fmt.Sprintf("order-desk-%d", i+1), b.options.work)
+		s, err := startService(fmt.Sprintf("order-desk-%d", i+1), b.options.serviceTime)
 		if err != nil {
 			return err
 		}
 		b.Services = append(b.Services, s)
 	}
-	b.List()
+	b.PublishUpstreams()
 	return nil
 }
 
-// List gives the platform the list of all upstreams as they are.
-func (b *Bed) List() {
+// PublishUpstreams sets the platform's list of VMs to the current upstreams.
+func (b *Bed) PublishUpstreams() {
 	var list []pool.Listing
 	for _, e := range b.Engines {
 		list = append(list, e.listing())
@@ -105,12 +105,12 @@
 	b.Platform.SetVMs(list)
 }
 
-// StartNode starts one more entry node.
+// StartNode starts an additional entry node.
 func (b *Bed) StartNode() (*Node, error) {
-	b.lives++
+	b.startedNodes++
 	c := entry.NewConfig()
-	c.Name = fmt.Sprintf("entry-%d", b.lives)
-	c.DataCentre = fmt.Sprintf("dc-%d", b.lives%3)
+	c.Name = fmt.Sprintf("entry-%d", b.startedNodes)
+	c.DataCentre = fmt.Sprintf("dc-%d", b.startedNodes%3)
 	c.Platform = b.platform.address
 	c.PeerSecret = peerSecret
 	c.Grace = b.options.grace
@@ -125,14 +125,14 @@
 	c.Operators["tester"] = hex.EncodeToString(sum[:])
 	inner, err := entry.NewNode(c, logging.Nop())
 	if err != nil {
-		return nil, errors.Mark(err, ErrBed)
+		return nil, errors.Mark(err, ErrTestbed)
 	}
 	n := startNode(inner)
 	b.Nodes = append(b.Nodes, n)
 	return n, nil
 }
 
-// Addresses returns the callers' ports of the nodes that run.
+// Addresses returns the caller addresses of the running nodes.
 func (b *Bed) Addresses() []string {
 	var addresses []string
 	for _, n := range b.Nodes {
@@ -143,31 +143,31 @@
 	return addresses
 }
 
-// Admin returns an operator's client of a node.
+// Admin returns an operator's client for a node.
 func (b *Bed) Admin(n *Node) wireconnect.AdminClient {
 	return wireconnect.NewAdminClient(&http.Client{Transport: OperatorTransport{}}, "http://"+n.AdminAddress())
 }
 
-// Configure makes changes, and waits until every node has them in force.
+// Configure proposes changes and waits until they are active on every node.
 func (b *Bed) Configure(changes ...*wire.Change) error {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	resp, err := b.Admin(b.Nodes[0]).Propose(ctx, connect.NewRequest(&wire.ProposeRequest{
 		ChangeId: fmt.Sprintf("change-%d", time.Now().UnixNano()), Changes: changes,
 	}))
 	if err != nil {
-		return errors.Mark(err, ErrBed)
+		return errors.Mark(err, ErrTestbed)
 	}
 	for _, n := range b.Nodes {
-		if err := b.await(ctx, n, resp.Msg.GetVersion()); err != nil {
+		if err := b.awaitConfig(ctx, n, resp.Msg.GetVersion()); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// await waits until a node has a version in force and knows all upstreams.
-func (b *Bed) await(ctx context.Context, n *Node, version uint64) error {
+// awaitConfig waits until a configuration version is active on a node and the node lists all upstreams.
+func (b *Bed) awaitConfig(ctx context.Context, n *Node, version uint64) error {
 	if n.Stopped() {
 		return nil
 	}
@@ -179,13 +179,13 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Wrapf(ErrBed, "version %d did not come into force", version)
+			return errors.Wrapf(ErrTestbed, "timed out waiting for configuration version %d to become active", version)
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
 }
 
-// Close ends everything.
+// Close stops all nodes, upstreams and the platform.
 func (b *Bed) Close() {
 	for _, n := range b.Nodes {
 		n.Kill()
@@ -199,11 +199,11 @@
 	b.platform.close()
 }
 
-// PlatformAddress returns where the platform is served.
+// PlatformAddress returns the address of the stand-in platform.
 func (b *Bed) PlatformAddress() string { return b.platform.address }
 
-// OperatorTransport makes calls as the operator, each on a connection of its
-// own, so that none is left open.
+// OperatorTransport sends requests with the operator's token. It opens a new connection
+// for each request and leaves none open.
 type OperatorTransport struct{}
 
 // RoundTrip implements http.RoundTripper.
--- a/testbed/changes.go
+++ b/testbed/changes.go
@@ -5,24 +5,24 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// KeyOf returns the key of one of the testbed's client accounts.
-func KeyOf(account string) string { return account + "-key" }
+// AccountKey returns the key of a client account of the testbed.
+func AccountKey(account string) string { return account + "-key" }
 
-// Bounds of the testbed's routes, in milliseconds.
+// Latency bounds of the testbed's routes, in milliseconds.
 const (
 	FirstTokenMS = 1200
 	TokenMS      = 60
 )
 
-// Changes returns the testbed's first configuration: a pipeline route
-// "notices", a service route "orders", and the accounts given, "clinic" with
-// none. All accounts weigh the same.
+// Changes returns the changes that make up the first configuration: a pipeline
+// route "notices", a service route "orders", and the given client accounts, or "clinic"
+// if none are given. All accounts have equal weight.
 func Changes(accounts ...string) []*wire.Change {
-	return ChangesWithin(FirstTokenMS, TokenMS, accounts...)
+	return ChangesWithBounds(FirstTokenMS, TokenMS, accounts...)
 }
 
-// ChangesWithin is Changes with other bounds, in milliseconds.
-func ChangesWithin(first, token uint32, accounts ...string) []*wire.Change {
+// ChangesWithBounds is Changes with the given latency bounds, in milliseconds.
+func ChangesWithBounds(first, token uint32, accounts ...string) []*wire.Change {
 	if len(accounts) == 0 {
 		accounts = []string{"clinic"}
 	}
@@ -46,8 +46,8 @@
 	return changes
 }
 
-// Account returns a client account with the key that KeyOf gives.
+// Account returns a client account whose key is AccountKey(name).
 func Account(name string) *wire.ClientAccount {
-	hash := core.HashKey(KeyOf(name))
+	hash := core.HashKey(AccountKey(name))
 	return &wire.ClientAccount{Name: name, KeyHash: hash[:], Weight: 1, Priority: 4}
 }
--- a/testbed/node.go
+++ b/testbed/node.go
@@ -24,19 +24,19 @@
 	return n
 }
 
-// Kill ends the node at once. What it has in progress is cut off.
+// Kill stops the node immediately and aborts its requests in progress.
 func (n *Node) Kill() {
 	n.cancel()
 	<-n.done
 }
 
-// Done is closed when the node has ended.
+// Done returns a channel that is closed when the node has stopped.
 func (n *Node) Done() <-chan struct{} { return n.done }
 
-// Err returns how the node ended; nil after a planned stop.
+// Err returns the error with which the node stopped, or nil after a planned stop.
 func (n *Node) Err() error { return n.err }
 
-// Stopped reports whether the node has ended.
+// Stopped reports whether the node has stopped.
 func (n *Node) Stopped() bool {
 	select {
 	case <-n.done:
--- a/testbed/options.go
+++ b/testbed/options.go
@@ -8,41 +8,41 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// Stage is the engines of one stage. Speeds stretches the time that the
-// engines take, in turn, so that accelerators are of mixed kinds.
+// Stage describes the engines of one stage. Slowdowns holds factors by which step times
+// are multiplied, assigned to the engines in turn, to emulate mixed accelerators.
 type Stage struct {
-	Pool   string
-	Copies int
-	Engine standin.EngineConfig
-	Speeds []float64
+	Pool      string
+	Copies    int
+	Engine    standin.EngineConfig
+	Slowdowns []float64
 }
 
 type options struct {
-	nodes     int
-	stages    []Stage
-	services  int
-	work      time.Duration
-	grace     clock.Millis
-	policy    core.Policy
-	chooser   string
-	recording int
-	tls       [3]string
+	nodes       int
+	stages      []Stage
+	services    int
+	serviceTime time.Duration
+	grace       clock.Millis
+	policy      core.Policy
+	chooser     string
+	recording   int
+	tls         [3]string
 }
 
-// Option sets up a testbed.
+// Option configures a testbed.
 type Option func(*options)
 
 func defaults() options {
 	return options{
-		nodes: 2, stages: Stages(2, standin.DefaultEngineConfig()), services: 1, work: 2 * time.Millisecond,
+		nodes: 2, stages: Stages(2, standin.DefaultEngineConfig()), services: 1, serviceTime: 2 * time.Millisecond,
 		grace: 100, policy: core.DefaultPolicy(), chooser: "two_choices", recording: 1 << 14,
 	}
 }
 
-// Layers is how many layers the testbed's model has.
+// Layers is the number of layers of the testbed's model.
 const Layers = 12
 
-// Stages returns three stages of four layers, each on so many engines.
+// Stages returns three stages of four layers each, with the given number of engines per stage.
 func Stages(copies int, c standin.EngineConfig) []Stage {
 	var stages []Stage
 	for i, name := range []string{"low", "middle", "high"} {
@@ -57,23 +57,23 @@
 // WithNodes sets the number of entry nodes.
 func WithNodes(n int) Option { return func(o *options) { o.nodes = n } }
 
-// WithStages sets the engines.
+// WithStages sets the stages and their engines.
 func WithStages(stages ...Stage) Option { return func(o *options) { o.stages = stages } }
 
-// WithServices sets the number of plain services, and how long a call takes.
+// WithServices sets the number of plain services and the time that a call takes.
 func WithServices(n int, work time.Duration) Option {
-	return func(o *options) { o.services, o.work = n, work }
+	return func(o *options) { o.services, o.serviceTime = n, work }
 }
 
-// WithPolicy sets the nodes' policy and how they choose upstreams.
+// WithPolicy sets the nodes' policy and the name of the upstream chooser.
 func WithPolicy(p core.Policy, chooser string) Option {
 	return func(o *options) { o.policy, o.chooser = p, chooser }
 }
 
-// WithTLS sets the nodes' certificate, its key, and the authority.
+// WithTLS sets the paths of the nodes' certificate, its key and the CA certificate.
 func WithTLS(cert, key, ca string) Option {
 	return func(o *options) { o.tls = [3]string{cert, key, ca} }
 }
 
-// WithRecording sets how many messages the nodes record.
+// WithRecording sets the number of messages that each node's recording holds.
 func WithRecording(n int) Option { return func(o *options) { o.recording = n } }
--- a/testbed/upstream.go
+++ b/testbed/upstream.go
@@ -14,7 +14,7 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// server serves a stand-in on a port that the kernel gives.
+// server serves a stand-in over HTTP.
 type server struct {
 	address string
 	http    *http.Server
@@ -26,7 +26,7 @@
 func serveAt(address string, h http.Handler) (*server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, errors.Mark(err, ErrBed)
+		return nil, errors.Mark(err, ErrTestbed)
 	}
 	s := &server{address: listener.Addr().String(), http: standin.NewServer(h)}
 	s.wg.Go(func() { _ = s.http.Serve(listener) })
@@ -38,7 +38,7 @@
 	s.wg.Wait()
 }
 
-// Engine is a model engine of the testbed.
+// Engine is a stand-in model engine of the testbed.
 type Engine struct {
 	*standin.Engine
 	Name   string
@@ -47,23 +47,23 @@
 	server *server
 	stop   context.CancelFunc
 	wg     sync.WaitGroup
-	lives  int
+	starts int
 }
 
 func startEngine(name string, s Stage, i int) (*Engine, error) {
 	c := s.Engine
-	if len(s.Speeds) > 0 {
-		stretch := s.Speeds[i%len(s.Speeds)]
-		c.Base = time.Duration(float64(c.Base) * stretch)
-		c.PerStep = time.Duration(float64(c.PerStep) * stretch)
-		c.PerPosition = time.Duration(float64(c.PerPosition) * stretch)
+	if len(s.Slowdowns) > 0 {
+		slowdown := s.Slowdowns[i%len(s.Slowdowns)]
+		c.Base = time.Duration(float64(c.Base) * slowdown)
+		c.PerStep = time.Duration(float64(c.PerStep) * slowdown)
+		c.PerPosition = time.Duration(float64(c.PerPosition) * slowdown)
 	}
 	e := &Engine{Name: name, Pool: s.Pool, config: c}
 	return e, e.start("127.0.0.1:0")
 }
 
 func (e *Engine) start(address string) error {
-	e.lives++
+	e.starts++
 	e.Engine = standin.NewEngine(e.config)
 	var err error
 	if e.server, err = serveAt(address, e.Handler()); err != nil {
@@ -71,29 +71,29 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	e.stop = cancel
-	inner := e.Engine
-	e.wg.Go(func() { _ = inner.Run(ctx) })
+	engine := e.Engine
+	e.wg.Go(func() { _ = engine.Run(ctx) })
 	return nil
 }
 
-// Kill ends the engine at once, as the death of its VM does.
+// Kill stops the engine immediately, as a crash of its VM would.
 func (e *Engine) Kill() {
 	e.stop()
 	e.server.close()
 	e.wg.Wait()
 }
 
-// Restart starts the engine again at its address, with an empty memory.
+// Restart starts the engine again at the same address, without its previous state.
 func (e *Engine) Restart() error { return e.start(e.server.address) }
 
 func (e *Engine) listing() pool.Listing {
 	return pool.Listing{
-		Name: e.Name, Incarnation: strconv.Itoa(e.lives), Group: e.Pool, Address: e.server.address,
+		Name: e.Name, Incarnation: strconv.Itoa(e.starts), Group: e.Pool, Address: e.server.address,
 		DataCentre: "dc-" + e.Pool,
 	}
 }
 
-// Service is a plain service of the testbed.
+// Service is a stand-in plain service of the testbed.
 type Service struct {
 	*standin.Service
 	Name   string
@@ -111,5 +111,5 @@
 	return pool.Listing{Name: s.Name, Incarnation: "1", Group: "order-desk", Address: s.server.address}
 }
 
-// Address returns where the service is served.
+// Address returns the address of the service.
 func (s *Service) Address() string { return s.server.address }
