--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The two commands of the README are `make demo` and `make test`.
+# The README refers to `make demo` and `make test`.
 
 GOBIN := $(CURDIR)/bin
 export GOFLAGS := -buildvcs=false
@@ -13,27 +13,27 @@
 	go build -tags suspendable -o bin/hoistrelay-suspendable ./cmd/hoistrelay
 
 .PHONY: demo
-demo: build ## Runs the main job on the stand-ins.
+demo: build ## Runs the examples on stand-ins.
 	examples/two-nodes/run.sh
 	examples/relay/run.sh
 
 .PHONY: test
-test: lint ## Sets up and passes the tests, the models and the linter.
+test: lint ## Runs the linter, the tests, the models, a soak and a rehearsal.
 	.ci/go-tests
 	models/check.sh
 	$(MAKE) soak
 	$(MAKE) rehearse
 
 .PHONY: soak
-soak: build ## Plays one short seed of the fault soak.
+soak: build ## Runs one short seed of the fault soak.
 	bin/hoistsoak --seed 7 --for 8s
 
 .PHONY: rehearse
-rehearse: build ## Plays a small deployment in real time; a machine that is too busy gives no verdict.
+rehearse: build ## Rehearses a small deployment in real time; no verdict if the machine is too busy.
 	bin/hoistrehearse examples/rehearse/small.ini --quiet || test $$? -eq 3
 
 .PHONY: fuzz
-fuzz: ## Lets the fuzzer look for new inputs, half a minute for each target.
+fuzz: ## Fuzzes each target for half a minute.
 	go test ./once -run xxx -fuzz . -fuzztime 30s
 	go test ./record -run xxx -fuzz . -fuzztime 30s
 	go test ./entry -run xxx -fuzz . -fuzztime 30s
@@ -61,12 +61,12 @@
 	bin/hoistmeasure --seeds 2
 
 .PHONY: bench
-bench: ## Costs of the decision core at four fleet sizes.
+bench: ## Measures the cost of the decision core at four fleet sizes.
 	go test ./core -run xxx -bench . -benchtime 0.3s
 	go test ./proof -run xxx -bench . -benchtime 1x
 
 .PHONY: generate
-generate: ## Writes the Go code of the wire types anew. Needs protoc.
+generate: ## Regenerates the Go code of the protobuf types. Needs protoc.
 	GOBIN=$(GOBIN) go install google.golang.org/protobuf/cmd/protoc-gen-go@$(PROTOC_GEN_GO_VERSION)
 	GOBIN=$(GOBIN) go install connectrpc.com/connect/cmd/protoc-gen-connect-go@$(PROTOC_GEN_CONNECT_VERSION)
 	PATH=$(GOBIN):$$PATH protoc -I . --go_out=. --go_opt=paths=source_relative \
--- a/examples/relay/run.sh
+++ b/examples/relay/run.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Starts the stand-in site as separate processes on loopback (store, four
-# engines, a plain service) and two relay nodes. Checks streams and plain
-# requests, kills an engine in the middle of a stream, stops a node and starts
-# it again. Ends all that it started. Exits non-zero when an answer is wrong.
+# Starts stand-ins (a store, four engines, a plain service) and two relay nodes as
+# separate processes on loopback. Checks streams and plain requests, kills an engine
+# during a stream, and restarts a node. Stops all processes that it started. Exits
+# non-zero if a response is incorrect.
 set -euo pipefail
 
 here=$(cd "$(dirname "$0")" && pwd)
@@ -21,7 +21,7 @@
 }
 trap finish EXIT
 
-# start NAME COMMAND...: starts a process with its output in NAME.log.
+# start NAME COMMAND...: starts a process that writes its output to NAME.log.
 start() {
 	local name=$1
 	shift
@@ -29,7 +29,7 @@
 	pids[$name]=$!
 }
 
-# await NAME PATTERN: waits for a line in NAME.log and prints its last word.
+# await NAME PATTERN: waits for a matching line in NAME.log and prints its last word.
 await() {
 	for _ in $(seq 200); do
 		if line=$(grep -m1 -- "$2" "$work/$1.log"); then
@@ -42,7 +42,7 @@
 	return 1
 }
 
-# node NAME: starts a relay node on free ports, and prints nothing.
+# node NAME: starts a relay node on free ports.
 node() {
 	cat >"$work/$1.ini" <<-INI
 		[node]
@@ -62,19 +62,19 @@
 	start "$1" "$bin/hoistrelay" --settings "$work/$1.ini"
 }
 
-# ask ADDRESS PATH ID: one request, with its answer on standard output.
+# ask ADDRESS PATH ID: sends a request and prints the response to standard output.
 ask() {
 	curl -sS --max-time 20 -X POST "http://$1$2" -H "Host: site.example" -H "Authorization: Bearer demo-key" \
 		-H "Attempt-Id: $3" -H "Deadline-Remaining-Ms: 20000" -H "Token-Count: 40,40" -d x
 }
 
-# whole PATH: the events that a stream of the path must have.
+# whole PATH: prints the events expected in a complete stream for the path.
 whole() {
 	local n
 	for n in $(seq $((10 + ${#1} % 30))); do printf 'id: %d\ndata: %s %d\n\n' "$n" "$1" "$n"; done
 }
 
-# check WHAT GOT WANT
+# check WHAT GOT WANT: fails unless GOT equals WANT.
 check() {
 	if [ "$2" != "$3" ]; then
 		printf '%s: got\n%s\nwant\n%s\n' "$1" "$2" "$3" >&2
--- a/examples/two-nodes/run.sh
+++ b/examples/two-nodes/run.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Starts the stand-ins and two entry nodes as separate processes on loopback,
-# configures them, replays a trace through both, and checks every answer.
-# Ends all that it started. Exits non-zero when an answer is wrong or missing.
+# Starts stand-ins and two entry nodes as separate processes on loopback, configures
+# the nodes, replays a trace through both and checks every response. Stops all processes
+# that it started. Exits non-zero if a response is incorrect or missing.
 set -euo pipefail
 
 here=$(cd "$(dirname "$0")" && pwd)
@@ -20,7 +20,7 @@
 }
 trap finish EXIT
 
-# start NAME COMMAND...: starts a process with its output in NAME.log.
+# start NAME COMMAND...: starts a process that writes its output to NAME.log.
 start() {
 	local name=$1
 	shift
@@ -28,7 +28,7 @@
 	pids+=($!)
 }
 
-# await NAME PATTERN: waits for a line in NAME.log and prints its last word.
+# await NAME PATTERN: waits for a matching line in NAME.log and prints its last word.
 await() {
 	for _ in $(seq 200); do
 		if line=$(grep -m1 -- "$2" "$work/$1.log"); then
--- a/models/check.sh
+++ b/models/check.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Checks every model with spin, and every variant whose mechanism is taken
-# out. A model must hold and a variant must not: a check that cannot fail
-# proves nothing. Processes may end anywhere (-E): only the assertions count.
-# Prints a line for each, with the states searched.
+# Checks every model with spin, and every variant with one mechanism removed. A model must
+# hold and a variant must fail, which shows that the check detects the removal.
+# Processes may end in any state (-E): only assertions are checked.
+# Prints a line for each check, with the number of states searched.
 set -euo pipefail
 cd "$(dirname "$0")"
 
@@ -14,7 +14,7 @@
 passed=0
 failed=0
 
-# check MODEL VERDICT [DEFINE]: searches all states of a model or variant.
+# check MODEL VERDICT [DEFINE]: searches all states of a model, or of the variant DEFINE.
 check() {
 	local model=$1 want=$2 define=${3:-}
 	local dir=$work/$model-$define
--- a/models/config.pml
+++ b/models/config.pml
@@ -1,29 +1,29 @@
 /*
- * An accepted configuration stays, and no node goes back.
+ * An accepted configuration is never lost, and no node reverts to an older version.
  *
- * Two operators race, each with one change, through any node. The table keeps
- * the newest version and, for each version, whose change it is. A commit may
- * take effect and its answer get lost; the node asks again with the same
- * change id. Two nodes follow: from the table while it answers, or from each
- * other. A node may restart, and knows nothing then.
+ * Two operators each propose one change, concurrently and through any node. The
+ * table stores the newest version and the owner of each version. A commit may take
+ * effect although its response is lost; the node then retries with the same change
+ * ID. Two nodes learn new versions from the table while it is available, or from
+ * each other. A node may restart with empty state.
  *
- * Mechanism: a commit is one transaction on (newest version, change id); a
- * node moves to a higher version only, and a restarted one serves when it has
- * a version at least as high as any peer's that it can hear or the table's.
+ * Mechanism: a commit is one transaction on (newest version, change ID). A node
+ * accepts only higher versions. A restarted node is ready once it has a version at
+ * least as high as that of any reachable peer or of the table.
  *
  * Variants, each of which must fail:
- *   BLIND  the commit does not look at the newest version
- *   BACK   a node takes whatever version it hears
+ *   BLIND  the commit does not check the newest version
+ *   BACK   a node accepts any version that it receives
  */
 #define NODES 2
 #define OPERATORS 2
 
 byte head = 0;                  /* newest version in the table */
-byte owner[4];                  /* whose change made each version, 1 or 2 */
-byte byId[3];                   /* version of each operator's change, 0: none */
-byte version[NODES];            /* in force at each node; 0 is not ready */
-byte highest[NODES];            /* highest that was ever in force there */
-byte accepted[3];               /* version told to each operator, 0: none */
+byte owner[4];                  /* operator of each version, 1 or 2 */
+byte byId[3];                   /* version of each operator's change, 0 for none */
+byte version[NODES];            /* active at each node; 0 if not ready */
+byte highest[NODES];            /* highest version ever active at each node */
+byte accepted[3];               /* version reported to each operator, 0 for none */
 byte restarts = 0;
 
 inline commit(id, base) {
@@ -53,7 +53,7 @@
 	do
 	:: !answered ->
 		commit(id, base);
-		if :: answered = true :: skip /* lost answer: ask again */ fi
+		if :: answered = true :: skip /* response lost: retry */ fi
 	:: answered -> break
 	od;
 	if
@@ -85,7 +85,7 @@
 			highest[me] = version[me]
 		}
 	:: restarts < 1 ->
-		/* a new incarnation: it has promised nothing yet */
+		/* a new incarnation, which has acknowledged nothing yet */
 		atomic { version[me] = 0; highest[me] = 0; restarts++ }
 	:: steps == 3 -> break
 	od
@@ -99,7 +99,7 @@
 		run node(0);
 		run node(1)
 	};
-	/* When all is quiet, what was accepted is still in the table. */
+	/* After all processes have ended, every accepted change is still in the table. */
 	(_nr_pr == 1);
 	for (i : 1 .. OPERATORS) {
 		if
--- a/models/generation.pml
+++ b/models/generation.pml
@@ -1,30 +1,30 @@
 /*
- * Layers once, in order, for each token; nothing emitted twice; answers late,
- * doubled or crossed.
+ * Each layer is executed once and in order for each token, and no token is emitted
+ * twice, although responses may be delayed, duplicated or reordered.
  *
- * One request over two stages, with a spare for the first. Steps and answers
- * travel as messages that may be doubled or delayed at will. The first stage's
- * engine may die once; the node then starts a new generation on the spare,
- * from the prompt and what has been emitted.
+ * One request runs over two stages, with a spare engine for the first. Steps and
+ * responses are messages that may be duplicated or delayed arbitrarily. The first
+ * stage's engine may crash once; the node then starts a new generation on the spare,
+ * from the prompt and the tokens emitted so far.
  *
- * A stage's cache is modelled as the next position that it expects. The
- * prompt is position 0, and the token emitted at position p is p itself, if
- * each layer has run once for each position up to p; anything else is BAD.
+ * A stage's cache is modelled as the next position that it expects. The prompt is
+ * position 0. The token emitted at position p is p itself if each layer was executed
+ * once for each position up to p; any other token is BAD.
  *
- * Mechanism: steps and answers carry (generation, position); an engine answers
- * a repeat from its last output, refuses a gap, and is fenced by a higher
- * generation; the node takes only the answer that it waits for.
+ * Mechanism: steps and responses carry (generation, position). An engine answers a
+ * repeated step with its last output, rejects a gap, and rejects steps of a lower
+ * generation. The node accepts only the response that it is waiting for.
  *
  * Variants, each of which must fail:
- *   NOMATCH  the node takes any answer
- *   NOCHECK  an engine runs whatever position it is sent
+ *   NOMATCH  the node accepts any response
+ *   NOCHECK  an engine executes any position that it receives
  */
 #define TOKENS 3
 #define BAD 99
 
-/* step: stage, generation, first position, last position, well made */
+/* step: stage, generation, first position, last position, valid */
 chan steps = [3] of { byte, byte, byte, byte, bool };
-/* answer: stage, generation, last position, well made */
+/* response: stage, generation, last position, valid */
 chan answers = [3] of { byte, byte, byte, bool };
 
 byte emitted = 0;
@@ -32,7 +32,7 @@
 bool died = false;
 byte doubled = 0;
 
-/* An engine at a stage. Its session is that of one generation. */
+/* engine models an engine of a stage. Its session belongs to one generation. */
 proctype engine(byte stage) {
 	byte g, from, to, session = 0, next = 0, last = 255;
 	bool good, whole = true, lastGood = true;
@@ -66,7 +66,7 @@
 	od
 }
 
-/* The network doubles a message now and then. */
+/* The network may duplicate messages. */
 active proctype network() {
 	byte s, g, a, b;
 	bool good;
@@ -78,7 +78,7 @@
 	od
 }
 
-/* The node. Stage 0 is the first engine, 2 its spare, 1 the last stage. */
+/* The node. Stage 0 is the first engine, stage 2 its spare, stage 1 the last stage. */
 active proctype node() {
 	byte first = 0, waiting = 0, from = 0, to = 0;
 	byte s, g, p;
@@ -101,7 +101,7 @@
 			waiting = 1;
 			steps!1, generation, from, to, good
 		:: s == 1 ->
-			/* the token of position `to`: the next one, and well made */
+			/* the token of position `to` must be the next one and valid */
 			assert(good);
 			assert(p == emitted);
 			emitted++;
@@ -115,7 +115,7 @@
 		fi;
 next:		skip
 	:: !died && emitted < TOKENS ->
-		/* the first engine is lost, or taken for lost: go on at the spare */
+		/* the first engine crashed or is suspected: resume at the spare */
 		died = true;
 		generation++;
 		first = 2;
--- a/models/handover.pml
+++ b/models/handover.pml
@@ -1,31 +1,30 @@
 /*
- * A planned stop hands a node's keys over, and still no key runs twice.
+ * A planned stop hands over a node's keys, and still no key is executed twice.
  *
- * One key, owned by the incarnation that runs as node 0. Node 0 stops and
- * hands its ledger to the node at another address; the message may be sent
- * twice, since its answer can get lost, and may arrive at any time. That node
- * may itself be replaced at any moment, by a new incarnation at the same
- * address with an empty memory. Three requests for the key come whenever and
- * wherever the checker likes.
+ * One key is owned by the incarnation of node 0. Node 0 stops and sends its ledger
+ * to the node at another address. The message may be sent twice, since its response
+ * may be lost, and may arrive at any time. The receiving node may be replaced at any
+ * time by a new incarnation at the same address with empty memory. Three requests
+ * for the key arrive at any time at any node.
  *
- * Mechanism: node 0 seals itself and takes the snapshot in one step; the
- * handover names the incarnation that it is meant for; it is taken once.
+ * Mechanism: node 0 seals itself and takes the snapshot in one step. The handover
+ * names the receiving incarnation and is accepted once.
  *
  * Variants, each of which must fail:
  *   NOSEAL  node 0 may begin keys after the snapshot
- *   NOTO    whoever has the address takes the keys
- *   TWICE   a handover that comes again is taken again
+ *   NOTO    any incarnation at the address accepts the keys
+ *   TWICE   a repeated handover is accepted again
  */
 #define REQUESTS 3
 
-bool sealed = false;         /* node 0 begins nothing any more */
-bool begun = false;          /* node 0's memory of the key */
+bool sealed = false;         /* whether node 0 has stopped beginning keys */
+bool begun = false;          /* whether node 0 has begun the key */
 byte successor = 2;          /* incarnation at the other address */
-bool holds = false;          /* it has been handed the key */
-bool begunThere = false;     /* its memory of the key */
+bool holds = false;          /* whether the successor owns the key */
+bool begunThere = false;     /* whether the successor has begun the key */
 byte runs = 0;
 
-/* handover: the incarnation that it is meant for, what the ledger says */
+/* handover: the receiving incarnation, whether the ledger lists the key as begun */
 chan handover = [2] of { byte, bool };
 
 active proctype stop() {
@@ -40,7 +39,7 @@
 	};
 	handover!to, snapshot;
 	if
-	:: handover!to, snapshot     /* the answer was lost: the same again */
+	:: handover!to, snapshot     /* the response was lost: send again */
 	:: skip
 	fi
 }
--- a/models/keys.pml
+++ b/models/keys.pml
@@ -1,28 +1,27 @@
 /*
- * A key that was taken away is not used for longer than the bound, on the users'
- * platform.
+ * A revoked key is not used for longer than the bound, on the users' platform.
  *
- * The operator takes a key away in the store. A reader asks the store; a follower
- * asks the reader, which tells what it knows and how old its proof is; the
- * follower decides requests and writes them to an engine. Time passes between any
- * two steps, so every process may stand still anywhere, and every message may be
- * late. A VM may also be suspended: time passes, and its steady clock stands still.
+ * The operator revokes a key in the store. A reader polls the store; a follower polls
+ * the reader, which returns its configuration and the age of the call that confirmed
+ * it. The follower decides on requests and writes them to an engine. Time may pass
+ * between any two steps, so every process may pause anywhere and every message may be
+ * delayed. A VM may also be suspended: time passes while its monotonic clock stops.
  *
- * Mechanism: a proof counts from the sending of the question that brought it,
- * less the age that the reader gives, and is looked at again at the write,
- * together with the version that decided. All is counted in a clock that goes on
- * while the VM is suspended.
+ * Mechanism: the follower dates a confirmation to the time at which it sent its
+ * request, minus the age reported by the reader. It checks the confirmation again at
+ * the write, together with the version on which it decided. All times come from a
+ * clock that continues while the VM is suspended.
  *
  * Variants, each of which must fail:
- *   ARRIVAL    the follower counts from when the answer arrives
- *   NOAGE      the follower leaves the reader's age out
- *   NORECHECK  the write does not look again
- *   NOVERSION  the write looks only at how fresh the newest version is
- *   STEADY     the follower counts in its steady clock
+ *   ARRIVAL    the follower counts from the arrival of the response
+ *   NOAGE      the follower ignores the age reported by the reader
+ *   NORECHECK  the write does not check again
+ *   NOVERSION  the write checks only the age of the newest version
+ *   STEADY     the follower uses its monotonic clock
  */
 #define MAXTIME 6
-#define BOUND 2         /* for how long a key may be used */
-#define VOUCH 1         /* how old the reader's proof may be when it answers */
+#define BOUND 2         /* how long a revoked key may be used */
+#define VOUCH 1         /* maximum age of the reader's confirmation when it responds */
 #define ROUNDS 2
 
 short now = 0;
@@ -42,14 +41,14 @@
 	fi
 }
 
-/* What the follower's clock tells. */
+/* The time of the follower's clock. */
 #ifdef STEADY
 #define HERE (now - suspended)
 #else
 #define HERE now
 #endif
 
-short suspended = 0;    /* for how long its VM was suspended in all */
+short suspended = 0;    /* total time for which the follower's VM was suspended */
 
 proctype time() {
 	do
--- a/models/limit.pml
+++ b/models/limit.pml
@@ -1,34 +1,34 @@
 /*
- * A limit that an upstream names for all nodes together, kept by permits that owners hand
- * out.
+ * A limit that an upstream advertises for all nodes together, enforced by permits that
+ * owners grant.
  *
- * Two nodes may hand out: FIRST is the owner by all names, SECOND stands in for it. Two others
- * ask. One of them may be unable to reach FIRST, SECOND too, so that both may hand out at the
- * same time. Questions and answers are late, come twice or are lost: whoever may take one in
- * does so at any time and as often as it likes, or never. FIRST may be started anew and knows
- * nothing of before.
+ * Two nodes may grant permits: FIRST is the owner, SECOND its substitute. Two other nodes
+ * request permits. One of them and SECOND may be unable to reach FIRST, so that both may
+ * grant at the same time. Requests and responses may be delayed, duplicated or lost: a
+ * receiver processes a message at any time, any number of times, or never. FIRST may
+ * restart with empty state.
  *
- * Mechanism: what may be handed out falls due with time, PART of FIRST and less of SECOND; a
- * node that has started has nothing at first. A question has a number, and one that was
- * answered is answered alike. An asker takes the answer to the question that it asks, once.
+ * Mechanism: permits accrue with time, PART per slot at FIRST and fewer at SECOND; a node
+ * that has just started has none. Requests are numbered, and a repeated request gets the
+ * same response. A requester accepts only the response to its current request, once.
  *
- * Promise: what is sent in SLOTS slots is at most one and a half times what the limit allows,
- * and SPARE.
+ * Promise: the number of requests sent in SLOTS slots is at most one and a half times the
+ * limit, plus SPARE.
  *
  * Variants, each of which must fail:
- *   WHOLE   SECOND hands out the whole limit where FIRST does not answer
- *   TAKES   an asker takes any answer, though it does not ask
- *   FULL    a node that has started has the permits of a window at once
+ *   WHOLE   SECOND grants the full limit if FIRST is unreachable
+ *   TAKES   a requester accepts any response, even without a pending request
+ *   FULL    a node that has just started has the permits of a full window
  */
 #define ASKERS 2
 #define OWNERS 2
 #define FIRST 0
 #define SECOND 1
 #define SLOTS 2
-#define PART 4          /* what the limit allows in a slot */
-#define STANDS_IN 1     /* what SECOND hands out in one */
-#define ACTS 2          /* the same where it cannot hear FIRST itself */
-#define DEPTH 4         /* what may be had at once after a pause */
+#define PART 4          /* limit per slot */
+#define STANDS_IN 1     /* permits that SECOND grants per slot */
+#define ACTS 2          /* permits that SECOND grants per slot if it cannot reach FIRST */
+#define DEPTH 4         /* maximum number of accumulated permits */
 #define SPARE 2
 #define STARTS 1
 
@@ -36,21 +36,21 @@
 byte sent = 0;
 byte slot = 0;
 byte starts = 0;
-bool unheard = false;   /* whether SECOND cannot hear FIRST */
-bool cut[ASKERS];       /* whether an asker cannot reach FIRST */
+bool unheard = false;   /* whether SECOND cannot reach FIRST */
+bool cut[ASKERS];       /* whether a requester cannot reach FIRST */
 
-/* What is on its way: the last question of each asker, and the last answer to it. */
+/* Messages in transit: the last request of each requester, and the last response to it. */
 byte asks[ASKERS];
 byte asksWhom[ASKERS];
 byte grants[ASKERS];
 byte grantsWhat[ASKERS];
 bool asking[ASKERS];
 
-/* By owner and asker (owner * 2 + asker): the last question answered, and how. */
+/* By owner and requester (owner * 2 + requester): the last request answered, and its response. */
 byte answered[4];
 byte answeredWith[4];
 
-/* take sends what an answer allows. */
+/* take sends as many requests as a response permits. */
 inline take(me)
 {
 	sent = sent + grantsWhat[me];
--- a/models/once.pml
+++ b/models/once.pml
@@ -1,88 +1,88 @@
 /*
- * At most once: a request with a key runs at most once, over nodes that keep
- * nothing, and "not run" is true.
+ * At most once: a request with a key is executed at most once by nodes without
+ * persistent state, and the outcome "not executed" is always correct.
  *
- * One key. Two nodes; a node may die and come back as a new incarnation with
- * an empty memory. A caller tries up to three times, at any node, and may give
- * up on a try at any moment. The platform's table has one row: the claim. A
- * write may take effect and its answer get lost; the node then asks again.
+ * There are one key and two nodes. A node may crash and restart as a new incarnation
+ * with empty memory. A caller makes up to three attempts, at any node, and may abandon
+ * an attempt at any time. The platform's table has one row: the claim. A write may take
+ * effect although its response is lost; the node then retries.
  *
- * A freeze needs no action of its own: a process may stop between any two of
- * its steps for as long as the checker likes.
+ * A frozen process needs no separate action: a process may pause between any two steps
+ * for any time.
  *
- * Mechanism: the first claim written stands for ever, it names one
- * incarnation, and that incarnation's memory (begun) lets the key start once.
+ * Mechanism: the first claim written is permanent and names one incarnation. The memory
+ * of that incarnation (begun) lets the key start once.
  *
  * Variants, each of which must fail:
- *   LEASE    owners are found by a lease that can lapse; holders check it and
- *            then send
- *   NOLEDGER the owner does not remember what it has begun
- *   NOTRY    a refusal counts this try only, and not the ones before it
+ *   LEASE    the owner is determined by a lease that may expire; the holder checks the
+ *            lease and then sends
+ *   NOLEDGER the owner does not record the keys that it has begun
+ *   NOTRY    a refusal considers only the current attempt, not earlier ones
  */
 #define NODES 2
 #define TRIES 3
 #define DEATHS 2
 
-byte claim = 0;              /* the table's row: an incarnation, 0 for none */
-byte incarnation[NODES];     /* the incarnation that runs as each node */
-bool begun[NODES];           /* the node's memory of the key */
+byte claim = 0;              /* row of the table: an incarnation, 0 for none */
+byte incarnation[NODES];     /* current incarnation of each node */
+bool begun[NODES];           /* whether the node has begun the key */
 byte lastIncarnation = NODES;
-byte runs = 0;               /* times the upstream has run the key */
-byte sent = 0;               /* times the key has been sent upstream */
+byte runs = 0;               /* number of executions of the key at the upstream */
+byte sent = 0;               /* number of times the key was sent to the upstream */
 byte deaths = 0;
-byte current = 0;            /* the try that the caller waits for */
+byte current = 0;            /* the attempt that the caller is waiting for */
 
-/* "Not run" is said to the try that the caller waits for, or to nobody. */
+/* "Not executed" is reported only to the attempt that the caller is waiting for. */
 inline sayNotRun() {
 	atomic { assert(try != current || sent == 0) }
 }
 
-/* One try: what a node does with a request for the key. */
+/* One attempt: a node processes a request for the key. */
 proctype attempt(byte node; byte try) {
 	bool first = (try == 1);
 	byte me = incarnation[node];
 	byte owner = 0;
 	byte home;
 
-	/* Ask whose key it is. An outage may refuse the request here. */
+	/* Determine the owner of the key. During a store outage the request may be refused. */
 	if
 	:: true ->
 #ifdef LEASE
-		/* take the lease if it is free or has lapsed, which it may any time */
+		/* acquire the lease if it is free or expired; it may expire at any time */
 		atomic { if :: claim == 0 -> claim = me :: true -> claim = me :: true fi; owner = claim }
 #else
 		do
-		:: atomic { claim == 0 -> claim = me; if :: owner = me :: skip /* answer lost */ fi }
+		:: atomic { claim == 0 -> claim = me; if :: owner = me :: skip /* response lost */ fi }
 		:: claim != 0 -> owner = claim; break
 		od
 #endif
 	:: true ->
-		/* refused: the store gives no answer, in time */
+		/* refused: no response from the store in time */
 #ifdef NOTRY
 		sayNotRun()
 #else
 		if
-		:: first -> sayNotRun()   /* no earlier try */
+		:: first -> sayNotRun()   /* no earlier attempt */
 		:: else -> skip                 /* "unknown" */
 		fi
 #endif
 		goto done
 	fi;
 
-	/* Go to the owner: this node, the other one, or nobody any more. */
+	/* Forward to the owner: this node, the other node, or an incarnation that no longer exists. */
 	if
 	:: owner == incarnation[0] -> home = 0
 	:: owner == incarnation[1] -> home = 1
 	:: else ->
 		if
-		:: first && owner != me -> sayNotRun()   /* the owner is gone */
+		:: first && owner != me -> sayNotRun()   /* the owner no longer exists */
 		:: else -> skip                                /* "unknown" */
 		fi;
 		goto done
 	fi;
 
-	/* The owner's memory decides. The process that holds it may have been
-	   replaced since: then the key is nobody's. */
+	/* The memory of the owner decides. The owner may have been replaced in the
+	   meantime; then no process may begin the key. */
 #ifdef NOLEDGER
 	atomic { incarnation[home] == owner -> sent++ }
 #else
@@ -102,7 +102,7 @@
 done:	skip
 }
 
-/* A node dies and comes back. What it has sent may still arrive. */
+/* A node crashes and restarts. Messages that it has sent may still arrive. */
 active proctype reaper() {
 	byte i;
 	do
@@ -118,7 +118,7 @@
 	od
 }
 
-/* The caller does not wait: a try that it gave up may still be under way. */
+/* The caller may retry early: an abandoned attempt may still be in progress. */
 init {
 	byte try = 0;
 	byte node;
--- a/models/orders.pml
+++ b/models/orders.pml
@@ -1,35 +1,35 @@
 /*
- * Orders to an engine that starts again under its name, so that an order for its earlier
- * run, carried out late, can be taken by the later one: the name fits, and the count of
- * orders begins anew.
+ * Orders to an engine that restarts under the same name. A delayed order for an earlier
+ * process can be accepted by a later one, because the name matches and the count of
+ * orders starts again at zero.
  *
- * Two planners learn from entries what the engine holds. Entries name the run; those of one
- * run come in their order, and word of an earlier run may come at any time. Before an order a
- * planner asks the engine, and gives it only if the run and what it holds are as believed.
- * The engine may start again at any moment, an order may be carried out at any later time or
- * never, and nothing but the count keeps it from doing so.
+ * Two planners learn the layers of the engine from entries, which name the process.
+ * Entries of one process arrive in order; entries of an earlier process may arrive at any
+ * time. Before sending an order, a planner queries the engine, and sends the order only if
+ * the process and its layers match the planner's view. The engine may restart at any time.
+ * An order may be executed at any later time or never; only the count can reject it.
  *
- * Promise: what a late order has made the engine hold does not stand. Once no order is under
- * way and the newest entry has been told, one more look has the engine hold what it should,
- * whatever word of the earlier run still comes.
+ * Promise: the effect of a delayed order does not last. Once no order is in transit and
+ * the newest entry has been delivered, one more check by a planner makes the engine hold
+ * the wanted layers, even if entries of an earlier process still arrive.
  *
  * Variants, each of which must fail:
- *   KEEPS   word of an earlier run replaces that of the later one
- *   TRUSTS  an order that was taken counts as held, without another look at the entries
+ *   KEEPS   an entry of an earlier process replaces that of a later one
+ *   TRUSTS  an accepted order counts as held without checking the entries again
  */
-#define OTHER 1         /* what an outdated plan wants held */
-#define WANT 3          /* what the engine should hold */
-#define RUNS 2          /* runs of the engine */
+#define OTHER 1         /* layers wanted by an outdated plan */
+#define WANT 3          /* layers that the engine should hold */
+#define RUNS 2          /* number of processes of the engine */
 
-byte held = 0;          /* what the engine holds */
-byte count = 0;         /* orders that it has taken since its start */
-byte born = 1;          /* its run */
-byte done = 0;          /* planners that have ended */
+byte held = 0;          /* layers that the engine holds */
+byte count = 0;         /* orders accepted since the start of the process */
+byte born = 1;          /* number of the current process */
+byte done = 0;          /* number of planners that have finished */
 bool restarted = false;
 
-chan entries = [3] of { byte, byte };   /* the run, and what it holds */
+chan entries = [3] of { byte, byte };   /* the process and its layers */
 
-byte knownRun[2];       /* what each planner believes */
+byte knownRun[2];       /* process in each planner's view */
 byte knownHeld[2];
 
 inline learn(who, life, layers) {
@@ -43,7 +43,7 @@
 #endif
 }
 
-/* carryOut has the engine take an order if the count fits. */
+/* carryOut makes the engine accept an order if the count matches. */
 inline carryOut(expected, layers, taken) {
 	if
 	:: count == expected -> held = layers; count++; taken = true
@@ -71,7 +71,7 @@
 		}
 		if
 		:: fits ->
-			/* Here the order may wait for as long as it likes, or be lost. */
+			/* The order may be delayed by any time at this point, or be lost. */
 			if
 			:: atomic {
 				carryOut(expected, layers, taken);
@@ -105,7 +105,7 @@
 	od
 }
 
-/* settle is the look of one planner when nothing is under way any more. */
+/* settle is the check by one planner when no order is in transit. */
 proctype settle() {
 	byte life, layers;
 	bool taken;
--- a/models/placement.pml
+++ b/models/placement.pml
@@ -1,30 +1,30 @@
 /*
- * Orders to engines, given by two planners at a time, some of them carried out
- * late; and chains over what the engines are believed to hold.
+ * Orders to engines, sent by two planners concurrently and possibly executed late,
+ * and chains built from a node's view of the layers that engines hold.
  *
- * The model has two layers. An engine holds a set of them, and takes an order if
- * it has taken just as many before as the planner was told. A planner asks an
- * engine, decides, and sends; the order may be carried out at any later time, or
- * never. An engine may be lost, and starts again empty with its count at zero
- * under another name, which orders for the old one do not match. A node builds
- * chains from what it was last told, and an engine refuses what it does not hold.
+ * The model has two layers. An engine holds a set of layers, and accepts an order only
+ * if it carries the number of orders that the engine has accepted so far. A planner
+ * queries an engine, decides, and sends; the order may be executed at any later time or
+ * never. An engine may crash and restart empty, with its count at zero, as a new
+ * incarnation that does not match orders for the old one. A node builds chains from the
+ * last reports of the engines, and an engine rejects layers that it does not hold.
  *
- * Promises: an engine never carries out an order that was decided before one that
- * it has carried out already; and a chain that runs runs each layer once and in
+ * Promises: an engine never executes an order that was decided before an order that it
+ * has executed already; and a chain that is executed executes each layer once and in
  * order.
  *
  * Variants, each of which must fail:
- *   NOCOUNT  orders do not name the count
+ *   NOCOUNT  orders do not carry the count
  *   NONAME   orders and requests do not name the engine's incarnation
- *   NOCHECK  a node sends chains whose parts it has not checked against the layers
+ *   NOCHECK  a node sends chains without checking that their parts cover the layers
  */
 #define ENGINES 2
 #define FIRST 1         /* the first layer, as a set */
 #define SECOND 2
 #define BOTH 3
 
-/* The parts of a chain are held as far as the node was told, and are each layer
-   once. */
+/* TOLD: the parts of the chain are held in the node's view. CHECKED: the parts contain
+   each layer once. */
 #define TOLD ((told[first] & firstLayers) == firstLayers && (told[second] & secondLayers) == secondLayers)
 #ifdef NOCHECK
 #define CHECKED true
@@ -48,7 +48,7 @@
 		if :: engine = 0 :: engine = 1 fi;
 		if :: layers = FIRST :: layers = SECOND :: layers = BOTH fi;
 		atomic { count = taken[engine]; who = name[engine]; made++; when = made }
-		/* Here the order may wait for as long as it likes. */
+		/* The order may be delayed by any time at this point. */
 		if
 		:: atomic {
 			if
@@ -86,7 +86,7 @@
 	}
 }
 
-/* node builds one chain of two parts and sends it. */
+/* node builds a chain of two parts and sends it. */
 proctype node() {
 	byte first, second, firstLayers, secondLayers, ran = 0;
 	byte told[ENGINES], who[ENGINES];
@@ -97,7 +97,7 @@
 	if :: secondLayers = 0 :: secondLayers = SECOND :: secondLayers = BOTH fi;
 	if
 	:: TOLD && CHECKED ->
-		/* Each engine looks at its own part when the request reaches it. */
+		/* Each engine checks its part when the request arrives. */
 		atomic {
 			if
 #ifdef NONAME
--- a/models/quarantine.pml
+++ b/models/quarantine.pml
@@ -1,38 +1,40 @@
 /*
- * Requests that end the upstreams which run them, and others that do not, sent by two
- * nodes that tell each other what they lose.
+ * Requests that crash the upstreams that execute them, and requests that do not, sent by
+ * two nodes that report losses to each other.
  *
- * A work is lost at an upstream where an attempt brings nothing. One work, DEADLY, ends
- * each upstream that begins to run it. The other, PLAIN, ends none, but is lost at
- * upstreams that the deadly one ends, and at those that the node cannot reach. A node may
- * be cut off from all upstreams and have them back, may miss what the other one tells, and
- * may be started anew, when it knows only what the store keeps.
+ * A request is lost at an upstream if an attempt gets no response. One request, DEADLY,
+ * crashes each upstream that starts to execute it. The other, PLAIN, crashes none, but is
+ * lost at upstreams that the deadly request crashes and at upstreams that the node cannot
+ * reach. A node may lose and regain its connection to all upstreams, may miss reports of
+ * the other node, and may restart with only the contents of the store.
  *
- * Mechanism: a loss counts where the node itself finds that the upstream has ended or is
- * silent, and no longer once it answers. With MOST losses that count a work is quarantined
- * and kept in the store, with the upstreams that are thought to have ended unless that is
- * certain; who reads it there asks these too. What is certain in the store is not replaced
- * by what is not, nor removed. What an upstream has answered is cleared.
+ * Mechanism: a loss counts while the node itself finds the upstream crashed or
+ * unresponsive. With MOST counted losses a request is quarantined and written to the
+ * store, with the suspected upstreams unless their crashes are confirmed. A node that
+ * reads such an entry probes these upstreams too. A confirmed entry in the store is not
+ * replaced by an unconfirmed one and not removed. A request that an upstream has answered
+ * is cleared.
  *
- * Promises: a node that has started since the deadly work was quarantined for
- * certain sends it to none; a node that reaches the upstreams, and has asked those that it has doubts about,
- * refuses the plain work only where that was lost at MOST upstreams that ended; one
- * that was never cut off does not refuse it by the word of one that was; and a node that
- * has quarantined the deadly work for upstreams that have all ended sends it to none while
- * it runs, whoever has their addresses by then.
+ * Promises: a node that started after the quarantine of the deadly request was confirmed
+ * sends it to no upstream. A node that reaches the upstreams and has probed the suspected
+ * ones refuses the plain request only if that was lost at MOST crashed upstreams. A node
+ * that was never disconnected does not refuse the plain request because of a report by a
+ * node that was. A node that has quarantined the deadly request because of upstreams that
+ * have all crashed sends it to no upstream until it restarts, even if other processes have
+ * taken over the addresses.
  *
  * Variants, each of which must fail:
- *   NOSTORE  what is quarantined is not kept
- *   TRUST    a loss counts by the word of the other node
- *   OVERWRITE what is certain in the store is replaced by what is not
- *   NOASK    who reads the store does not ask the upstreams
- *   NAMELESS the answer of the next process at the address of an upstream that has
- *            ended is taken for one of that upstream
+ *   NOSTORE  quarantined requests are not written to the store
+ *   TRUST    a loss reported by the other node counts without a check
+ *   OVERWRITE a confirmed entry in the store is replaced by an unconfirmed one
+ *   NOASK    a node that reads the store does not probe the upstreams
+ *   NAMELESS a response of the next process at the address of a crashed upstream is taken
+ *            for a response of that upstream
  */
 #define NODES 2
 #define UPSTREAMS 3
 #define MOST 2
-#define STEPS 8         /* what all nodes do */
+#define STEPS 8         /* number of steps of all nodes together */
 #define PLAIN 0
 #define DEADLY 1
 
@@ -41,22 +43,22 @@
 bool ended[UPSTREAMS];
 byte endedSet = 0;
 bool cut[NODES];
-/* By node and work (node * 2 + work): the upstreams where it was lost, those of them that
-   the node thinks have ended, and whether it is quarantined. */
+/* By node and request (node * 2 + work): the upstreams at which the request was lost, those
+   of them that the node considers crashed, and whether the request is quarantined. */
 byte lost[4];
 byte thought[4];
 bool held[4];
 bool certain[4];
-/* What the store keeps of each work, and the upstreams named with it. */
+/* The store's entry for each request, and the suspected upstreams in the entry. */
 bool kept[2];
-bool surely = false;    /* whether a node has quarantined the deadly work for certain */
+bool surely = false;    /* whether a node has a confirmed quarantine of the deadly request */
 byte keptEnded[2];
-/* Whether a node has started since the deadly work was quarantined for certain. */
+/* Whether a node has started since the quarantine of the deadly request was confirmed. */
 bool startedSince[NODES];
-/* Whether a node has quarantined the deadly work, in this run of its own, for upstreams that
-   have all ended: it sends it to none from then on. */
+/* Whether a node has quarantined the deadly request since its own start because of upstreams
+   that have all crashed. From then on the node sends the request to no upstream. */
 bool knew[NODES];
-/* Whether a node was ever cut off, or started anew. */
+/* Whether a node was ever disconnected, or restarted. */
 bool wasCut[NODES];
 bool wasStarted[NODES];
 
@@ -65,7 +67,7 @@
 	:: COUNT(thought[(node) * 2 + w]) >= MOST ->
 		held[(node) * 2 + w] = true;
 		knew[node] = knew[node] || (w == DEADLY && (thought[(node) * 2 + w] & ~endedSet) == 0);
-		/* Ends are certain once the list says so; the node may still be without it. */
+		/* Crashes are confirmed by the list of upstreams, which the node may not have received yet. */
 		if
 		:: (thought[(node) * 2 + w] & ~endedSet) == 0 ->
 			certain[(node) * 2 + w] = true;
@@ -87,7 +89,7 @@
 	fi
 }
 
-/* send sends a work to an upstream, and takes in what comes of it. */
+/* send sends a request to an upstream and processes the result. */
 inline send(node, w, u) {
 	atomic {
 		if
@@ -106,7 +108,7 @@
 			thought[(node) * 2 + w] = thought[(node) * 2 + w] | (1 << u);
 			judge(node, w);
 			if
-			/* The plain work had begun there as well. */
+			/* The plain request was in progress at the upstream too. */
 			:: !held[(node) * 2 + PLAIN] ->
 				lost[(node) * 2 + PLAIN] = lost[(node) * 2 + PLAIN] | (1 << u);
 				thought[(node) * 2 + PLAIN] = thought[(node) * 2 + PLAIN] | (1 << u);
@@ -114,14 +116,14 @@
 			:: true -> skip
 			fi
 		:: !held[(node) * 2 + w] && !ended[u] && !cut[node] && w == PLAIN ->
-			/* It is answered. */
+			/* The upstream responds. */
 			lost[(node) * 2 + w] = 0;
 			thought[(node) * 2 + w] = 0
 		fi
 	}
 }
 
-/* ask asks an upstream that a node has doubts about. */
+/* ask probes an upstream that a node suspects. */
 inline ask(node, w, u) {
 	atomic {
 		if
@@ -146,7 +148,7 @@
 	}
 }
 
-/* tell tells the other node of a loss, if it arrives. */
+/* tell reports a loss to the other node; the report may get lost. */
 inline tell(node, w, u) {
 	atomic {
 		if
@@ -167,7 +169,7 @@
 	}
 }
 
-/* start starts a node anew: it knows what the store keeps. */
+/* start restarts a node with the contents of the store. */
 inline start(node) {
 	atomic {
 		startedSince[node] = surely;
@@ -186,7 +188,7 @@
 	}
 }
 
-/* check looks at the second promise: no upstream that is thought to have ended answers. */
+/* check checks the second promise: no upstream considered crashed responds. */
 inline check(node) {
 	atomic {
 		if
@@ -199,8 +201,8 @@
 	}
 }
 
-/* All steps are atomic, so one process that takes each step for any node is as good as one
-   for each, and has fewer states. */
+/* All steps are atomic, so one process that takes steps for any node is equivalent to one
+   process per node, and has fewer states. */
 proctype nodes() {
 	byte steps = 0;
 	byte self, w, u;
--- a/models/returns.pml
+++ b/models/returns.pml
@@ -1,38 +1,38 @@
 /*
- * A store that comes back from a copy, an operator who writes again what was
- * lost, a node that reads the store and one that follows it.
+ * A store that is restored from a backup, an operator who rewrites lost versions, a
+ * node that reads the store and a node that follows the reader.
  *
- * The store counts revisions. It may be copied at any time, and come back from
- * its copy: revisions go back and are given out again, and its era rises. The
- * operator writes versions, and again the newest where the store shows an
- * older one. The reader awaits changes after a revision, or reads the whole.
- * The follower asks the reader, and may restart.
+ * The store counts revisions. It may be backed up and restored at any time: a restore
+ * resets the revision, so that revisions are assigned again, and increments the era.
+ * The operator writes versions, and rewrites the newest version if the store returns an
+ * older one. The reader waits for changes after a revision, or reads the full contents.
+ * The follower polls the reader, and may restart.
  *
- * Mechanism: the reader goes on from a revision within its era only; what it
- * obeys is given up for a higher version alone; the follower names the version
- * that it has, not a revision.
+ * Mechanism: the reader continues from a revision only within the same era. A node
+ * replaces its active version only with a higher one. The follower sends its version to
+ * the reader, not a revision.
  *
- * Once the store shows the newest version, both nodes obey it after the next
- * calls, and neither ever went back.
+ * Promise: once the store returns the newest version, it becomes active at both nodes
+ * with their next calls, and neither node ever reverts to an older version.
  *
  * Variants, each of which must fail:
- *   CURSOR  the reader goes on from a revision of another era
- *   MAXIMUM the reader passes on only what was read at a higher revision
- *   OBEY    a node obeys what the store shows
+ *   CURSOR  the reader continues from a revision of another era
+ *   MAXIMUM the reader forwards only versions read at a higher revision
+ *   OBEY    a node activates any version that the store returns
  */
 #define VERSIONS 3
 #define ROWS 2
 #define RETURNS 2
 
 byte rev = 1, ver = 1, verAt = 1, era = 1;      /* the store */
-byte copyRev = 1, copyVer = 1, copyVerAt = 1;   /* its copy */
+byte copyRev = 1, copyVer = 1, copyVerAt = 1;   /* the backup of the store */
 byte newest = 1;                                /* confirmed by the operator */
 byte rows = 0, returns = 0;
 
-byte cursorEra = 1, cursor = 1;                 /* the reader's */
-byte reads = 1;                                 /* obeyed by the reader */
-byte passes = 1, passedAt = 1;                  /* told those that follow */
-byte follows = 1, followsMost = 1;              /* obeyed by the follower */
+byte cursorEra = 1, cursor = 1;                 /* the reader's position in the store */
+byte reads = 1;                                 /* active at the reader */
+byte passes = 1, passedAt = 1;                  /* forwarded to followers */
+byte follows = 1, followsMost = 1;              /* active at the follower */
 byte readsMost = 1;
 bool settled = false;
 
@@ -70,7 +70,7 @@
 	:: true ->
 #endif
 		if
-		:: cursor > rev -> whole()                  /* the store has not got so far */
+		:: cursor > rev -> whole()                  /* the cursor is ahead of the store */
 		:: cursor <= rev && verAt > cursor -> obey(ver); pass(ver); cursor = rev
 		:: cursor <= rev && verAt <= cursor -> cursor = rev
 		fi
