--- a/burn/html.go
+++ b/burn/html.go
@@ -7,30 +7,30 @@
 )
 
 //go:embed report.html
-var page string
+var pageHTML string
 
 var pageTemplate = template.Must(template.New("report").Funcs(template.FuncMap{
 	"width": barWidth,
 	"fixed": func(row int) int { return row * rowHeight },
-	"class": class,
+	"class": rateClass,
 	"pct":   func(share float64) float64 { return share * 100 },
 	"missed": func(c Count) uint32 {
 		return c.Total - c.Good
 	},
-}).Parse(page))
+}).Parse(pageHTML))
 
 // Measures of the chart, in pixels.
 const (
-	rowHeight = 34
-	fullBar   = 420
-	// fullRate is the burn rate at which a bar is full.
-	fullRate = 5.0
+	rowHeight   = 34
+	maxBarWidth = 420
+	// maxBarRate is the burn rate at which a bar is full.
+	maxBarRate = 5.0
 )
 
-func barWidth(rate float64) float64 { return min(rate/fullRate, 1) * fullBar }
+func barWidth(rate float64) float64 { return min(rate/maxBarRate, 1) * maxBarWidth }
 
-// class is the colour of a rate: within budget, burning, or burning fast.
-func class(rate float64) string {
+// rateClass is the colour of a rate: within budget, burning, or burning fast.
+func rateClass(rate float64) string {
 	switch {
 	case rate <= 1:
 		return "ok"
--- a/burn/meter.go
+++ b/burn/meter.go
@@ -27,7 +27,7 @@
 
 // bucket counts one part of a window. The part's number tells a stale bucket.
 type bucket struct {
-	part  int64
+	index int64
 	count Count
 }
 
@@ -65,15 +65,15 @@
 	return sum(m.short[:], ShortWindow, now), sum(m.long[:], LongWindow, now)
 }
 
-func partOf(window clock.Millis, buckets int, now clock.Millis) int64 {
+func bucketIndex(window clock.Millis, buckets int, now clock.Millis) int64 {
 	return int64(now) / (int64(window) / int64(buckets))
 }
 
 func record(buckets []bucket, window, now clock.Millis, good bool) {
-	part := partOf(window, len(buckets), now)
+	part := bucketIndex(window, len(buckets), now)
 	b := &buckets[part%int64(len(buckets))]
-	if b.part != part {
-		*b = bucket{part: part}
+	if b.index != part {
+		*b = bucket{index: part}
 	}
 	b.count.Total++
 	if good {
@@ -82,10 +82,10 @@
 }
 
 func sum(buckets []bucket, window, now clock.Millis) Count {
-	part := partOf(window, len(buckets), now)
+	part := bucketIndex(window, len(buckets), now)
 	var total Count
 	for _, b := range buckets {
-		if b.part > part-int64(len(buckets)) {
+		if b.index > part-int64(len(buckets)) {
 			total = total.Add(b.count)
 		}
 	}
--- a/burn/report.go
+++ b/burn/report.go
@@ -30,8 +30,8 @@
 	Rows      []Row   `json:"rows"`
 }
 
-// pair names a row.
-type pair struct {
+// rowKey names a row.
+type rowKey struct {
 	route   string
 	account string
 }
@@ -39,10 +39,10 @@
 // NewReport sums what nodes have counted. Missing is how many nodes could not
 // be read; the report says so, for its figures then lack theirs.
 func NewReport(objective float64, missing int, nodes ...[]Line) *Report {
-	sums := make(map[pair]*Row)
+	sums := make(map[rowKey]*Row)
 	for _, lines := range nodes {
 		for _, l := range lines {
-			p := pair{l.Route, l.Account}
+			p := rowKey{l.Route, l.Account}
 			if sums[p] == nil {
 				sums[p] = &Row{Route: l.Route, Account: l.Account}
 			}
@@ -57,13 +57,13 @@
 		row.Left = 1 - row.LongRate
 		r.Rows = append(r.Rows, *row)
 	}
-	slices.SortFunc(r.Rows, worstFirst)
+	slices.SortFunc(r.Rows, compareBurn)
 	return r
 }
 
-// worstFirst orders by the rate that both windows reach, so that a burst that
+// compareBurn orders by the rate that both windows reach, so that a burst that
 // is over does not stand above a fault that lasts.
-func worstFirst(a, b Row) int {
+func compareBurn(a, b Row) int {
 	return cmp.Or(
 		-cmp.Compare(min(a.ShortRate, a.LongRate), min(b.ShortRate, b.LongRate)),
 		-cmp.Compare(a.LongRate, b.LongRate),
--- a/callkey/callkey.go
+++ b/callkey/callkey.go
@@ -4,9 +4,9 @@
 
 // Headers of callers' requests.
 const (
-	// Idempotency carries the caller's key. A request with a key runs at most
+	// IdempotencyKey carries the caller's key. A request with a key runs at most
 	// once.
-	Idempotency = "Idempotency-Key"
+	IdempotencyKey = "Idempotency-Key"
 	// NoRepeat marks a request as not to be repeated, with or without a key.
 	NoRepeat = "Hoist-No-Repeat"
 	// Try is how often the caller has sent this key, counting this time. Only
@@ -26,8 +26,8 @@
 	Reason = "Hoist-Reason"
 	// RetryAfter is when to ask again, in milliseconds.
 	RetryAfter = "Hoist-Retry-After-Ms"
-	// Request names the request in the node's logs.
-	Request = "Hoist-Request"
+	// RequestID names the request in the node's logs.
+	RequestID = "Hoist-Request"
 )
 
 // Header carries the key on to a plain service. It is not named like a
--- a/catalog/pass.go
+++ b/catalog/pass.go
@@ -9,8 +9,8 @@
 	DecodeSteps float64
 	// MaxPromptTokens bounds the prompt tokens that a pass reads; zero for no bound.
 	MaxPromptTokens float64
-	// Prompt is the mean length of a prompt, in tokens.
-	Prompt float64
+	// PromptTokens is the mean length of a prompt, in tokens.
+	PromptTokens float64
 	// StreamSlowdown is the fraction by which each further stream of mean size lengthens a
 	// step.
 	StreamSlowdown float64
@@ -22,7 +22,7 @@
 // Pass returns the pass of an engine of the pipeline.
 func (p *Pipeline) Pass() Pass {
 	prompt, answer := p.MeanTokens()
-	pass := Pass{DecodeSteps: p.StepsPerPass, MaxPromptTokens: p.PromptTokensPerPass, Prompt: prompt}
+	pass := Pass{DecodeSteps: p.StepsPerPass, MaxPromptTokens: p.PromptTokensPerPass, PromptTokens: prompt}
 	if p.StepMS > 0 {
 		pass.StreamSlowdown = (p.SequenceMS + p.ContextMS*(prompt+answer)/tokensPerThousand) / p.StepMS
 	}
@@ -38,5 +38,5 @@
 	if p.MaxPromptTokens <= 0 || passTime <= 0 {
 		return math.Inf(1)
 	}
-	return p.MaxPromptTokens / passTime / p.Prompt
+	return p.MaxPromptTokens / passTime / p.PromptTokens
 }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -31,7 +31,7 @@
 		c := clock.New(clock.WithVM(vm))
 		began := time.Now()
 		time.AfterFunc(time.Second, func() { vm.Suspend(5 * time.Second) })
-		c.Until(t.Context(), 5900)
+		c.WaitUntil(t.Context(), 5900)
 		if got, most := time.Since(began), 1100*time.Millisecond; got > most {
 			t.Errorf("got a wait of %v, want %v at most", got, most)
 		}
@@ -44,9 +44,9 @@
 func TestWakes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		vm := clocktest.NewVM()
-		wakes := clock.New(clock.WithVM(vm)).Wakes()
+		wakes := clock.New(clock.WithVM(vm)).Suspensions()
 		told := make(chan clock.Millis, 4)
-		wakes.Tell(func(slept clock.Millis) { told <- slept })
+		wakes.OnResume(func(slept clock.Millis) { told <- slept })
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- wakes.Run(ctx) }()
--- a/clock/wake.go
+++ b/clock/wake.go
@@ -7,36 +7,36 @@
 )
 
 const (
-	// wakeCheck is how often it is looked whether the VM was suspended. Timers fire later
+	// suspensionCheckInterval is how often it is looked whether the VM was suspended. Timers fire later
 	// by the time slept, so it is the delay of a wake-up in the worst case.
-	wakeCheck = 50 * time.Millisecond
-	// leastSuspension is how much more time must have passed than the VM has run. Both
+	suspensionCheckInterval = 50 * time.Millisecond
+	// minSuspension is how much more time must have passed than the VM has run. Both
 	// clocks are read one after the other, and the thread may be kept waiting in between.
-	leastSuspension = 250 * time.Millisecond
+	minSuspension = 250 * time.Millisecond
 )
 
-// Wakes tells when the VM goes on after a suspension. Timers and the deadlines of the
+// Suspensions tells when the VM goes on after a suspension. Timers and the deadlines of the
 // standard library count in the steady clock, so all that were set before fire later by the
 // time slept; connections may be long dead. It is safe for concurrent use.
-type Wakes struct {
-	vm    VM
-	mu    sync.Mutex
-	tells []func(slept Millis)
+type Suspensions struct {
+	vm        VM
+	mu        sync.Mutex
+	callbacks []func(slept Millis)
 }
 
-// Wakes returns who tells of suspensions of the clock's VM. Run makes it work.
-func (c *Clock) Wakes() *Wakes { return &Wakes{vm: c.vm} }
+// Suspensions returns who tells of suspensions of the clock's VM. Run makes it work.
+func (c *Clock) Suspensions() *Suspensions { return &Suspensions{vm: c.vm} }
 
-// Tell has a function called after each suspension, one after the other. It must not wait.
-func (w *Wakes) Tell(f func(slept Millis)) {
+// OnResume has a function called after each suspension, one after the other. It must not wait.
+func (w *Suspensions) OnResume(f func(slept Millis)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.tells = append(w.tells, f)
+	w.callbacks = append(w.callbacks, f)
 }
 
 // Run looks until the context ends.
-func (w *Wakes) Run(ctx context.Context) error {
-	tick := time.NewTicker(wakeCheck)
+func (w *Suspensions) Run(ctx context.Context) error {
+	tick := time.NewTicker(suspensionCheckInterval)
 	defer tick.Stop()
 	before := w.suspended()
 	for {
@@ -46,8 +46,8 @@
 		case <-tick.C:
 		}
 		now := w.suspended()
-		if now-before >= leastSuspension {
-			w.wake(FromDuration(now - before))
+		if now-before >= minSuspension {
+			w.notify(FromDuration(now - before))
 			before = now
 		}
 		before = min(before, now)
@@ -55,14 +55,14 @@
 }
 
 // suspended is for how long the VM has been suspended in all.
-func (w *Wakes) suspended() time.Duration {
+func (w *Suspensions) suspended() time.Duration {
 	steady := w.vm.Steady()
 	return w.vm.Elapsed() - steady
 }
 
-func (w *Wakes) wake(slept Millis) {
+func (w *Suspensions) notify(slept Millis) {
 	w.mu.Lock()
-	tells := w.tells
+	tells := w.callbacks
 	w.mu.Unlock()
 	for _, tell := range tells {
 		tell(slept)
--- a/cmd/hoistctl/explain.go
+++ b/cmd/hoistctl/explain.go
@@ -13,4 +13,4 @@
 	Logs []string `arg:"positional,required" help:"log files of relay nodes"`
 }
 
-func (c *explainCommand) runOffline() error { return explain.Files(os.Stdout, c.ID, c.Logs) }
+func (c *explainCommand) runOffline() error { return explain.PrintRequest(os.Stdout, c.ID, c.Logs) }
--- a/cmd/hoistctl/losses.go
+++ b/cmd/hoistctl/losses.go
@@ -13,7 +13,7 @@
 }
 
 func (c *lossesCommand) runOffline() error {
-	account, err := explain.Losses(c.Logs)
+	account, err := explain.ReadSummary(c.Logs)
 	if err != nil {
 		return err
 	}
--- a/cmd/hoistexplain/main.go
+++ b/cmd/hoistexplain/main.go
@@ -26,7 +26,7 @@
 func main() {
 	var args arguments
 	arg.MustParse(&args)
-	if err := explain.Files(os.Stdout, args.ID, args.Logs); err != nil {
+	if err := explain.PrintRequest(os.Stdout, args.ID, args.Logs); err != nil {
 		fmt.Fprintln(os.Stderr, "hoistexplain:", err)
 		os.Exit(1)
 	}
--- a/cmd/hoistlab/compare.go
+++ b/cmd/hoistlab/compare.go
@@ -45,7 +45,7 @@
 		variants = append(variants, v)
 	}
 	bar := progressbar.NewOptions(o.Seeds*len(variants), progressbar.OptionSetWriter(os.Stderr), progressbar.OptionClearOnFinish())
-	e := lab.Experiment{Scenario: s, Variants: variants, Seeds: o.Seeds, First: o.First, Jobs: o.Jobs, Step: func() { advance(bar) }}
+	e := lab.Experiment{Scenario: s, Variants: variants, Seeds: o.Seeds, FirstSeed: o.First, Parallelism: o.Jobs, RunDone: func() { advance(bar) }}
 	results, err := e.Run()
 	if err != nil {
 		return err
@@ -64,10 +64,10 @@
 	}
 	for i, d := range list {
 		first := i < len(lab.FigureNames)
-		if !first && d.By == 0 && d.Low == 0 && d.High == 0 {
+		if !first && d.MeanDifference == 0 && d.Low == 0 && d.High == 0 {
 			continue
 		}
-		if _, err := fmt.Fprintf(w, "%s\t%s\t%.4f\t%+.4f\t%+.4f to %+.4f\t%d\n", d.Variant, d.Figure, d.Mean, d.By, d.Low, d.High, d.Broken); err != nil {
+		if _, err := fmt.Fprintf(w, "%s\t%s\t%.4f\t%+.4f\t%+.4f to %+.4f\t%d\n", d.Variant, d.Figure, d.Mean, d.MeanDifference, d.Low, d.High, d.SeedsWithViolations); err != nil {
 			return err
 		}
 	}
--- a/cmd/hoistlab/hunt.go
+++ b/cmd/hoistlab/hunt.go
@@ -23,7 +23,7 @@
 		return err
 	}
 	bar := progressbar.NewOptions(-1, progressbar.OptionSetWriter(os.Stderr), progressbar.OptionClearOnFinish())
-	find, found := lab.Hunt(s, v, c.First, c.Runs, func() { advance(bar) })
+	find, found := lab.FindViolation(s, v, c.First, c.Runs, func() { advance(bar) })
 	if !found {
 		fmt.Printf("%d runs, no promise broken\n", c.Runs)
 		return nil
@@ -31,9 +31,9 @@
 	small := lab.Shrink(s, v, find, func() { advance(bar) })
 	fmt.Printf("seed %d, %d troubles, shrunk to %d:\n[faults]\n", find.Seed, len(find.Faults), len(small.Faults))
 	for _, f := range small.Faults {
-		fmt.Println(f.Line())
+		fmt.Println(f.ScenarioLine())
 	}
-	for promise, what := range find.Broken {
+	for promise, what := range find.Violations {
 		fmt.Printf("broken: %s: %s\n", promise, what)
 	}
 	return errBroken
--- a/cmd/hoistlab/run.go
+++ b/cmd/hoistlab/run.go
@@ -35,7 +35,7 @@
 			return err
 		}
 	}
-	if len(r.Broken) > 0 {
+	if len(r.Violations) > 0 {
 		return errBroken
 	}
 	return nil
@@ -75,12 +75,12 @@
 		}
 	}
 	const most = 5
-	for _, cause := range r.Largest(most) {
-		if _, err := fmt.Fprintf(w, "not served: %s\t%d\n", cause, r.Why[cause]); err != nil {
+	for _, cause := range r.TopCauses(most) {
+		if _, err := fmt.Fprintf(w, "not served: %s\t%d\n", cause, r.Causes[cause]); err != nil {
 			return err
 		}
 	}
-	for promise, what := range r.Broken {
+	for promise, what := range r.Violations {
 		if _, err := fmt.Fprintf(w, "broken: %s\t%s\n", promise, what); err != nil {
 			return err
 		}
--- a/cmd/hoistlab/scale.go
+++ b/cmd/hoistlab/scale.go
@@ -33,16 +33,16 @@
 }
 
 var scaleFigures = []scaleFigure{
-	{"engines", func(s sizeResult) float64 { return float64(s.scenario.Engines()) }},
-	{"streams a second", func(s sizeResult) float64 { return s.scenario.Load.PerSecond }},
-	{"served", func(s sizeResult) float64 { return s.result.Served() }},
-	{"datagrams heard a second, middle node", func(s sizeResult) float64 { return s.result.Heard.Middle }},
-	{"busiest", func(s sizeResult) float64 { return s.result.Heard.Most }},
-	{"sent a second, middle node", func(s sizeResult) float64 { return s.result.Sent.Middle }},
-	{"busiest", func(s sizeResult) float64 { return s.result.Sent.Most }},
-	{"orders", func(s sizeResult) float64 { return float64(s.result.Orders) }},
+	{"engines", func(s sizeResult) float64 { return float64(s.scenario.EngineCount()) }},
+	{"streams a second", func(s sizeResult) float64 { return s.scenario.Load.StreamsPerSecond }},
+	{"served", func(s sizeResult) float64 { return s.result.ServedShare() }},
+	{"datagrams heard a second, middle node", func(s sizeResult) float64 { return s.result.Received.Median }},
+	{"busiest", func(s sizeResult) float64 { return s.result.Received.Max }},
+	{"sent a second, middle node", func(s sizeResult) float64 { return s.result.Sent.Median }},
+	{"busiest", func(s sizeResult) float64 { return s.result.Sent.Max }},
+	{"orders", func(s sizeResult) float64 { return float64(s.result.PlacementOrders) }},
 	{"probes", func(s sizeResult) float64 { return float64(s.result.Probes) }},
-	{"repeats", func(s sizeResult) float64 { return float64(s.result.Repeats) }},
+	{"repeats", func(s sizeResult) float64 { return float64(s.result.RepeatedArrivals) }},
 }
 
 func (c *scaleCommand) run() error {
@@ -59,8 +59,8 @@
 	for _, nodes := range sizes {
 		scenario := s.Scaled(nodes, c.Held)
 		r := lab.Run(scenario, v, c.Seed)
-		played = append(played, sizeResult{scenario: scenario, result: r, nodes: scenario.Nodes.EachCentre * len(scenario.Fleet.Centres())})
-		for promise, what := range r.Broken {
+		played = append(played, sizeResult{scenario: scenario, result: r, nodes: scenario.Nodes.PerDataCentre * len(scenario.Fleet.DataCentres())})
+		for promise, what := range r.Violations {
 			broken = true
 			fmt.Printf("%d nodes broke %s: %s\n", nodes, promise, what)
 		}
@@ -103,7 +103,7 @@
 		return "\t\t"
 	}
 	a, b := played[len(played)-2], played[len(played)-1]
-	power := lab.Power(a.nodes, b.nodes, f.value(a), f.value(b))
+	power := lab.GrowthExponent(a.nodes, b.nodes, f.value(a), f.value(b))
 	if math.IsNaN(power) {
 		return "\t\t"
 	}
--- a/cmd/hoistmeasure/main.go
+++ b/cmd/hoistmeasure/main.go
@@ -56,7 +56,7 @@
 		return given, nil
 	}
 	return measure.Capacity(1, func(name string, rate float64, f *measure.Figures) {
-		fmt.Printf("climb: %-20s %5.0f/s sent %6.1f/s good\n", name, rate, f.Good)
+		fmt.Printf("climb: %-20s %5.0f/s sent %6.1f/s good\n", name, rate, f.GoodPerSecond)
 	})
 }
 
@@ -77,10 +77,10 @@
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "  contender\tgood/s (spread)\tof policy's\tshare\tsmall\trecovery\tstall\twrong\tmissing\toutcomes")
 	for i, c := range contenders {
-		sum := all[i].Sum()
+		sum := all[i].Summary()
 		_, _ = fmt.Fprintf(t, "  %s\t%.1f (%.1f-%.1f)\t%.2f\t%.2f\t%.2f\t%v (%v)\t%v\t%d\t%d\t%s\n",
-			c.Name, sum.Good, sum.LeastGood, sum.MostGood, sum.Good/all[0].Sum().Good, sum.Share, sum.Small,
-			sum.Recovery, sum.LongestRecovery, sum.Stall.Round(time.Millisecond), sum.Wrong, sum.Missing, sum.Outcomes)
+			c.Name, sum.GoodPerSecond, sum.MinGoodPerSecond, sum.MaxGoodPerSecond, sum.GoodPerSecond/all[0].Summary().GoodPerSecond, sum.GoodShare, sum.SmallGoodShare,
+			sum.RecoveryTime, sum.MaxRecoveryTime, sum.LongestStall.Round(time.Millisecond), sum.WrongAnswers, sum.MissingOutcomes, sum.Outcomes)
 	}
 	_ = t.Flush()
 	fmt.Println()
@@ -88,7 +88,7 @@
 }
 
 func overhead() error {
-	o, err := measure.AddedByNode()
+	o, err := measure.RunOverhead()
 	if err != nil {
 		return err
 	}
--- a/cmd/hoistrehearse/main.go
+++ b/cmd/hoistrehearse/main.go
@@ -55,7 +55,7 @@
 			fmt.Fprintln(os.Stderr, "hoistrehearse:", err)
 		}
 		switch {
-		case errors.Is(err, rehearse.ErrNotValid):
+		case errors.Is(err, rehearse.ErrInvalid):
 			notValid++
 		case err != nil:
 			failed++
@@ -84,8 +84,8 @@
 	}
 	logs = filepath.Join(logs, fmt.Sprint(seed))
 	opts := []rehearse.Option{
-		rehearse.WithSeed(seed), rehearse.WithScale(args.Scale), rehearse.WithLength(clock.FromDuration(args.For)), rehearse.WithBusy(args.Busy),
-		rehearse.WithPrograms(args.Bin), rehearse.WithTemplate(args.Template), rehearse.WithLogs(logs),
+		rehearse.WithSeed(seed), rehearse.WithScale(args.Scale), rehearse.WithLoadDuration(clock.FromDuration(args.For)), rehearse.WithBusyProcessors(args.Busy),
+		rehearse.WithBinDir(args.Bin), rehearse.WithSettingsTemplate(args.Template), rehearse.WithLogDir(logs),
 	}
 	if !args.Quiet {
 		opts = append(opts, rehearse.WithProgress(os.Stderr))
@@ -114,6 +114,6 @@
 	if err != nil {
 		return errors.CombineErrors(err, data.Close())
 	}
-	err = errors.CombineErrors(r.WriteJSON(data), r.WritePage(page))
+	err = errors.CombineErrors(r.WriteJSON(data), r.WriteHTML(page))
 	return errors.CombineErrors(err, errors.CombineErrors(data.Close(), page.Close()))
 }
--- a/cmd/hoistreplay/main.go
+++ b/cmd/hoistreplay/main.go
@@ -27,7 +27,7 @@
 		if args.Print {
 			opts = append(opts, record.WithPrint(printMessage))
 		}
-		if err := record.File(file, opts...); err != nil {
+		if err := record.ReplayFile(file, opts...); err != nil {
 			failed = true
 			fmt.Printf("%s: %v\n", file, err)
 			continue
@@ -44,5 +44,5 @@
 	if err != nil {
 		text = []byte(err.Error())
 	}
-	fmt.Printf("%8d %s %s %s\n", at, kind, record.Name(v), text)
+	fmt.Printf("%8d %s %s %s\n", at, kind, record.TypeName(v), text)
 }
--- a/cmd/hoistsoak/main.go
+++ b/cmd/hoistsoak/main.go
@@ -58,7 +58,7 @@
 	}
 	dir = filepath.Join(dir, fmt.Sprint(seed))
 	err := soak.Run(ctx, soak.Options{
-		Seed: seed, For: args.For, Bin: args.Bin, Dir: dir, Out: os.Stdout,
+		Seed: seed, FaultDuration: args.For, BinDir: args.Bin, LogDir: dir, Out: os.Stdout,
 		Size: soak.Size{Nodes: args.Nodes, Engines: args.Engines, Callers: args.Callers},
 	})
 	if err != nil {
--- a/cmd/standin-deployment/main.go
+++ b/cmd/standin-deployment/main.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	store := standin.NewRowStore()
-	store.SetPace(s.Deployment.StoreMS.Duration(), c.Reads, c.Writes)
+	store.SetCapacity(s.Deployment.StoreLatencyMS.Duration(), c.Reads, c.Writes)
 	store.Put("op", "config", config)
 	return standin.Serve(listen, store.Handler(), os.Stdout)
 }
--- a/cmd/standin-site/main.go
+++ b/cmd/standin-site/main.go
@@ -64,7 +64,7 @@
 	operator.write(standin.SiteConfig(1, c.Keys...))
 	mux := http.NewServeMux()
 	mux.Handle("/", store.Handler())
-	mux.HandleFunc("POST /copy", func(http.ResponseWriter, *http.Request) { store.Copy() })
+	mux.HandleFunc("POST /copy", func(http.ResponseWriter, *http.Request) { store.Backup() })
 	mux.HandleFunc("POST /return", func(http.ResponseWriter, *http.Request) { operator.restoreStore() })
 	mux.HandleFunc("POST /operator/{version}", func(w http.ResponseWriter, r *http.Request) {
 		var version uint64
@@ -95,7 +95,7 @@
 func (o *operator) restoreStore() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.store.Return()
+	o.store.Restore()
 	if !bytes.Equal(o.store.Value("op", "config"), o.newest) {
 		o.store.Put("op", "config", o.newest)
 	}
@@ -115,8 +115,8 @@
 	if err != nil {
 		return err
 	}
-	engine := standin.NewChainEngine(c.ID, advertisedAddress(c, address), standin.WithEnd(crash))
-	go standin.Beat(context.Background(), c.Store, c.ID, func() *platformpb.Server { return engine.Entry(c.Centre) })
+	engine := standin.NewChainEngine(c.ID, advertisedAddress(c, address), standin.WithCrash(crash))
+	go standin.SendHeartbeats(context.Background(), c.Store, c.ID, func() *platformpb.Server { return engine.Entry(c.Centre) })
 	return standin.Serve(address, engine.Handler(), os.Stdout)
 }
 
@@ -125,8 +125,8 @@
 	if err != nil {
 		return err
 	}
-	desk := standin.NewDesk(c.ID, advertisedAddress(c, address), c.Work, standin.WithEnd(crash))
-	go standin.Beat(context.Background(), c.Store, c.ID, func() *platformpb.Server { return desk.Entry(c.Centre) })
+	desk := standin.NewPlainServer(c.ID, advertisedAddress(c, address), c.Work, standin.WithCrash(crash))
+	go standin.SendHeartbeats(context.Background(), c.Store, c.ID, func() *platformpb.Server { return desk.Entry(c.Centre) })
 	return standin.Serve(address, desk.Handler(), os.Stdout)
 }
 
@@ -142,6 +142,6 @@
 
 // crash exits immediately, as a crash would, and prints the path of the request that caused it.
 func crash(path string) {
-	fmt.Println(standin.EndedBy + path)
+	fmt.Println(standin.CrashedBy + path)
 	os.Exit(crashExitCode)
 }
--- a/config/apply.go
+++ b/config/apply.go
@@ -23,14 +23,14 @@
 		Accounts:  slices.Clone(c.GetAccounts()),
 	}
 	for _, change := range record.GetChanges() {
-		if err := edit(next, change); err != nil {
+		if err := applyChange(next, change); err != nil {
 			return nil, err
 		}
 	}
 	return next, nil
 }
 
-func edit(c *wire.Config, change *wire.Change) error {
+func applyChange(c *wire.Config, change *wire.Change) error {
 	var err error
 	switch e := change.GetEdit().(type) {
 	case *wire.Change_PutRoute:
@@ -51,13 +51,13 @@
 	return err
 }
 
-// named is what all items of a configuration have in common.
-type named interface {
+// namedItem is what all items of a configuration have in common.
+type namedItem interface {
 	proto.Message
 	GetName() string
 }
 
-func find[T named](items []T, name string) (int, bool) {
+func find[T namedItem](items []T, name string) (int, bool) {
 	return slices.BinarySearchFunc(items, name, func(item T, name string) int {
 		return strings.Compare(item.GetName(), name)
 	})
@@ -65,7 +65,7 @@
 
 // put adds an item or replaces the one of the same name. Items stay sorted by
 // name.
-func put[T named](items []T, item T) []T {
+func put[T namedItem](items []T, item T) []T {
 	at, found := find(items, item.GetName())
 	if found {
 		items[at] = item
@@ -74,7 +74,7 @@
 	return slices.Insert(items, at, item)
 }
 
-func remove[T named](items []T, what, name string) ([]T, error) {
+func remove[T namedItem](items []T, what, name string) ([]T, error) {
 	at, found := find(items, name)
 	if !found {
 		return nil, errors.Wrapf(ErrInvalid, "no %s %q to delete", what, name)
--- a/config/tracker.go
+++ b/config/tracker.go
@@ -27,20 +27,20 @@
 type Tracker struct {
 	current *wire.Config
 	// base is the version that the history starts from.
-	base    *wire.Config
-	history []*wire.ChangeRecord
-	keep    int
+	base       *wire.Config
+	history    []*wire.ChangeRecord
+	maxHistory int
 }
 
 // TrackerOption sets up a Tracker.
 type TrackerOption func(*Tracker)
 
 // WithHistory sets how many change records are kept.
-func WithHistory(n int) TrackerOption { return func(t *Tracker) { t.keep = max(n, 1) } }
+func WithHistory(n int) TrackerOption { return func(t *Tracker) { t.maxHistory = max(n, 1) } }
 
 // NewTracker returns a tracker at version 0, the empty configuration.
 func NewTracker(opts ...TrackerOption) *Tracker {
-	t := &Tracker{current: &wire.Config{}, base: &wire.Config{}, keep: DefaultHistory}
+	t := &Tracker{current: &wire.Config{}, base: &wire.Config{}, maxHistory: DefaultHistory}
 	for _, opt := range opts {
 		opt(t)
 	}
@@ -53,10 +53,10 @@
 // Version returns the version in force; zero before the first.
 func (t *Tracker) Version() uint64 { return t.current.GetVersion() }
 
-// Restore puts a whole configuration in force if it is newer than the present
+// Replace puts a whole configuration in force if it is newer than the present
 // one, and reports whether it did. An older one is passed over: a node never
 // goes back.
-func (t *Tracker) Restore(c *wire.Config) bool {
+func (t *Tracker) Replace(c *wire.Config) bool {
 	if c.GetVersion() <= t.Version() {
 		return false
 	}
@@ -86,17 +86,17 @@
 // trim drops the oldest half of a history that has grown too long, and moves
 // the base up to match.
 func (t *Tracker) trim() {
-	if len(t.history) <= t.keep {
+	if len(t.history) <= t.maxHistory {
 		return
 	}
-	cut := len(t.history) - t.keep/2
-	t.base = t.At(t.history[cut-1].GetVersion())
+	cut := len(t.history) - t.maxHistory/2
+	t.base = t.ConfigAt(t.history[cut-1].GetVersion())
 	t.history = slices.Clone(t.history[cut:])
 }
 
-// After returns the records that follow a version. It returns false when they
+// RecordsAfter returns the records that follow a version. It returns false when they
 // are not all held; the whole configuration then has to do.
-func (t *Tracker) After(version uint64) ([]*wire.ChangeRecord, bool) {
+func (t *Tracker) RecordsAfter(version uint64) ([]*wire.ChangeRecord, bool) {
 	if version >= t.Version() {
 		return nil, true
 	}
@@ -114,8 +114,8 @@
 	return newest[:min(limit, len(newest))]
 }
 
-// ByChange returns the record of a change id, or nil when it is not held.
-func (t *Tracker) ByChange(id string) *wire.ChangeRecord {
+// RecordByChangeID returns the record of a change id, or nil when it is not held.
+func (t *Tracker) RecordByChangeID(id string) *wire.ChangeRecord {
 	for _, r := range t.history {
 		if r.GetChangeId() == id {
 			return r
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// ByVersion returns the record that made a version, or nil when it is not held.
-func (t *Tracker) ByVersion(version uint64) *wire.ChangeRecord {
+// RecordByVersion returns the record that made a version, or nil when it is not held.
+func (t *Tracker) RecordByVersion(version uint64) *wire.ChangeRecord {
 	for _, r := range t.history {
 		if r.GetVersion() == version {
 			return r
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// Try returns the configuration that a proposal would make, if it is valid.
-func (t *Tracker) Try(record *wire.ChangeRecord) (*wire.Config, error) {
+// Preview returns the configuration that a proposal would make, if it is valid.
+func (t *Tracker) Preview(record *wire.ChangeRecord) (*wire.Config, error) {
 	next, err := Apply(t.current, record)
 	if err != nil {
 		return nil, err
@@ -146,9 +146,9 @@
 // Size returns the number of bytes that the configuration takes on the wire.
 func (t *Tracker) Size() int { return proto.Size(t.current) }
 
-// At returns an earlier version, worked out from the records held since the
+// ConfigAt returns an earlier version, worked out from the records held since the
 // last whole configuration, or nil when those do not reach back so far.
-func (t *Tracker) At(version uint64) *wire.Config {
+func (t *Tracker) ConfigAt(version uint64) *wire.Config {
 	c := t.base
 	if c == nil || version < c.GetVersion() || version > t.Version() {
 		return nil
--- a/core/account.go
+++ b/core/account.go
@@ -28,9 +28,9 @@
 
 func (a *account) weight() float64 { return float64(a.config.GetWeight()) }
 
-// full reports whether the account has more in progress than it may. The
+// overLimit reports whether the account has more in progress than it may. The
 // request that asks counts as in progress.
-func (a *account) full() bool {
+func (a *account) overLimit() bool {
 	limit := a.config.GetMaxInFlight()
 	return limit > 0 && a.inProgress > int(limit)
 }
--- a/core/answer_store.go
+++ b/core/answer_store.go
@@ -1,24 +1,24 @@
 package core
 
-// DefaultAnswers bounds the answers that are kept for callers that ask again
+// DefaultAnswerBytes bounds the answers that are kept for callers that ask again
 // with the same key, in bytes.
-const DefaultAnswers = 32 << 20
+const DefaultAnswerBytes = 32 << 20
 
 // answerStore keeps the answers of ended requests that have a key, oldest
 // first, up to a number of bytes. What it drops is remembered as having run,
 // by the ledger; only its text is gone.
 type answerStore struct {
-	kept  []*keyRecord
-	bytes int
-	most  int
+	records  []*keyRecord
+	bytes    int
+	maxBytes int
 }
 
 func (s *answerStore) put(k *keyRecord) (dropped []*keyRecord) {
-	s.kept = append(s.kept, k)
+	s.records = append(s.records, k)
 	s.bytes += k.request.size()
-	for s.bytes > s.most && len(s.kept) > 1 {
-		oldest := s.kept[0]
-		s.kept = s.kept[1:]
+	for s.bytes > s.maxBytes && len(s.records) > 1 {
+		oldest := s.records[0]
+		s.records = s.records[1:]
 		s.bytes -= oldest.request.size()
 		dropped = append(dropped, oldest)
 	}
--- a/core/bench_test.go
+++ b/core/bench_test.go
@@ -13,35 +13,35 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// fleet is the size of what a node has to know.
-type fleet struct {
+// clusterSize is the size of what a node has to know.
+type clusterSize struct {
 	upstreams int
 	accounts  int
 	models    int
 	peers     int
 }
 
-// full is the size that the users expect within two years.
-var full = fleet{upstreams: 7100, accounts: 5700, models: 13, peers: 330}
+// fullSize is the size that the users expect within two years.
+var fullSize = clusterSize{upstreams: 7100, accounts: 5700, models: 13, peers: 330}
 
 // sizes are a tenth of the full size, and up to its double, for the slopes.
-var sizes = []fleet{full.times(0.1), full.times(0.5), full, full.times(2)}
+var sizes = []clusterSize{fullSize.scaled(0.1), fullSize.scaled(0.5), fullSize, fullSize.scaled(2)}
 
-func (f fleet) times(k float64) fleet {
-	return fleet{
+func (f clusterSize) scaled(k float64) clusterSize {
+	return clusterSize{
 		upstreams: int(float64(f.upstreams) * k), accounts: int(float64(f.accounts) * k),
 		models: f.models, peers: int(float64(f.peers) * k),
 	}
 }
 
-func (f fleet) String() string {
+func (f clusterSize) String() string {
 	return fmt.Sprintf("upstreams=%d/accounts=%d/peers=%d", f.upstreams, f.accounts, f.peers)
 }
 
 const benchStages = 3
 
 // listing spreads the upstreams over all stages of all models.
-func (f fleet) listing() []pool.Listing {
+func (f clusterSize) listing() []pool.Listing {
 	var list []pool.Listing
 	for i := range f.upstreams {
 		stage, model := i%benchStages, i/benchStages%f.models
@@ -53,7 +53,7 @@
 	return list
 }
 
-func (f fleet) config() *wire.Config {
+func (f clusterSize) config() *wire.Config {
 	record := &wire.ChangeRecord{}
 	for m := range f.models {
 		p := &wire.Pipeline{Name: fmt.Sprintf("p%02d", m), Layers: benchStages}
@@ -88,7 +88,7 @@
 	return &wire.ClientAccount{Name: accountName(i), KeyHash: hash[:], Weight: weight, Priority: 4}
 }
 
-func (f fleet) model() *core.Model {
+func (f clusterSize) model() *core.Model {
 	m := core.New(core.WithSeed(1), core.WithSecret([]byte("s")))
 	m.Update(0, core.ChangesMsg{Snapshot: f.config()})
 	m.Update(0, core.ListMsg{Upstreams: f.listing()})
@@ -114,7 +114,7 @@
 	}
 }
 
-func eachSize(b *testing.B, f func(b *testing.B, size fleet)) {
+func eachSize(b *testing.B, f func(b *testing.B, size clusterSize)) {
 	for _, size := range sizes {
 		b.Run(size.String(), func(b *testing.B) { f(b, size) })
 	}
@@ -123,7 +123,7 @@
 // BenchmarkStep runs one request's steps around its stages: an operation is
 // one step's answer taken in and the next step sent.
 func BenchmarkStep(b *testing.B) {
-	eachSize(b, func(b *testing.B, size fleet) {
+	eachSize(b, func(b *testing.B, size clusterSize) {
 		m := size.model()
 		step := stepOf(m.Update(1, submit(1, 0)))
 		now := clock.Millis(1)
@@ -150,7 +150,7 @@
 
 // BenchmarkAdmission takes in a request, dispatches it, and cancels it.
 func BenchmarkAdmission(b *testing.B) {
-	eachSize(b, func(b *testing.B, size fleet) {
+	eachSize(b, func(b *testing.B, size clusterSize) {
 		m := size.model()
 		msgs := make([]core.SubmitMsg, 1024)
 		for i := range msgs {
@@ -169,7 +169,7 @@
 
 // BenchmarkVersion takes in one change of a client account.
 func BenchmarkVersion(b *testing.B) {
-	eachSize(b, func(b *testing.B, size fleet) {
+	eachSize(b, func(b *testing.B, size clusterSize) {
 		m := size.model()
 		version := uint64(1)
 		for b.Loop() {
@@ -186,7 +186,7 @@
 
 // BenchmarkHeartbeat takes in a peer's heartbeat with its digest.
 func BenchmarkHeartbeat(b *testing.B) {
-	eachSize(b, func(b *testing.B, size fleet) {
+	eachSize(b, func(b *testing.B, size clusterSize) {
 		m := size.model()
 		beat := uint64(1)
 		b.ReportAllocs()
@@ -203,7 +203,7 @@
 
 // BenchmarkTick runs the timers with a hundred requests in progress.
 func BenchmarkTick(b *testing.B) {
-	eachSize(b, func(b *testing.B, size fleet) {
+	eachSize(b, func(b *testing.B, size clusterSize) {
 		m := size.model()
 		for i := range 100 {
 			m.Update(1, submit(uint64(i)+1, i))
@@ -217,7 +217,7 @@
 
 // BenchmarkList takes in the platform's whole list.
 func BenchmarkList(b *testing.B) {
-	eachSize(b, func(b *testing.B, size fleet) {
+	eachSize(b, func(b *testing.B, size clusterSize) {
 		m := size.model()
 		list := size.listing()
 		for b.Loop() {
@@ -229,7 +229,7 @@
 // BenchmarkState reports the bytes that a model takes, and those of a
 // heartbeat and a change record on the wire.
 func BenchmarkState(b *testing.B) {
-	eachSize(b, func(b *testing.B, size fleet) {
+	eachSize(b, func(b *testing.B, size clusterSize) {
 		var before, after runtime.MemStats
 		for b.Loop() {
 			runtime.GC()
--- a/core/configure.go
+++ b/core/configure.go
@@ -4,12 +4,12 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// snapshotEvery is how many versions lie between whole configurations in the
+// snapshotInterval is how many versions lie between whole configurations in the
 // object store. A node that starts reads one of them, and the records after.
-const snapshotEvery = 64
+const snapshotInterval = 64
 
-// head takes in the newest version in the platform's table.
-func (m *Model) head(msg HeadMsg) {
+// headReceived takes in the newest version in the platform's table.
+func (m *Model) headReceived(msg HeadMsg) {
 	if msg.Version > m.tracker.Version() {
 		m.fetchChanges("")
 	}
@@ -22,26 +22,26 @@
 		return
 	}
 	m.fetching = true
-	m.do(&FetchChangesCmd{After: m.tracker.Version(), Address: address})
+	m.addCmd(&FetchChangesCmd{After: m.tracker.Version(), Address: address})
 }
 
-// changes puts newer versions in force. Older ones are passed over, and a gap
+// changesReceived puts newer versions in force. Older ones are passed over, and a gap
 // waits for the next fetch.
-func (m *Model) changes(msg ChangesMsg) {
+func (m *Model) changesReceived(msg ChangesMsg) {
 	m.fetching = false
 	before := m.tracker.Version()
-	if msg.Snapshot != nil && m.tracker.Restore(msg.Snapshot) {
+	if msg.Snapshot != nil && m.tracker.Replace(msg.Snapshot) {
 		m.rebuild()
 	}
 	for _, r := range msg.Records {
-		m.addRecord(r)
+		m.applyRecord(r)
 	}
 	if m.tracker.Version() != before {
-		m.inForce()
+		m.versionApplied()
 	}
 }
 
-func (m *Model) addRecord(r *wire.ChangeRecord) {
+func (m *Model) applyRecord(r *wire.ChangeRecord) {
 	changed, err := m.tracker.Add(r)
 	if err != nil || !changed {
 		return
@@ -49,16 +49,16 @@
 	for _, c := range r.GetChanges() {
 		m.applyChange(c)
 	}
-	if r.GetVersion()%snapshotEvery == 0 {
-		m.snapshot()
+	if r.GetVersion()%snapshotInterval == 0 {
+		m.maybeWriteSnapshot()
 	}
 }
 
-// snapshot writes the whole configuration into the object store. Every node
+// maybeWriteSnapshot writes the whole configuration into the object store. Every node
 // would write the same bytes; one in about a handful does.
-func (m *Model) snapshot() {
+func (m *Model) maybeWriteSnapshot() {
 	if m.rng.IntN(m.members.Len()+1) < snapshotWriters {
-		m.do(&SnapshotCmd{Config: m.tracker.Current()})
+		m.addCmd(&SnapshotCmd{Config: m.tracker.Current()})
 	}
 }
 
@@ -66,8 +66,8 @@
 // gets through when some of them fail.
 const snapshotWriters = 2
 
-// inForce tells the rest of the node, and its peers, of the version.
-func (m *Model) inForce() {
+// versionApplied tells the rest of the node, and its peers, of the version.
+func (m *Model) versionApplied() {
 	m.node.Version = m.tracker.Version()
 	m.stats.Versions++
 	m.answerProposals()
@@ -77,8 +77,8 @@
 func (m *Model) rebuild() {
 	c := m.tracker.Current()
 	clear(m.accounts)
-	old := m.byName
-	m.byName = make(map[string]*account, len(c.GetAccounts()))
+	old := m.accountsByName
+	m.accountsByName = make(map[string]*account, len(c.GetAccounts()))
 	for _, a := range c.GetAccounts() {
 		m.putAccount(a, old[a.GetName()])
 	}
@@ -90,7 +90,7 @@
 func (m *Model) applyChange(c *wire.Change) {
 	switch e := c.GetEdit().(type) {
 	case *wire.Change_PutAccount:
-		m.putAccount(e.PutAccount, m.byName[e.PutAccount.GetName()])
+		m.putAccount(e.PutAccount, m.accountsByName[e.PutAccount.GetName()])
 	case *wire.Change_DeleteAccount:
 		m.deleteAccount(e.DeleteAccount)
 	default:
@@ -102,23 +102,23 @@
 	if a == nil {
 		a = newAccount(c)
 	} else {
-		delete(m.accounts, hashOf(a.config))
+		delete(m.accounts, keyHashOf(a.config))
 		a.config = c
 	}
-	m.accounts[hashOf(c)] = a
-	m.byName[c.GetName()] = a
+	m.accounts[keyHashOf(c)] = a
+	m.accountsByName[c.GetName()] = a
 }
 
 func (m *Model) deleteAccount(name string) {
-	a := m.byName[name]
+	a := m.accountsByName[name]
 	if a == nil {
 		return
 	}
-	delete(m.accounts, hashOf(a.config))
-	delete(m.byName, name)
+	delete(m.accounts, keyHashOf(a.config))
+	delete(m.accountsByName, name)
 }
 
-func hashOf(c *wire.ClientAccount) KeyHash {
+func keyHashOf(c *wire.ClientAccount) KeyHash {
 	var h KeyHash
 	copy(h[:], c.GetKeyHash())
 	return h
@@ -136,7 +136,7 @@
 	for _, rc := range c.GetRoutes() {
 		r := &route{config: rc, lane: m.laneFor(rc, lanes)}
 		if before := old[rc.GetName()]; before != nil {
-			r.times = before.times
+			r.latencies = before.latencies
 		}
 		m.routes[rc.GetName()] = r
 	}
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -42,12 +42,12 @@
 
 // start sends a request to upstreams that have room.
 func (m *Model) start(l *lane, r *request, chain []*pool.Upstream) {
-	if !m.begin(r) {
-		m.unknown(r, ReasonAnswerGone)
+	if !m.markBegun(r) {
+		m.endUnknown(r, ReasonAnswerGone)
 		return
 	}
-	if r.dispatched == 0 {
-		r.dispatched = m.now
+	if r.dispatchedAt == 0 {
+		r.dispatchedAt = m.now
 		l.budget.Deposit()
 	}
 	r.chain = chain
@@ -55,19 +55,19 @@
 		m.pool.Begin(u)
 	}
 	l.running++
-	r.slot = len(m.running)
+	r.runningIndex = len(m.running)
 	m.running = append(m.running, r)
 	r.phase = phaseRunning
-	if r.route.service() {
+	if r.route.isService() {
 		m.call(r)
 		return
 	}
 	m.startGeneration(r)
 }
 
-// begin lets a request start. The ledger says yes once for each key; a request
+// markBegun lets a request start. The ledger says yes once for each key; a request
 // that goes on after losing an upstream has had its yes.
-func (m *Model) begin(r *request) bool {
+func (m *Model) markBegun(r *request) bool {
 	if r.begun {
 		return true
 	}
@@ -78,11 +78,11 @@
 	return true
 }
 
-// unbegin takes begin back, on proof that no upstream has started.
-func (m *Model) unbegin(r *request) {
+// undoBegun takes begin back, on proof that no upstream has started.
+func (m *Model) undoBegun(r *request) {
 	r.begun = false
 	if r.key != nil {
-		r.key.ledger.Undo(r.key.claim.Sequence)
+		r.key.ledger.UndoBegin(r.key.claim.Sequence)
 	}
 }
 
@@ -96,7 +96,7 @@
 	}
 	chain := make([]*pool.Upstream, 0, len(l.groups))
 	for _, g := range l.groups {
-		u, ok := m.pickOne(g, r)
+		u, ok := m.pickUpstream(g, r)
 		if !ok {
 			return nil
 		}
@@ -105,15 +105,15 @@
 	return chain
 }
 
-// pickOne avoids upstreams that have failed the request before, unless there
+// pickUpstream avoids upstreams that have failed the request before, unless there
 // are no others.
-func (m *Model) pickOne(g *pool.Group, r *request) (*pool.Upstream, bool) {
+func (m *Model) pickUpstream(g *pool.Group, r *request) (*pool.Upstream, bool) {
 	pick := m.pool.Pick
 	if r.phase == phaseResuming {
-		pick = m.pool.PickOver
+		pick = m.pool.PickOverLimit
 	}
-	u, ok := pick(g.Name(), m.rng, r.tried...)
-	if ok || len(r.tried) == 0 || g.Limit() > 0 && g.Len() > 1 {
+	u, ok := pick(g.Name(), m.rng, r.failed...)
+	if ok || len(r.failed) == 0 || g.Limit() > 0 && g.Len() > 1 {
 		return u, ok
 	}
 	return pick(g.Name(), m.rng)
@@ -122,34 +122,34 @@
 // cachedChain returns the chain that may have the prompt's prefix cached, if
 // all of it has room to spare. A hint does not outweigh crowding.
 func (m *Model) cachedChain(l *lane, r *request) []*pool.Upstream {
-	if len(r.tried) > 0 {
+	if len(r.failed) > 0 {
 		return nil
 	}
 	chain := l.affinity.get(m.now, r.spec.Prompt)
 	for _, u := range chain {
-		if !u.HasRoom() || float64(u.InFlight()) > u.Limit()/2 {
+		if !u.HasCapacity() || float64(u.InFlight()) > u.Limit()/2 {
 			return nil
 		}
 	}
 	return chain
 }
 
-// leaveLane gives back the places that a request holds.
-func (m *Model) leaveLane(r *request) {
-	if !r.holds() {
+// releaseSlots gives back the places that a request holds.
+func (m *Model) releaseSlots(r *request) {
+	if !r.holdsSlots() {
 		return
 	}
 	for _, u := range r.chain {
 		m.pool.End(u)
 	}
-	if !r.route.service() {
+	if !r.route.isService() {
 		m.endGeneration(r)
 	}
 	r.chain = nil
 	r.route.lane.running--
 	last := len(m.running) - 1
-	m.running[r.slot] = m.running[last]
-	m.running[r.slot].slot = r.slot
+	m.running[r.runningIndex] = m.running[last]
+	m.running[r.runningIndex].runningIndex = r.runningIndex
 	m.running[last] = nil
 	m.running = m.running[:last]
 }
--- a/core/drain.go
+++ b/core/drain.go
@@ -12,18 +12,18 @@
 	// sealed is set once the keys are on their way to another node: nothing
 	// of them may begin here any more.
 	sealed bool
-	// to is the node that gets the keys, and until is how long it is asked.
-	to    *wire.NodeRecord
-	until clock.Millis
-	out   bool
-	done  bool
+	// successor is the node that gets the keys, and until is how long it is asked.
+	successor        *wire.NodeRecord
+	handoverDeadline clock.Millis
+	handoverInFlight bool
+	exited           bool
 }
 
-// handoverPatience is how long a node that stops tries to hand its keys over.
-const handoverPatience clock.Millis = 3000
+// handoverTimeout is how long a node that stops tries to hand its keys over.
+const handoverTimeout clock.Millis = 3000
 
-// closed reports whether the node takes no more new requests.
-func (d *drainState) closed(now clock.Millis) bool { return d.started && now >= d.closeAt }
+// refusesNew reports whether the node takes no more new requests.
+func (d *drainState) refusesNew(now clock.Millis) bool { return d.started && now >= d.closeAt }
 
 // startDrain begins a planned stop. The node is no longer ready, but serves
 // what still comes until the balancer has had its time; then it waits for what
@@ -34,21 +34,21 @@
 		return
 	}
 	m.drain.started = true
-	m.drain.closeAt = m.now.Add(m.grace)
+	m.drain.closeAt = m.now.Add(m.drainGrace)
 	m.node.Draining = true
-	m.beat()
-	m.do(&RegisterCmd{Node: m.Self()})
+	m.sendHeartbeats()
+	m.addCmd(&RegisterCmd{Node: m.Self()})
 }
 
 func (m *Model) tickDrain() {
 	d := &m.drain
-	if !d.closed(m.now) || len(m.requests) > 0 || d.done {
+	if !d.refusesNew(m.now) || len(m.requests) > 0 || d.exited {
 		return
 	}
 	if !d.sealed {
 		m.seal()
 	}
-	if d.to != nil && m.now < d.until {
+	if d.successor != nil && m.now < d.handoverDeadline {
 		m.handOver()
 		return
 	}
@@ -59,15 +59,15 @@
 // choice is made once: a node whose answer was lost may have the keys.
 func (m *Model) seal() {
 	m.drain.sealed = true
-	m.drain.until = m.now.Add(handoverPatience)
+	m.drain.handoverDeadline = m.now.Add(handoverTimeout)
 	if p := m.members.Successor(m.now, m.rng); p != nil {
-		m.drain.to = p.Record()
+		m.drain.successor = p.Record()
 	}
 }
 
 func (m *Model) exit() {
-	m.drain.done = true
-	m.do(&ExitCmd{})
+	m.drain.exited = true
+	m.addCmd(&ExitCmd{})
 }
 
 // Ready reports whether the balancer should send requests here.
--- a/core/engine_fake_test.go
+++ b/core/engine_fake_test.go
@@ -18,10 +18,10 @@
 }
 
 type fakeSession struct {
-	generation uint32
-	next       uint32
-	digest     uint64
-	last       *core.StepDoneMsg
+	generation   uint32
+	nextPosition uint32
+	digest       uint64
+	last         *core.StepDoneMsg
 }
 
 func newFakeEngine(name string) *fakeEngine {
@@ -39,7 +39,7 @@
 	return x ^ x>>29 + uint64(position)
 }
 
-func (e *fakeEngine) run(node uint64, s core.StepCmd) core.Msg {
+func (e *fakeEngine) execute(node uint64, s core.StepCmd) core.Msg {
 	id := fakeSessionID{node: node, request: s.Request}
 	session := e.sessions[id]
 	fault := core.StepFailedMsg{Upstream: e.name, Request: s.Request, Generation: s.Generation, Position: s.Position}
@@ -58,7 +58,7 @@
 	if session.last != nil && session.last.Position == s.Position {
 		return session.last
 	}
-	if session.next != s.Position {
+	if session.nextPosition != s.Position {
 		fault.Fault = core.StepGap
 		return fault
 	}
@@ -75,8 +75,8 @@
 		Upstream: e.name, Request: s.Request, Generation: s.Generation, Position: s.Position, Positions: len(inputs),
 	}
 	for _, in := range inputs {
-		session.digest = fold(session.digest, in, session.next)
-		session.next++
+		session.digest = fold(session.digest, in, session.nextPosition)
+		session.nextPosition++
 		done.Outputs = append(done.Outputs, session.digest)
 	}
 	if e.name[0] == 'b' {
@@ -98,8 +98,8 @@
 	return inputs
 }
 
-// reference works out the whole answer to a request in one piece.
-func reference(spec core.SubmitMsg) string {
+// expectedAnswer works out the whole answer to a request in one piece.
+func expectedAnswer(spec core.SubmitMsg) string {
 	var a, b uint64
 	position := uint32(0)
 	inputs := embedFake(spec.Prompt, nil)
--- a/core/finish.go
+++ b/core/finish.go
@@ -12,7 +12,7 @@
 // "unknown".
 func (m *Model) refuse(r *request, reason Reason, retryAfter clock.Millis) {
 	f := FinishCmd{Outcome: outcome.NotExecuted, Reason: reason, RetryAfter: retryAfter}
-	if r.begun || r.ambiguous() || reasons[reason].notRun == "" {
+	if r.begun || r.mayHaveExecuted() || reasons[reason].notExecuted == "" {
 		f.Outcome = outcome.Unknown
 	}
 	m.end(r, f)
@@ -23,16 +23,16 @@
 	m.end(r, FinishCmd{Outcome: outcome.Failed, Reason: reason})
 }
 
-// unknown ends a request that may have run, and will not be run again.
-func (m *Model) unknown(r *request, reason Reason) {
+// endUnknown ends a request that may have run, and will not be run again.
+func (m *Model) endUnknown(r *request, reason Reason) {
 	m.end(r, FinishCmd{Outcome: outcome.Unknown, Reason: reason})
 }
 
-// lose ends a request whose upstream is lost: one that may not be repeated is
+// endUnanswered ends a request whose upstream is lost: one that may not be repeated is
 // unknown, any other has failed.
-func (m *Model) lose(r *request, reason Reason) {
-	if r.marked() {
-		m.unknown(r, reason)
+func (m *Model) endUnanswered(r *request, reason Reason) {
+	if r.noRepeat() {
+		m.endUnknown(r, reason)
 		return
 	}
 	m.fail(r, reason)
@@ -43,27 +43,27 @@
 	if r.phase == phaseEnded {
 		return
 	}
-	m.leaveLane(r)
+	m.releaseSlots(r)
 	r.phase = phaseEnded
 	f.Tokens = len(r.texts)
 	r.final = f
 	for _, caller := range r.callers {
 		final := f
 		final.Caller = caller
-		m.do(&final)
+		m.addCmd(&final)
 		delete(m.byCaller, caller)
 	}
 	r.callers = nil
 	delete(m.requests, r.id)
 	r.account.inProgress--
-	m.keepAnswer(r)
-	m.measure(r, f)
+	m.storeAnswer(r)
+	m.recordOutcome(r, f)
 	m.dispatch(r.route.lane)
 }
 
-// keepAnswer holds on to the answer of a key that has run, for callers that
+// storeAnswer holds on to the answer of a key that has run, for callers that
 // ask again. A key that has not run is let go: it may be asked for anew.
-func (m *Model) keepAnswer(r *request) {
+func (m *Model) storeAnswer(r *request) {
 	k := r.key
 	if k == nil {
 		return
@@ -82,10 +82,10 @@
 	}
 }
 
-// measure counts how a request ended.
-func (m *Model) measure(r *request, f FinishCmd) {
+// recordOutcome counts how a request ended.
+func (m *Model) recordOutcome(r *request, f FinishCmd) {
 	m.stats.count(f.Outcome, f.Reason)
-	if f.Reason == ReasonCanceled || (f.Outcome == outcome.Failed && f.Reason.callersFault()) {
+	if f.Reason == ReasonCanceled || (f.Outcome == outcome.Failed && f.Reason.isClientError()) {
 		return
 	}
 	good := f.Outcome == outcome.Done && r.withinBounds(m.now)
@@ -95,21 +95,21 @@
 	}
 }
 
-// lateShare is the share of an answer's tokens that may come late: the bound
+// maxLateShare is the share of an answer's tokens that may come late: the bound
 // is for 95 in 100.
-const lateShare = 0.05
+const maxLateShare = 0.05
 
 func (r *request) withinBounds(now clock.Millis) bool {
-	if r.route.service() {
-		return now.Sub(r.arrived) <= r.route.firstBound()
+	if r.route.isService() {
+		return now.Sub(r.arrivedAt) <= r.route.firstTokenBound()
 	}
-	if r.firstAt.Sub(r.arrived) > r.route.firstBound() {
+	if r.firstTokenAt.Sub(r.arrivedAt) > r.route.firstTokenBound() {
 		return false
 	}
-	return float64(r.late) <= lateShare*float64(len(r.texts))
+	return float64(r.lateTokens) <= maxLateShare*float64(len(r.texts))
 }
 
-func (r Reason) callersFault() bool {
+func (r Reason) isClientError() bool {
 	switch r {
 	case ReasonBadRequest, ReasonUnauthorized, ReasonNoRoute, ReasonKeyReused:
 		return true
--- a/core/gossip.go
+++ b/core/gossip.go
@@ -6,39 +6,39 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// beat tells a few peers what this node knows.
-func (m *Model) beat() {
+// sendHeartbeats tells a few peers what this node knows.
+func (m *Model) sendHeartbeats() {
 	m.node.Beat++
 	for _, p := range m.members.GossipTargets(m.rng) {
-		m.beatTo(p.Record().GetAddress())
+		m.sendHeartbeat(p.Record().GetAddress())
 	}
-	if len(m.seeds) > 0 && m.members.LiveNodes(m.now) == 1 {
-		m.beatTo(m.seeds[m.rng.IntN(len(m.seeds))])
+	if len(m.seedPeers) > 0 && m.members.LiveNodes(m.now) == 1 {
+		m.sendHeartbeat(m.seedPeers[m.rng.IntN(len(m.seedPeers))])
 	}
 }
 
-func (m *Model) beatTo(address string) {
+func (m *Model) sendHeartbeat(address string) {
 	if address == "" || address == m.node.GetAddress() {
 		return
 	}
-	m.do(&HeartbeatCmd{Address: address, Beat: &wire.HeartbeatRequest{
+	m.addCmd(&HeartbeatCmd{Address: address, Beat: &wire.HeartbeatRequest{
 		From:    m.Self(),
 		Heard:   m.members.Digest(m.rng),
 		Leaving: m.members.Marks(),
 	}})
 }
 
-// heartbeat takes in what a peer knows. A peer with a newer version is asked
+// heartbeatReceived takes in what a peer knows. A peer with a newer version is asked
 // for the records, so that a node that cannot reach the store follows too.
-func (m *Model) heartbeat(msg HeartbeatMsg) {
-	m.learnNodes(NodesMsg{Nodes: append([]*wire.NodeRecord{msg.From}, msg.Heard...)})
-	m.hearMarks(msg.Leaving)
+func (m *Model) heartbeatReceived(msg HeartbeatMsg) {
+	m.updateNodes(NodesMsg{Nodes: append([]*wire.NodeRecord{msg.From}, msg.Heard...)})
+	m.applyMarks(msg.Leaving)
 	if msg.From.GetVersion() > m.tracker.Version() {
 		m.fetchChanges(msg.From.GetAddress())
 	}
 }
 
-func (m *Model) learnNodes(msg NodesMsg) {
+func (m *Model) updateNodes(msg NodesMsg) {
 	for _, n := range msg.Nodes {
 		m.members.Update(m.now, n)
 	}
--- a/core/handover.go
+++ b/core/handover.go
@@ -26,27 +26,27 @@
 	Ledgers []once.Snapshot `json:"ledgers"`
 }
 
-// mostInherited bounds the incarnations whose keys a node holds beside its
+// maxInherited bounds the incarnations whose keys a node holds beside its
 // own. Those that were handed over first are let go: their keys may not begin
 // any more, and their callers are told that it is not known.
-const mostInherited = 32
+const maxInherited = 32
 
 // handOver sends the keys, again and again to the same peer until it answers.
 func (m *Model) handOver() {
-	if m.drain.out {
+	if m.drain.handoverInFlight {
 		return
 	}
-	m.drain.out = true
-	cmd := &HandoverCmd{Address: m.drain.to.GetAddress(), To: m.drain.to.GetIncarnation(), Ledgers: []once.Snapshot{m.ledger.Snapshot()}}
+	m.drain.handoverInFlight = true
+	cmd := &HandoverCmd{Address: m.drain.successor.GetAddress(), To: m.drain.successor.GetIncarnation(), Ledgers: []once.Snapshot{m.ledger.Snapshot()}}
 	for _, incarnation := range m.node.GetInherits() {
 		cmd.Ledgers = append(cmd.Ledgers, m.ledgers[incarnation].Snapshot())
 	}
-	m.do(cmd)
+	m.addCmd(cmd)
 }
 
-func (m *Model) handedOver(msg HandedOverMsg) {
-	m.drain.out = false
-	if msg.Done && m.drain.sealed && !m.drain.done {
+func (m *Model) handoverDone(msg HandedOverMsg) {
+	m.drain.handoverInFlight = false
+	if msg.Done && m.drain.sealed && !m.drain.exited {
 		m.exit()
 	}
 }
@@ -65,15 +65,15 @@
 		m.node.Inherits = append(m.node.GetInherits(), s.Incarnation)
 		m.stats.Inherited++
 	}
-	for len(m.node.GetInherits()) > mostInherited {
-		m.ledgers[m.node.GetInherits()[0]].Forget()
+	for len(m.node.GetInherits()) > maxInherited {
+		m.ledgers[m.node.GetInherits()[0]].EvictAll()
 		m.node.Inherits = slices.Clone(m.node.GetInherits()[1:])
 	}
-	m.beat()
+	m.sendHeartbeats()
 }
 
-// Holds reports whether the keys of a handover are held here.
-func (m *Model) Holds(msg HandoverMsg) bool {
+// HoldsLedgers reports whether the keys of a handover are held here.
+func (m *Model) HoldsLedgers(msg HandoverMsg) bool {
 	if msg.To != m.node.GetIncarnation() {
 		return false
 	}
--- a/core/key.go
+++ b/core/key.go
@@ -5,39 +5,39 @@
 	"github.com/hoistjunction/hoistjunction/outcome"
 )
 
-// settleKey finds out whose key a request carries.
-func (m *Model) settleKey(r *request) {
+// resolveKey finds out whose key a request carries.
+func (m *Model) resolveKey(r *request) {
 	name := keyName(r.account.config.GetName(), r.spec.Key)
 	if known := m.keys[name]; known != nil {
 		m.attach(r, known)
 		return
 	}
-	k := &keyRecord{name: name, request: r, digest: digestOf(&r.spec)}
+	k := &keyRecord{name: name, request: r, digest: requestDigest(&r.spec)}
 	r.key = k
 	m.keys[name] = k
 	if r.spec.Relayed {
-		m.settleClaim(r, r.spec.Claim)
+		m.resolveClaim(r, r.spec.Claim)
 		return
 	}
 	t, isTicket := once.ParseTicket(r.spec.Key)
 	if !isTicket {
-		m.claim(r)
+		m.requestClaim(r)
 		return
 	}
 	if l := m.ledgers[t.Claim.Owner]; l != nil && !l.Verify(t, r.account.config.GetName()) {
 		m.fail(r, ReasonBadRequest)
 		return
 	}
-	m.settleClaim(r, t.Claim)
+	m.resolveClaim(r, t.Claim)
 }
 
-// settleClaim goes on with a request whose key is known to be a claim's.
-func (m *Model) settleClaim(r *request, c once.Claim) {
+// resolveClaim goes on with a request whose key is known to be a claim's.
+func (m *Model) resolveClaim(r *request, c once.Claim) {
 	r.key.claim = c
 	l := m.ledgers[c.Owner]
 	if l == nil || m.drain.sealed {
 		if r.spec.Relayed {
-			m.refuse(r, ReasonOwnerGone, rejectPause)
+			m.refuse(r, ReasonOwnerGone, rejectRetryAfter)
 			return
 		}
 		m.relay(r)
@@ -45,24 +45,24 @@
 	}
 	r.key.ledger = l
 	switch l.State(c.Sequence) {
-	case once.Fresh:
+	case once.NotBegun:
 		r.key.owned = true
 		m.admit(r)
 	case once.NeverIssued:
 		m.fail(r, ReasonBadRequest)
 	default:
-		m.unknown(r, ReasonAnswerGone)
+		m.endUnknown(r, ReasonAnswerGone)
 	}
 }
 
 // attach gives a caller that asks again the request that its key stands for:
 // the rest of its answer, or its final word.
 func (m *Model) attach(again *request, k *keyRecord) {
-	m.drop(again)
+	m.discard(again)
 	caller := again.spec.Caller
 	r := k.request
-	if k.digest != digestOf(&again.spec) {
-		m.do(&FinishCmd{Caller: caller, Outcome: outcome.Failed, Reason: ReasonKeyReused})
+	if k.digest != requestDigest(&again.spec) {
+		m.addCmd(&FinishCmd{Caller: caller, Outcome: outcome.Failed, Reason: ReasonKeyReused})
 		return
 	}
 	m.stats.Attached++
@@ -70,20 +70,20 @@
 		r.spec.FirstTry = false
 	}
 	if len(r.texts) > 0 {
-		m.do(&EmitCmd{Callers: []uint64{caller}, Texts: r.texts})
+		m.addCmd(&EmitCmd{Callers: []uint64{caller}, Texts: r.texts})
 	}
 	if r.phase == phaseEnded {
 		f := r.final
 		f.Caller = caller
-		m.do(&f)
+		m.addCmd(&f)
 		return
 	}
 	r.callers = append(r.callers, caller)
 	m.byCaller[caller] = r
 }
 
-// drop forgets a request that turned out to be another's second try.
-func (m *Model) drop(r *request) {
+// discard forgets a request that turned out to be another's second try.
+func (m *Model) discard(r *request) {
 	delete(m.requests, r.id)
 	delete(m.byCaller, r.spec.Caller)
 	r.account.inProgress--
--- a/core/key_hash.go
+++ b/core/key_hash.go
@@ -7,8 +7,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrKeyHash means that a text is not a key's hash.
-var ErrKeyHash = errors.New("core: not the hash of a key")
+// ErrInvalidKeyHash means that a text is not a key's hash.
+var ErrInvalidKeyHash = errors.New("core: not the hash of a key")
 
 // KeyHash is the SHA-256 of a client account's key.
 type KeyHash [sha256.Size]byte
@@ -23,7 +23,7 @@
 func (h *KeyHash) UnmarshalText(text []byte) error {
 	raw, err := hex.DecodeString(string(text))
 	if err != nil || len(raw) != len(h) {
-		return errors.Wrapf(ErrKeyHash, "%q", text)
+		return errors.Wrapf(ErrInvalidKeyHash, "%q", text)
 	}
 	copy(h[:], raw)
 	return nil
--- a/core/key_record.go
+++ b/core/key_record.go
@@ -26,8 +26,8 @@
 // keys.
 func keyName(account, key string) string { return account + "/" + key }
 
-// digestOf tells one request from another.
-func digestOf(s *SubmitMsg) uint64 {
+// requestDigest tells one request from another.
+func requestDigest(s *SubmitMsg) uint64 {
 	d := xxhash.New()
 	for _, part := range []string{s.Route, s.Prompt, s.Path, string(s.Body)} {
 		_, _ = d.WriteString(part)
--- a/core/lane.go
+++ b/core/lane.go
@@ -21,25 +21,25 @@
 	budget   *budget.Budget
 	running  int
 
-	// perToken is the usual time that a request holds its place, for each
+	// slotMillisPerToken is the usual time that a request holds its place, for each
 	// token asked for; first is the usual time from dispatch to first token.
-	perToken smooth
-	first    smooth
-	affinity affinity
+	slotMillisPerToken movingAverage
+	firstTokenMillis   movingAverage
+	affinity           affinity
 }
 
-// smooth is a moving average with a first guess of zero.
-type smooth struct {
+// movingAverage is a moving average with a first guess of zero.
+type movingAverage struct {
 	value float64
 	count int
 }
 
-// smoothShare is the weight of a new sample once there are enough.
-const smoothShare = 1.0 / 16
+// minSampleWeight is the weight of a new sample once there are enough.
+const minSampleWeight = 1.0 / 16
 
-func (s *smooth) add(sample float64) {
+func (s *movingAverage) add(sample float64) {
 	s.count++
-	share := math.Max(smoothShare, 1/float64(s.count))
+	share := math.Max(minSampleWeight, 1/float64(s.count))
 	s.value += (sample - s.value) * share
 }
 
@@ -71,8 +71,8 @@
 	return least
 }
 
-// staffed reports whether every stage has upstreams at all.
-func (l *lane) staffed() bool {
+// hasUpstreams reports whether every stage has upstreams at all.
+func (l *lane) hasUpstreams() bool {
 	for _, g := range l.groups {
 		if g.Len() == 0 {
 			return false
@@ -81,16 +81,16 @@
 	return true
 }
 
-// wait predicts how long a request would wait in the queue.
-func (l *lane) wait(a *account, priority int, cost float64) clock.Millis {
+// predictedWait predicts how long a request would wait in the queue.
+func (l *lane) predictedWait(a *account, priority int, cost float64) clock.Millis {
 	slots := l.slots()
 	if l.queue.Len() == 0 && float64(l.running)+1 <= slots {
 		return 0
 	}
-	own := float64(l.queue.LenOf(priority, a.config.GetName())) + 1
-	share := a.weight() / l.queue.Weight(priority, a.config.GetName(), a.weight())
+	own := float64(l.queue.AccountLen(priority, a.config.GetName())) + 1
+	share := a.weight() / l.queue.ActiveWeight(priority, a.config.GetName(), a.weight())
 	behind := math.Min(own/share, float64(l.queue.Len())+1)
 	ahead := float64(l.queue.Ahead(priority)) + behind + float64(len(l.resuming))
-	hold := l.perToken.value * cost
+	hold := l.slotMillisPerToken.value * cost
 	return clock.Millis(ahead * hold / math.Max(slots, 1))
 }
--- a/core/model.go
+++ b/core/model.go
@@ -22,10 +22,10 @@
 	node        *wire.NodeRecord
 	secret      []byte
 	seed        uint64
-	seeds       []string
+	seedPeers   []string
 	chooser     pool.Chooser
 	policy      Policy
-	grace       clock.Millis
+	drainGrace  clock.Millis
 	claimWrites float64
 
 	now  clock.Millis
@@ -34,12 +34,12 @@
 	// replyRNG is for what is asked for outside Update.
 	replyRNG *rand.Rand
 
-	tracker  *config.Tracker
-	accounts map[KeyHash]*account
-	byName   map[string]*account
-	routes   map[string]*route
-	lanes    []*lane
-	pool     *pool.Pool
+	tracker        *config.Tracker
+	accounts       map[KeyHash]*account
+	accountsByName map[string]*account
+	routes         map[string]*route
+	lanes          []*lane
+	pool           *pool.Pool
 	// ledger is this incarnation's own; ledgers holds it too, and those that
 	// have been handed over, by incarnation.
 	ledger    *once.Ledger
@@ -62,18 +62,18 @@
 // New returns the model of a node that has no configuration yet.
 func New(opts ...Option) *Model {
 	m := &Model{
-		node:        &wire.NodeRecord{Name: "node", Incarnation: 1, DataCentre: "dc"},
-		policy:      DefaultPolicy(),
-		chooser:     pool.TwoChoices{},
-		claimWrites: DefaultClaimWrites,
-		accounts:    make(map[KeyHash]*account),
-		byName:      make(map[string]*account),
-		routes:      make(map[string]*route),
-		requests:    make(map[uint64]*request),
-		byCaller:    make(map[uint64]*request),
-		keys:        make(map[string]*keyRecord),
-		tracker:     config.NewTracker(),
-		answers:     answerStore{most: DefaultAnswers},
+		node:           &wire.NodeRecord{Name: "node", Incarnation: 1, DataCentre: "dc"},
+		policy:         DefaultPolicy(),
+		chooser:        pool.TwoChoices{},
+		claimWrites:    DefaultClaimWrites,
+		accounts:       make(map[KeyHash]*account),
+		accountsByName: make(map[string]*account),
+		routes:         make(map[string]*route),
+		requests:       make(map[uint64]*request),
+		byCaller:       make(map[uint64]*request),
+		keys:           make(map[string]*keyRecord),
+		tracker:        config.NewTracker(),
+		answers:        answerStore{maxBytes: DefaultAnswerBytes},
 	}
 	for _, opt := range opts {
 		opt(m)
@@ -92,7 +92,7 @@
 func (m *Model) poolLimits() pool.Limits {
 	l := pool.DefaultLimits()
 	if !m.policy.Adapt {
-		l.Start, l.Most = m.policy.FixedLimit, m.policy.FixedLimit
+		l.Start, l.Max = m.policy.FixedLimit, m.policy.FixedLimit
 	}
 	return l
 }
@@ -110,7 +110,7 @@
 	case CancelMsg:
 		m.cancel(msg)
 	case TicketsMsg:
-		m.tickets(msg)
+		m.issueTickets(msg)
 	case *StepDoneMsg:
 		m.stepDone(msg)
 	case StepFailedMsg:
@@ -132,30 +132,30 @@
 	case RelayFailedMsg:
 		m.relayFailed(msg)
 	case ListMsg:
-		m.list(msg)
+		m.listReceived(msg)
 	default:
-		m.updateFleet(msg)
+		m.updateCluster(msg)
 	}
 	return m.cmds
 }
 
-// updateFleet takes in what concerns the fleet and not a single request.
-func (m *Model) updateFleet(msg Msg) {
+// updateCluster takes in what concerns the fleet and not a single request.
+func (m *Model) updateCluster(msg Msg) {
 	switch msg := msg.(type) {
 	case HeadMsg:
-		m.head(msg)
+		m.headReceived(msg)
 	case ChangesMsg:
-		m.changes(msg)
+		m.changesReceived(msg)
 	case FetchFailedMsg:
 		m.fetching = false
 	case NodesMsg:
-		m.learnNodes(msg)
+		m.updateNodes(msg)
 	case HeartbeatMsg:
-		m.heartbeat(msg)
+		m.heartbeatReceived(msg)
 	case ProposeMsg:
 		m.propose(msg)
 	case CommitMsg:
-		m.committed(msg)
+		m.commitDone(msg)
 	case MarkLeavingMsg:
 		m.markLeaving(msg.Upstream)
 	case DrainMsg:
@@ -163,12 +163,12 @@
 	case HandoverMsg:
 		m.inherit(msg)
 	case HandedOverMsg:
-		m.handedOver(msg)
+		m.handoverDone(msg)
 	}
 }
 
-// do adds a command to what Update returns.
-func (m *Model) do(cmd Cmd) { m.cmds = append(m.cmds, cmd) }
+// addCmd adds a command to what Update returns.
+func (m *Model) addCmd(cmd Cmd) { m.cmds = append(m.cmds, cmd) }
 
 // jitter returns a span drawn evenly from 0 up to span.
 func (m *Model) jitter(span clock.Millis) clock.Millis {
--- a/core/msg.go
+++ b/core/msg.go
@@ -8,5 +8,5 @@
 // that one is valid until its step has been answered.
 type Cmd any
 
-// TickMsg says that time has passed. It is due every TickEvery.
+// TickMsg says that time has passed. It is due every TickInterval.
 type TickMsg struct{}
--- a/core/options.go
+++ b/core/options.go
@@ -6,8 +6,8 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// TickEvery is how often a TickMsg is due.
-const TickEvery clock.Millis = 20
+// TickInterval is how often a TickMsg is due.
+const TickInterval clock.Millis = 20
 
 // Option sets up a Model.
 type Option func(*Model)
@@ -21,9 +21,9 @@
 // WithSeed seeds all random choices.
 func WithSeed(seed uint64) Option { return func(m *Model) { m.seed = seed } }
 
-// WithSeeds sets addresses of peers to speak to before the platform's table
+// WithSeedPeers sets addresses of peers to speak to before the platform's table
 // has named any.
-func WithSeeds(addresses []string) Option { return func(m *Model) { m.seeds = addresses } }
+func WithSeedPeers(addresses []string) Option { return func(m *Model) { m.seedPeers = addresses } }
 
 // WithChooser sets how one upstream is chosen among those with room.
 func WithChooser(c pool.Chooser) Option { return func(m *Model) { m.chooser = c } }
@@ -31,14 +31,14 @@
 // WithPolicy sets how requests are admitted, ordered and retried.
 func WithPolicy(p Policy) Option { return func(m *Model) { m.policy = p } }
 
-// WithGrace sets how long a node that stops goes on taking new requests,
+// WithDrainGrace sets how long a node that stops goes on taking new requests,
 // until the balancer has noticed.
-func WithGrace(grace clock.Millis) Option { return func(m *Model) { m.grace = grace } }
+func WithDrainGrace(grace clock.Millis) Option { return func(m *Model) { m.drainGrace = grace } }
 
-// WithStoreShare sets how many writes a second all nodes together may use for
+// WithClaimWrites sets how many writes a second all nodes together may use for
 // claims.
-func WithStoreShare(claims float64) Option { return func(m *Model) { m.claimWrites = claims } }
+func WithClaimWrites(claims float64) Option { return func(m *Model) { m.claimWrites = claims } }
 
-// WithAnswers sets how many bytes of answers are kept for callers that ask
+// WithAnswerBytes sets how many bytes of answers are kept for callers that ask
 // again with the same key.
-func WithAnswers(bytes int) Option { return func(m *Model) { m.answers.most = bytes } }
+func WithAnswerBytes(bytes int) Option { return func(m *Model) { m.answers.maxBytes = bytes } }
--- a/core/propose.go
+++ b/core/propose.go
@@ -12,34 +12,34 @@
 
 // How long an operator waits for a proposal.
 const (
-	// commitPatience is how long the store is asked before the operator is
+	// commitTimeout is how long the store is asked before the operator is
 	// told that the outcome is not known.
-	commitPatience clock.Millis = 5000
-	// spreadPatience is how long a committed change may take to be seen in
+	commitTimeout clock.Millis = 5000
+	// spreadTimeout is how long a committed change may take to be seen in
 	// two data centres before the operator is told that it is spreading.
-	spreadPatience clock.Millis = 3000
-	// acceptedCentres is in how many data centres a version must be in force
+	spreadTimeout clock.Millis = 3000
+	// acceptedDataCentres is in how many data centres a version must be in force
 	// before it is called accepted.
-	acceptedCentres = 2
+	acceptedDataCentres = 2
 )
 
 // proposal is an operator's change on its way.
 type proposal struct {
-	call    uint64
-	record  *wire.ChangeRecord
-	since   clock.Millis
-	version uint64
-	checked bool
-	out     bool
-	retryAt clock.Millis
+	call       uint64
+	record     *wire.ChangeRecord
+	receivedAt clock.Millis
+	version    uint64
+	validated  bool
+	inFlight   bool
+	retryAt    clock.Millis
 }
 
 // propose checks a change and sends it to the platform's table, which decides
 // between racing operators. A change on top of a version that this node has
 // not seen yet waits for it.
 func (m *Model) propose(msg ProposeMsg) {
-	p := &proposal{call: msg.Call, since: m.now}
-	if known := m.tracker.ByChange(msg.ChangeID); known != nil {
+	p := &proposal{call: msg.Call, receivedAt: m.now}
+	if known := m.tracker.RecordByChangeID(msg.ChangeID); known != nil {
 		p.version = known.GetVersion()
 		m.proposals = append(m.proposals, p)
 		m.answerProposals()
@@ -57,69 +57,69 @@
 		m.fetchChanges("")
 		return
 	}
-	m.check(p)
+	m.validateProposal(p)
 }
 
-// check commits a proposal that makes a valid configuration.
-func (m *Model) check(p *proposal) {
-	if reply := m.refuseProposal(p.record); reply != nil {
-		m.answer(p, reply)
+// validateProposal commits a proposal that makes a valid configuration.
+func (m *Model) validateProposal(p *proposal) {
+	if reply := m.rejectionReply(p.record); reply != nil {
+		m.replyToProposal(p, reply)
 		return
 	}
-	p.checked = true
-	m.commit(p)
+	p.validated = true
+	m.commitProposal(p)
 }
 
-// refuseProposal returns the answer to a proposal that cannot be committed as
+// rejectionReply returns the answer to a proposal that cannot be committed as
 // it stands, or nil. A base that is older than the version in force has lost.
-func (m *Model) refuseProposal(record *wire.ChangeRecord) *wire.ProposeReply {
+func (m *Model) rejectionReply(record *wire.ChangeRecord) *wire.ProposeReply {
 	if record.GetChangeId() == "" || len(record.GetChanges()) == 0 {
-		return invalid("a proposal needs a change id and at least one change")
+		return invalidReply("a proposal needs a change id and at least one change")
 	}
-	_, err := m.tracker.Try(record)
+	_, err := m.tracker.Preview(record)
 	if errors.Is(err, config.ErrOutOfOrder) {
 		return &wire.ProposeReply{
 			State:   wire.ProposeState_PROPOSE_STATE_CONFLICT,
 			Version: m.tracker.Version(),
 			Detail:  "the version in force is another one; look at it and propose again",
-			Winner:  m.tracker.ByVersion(record.GetVersion()),
+			Winner:  m.tracker.RecordByVersion(record.GetVersion()),
 		}
 	}
 	if err != nil {
-		return invalid(err.Error())
+		return invalidReply(err.Error())
 	}
 	return nil
 }
 
-func invalid(detail string) *wire.ProposeReply {
+func invalidReply(detail string) *wire.ProposeReply {
 	return &wire.ProposeReply{State: wire.ProposeState_PROPOSE_STATE_INVALID, Detail: detail}
 }
 
-func (m *Model) commit(p *proposal) {
-	p.out = true
-	m.do(&CommitCmd{Call: p.call, Record: p.record})
+func (m *Model) commitProposal(p *proposal) {
+	p.inFlight = true
+	m.addCmd(&CommitCmd{Call: p.call, Record: p.record})
 }
 
-// committed takes in what came of a commit. After a lost answer the same
+// commitDone takes in what came of a commit. After a lost answer the same
 // record is sent again: the table knows its change id, and takes it once.
-func (m *Model) committed(msg CommitMsg) {
-	p := m.proposalOf(msg.Call)
+func (m *Model) commitDone(msg CommitMsg) {
+	p := m.proposalByCall(msg.Call)
 	if p == nil {
 		return
 	}
-	p.out = false
+	p.inFlight = false
 	switch msg.Result {
 	case Committed:
 		p.version = msg.Version
 		if msg.Version == p.record.GetVersion() {
-			m.changes(ChangesMsg{Records: []*wire.ChangeRecord{p.record}})
+			m.changesReceived(ChangesMsg{Records: []*wire.ChangeRecord{p.record}})
 		}
 		if msg.Version > m.tracker.Version() {
 			m.fetchChanges("")
 		}
 		m.answerProposals()
 	case Conflicted:
-		m.answer(p, &wire.ProposeReply{
+		m.replyToProposal(p, &wire.ProposeReply{
 			State:   wire.ProposeState_PROPOSE_STATE_CONFLICT,
 			Version: msg.Head,
 			Detail:  "another change was first; look at it and propose again",
@@ -129,11 +129,11 @@
 		})
 		m.fetchChanges("")
 	case CommitUnanswered:
-		p.retryAt = m.now.Add(storePause/4 + m.jitter(storePause/4))
+		p.retryAt = m.now.Add(storeRetryInterval/4 + m.jitter(storeRetryInterval/4))
 	}
 }
 
-func (m *Model) proposalOf(call uint64) *proposal {
+func (m *Model) proposalByCall(call uint64) *proposal {
 	for _, p := range m.proposals {
 		if p.call == call {
 			return p
@@ -142,8 +142,8 @@
 	return nil
 }
 
-func (m *Model) answer(p *proposal, reply *wire.ProposeReply) {
-	m.do(&ProposedCmd{Call: p.call, Reply: reply})
+func (m *Model) replyToProposal(p *proposal, reply *wire.ProposeReply) {
+	m.addCmd(&ProposedCmd{Call: p.call, Reply: reply})
 	m.proposals = slices.DeleteFunc(m.proposals, func(other *proposal) bool { return other == p })
 }
 
@@ -160,12 +160,12 @@
 		m.retryCommit(p)
 		return
 	}
-	if m.tracker.Version() >= p.version && m.members.DataCentresWithVersion(p.version) >= acceptedCentres {
-		m.answer(p, &wire.ProposeReply{State: wire.ProposeState_PROPOSE_STATE_ACCEPTED, Version: p.version})
+	if m.tracker.Version() >= p.version && m.members.DataCentresWithVersion(p.version) >= acceptedDataCentres {
+		m.replyToProposal(p, &wire.ProposeReply{State: wire.ProposeState_PROPOSE_STATE_ACCEPTED, Version: p.version})
 		return
 	}
-	if m.now.Sub(p.since) > spreadPatience {
-		m.answer(p, &wire.ProposeReply{
+	if m.now.Sub(p.receivedAt) > spreadTimeout {
+		m.replyToProposal(p, &wire.ProposeReply{
 			State:   wire.ProposeState_PROPOSE_STATE_SPREADING,
 			Version: p.version,
 			Detail:  "committed for good; not yet seen in force in two data centres",
@@ -174,28 +174,28 @@
 }
 
 func (m *Model) retryCommit(p *proposal) {
-	if m.now.Sub(p.since) > commitPatience {
-		m.answer(p, &wire.ProposeReply{
+	if m.now.Sub(p.receivedAt) > commitTimeout {
+		m.replyToProposal(p, &wire.ProposeReply{
 			State:  wire.ProposeState_PROPOSE_STATE_UNKNOWN,
 			Detail: "the store gave no answer; propose the same change id again to learn what came of it",
 		})
 		return
 	}
-	if p.out || m.now < p.retryAt {
+	if p.inFlight || m.now < p.retryAt {
 		return
 	}
-	if !p.checked {
-		m.checkWhenSeen(p)
+	if !p.validated {
+		m.validateWhenBaseApplied(p)
 		return
 	}
-	m.commit(p)
+	m.commitProposal(p)
 }
 
-// checkWhenSeen checks a proposal once the version it builds on is in force
+// validateWhenBaseApplied checks a proposal once the version it builds on is in force
 // here.
-func (m *Model) checkWhenSeen(p *proposal) {
+func (m *Model) validateWhenBaseApplied(p *proposal) {
 	if p.record.GetVersion() > m.tracker.Version()+1 {
 		return
 	}
-	m.check(p)
+	m.validateProposal(p)
 }
--- a/core/relay.go
+++ b/core/relay.go
@@ -7,13 +7,13 @@
 func (m *Model) relay(r *request) {
 	owner := m.members.Owner(r.key.claim.Owner)
 	if owner == nil {
-		m.ownerGone(r)
+		m.ownerUnreachable(r)
 		return
 	}
 	r.phase = phaseRelayed
 	m.relayed = append(m.relayed, r)
 	m.stats.Relayed++
-	m.do(&RelayCmd{
+	m.addCmd(&RelayCmd{
 		Request:  r.id,
 		Owner:    r.key.claim,
 		Address:  owner.Record().GetAddress(),
@@ -23,10 +23,10 @@
 	})
 }
 
-// ownerGone ends a request whose owner has not seen it and cannot be reached.
+// ownerUnreachable ends a request whose owner has not seen it and cannot be reached.
 // A caller that has not tried before knows then that it has not run.
-func (m *Model) ownerGone(r *request) {
-	m.refuse(r, ReasonOwnerGone, rejectPause+m.jitter(rejectPause))
+func (m *Model) ownerUnreachable(r *request) {
+	m.refuse(r, ReasonOwnerGone, rejectRetryAfter+m.jitter(rejectRetryAfter))
 }
 
 func (m *Model) relayTokens(msg RelayTokensMsg) {
@@ -37,7 +37,7 @@
 	}
 	from := len(r.texts)
 	r.texts = append(r.texts, msg.Texts...)
-	m.do(&EmitCmd{Callers: r.callers, Texts: r.texts[from:]})
+	m.addCmd(&EmitCmd{Callers: r.callers, Texts: r.texts[from:]})
 }
 
 func (m *Model) relayDone(msg RelayDoneMsg) {
@@ -46,7 +46,7 @@
 		m.stats.Stale++
 		return
 	}
-	r.firstAt = m.now
+	r.firstTokenAt = m.now
 	m.end(r, msg.Finish)
 }
 
@@ -57,10 +57,10 @@
 		return
 	}
 	if msg.NotSent {
-		m.ownerGone(r)
+		m.ownerUnreachable(r)
 		return
 	}
-	m.end(r, FinishCmd{Outcome: outcome.Unknown, Reason: ReasonOwnerGone, RetryAfter: rejectPause + m.jitter(rejectPause)})
+	m.end(r, FinishCmd{Outcome: outcome.Unknown, Reason: ReasonOwnerGone, RetryAfter: rejectRetryAfter + m.jitter(rejectRetryAfter)})
 }
 
 // expireRelays ends relayed requests whose time is over. The owner goes on.
@@ -79,6 +79,6 @@
 	clear(m.relayed[len(kept):])
 	m.relayed = kept
 	for _, r := range late {
-		m.end(r, FinishCmd{Outcome: outcome.Unknown, Reason: ReasonDeadline, RetryAfter: leastPause})
+		m.end(r, FinishCmd{Outcome: outcome.Unknown, Reason: ReasonDeadline, RetryAfter: minRetryAfter})
 	}
 }
--- a/core/request.go
+++ b/core/request.go
@@ -34,31 +34,31 @@
 	phase    phase
 	priority int
 
-	arrived    clock.Millis
-	deadline   clock.Millis
-	dispatched clock.Millis
+	arrivedAt    clock.Millis
+	deadline     clock.Millis
+	dispatchedAt clock.Millis
 
-	// slot is the request's place in Model.running.
-	slot int
+	// runningIndex is the request's place in Model.running.
+	runningIndex int
 	// begun is set once an upstream may have started on the request.
 	begun bool
-	// tried holds the upstreams that have failed this request.
-	tried []*pool.Upstream
+	// failed holds the upstreams that have failed this request.
+	failed []*pool.Upstream
 
 	// For a pipeline.
-	generation uint32
-	chain      []*pool.Upstream
-	stage      int
-	step       *StepCmd
-	span       int
-	sentAt     clock.Millis
-	limitAt    clock.Millis
-	tokens     []uint32
-	texts      []string
-	firstAt    clock.Millis
-	lastAt     clock.Millis
-	late       int
-	emit       EmitCmd
+	generation   uint32
+	chain        []*pool.Upstream
+	stage        int
+	step         *StepCmd
+	positions    int
+	sentAt       clock.Millis
+	timeoutAt    clock.Millis
+	tokens       []uint32
+	texts        []string
+	firstTokenAt clock.Millis
+	lastTokenAt  clock.Millis
+	lateTokens   int
+	emit         EmitCmd
 
 	// For a plain service.
 	attempt uint32
@@ -66,12 +66,12 @@
 	final FinishCmd
 }
 
-// marked reports whether the request may not be repeated.
-func (r *request) marked() bool { return r.spec.NoRepeat || r.key != nil }
+// noRepeat reports whether the request may not be repeated.
+func (r *request) noRepeat() bool { return r.spec.NoRepeat || r.key != nil }
 
-// ambiguous reports whether an earlier try with the same key may have run
+// mayHaveExecuted reports whether an earlier try with the same key may have run
 // somewhere, for all that is known here.
-func (r *request) ambiguous() bool {
+func (r *request) mayHaveExecuted() bool {
 	if r.key == nil || r.spec.FirstTry {
 		return false
 	}
@@ -81,5 +81,5 @@
 // cost is the work that the request asks for, in tokens.
 func (r *request) cost() float64 { return float64(max(r.spec.MaxTokens, 1)) }
 
-// holds reports whether the request counts in its lane as running.
-func (r *request) holds() bool { return len(r.chain) > 0 }
+// holdsSlots reports whether the request counts in its lane as running.
+func (r *request) holdsSlots() bool { return len(r.chain) > 0 }
--- a/core/resume.go
+++ b/core/resume.go
@@ -8,7 +8,7 @@
 func (m *Model) stepFailed(msg StepFailedMsg) {
 	u := m.pool.Get(msg.Upstream)
 	r := m.requests[msg.Request]
-	if u == nil || !r.expects(u, msg.Generation, msg.Position) {
+	if u == nil || !r.awaitsStep(u, msg.Generation, msg.Position) {
 		m.stats.Stale++
 		return
 	}
@@ -16,12 +16,12 @@
 		m.markLeaving(msg.Upstream)
 	}
 	if msg.Fault == StepNotSent {
-		m.pool.Fail(m.now, u, false)
+		m.pool.RecordFailure(m.now, u, false)
 	}
-	r.tried = append(r.tried, u)
+	r.failed = append(r.failed, u)
 	provenIdle := msg.Fault == StepNotSent || msg.Fault == StepRefused
-	if provenIdle && r.stage == 0 && len(r.tokens) == 0 && (r.generation == 1 || r.marked()) {
-		m.unbegin(r)
+	if provenIdle && r.stage == 0 && len(r.tokens) == 0 && (r.generation == 1 || r.noRepeat()) {
+		m.undoBegun(r)
 	}
 	m.resume(r)
 }
@@ -33,16 +33,16 @@
 	if u == nil {
 		return
 	}
-	m.pool.Fail(m.now, u, false)
+	m.pool.RecordFailure(m.now, u, false)
 	var hit []*request
 	for _, r := range m.running {
-		if !r.route.service() && slices.Contains(r.chain, u) {
+		if !r.route.isService() && slices.Contains(r.chain, u) {
 			hit = append(hit, r)
 		}
 	}
 	for _, r := range hit {
 		if r.phase == phaseRunning {
-			r.tried = append(r.tried, u)
+			r.failed = append(r.failed, u)
 			m.resume(r)
 		}
 	}
@@ -55,40 +55,40 @@
 	if r.generation >= m.policy.MaxGenerations {
 		return false
 	}
-	return !r.marked() || !r.begun || len(r.tokens) > 0
+	return !r.noRepeat() || !r.begun || len(r.tokens) > 0
 }
 
 // resume puts a request that has lost a stage in line for a new generation.
 func (m *Model) resume(r *request) {
 	if !m.mayResume(r) {
-		m.giveUp(r)
+		m.endWithoutUpstream(r)
 		return
 	}
-	m.goElsewhere(r)
+	m.redispatch(r)
 }
 
-// goElsewhere takes a request off its upstreams and puts it in line for others,
+// redispatch takes a request off its upstreams and puts it in line for others,
 // before the queue: it has had its turn there.
-func (m *Model) goElsewhere(r *request) {
+func (m *Model) redispatch(r *request) {
 	l := r.route.lane
-	m.leaveLane(r)
+	m.releaseSlots(r)
 	r.phase = phaseResuming
 	l.resuming = append(l.resuming, r)
 	m.dispatch(l)
 }
 
-func (m *Model) giveUp(r *request) {
+func (m *Model) endWithoutUpstream(r *request) {
 	if r.begun {
-		m.lose(r, ReasonUpstreamLost)
+		m.endUnanswered(r, ReasonUpstreamLost)
 		return
 	}
-	m.refuse(r, ReasonNotSent, leastPause+m.jitter(leastPause))
+	m.refuse(r, ReasonNotSent, minRetryAfter+m.jitter(minRetryAfter))
 }
 
 // endGeneration frees the request's caches at its stages.
 func (m *Model) endGeneration(r *request) {
 	for _, u := range r.chain {
-		m.do(&EndCmd{
+		m.addCmd(&EndCmd{
 			Upstream:   u.Name(),
 			Address:    u.Listing().Address,
 			Request:    r.id,
--- a/core/route.go
+++ b/core/route.go
@@ -7,23 +7,23 @@
 
 // route is what callers name, with the lane that serves it.
 type route struct {
-	config *wire.Route
-	lane   *lane
-	times  Times
+	config    *wire.Route
+	lane      *lane
+	latencies Latencies
 }
 
-func (r *route) firstBound() clock.Millis { return clock.Millis(r.config.GetFirstTokenMs()) }
-func (r *route) tokenBound() clock.Millis { return clock.Millis(r.config.GetTokenMs()) }
-func (r *route) service() bool            { return r.config.GetService() != "" }
+func (r *route) firstTokenBound() clock.Millis { return clock.Millis(r.config.GetFirstTokenMs()) }
+func (r *route) tokenBound() clock.Millis      { return clock.Millis(r.config.GetTokenMs()) }
+func (r *route) isService() bool               { return r.config.GetService() != "" }
 
-// usualDeadline is how long a caller waits that does not say.
-func (r *route) usualDeadline(tokens int) clock.Millis {
-	if r.service() {
-		return r.firstBound() * deadlineStretch
+// defaultDeadline is how long a caller waits that does not say.
+func (r *route) defaultDeadline(tokens int) clock.Millis {
+	if r.isService() {
+		return r.firstTokenBound() * deadlineFactor
 	}
-	return r.firstBound() + r.tokenBound()*clock.Millis(tokens)*deadlineStretch
+	return r.firstTokenBound() + r.tokenBound()*clock.Millis(tokens)*deadlineFactor
 }
 
-// deadlineStretch is how far past its bounds an answer may run before it is
+// deadlineFactor is how far past its bounds an answer may run before it is
 // given up. A late notice hurts, a lost one more.
-const deadlineStretch = 4
+const deadlineFactor = 4
--- a/core/spread_bench_test.go
+++ b/core/spread_bench_test.go
@@ -11,16 +11,16 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// gossipers are the models of a fleet that hear of versions from each other
+// gossipFleet are the models of a fleet that hear of versions from each other
 // only: the store is out.
-type gossipers struct {
+type gossipFleet struct {
 	models map[string]*core.Model
 	order  []string
 	bytes  int
 }
 
-func newGossipers(n int) *gossipers {
-	g := &gossipers{models: make(map[string]*core.Model)}
+func newGossipFleet(n int) *gossipFleet {
+	g := &gossipFleet{models: make(map[string]*core.Model)}
 	var nodes []*wire.NodeRecord
 	for i := range n {
 		node := benchNode(i, 1)
@@ -39,7 +39,7 @@
 	return g
 }
 
-func (g *gossipers) update(now clock.Millis, address string, msg core.Msg) {
+func (g *gossipFleet) update(now clock.Millis, address string, msg core.Msg) {
 	for _, cmd := range g.models[address].Update(now, msg) {
 		switch cmd := cmd.(type) {
 		case *core.HeartbeatCmd:
@@ -55,16 +55,16 @@
 	}
 }
 
-func (g *gossipers) fetch(now clock.Millis, address string, cmd *core.FetchChangesCmd) {
+func (g *gossipFleet) fetch(now clock.Millis, address string, cmd *core.FetchChangesCmd) {
 	if cmd.Address == "" {
 		defer g.update(now, address, core.FetchFailedMsg{})
 		return
 	}
-	reply := g.models[cmd.Address].Changes(cmd.After)
+	reply := g.models[cmd.Address].ChangesAfter(cmd.After)
 	defer g.update(now, address, core.ChangesMsg{Snapshot: reply.GetSnapshot(), Records: reply.GetRecords()})
 }
 
-func (g *gossipers) behind(version uint64) int {
+func (g *gossipFleet) nodesBehind(version uint64) int {
 	n := 0
 	for _, m := range g.models {
 		if m.Config().GetVersion() < version {
@@ -81,9 +81,9 @@
 		b.Run(fmt.Sprintf("nodes=%d", n), func(b *testing.B) {
 			spread, rate := 0.0, 0.0
 			for b.Loop() {
-				g := newGossipers(n)
+				g := newGossipFleet(n)
 				now := clock.Millis(0)
-				for ; now < 5000; now += core.TickEvery {
+				for ; now < 5000; now += core.TickInterval {
 					g.tick(now)
 				}
 				g.bytes = 0
@@ -91,8 +91,8 @@
 				g.update(now, g.order[0], core.ChangesMsg{Records: []*wire.ChangeRecord{{Version: 2, Changes: []*wire.Change{
 					{Edit: &wire.Change_PutAccount{PutAccount: benchAccount(1, 1)}},
 				}}}})
-				for g.behind(2) > 0 && now < from+60_000 {
-					now += core.TickEvery
+				for g.nodesBehind(2) > 0 && now < from+60_000 {
+					now += core.TickInterval
 					g.tick(now)
 				}
 				spread = float64(now - from)
@@ -104,7 +104,7 @@
 	}
 }
 
-func (g *gossipers) tick(now clock.Millis) {
+func (g *gossipFleet) tick(now clock.Millis) {
 	for _, address := range g.order {
 		g.update(now, address, core.TickMsg{})
 	}
--- a/core/status.go
+++ b/core/status.go
@@ -14,9 +14,9 @@
 // History returns the newest change records, newest first.
 func (m *Model) History(limit int) []*wire.ChangeRecord { return m.tracker.History(limit) }
 
-// Changes returns what a peer at a version is missing.
-func (m *Model) Changes(after uint64) *wire.ChangesReply {
-	records, ok := m.tracker.After(after)
+// ChangesAfter returns what a peer at a version is missing.
+func (m *Model) ChangesAfter(after uint64) *wire.ChangesReply {
+	records, ok := m.tracker.RecordsAfter(after)
 	if !ok {
 		return &wire.ChangesReply{Snapshot: m.tracker.Current()}
 	}
@@ -60,7 +60,7 @@
 func (m *Model) Burn() []burn.Line {
 	var lines []burn.Line
 	for _, c := range m.tracker.Current().GetAccounts() {
-		a := m.byName[c.GetName()]
+		a := m.accountsByName[c.GetName()]
 		for _, rc := range m.tracker.Current().GetRoutes() {
 			meter := a.meters[rc.GetName()]
 			if meter == nil {
@@ -77,9 +77,9 @@
 
 // EachRoute calls f with every route's name and histograms, in the order of
 // their names.
-func (m *Model) EachRoute(f func(name string, t *Times)) {
+func (m *Model) EachRoute(f func(name string, t *Latencies)) {
 	for _, rc := range m.tracker.Current().GetRoutes() {
-		f(rc.GetName(), &m.routes[rc.GetName()].times)
+		f(rc.GetName(), &m.routes[rc.GetName()].latencies)
 	}
 }
 
@@ -89,8 +89,8 @@
 	if version == 0 || version == m.tracker.Version() {
 		return m.tracker.Current()
 	}
-	return m.tracker.At(version)
+	return m.tracker.ConfigAt(version)
 }
 
-// Knows reports whether there is an upstream of a name.
-func (m *Model) Knows(upstream string) bool { return m.pool.Get(upstream) != nil }
+// HasUpstream reports whether there is an upstream of a name.
+func (m *Model) HasUpstream(upstream string) bool { return m.pool.Get(upstream) != nil }
--- a/core/step.go
+++ b/core/step.go
@@ -16,9 +16,9 @@
 // serves to guess how long the first step takes.
 const bytesPerPosition = 3
 
-// unknownStep is how long a step may take at an upstream that has not yet
+// defaultStepTimeout is how long a step may take at an upstream that has not yet
 // answered any.
-const unknownStep clock.Millis = 2000
+const defaultStepTimeout clock.Millis = 2000
 
 // startGeneration runs the prompt, and what has been emitted of the answer,
 // through a fresh chain of stages. The stages fence out what may still be
@@ -35,7 +35,7 @@
 		Tokens:     slices.Clone(r.tokens),
 		Priority:   r.priority,
 	}
-	r.span = len(r.spec.Prompt)/bytesPerPosition + len(r.tokens) + 1
+	r.positions = len(r.spec.Prompt)/bytesPerPosition + len(r.tokens) + 1
 	r.stage = 0
 	m.sendStep(r)
 }
@@ -51,15 +51,15 @@
 	r.step.Upstream = u.Name()
 	r.step.Address = u.Listing().Address
 	r.sentAt = m.now
-	r.limitAt = m.now.Add(m.stepLimit(u, r.span))
-	m.do(r.step)
+	r.timeoutAt = m.now.Add(m.stepTimeout(u, r.positions))
+	m.addCmd(r.step)
 }
 
-// stepLimit is how long a step may go unanswered before its stage is taken
+// stepTimeout is how long a step may go unanswered before its stage is taken
 // for lost.
-func (m *Model) stepLimit(u *pool.Upstream, positions int) clock.Millis {
+func (m *Model) stepTimeout(u *pool.Upstream, positions int) clock.Millis {
 	if u.StepMillis() == 0 {
-		return unknownStep
+		return defaultStepTimeout
 	}
 	usual := u.StepMillis() + u.PrefillMillis()*float64(positions)
 	return max(clock.Millis(usual*m.policy.StepLimitFactor), m.policy.LeastStepLimit)
@@ -72,25 +72,25 @@
 		m.stats.Stale++
 		return
 	}
-	m.hear(u, msg.Load, msg.Leaving)
+	m.recordEngineStatus(u, msg.Load, msg.Leaving)
 	r := m.requests[msg.Request]
-	if !r.expects(u, msg.Generation, msg.Position) {
+	if !r.awaitsStep(u, msg.Generation, msg.Position) {
 		m.stats.Stale++
 		return
 	}
 	m.stats.Steps++
-	m.pool.Observe(u, m.now.Sub(r.sentAt), msg.Positions)
-	r.span = msg.Positions
+	m.pool.RecordSuccess(u, m.now.Sub(r.sentAt), msg.Positions)
+	r.positions = msg.Positions
 	if r.stage+1 < len(r.chain) {
 		m.nextStage(r, msg)
 		return
 	}
-	m.token(r, msg)
+	m.emitToken(r, msg)
 }
 
-// expects reports whether an answer, good or bad, is the one that the request
+// awaitsStep reports whether an answer, good or bad, is the one that the request
 // waits for.
-func (r *request) expects(u *pool.Upstream, generation, position uint32) bool {
+func (r *request) awaitsStep(u *pool.Upstream, generation, position uint32) bool {
 	return r != nil && r.phase == phaseRunning && r.step != nil &&
 		r.chain[r.stage] == u && r.generation == generation && r.step.Position == position
 }
@@ -103,15 +103,15 @@
 	m.sendStep(r)
 }
 
-// token emits the token that the last stage chose, and starts the next
+// emitToken emits the token that the last stage chose, and starts the next
 // position at the first stage.
-func (m *Model) token(r *request, msg *StepDoneMsg) {
-	m.judge(r)
+func (m *Model) emitToken(r *request, msg *StepDoneMsg) {
+	m.recordToken(r)
 	r.tokens = append(r.tokens, msg.Token)
 	r.texts = append(r.texts, msg.Text)
 	m.stats.Tokens++
 	r.emit = EmitCmd{Callers: r.callers, Texts: r.texts[len(r.texts)-1:]}
-	m.do(&r.emit)
+	m.addCmd(&r.emit)
 	if msg.Last || len(r.tokens) >= r.spec.MaxTokens {
 		m.finishPipeline(r)
 		return
@@ -120,40 +120,40 @@
 	r.step.Inputs = nil
 	r.step.Tokens = r.tokens[len(r.tokens)-1:]
 	r.stage = 0
-	r.span = 1
+	r.positions = 1
 	m.sendStep(r)
 }
 
 func (m *Model) finishPipeline(r *request) {
 	l := r.route.lane
-	held := m.now.Sub(r.dispatched)
-	l.perToken.add(float64(held) / r.cost())
+	held := m.now.Sub(r.dispatchedAt)
+	l.slotMillisPerToken.add(float64(held) / r.cost())
 	if m.policy.Affinity {
 		l.affinity.put(m.now, r.spec.Prompt, r.chain)
 	}
 	m.end(r, FinishCmd{Outcome: outcome.Done})
 }
 
-// judge compares a token's time with its bound and moves the limits of the
+// recordToken compares a token's time with its bound and moves the limits of the
 // stages: up a little when it was met, and down at the slowest stage when it
 // was missed.
-func (m *Model) judge(r *request) {
-	times := &r.route.times
-	if r.firstAt == 0 {
-		r.firstAt = m.now
-		r.lastAt = m.now
-		r.route.lane.first.add(float64(m.now.Sub(r.dispatched)))
-		times.recordFirst(m.now.Sub(r.arrived))
+func (m *Model) recordToken(r *request) {
+	times := &r.route.latencies
+	if r.firstTokenAt == 0 {
+		r.firstTokenAt = m.now
+		r.lastTokenAt = m.now
+		r.route.lane.firstTokenMillis.add(float64(m.now.Sub(r.dispatchedAt)))
+		times.recordFirstToken(m.now.Sub(r.arrivedAt))
 		return
 	}
-	gap := m.now.Sub(r.lastAt)
-	r.lastAt = m.now
-	times.recordGap(gap)
+	gap := m.now.Sub(r.lastTokenAt)
+	r.lastTokenAt = m.now
+	times.recordTokenGap(gap)
 	bound := r.route.tokenBound()
 	if gap > bound {
-		r.late++
+		r.lateTokens++
 	}
 	if m.policy.Adapt {
-		m.pool.Judge(m.now, r.chain, gap, bound)
+		m.pool.RecordChainTime(m.now, r.chain, gap, bound)
 	}
 }
--- a/core/submit.go
+++ b/core/submit.go
@@ -6,14 +6,14 @@
 	"github.com/hoistjunction/hoistjunction/outcome"
 )
 
-// MaxKey is the longest key that a caller may send, in bytes.
-const MaxKey = 256
+// MaxKeyBytes is the longest key that a caller may send, in bytes.
+const MaxKeyBytes = 256
 
 // submit takes in a request: it is read, its key is settled, and it is
 // admitted.
 func (m *Model) submit(msg SubmitMsg) {
 	m.stats.Submitted++
-	r, reason := m.read(msg)
+	r, reason := m.acceptRequest(msg)
 	if reason != ReasonNone {
 		m.reject(msg, reason)
 		return
@@ -22,20 +22,20 @@
 		m.admit(r)
 		return
 	}
-	m.settleKey(r)
+	m.resolveKey(r)
 }
 
-// read makes a request of a message, or says what is wrong with it.
-func (m *Model) read(msg SubmitMsg) (*request, Reason) {
+// acceptRequest makes a request of a message, or says what is wrong with it.
+func (m *Model) acceptRequest(msg SubmitMsg) (*request, Reason) {
 	if m.tracker.Version() == 0 {
 		return nil, ReasonNotReady
 	}
-	if m.drain.closed(m.now) && !msg.Relayed {
+	if m.drain.refusesNew(m.now) && !msg.Relayed {
 		return nil, ReasonDraining
 	}
 	a := m.accounts[msg.KeyHash]
 	if msg.Relayed {
-		a = m.byName[msg.Account]
+		a = m.accountsByName[msg.Account]
 	}
 	if a == nil {
 		return nil, ReasonUnauthorized
@@ -51,10 +51,10 @@
 }
 
 func wellFormed(rt *route, msg *SubmitMsg) bool {
-	if len(msg.Key) > MaxKey || msg.Priority < 0 || msg.Priority >= fairqueue.Priorities || msg.Deadline < 0 {
+	if len(msg.Key) > MaxKeyBytes || msg.Priority < 0 || msg.Priority >= fairqueue.Priorities || msg.Deadline < 0 {
 		return false
 	}
-	if rt.service() {
+	if rt.isService() {
 		return msg.Path != ""
 	}
 	return msg.Prompt != "" && msg.MaxTokens > 0 && msg.MaxTokens <= int(rt.config.GetMaxTokens())
@@ -62,17 +62,17 @@
 
 func (m *Model) newRequest(a *account, rt *route, msg SubmitMsg) *request {
 	r := &request{
-		id:       msg.Caller,
-		callers:  []uint64{msg.Caller},
-		account:  a,
-		route:    rt,
-		spec:     msg,
-		arrived:  m.now,
-		priority: max(msg.Priority, int(a.config.GetPriority())),
+		id:        msg.Caller,
+		callers:   []uint64{msg.Caller},
+		account:   a,
+		route:     rt,
+		spec:      msg,
+		arrivedAt: m.now,
+		priority:  max(msg.Priority, int(a.config.GetPriority())),
 	}
 	wait := msg.Deadline
 	if wait == 0 {
-		wait = rt.usualDeadline(msg.MaxTokens)
+		wait = rt.defaultDeadline(msg.MaxTokens)
 	}
 	r.deadline = m.now.Add(wait)
 	m.requests[r.id] = r
@@ -85,17 +85,17 @@
 // here; what an earlier try did is not known.
 func (m *Model) reject(msg SubmitMsg, reason Reason) {
 	f := FinishCmd{Caller: msg.Caller, Outcome: outcome.Failed, Reason: reason}
-	if reasons[reason].notRun != "" {
+	if reasons[reason].notExecuted != "" {
 		f.Outcome = outcome.NotExecuted
-		f.RetryAfter = rejectPause + m.jitter(rejectPause)
+		f.RetryAfter = rejectRetryAfter + m.jitter(rejectRetryAfter)
 		if msg.Key != "" && !msg.FirstTry {
 			f.Outcome = outcome.Unknown
 		}
 	}
 	m.stats.count(f.Outcome, reason)
-	m.do(&f)
+	m.addCmd(&f)
 }
 
-// rejectPause is when to come back to a node that cannot serve yet, or no
+// rejectRetryAfter is when to come back to a node that cannot serve yet, or no
 // longer: the balancer will have chosen another by then.
-const rejectPause clock.Millis = 500
+const rejectRetryAfter clock.Millis = 500
--- a/core/tick.go
+++ b/core/tick.go
@@ -5,67 +5,67 @@
 // How often the node does what it does from time to time. Each is stretched
 // by a random part, so that nodes do not fall into step.
 const (
-	listEvery     clock.Millis = 1000
-	headEvery     clock.Millis = 1000
-	beatEvery     clock.Millis = 500
-	nodesEvery    clock.Millis = 10_000
-	registerEvery clock.Millis = 30_000
+	pollListInterval  clock.Millis = 1000
+	pollHeadInterval  clock.Millis = 1000
+	heartbeatInterval clock.Millis = 500
+	pollNodesInterval clock.Millis = 10_000
+	registerInterval  clock.Millis = 30_000
 )
 
 // timer is due from time to time.
-type timer struct{ at clock.Millis }
+type timer struct{ nextAt clock.Millis }
 
 // due reports whether the timer is due, and sets it anew.
 func (t *timer) due(m *Model, every clock.Millis) bool {
-	if m.now < t.at {
+	if m.now < t.nextAt {
 		return false
 	}
-	t.at = m.now.Add(every + m.jitter(every/4))
+	t.nextAt = m.now.Add(every + m.jitter(every/4))
 	return true
 }
 
 // timers are what a node does from time to time.
 type timers struct {
-	list     timer
-	head     timer
-	beat     timer
-	nodes    timer
-	register timer
+	pollList       timer
+	pollHead       timer
+	sendHeartbeats timer
+	pollNodes      timer
+	register       timer
 }
 
 func (m *Model) tick() {
-	m.pool.Tick(m.now)
-	m.timeOutSteps()
+	m.pool.StartProbes(m.now)
+	m.expireRunning()
 	m.expireClaims()
 	m.expireRelays()
 	m.flushClaims()
 	for _, l := range m.lanes {
-		m.expire(l)
+		m.expireQueued(l)
 		m.expireResuming(l)
 		m.dispatch(l)
 	}
 	m.answerProposals()
-	m.tickTimers()
+	m.runTimers()
 	m.tickDrain()
 }
 
-func (m *Model) tickTimers() {
+func (m *Model) runTimers() {
 	t := &m.timers
-	if t.list.due(m, listEvery) {
-		m.do(&PollListCmd{})
+	if t.pollList.due(m, pollListInterval) {
+		m.addCmd(&PollListCmd{})
 	}
-	if t.head.due(m, headEvery) {
-		m.do(&PollHeadCmd{})
+	if t.pollHead.due(m, pollHeadInterval) {
+		m.addCmd(&PollHeadCmd{})
 	}
-	if t.nodes.due(m, nodesEvery) {
-		m.do(&PollNodesCmd{})
+	if t.pollNodes.due(m, pollNodesInterval) {
+		m.addCmd(&PollNodesCmd{})
 		m.members.Expire(m.now)
 	}
-	if t.register.due(m, registerEvery) {
-		m.do(&RegisterCmd{Node: m.Self()})
+	if t.register.due(m, registerInterval) {
+		m.addCmd(&RegisterCmd{Node: m.Self()})
 	}
-	if t.beat.due(m, beatEvery) {
-		m.beat()
+	if t.sendHeartbeats.due(m, heartbeatInterval) {
+		m.sendHeartbeats()
 	}
 }
 
@@ -86,6 +86,6 @@
 	clear(l.resuming[len(kept):])
 	l.resuming = kept
 	for _, r := range late {
-		m.giveUp(r)
+		m.endWithoutUpstream(r)
 	}
 }
--- a/core/tickets.go
+++ b/core/tickets.go
@@ -7,21 +7,21 @@
 // maxTickets is how many tickets a caller gets at once at the most.
 const maxTickets = 256
 
-// tickets issues tickets: keys that only this node will run.
-func (m *Model) tickets(msg TicketsMsg) {
+// issueTickets issues tickets: keys that only this node will run.
+func (m *Model) issueTickets(msg TicketsMsg) {
 	a := m.accounts[msg.KeyHash]
 	if a == nil {
-		m.do(&FinishCmd{Caller: msg.Caller, Outcome: outcome.Failed, Reason: ReasonUnauthorized})
+		m.addCmd(&FinishCmd{Caller: msg.Caller, Outcome: outcome.Failed, Reason: ReasonUnauthorized})
 		return
 	}
 	if m.drain.started {
-		m.do(&FinishCmd{Caller: msg.Caller, Outcome: outcome.NotExecuted, Reason: ReasonDraining, RetryAfter: rejectPause})
+		m.addCmd(&FinishCmd{Caller: msg.Caller, Outcome: outcome.NotExecuted, Reason: ReasonDraining, RetryAfter: rejectRetryAfter})
 		return
 	}
 	n := min(max(msg.Count, 1), maxTickets)
 	tickets := make([]string, 0, n)
 	for range n {
-		tickets = append(tickets, m.ledger.Issue(a.config.GetName()).String())
+		tickets = append(tickets, m.ledger.IssueTicket(a.config.GetName()).String())
 	}
-	m.do(&TicketsCmd{Caller: msg.Caller, Tickets: tickets})
+	m.addCmd(&TicketsCmd{Caller: msg.Caller, Tickets: tickets})
 }
--- a/core/times.go
+++ b/core/times.go
@@ -8,38 +8,38 @@
 
 // Ranges of the histograms: 1 ms to ten minutes, two significant digits.
 const (
-	longestTime = 600_000
-	timeDigits  = 2
+	maxLatencyMillis = 600_000
+	histogramDigits  = 2
 )
 
-// Times holds a route's histograms, in milliseconds.
-type Times struct {
+// Latencies holds a route's histograms, in milliseconds.
+type Latencies struct {
 	first *hdrhistogram.Histogram
 	gap   *hdrhistogram.Histogram
 }
 
-func (t *Times) recordFirst(span clock.Millis) {
+func (t *Latencies) recordFirstToken(span clock.Millis) {
 	if t.first == nil {
-		t.first = hdrhistogram.New(1, longestTime, timeDigits)
+		t.first = hdrhistogram.New(1, maxLatencyMillis, histogramDigits)
 	}
-	_ = t.first.RecordValue(min(int64(span), longestTime))
+	_ = t.first.RecordValue(min(int64(span), maxLatencyMillis))
 }
 
-func (t *Times) recordGap(span clock.Millis) {
+func (t *Latencies) recordTokenGap(span clock.Millis) {
 	if t.gap == nil {
-		t.gap = hdrhistogram.New(1, longestTime, timeDigits)
+		t.gap = hdrhistogram.New(1, maxLatencyMillis, histogramDigits)
 	}
-	_ = t.gap.RecordValue(min(int64(span), longestTime))
+	_ = t.gap.RecordValue(min(int64(span), maxLatencyMillis))
 }
 
-// First returns the time to the first token, or to a plain call's answer, at
+// FirstToken returns the time to the first token, or to a plain call's answer, at
 // a quantile from 0 to 100.
-func (t *Times) First(quantile float64) int64 { return at(t.first, quantile) }
+func (t *Latencies) FirstToken(quantile float64) int64 { return valueAt(t.first, quantile) }
 
-// Gap returns the time between tokens at a quantile from 0 to 100.
-func (t *Times) Gap(quantile float64) int64 { return at(t.gap, quantile) }
+// TokenGap returns the time between tokens at a quantile from 0 to 100.
+func (t *Latencies) TokenGap(quantile float64) int64 { return valueAt(t.gap, quantile) }
 
-func at(h *hdrhistogram.Histogram, quantile float64) int64 {
+func valueAt(h *hdrhistogram.Histogram, quantile float64) int64 {
 	if h == nil {
 		return 0
 	}
--- a/core/upstream.go
+++ b/core/upstream.go
@@ -5,17 +5,17 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// list takes in the platform's list of VMs.
-func (m *Model) list(msg ListMsg) {
+// listReceived takes in the platform's list of VMs.
+func (m *Model) listReceived(msg ListMsg) {
 	m.pool.Update(m.now, msg.Upstreams)
 	for _, l := range m.lanes {
 		m.dispatch(l)
 	}
 }
 
-// hear takes in what an engine says of itself with an answer.
-func (m *Model) hear(u *pool.Upstream, load int, leaving bool) {
-	m.pool.Report(u, load)
+// recordEngineStatus takes in what an engine says of itself with an answer.
+func (m *Model) recordEngineStatus(u *pool.Upstream, load int, leaving bool) {
+	m.pool.RecordLoad(u, load)
 	if leaving && !u.Leaving() {
 		m.markLeaving(u.Name())
 	}
@@ -25,16 +25,16 @@
 // heartbeats, at every other node. What it has in progress runs to its end.
 func (m *Model) markLeaving(name string) {
 	u := m.pool.Get(name)
-	if u == nil || !m.pool.Leave(name, "") {
+	if u == nil || !m.pool.MarkLeaving(name, "") {
 		return
 	}
 	m.members.AddMark(m.now, &wire.LeavingMark{Upstream: name, Incarnation: u.Listing().Incarnation})
 }
 
-// hearMarks takes in leaving marks from a peer, and passes new ones on.
-func (m *Model) hearMarks(marks []*wire.LeavingMark) {
+// applyMarks takes in leaving marks from a peer, and passes new ones on.
+func (m *Model) applyMarks(marks []*wire.LeavingMark) {
 	for _, mark := range marks {
-		m.pool.Leave(mark.GetUpstream(), mark.GetIncarnation())
+		m.pool.MarkLeaving(mark.GetUpstream(), mark.GetIncarnation())
 		m.members.AddMark(m.now, mark)
 	}
 }
--- a/core/world_property_test.go
+++ b/core/world_property_test.go
@@ -26,31 +26,31 @@
 		w := newWorld(3)
 		t.Repeat(map[string]func(*rapid.T){
 			"submit":        w.actSubmit,
-			"try again":     w.actTryAgain,
+			"try again":     w.actRetry,
 			"deliver":       w.actDeliver,
 			"deliver more":  w.actDeliver,
 			"deliver most":  w.actDeliverMany,
 			"lose":          w.actLose,
 			"tick":          w.actTick,
-			"hang up":       w.actHangUp,
+			"hang up":       w.actCancel,
 			"freeze":        w.actFreeze,
 			"thaw":          w.actThaw,
 			"kill node":     w.actKillNode,
 			"stop node":     w.actStopNode,
 			"gossip":        w.actGossip,
 			"kill engine":   w.actKillEngine,
-			"toggle store":  func(*rapid.T) { w.down = !w.down },
-			"double answer": w.actDouble,
+			"toggle store":  func(*rapid.T) { w.storeDown = !w.storeDown },
+			"double answer": w.actDuplicate,
 			"": func(t *rapid.T) {
-				if len(w.faults) > 0 {
-					t.Fatalf("got %v, want no fault", w.faults)
+				if len(w.violations) > 0 {
+					t.Fatalf("got %v, want no fault", w.violations)
 				}
 			},
 		})
 	})
 }
 
-func (w *world) draw(t *rapid.T, n int, what string) int {
+func (w *world) chooseIndex(t *rapid.T, n int, what string) int {
 	if n == 0 {
 		t.Skip("nothing to choose from")
 	}
@@ -72,28 +72,28 @@
 		}
 	}
 	w.requests = append(w.requests, r)
-	w.submit(r, w.nodes[w.draw(t, len(w.nodes), "node")])
+	w.submit(r, w.nodes[w.chooseIndex(t, len(w.nodes), "node")])
 }
 
-// actTryAgain sends a request again that has no answer yet: its caller was
+// actRetry sends a request again that has no answer yet: its caller was
 // told to, or has given up waiting.
-func (w *world) actTryAgain(t *rapid.T) {
-	r := w.requests[w.draw(t, len(w.requests), "request")]
+func (w *world) actRetry(t *rapid.T) {
+	r := w.requests[w.chooseIndex(t, len(w.requests), "request")]
 	if r.spec.Key == "" || (!r.waiting && r.final == outcome.Failed) {
 		t.Skip("not to be asked again")
 	}
-	w.submit(r, w.nodes[w.draw(t, len(w.nodes), "node")])
+	w.submit(r, w.nodes[w.chooseIndex(t, len(w.nodes), "node")])
 }
 
-func (w *world) take(i int) event {
+func (w *world) removeEvent(i int) event {
 	e := w.events[i]
 	w.events = append(w.events[:i], w.events[i+1:]...)
 	return e
 }
 
 func (w *world) actDeliver(t *rapid.T) {
-	e := w.take(w.draw(t, len(w.events), "event"))
-	e.do()
+	e := w.removeEvent(w.chooseIndex(t, len(w.events), "event"))
+	e.onDeliver()
 }
 
 func (w *world) actDeliverMany(t *rapid.T) {
@@ -101,89 +101,89 @@
 		if len(w.events) == 0 {
 			return
 		}
-		w.take(0).do()
+		w.removeEvent(0).onDeliver()
 	}
 }
 
-// actDouble delivers something and leaves it on its way as well: an answer
+// actDuplicate delivers something and leaves it on its way as well: an answer
 // that comes twice. What a node has sent to a service cannot double itself.
-func (w *world) actDouble(t *rapid.T) {
-	e := w.events[w.draw(t, len(w.events), "event")]
+func (w *world) actDuplicate(t *rapid.T) {
+	e := w.events[w.chooseIndex(t, len(w.events), "event")]
 	if e.name != "step" && e.name != "step answer" && e.name != "claims" && e.name != "claims answer" && e.name != "call answer" {
 		t.Skip("not to be doubled")
 	}
-	e.do()
+	e.onDeliver()
 }
 
 func (w *world) actLose(t *rapid.T) {
-	i := w.draw(t, len(w.events), "event")
+	i := w.chooseIndex(t, len(w.events), "event")
 	switch e := w.events[i]; {
-	case e.lost != nil:
-		w.take(i)
-		e.lost()
+	case e.onLost != nil:
+		w.removeEvent(i)
+		e.onLost()
 	case e.name == "step answer":
-		w.take(i)
+		w.removeEvent(i)
 	default:
 		t.Skip("not to be lost")
 	}
 }
 
 func (w *world) actTick(t *rapid.T) {
-	w.now = w.now.Add(core.TickEvery * clock.Millis(rapid.IntRange(1, 20).Draw(t, "ticks")))
+	w.now = w.now.Add(core.TickInterval * clock.Millis(rapid.IntRange(1, 20).Draw(t, "ticks")))
 	for _, n := range w.nodes {
-		w.tell(n, core.TickMsg{})
+		w.deliver(n, core.TickMsg{})
 	}
 	if rapid.IntRange(0, 9).Draw(t, "list") == 0 {
 		for _, n := range w.nodes {
-			w.tell(n, core.ListMsg{Upstreams: w.listing()})
+			w.deliver(n, core.ListMsg{Upstreams: w.listing()})
 		}
 	}
 }
 
-func (w *world) actHangUp(t *rapid.T) {
-	n := w.nodes[w.draw(t, len(w.nodes), "node")]
+func (w *world) actCancel(t *rapid.T) {
+	n := w.nodes[w.chooseIndex(t, len(w.nodes), "node")]
 	for caller := uint64(1); caller <= w.callers; caller++ {
 		if n.callers[caller] != nil {
 			delete(n.callers, caller)
-			w.tell(n, core.CancelMsg{Caller: caller})
+			w.deliver(n, core.CancelMsg{Caller: caller})
 			return
 		}
 	}
 }
 
-func (w *world) actFreeze(t *rapid.T) { w.nodes[w.draw(t, len(w.nodes), "node")].frozen = true }
+func (w *world) actFreeze(t *rapid.T) { w.nodes[w.chooseIndex(t, len(w.nodes), "node")].frozen = true }
 
 func (w *world) actThaw(t *rapid.T) {
-	n := w.nodes[w.draw(t, len(w.nodes), "node")]
+	n := w.nodes[w.chooseIndex(t, len(w.nodes), "node")]
 	n.frozen = false
-	held := n.held
-	n.held = nil
+	held := n.heldMsgs
+	n.heldMsgs = nil
 	for _, msg := range held {
 		w.update(n, msg)
 	}
 }
 
 func (w *world) actKillNode(t *rapid.T) {
-	w.replace(w.nodes[w.draw(t, len(w.nodes), "node")])
+	w.replace(w.nodes[w.chooseIndex(t, len(w.nodes), "node")])
 }
 
 // actStopNode begins a planned stop.
 func (w *world) actStopNode(t *rapid.T) {
-	w.tell(w.nodes[w.draw(t, len(w.nodes), "node")], core.DrainMsg{})
+	w.deliver(w.nodes[w.chooseIndex(t, len(w.nodes), "node")], core.DrainMsg{})
 }
 
 // actGossip tells one node what another says of itself.
 func (w *world) actGossip(t *rapid.T) {
-	from := w.nodes[w.draw(t, len(w.nodes), "from")]
+	from := w.nodes[w.chooseIndex(t, len(w.nodes), "from")]
 	record := from.model.Self()
 	record.Beat = uint64(w.now) + w.callers + 2
-	w.tell(w.nodes[w.draw(t, len(w.nodes), "to")], core.NodesMsg{Nodes: []*wire.NodeRecord{record}})
+	w.deliver(w.nodes[w.chooseIndex(t, len(w.nodes), "to")], core.NodesMsg{Nodes: []*wire.NodeRecord{record}})
 }
 
 func (w *world) actKillEngine(t *rapid.T) {
-	name := []string{"a1", "a2", "b1", "b2"}[w.draw(t, 4, "engine")]
+	name := []string{"a1", "a2", "b1", "b2"}[w.chooseIndex(t, 4, "engine")]
 	w.engines[name].restart()
 	for _, n := range w.nodes {
-		w.tell(n, core.UpstreamDownMsg{Upstream: name})
+		w.deliver(n, core.UpstreamDownMsg{Upstream: name})
 	}
 }
--- a/core/world_test.go
+++ b/core/world_test.go
@@ -15,34 +15,34 @@
 // world is a few models and fakes at their interfaces. Everything that is on
 // its way is an event; the test chooses which happens next, and which is lost.
 type world struct {
-	now      clock.Millis
-	nodes    []*fakeNode
-	engines  map[string]*fakeEngine
-	table    map[string]once.Claim
-	down     bool
-	events   []event
-	requests []*fakeRequest
-	runs     map[string]int
-	callers  uint64
-	faults   []string
-	nextInc  uint64
+	now             clock.Millis
+	nodes           []*fakeNode
+	engines         map[string]*fakeEngine
+	table           map[string]once.Claim
+	storeDown       bool
+	events          []event
+	requests        []*fakeRequest
+	executions      map[string]int
+	callers         uint64
+	violations      []string
+	nextIncarnation uint64
 }
 
 // event is something on its way. Lost is what happens instead when it gets
 // lost on the way; it is nil for what cannot be lost without anybody noticing.
 type event struct {
-	name string
-	do   func()
-	lost func()
+	name      string
+	onDeliver func()
+	onLost    func()
 }
 
 // fakeNode is a model, and who its callers are.
 type fakeNode struct {
-	model   *core.Model
-	self    *wire.NodeRecord
-	frozen  bool
-	held    []core.Msg
-	callers map[uint64]func(core.Cmd)
+	model    *core.Model
+	self     *wire.NodeRecord
+	frozen   bool
+	heldMsgs []core.Msg
+	callers  map[uint64]func(core.Cmd)
 }
 
 // fakeRequest is what a caller wants, over all its tries.
@@ -51,15 +51,15 @@
 	tries int
 	// waiting is set while a try has no final word.
 	waiting bool
-	// serial tells a try from those that the caller has given up.
-	serial int
-	texts  string
-	final  outcome.Outcome
+	// currentTry tells a try from those that the caller has given up.
+	currentTry int
+	texts      string
+	final      outcome.Outcome
 }
 
 func newWorld(nodes int) *world {
 	w := &world{
-		engines: make(map[string]*fakeEngine), table: make(map[string]once.Claim), runs: make(map[string]int), nextInc: 100,
+		engines: make(map[string]*fakeEngine), table: make(map[string]once.Claim), executions: make(map[string]int), nextIncarnation: 100,
 	}
 	for _, name := range []string{"a1", "a2", "b1", "b2"} {
 		w.engines[name] = newFakeEngine(name)
@@ -67,31 +67,31 @@
 	for i := range nodes {
 		w.nodes = append(w.nodes, w.newNode(i))
 	}
-	w.introduce()
+	w.announceNodes()
 	return w
 }
 
 func (w *world) newNode(i int) *fakeNode {
-	w.nextInc++
+	w.nextIncarnation++
 	self := &wire.NodeRecord{
-		Name: fmt.Sprintf("n%d", i), Incarnation: w.nextInc, DataCentre: fmt.Sprintf("dc%d", i),
-		Address: fmt.Sprintf("127.0.0.%d:1", i+1), Beat: 1, StartedMs: int64(w.nextInc),
+		Name: fmt.Sprintf("n%d", i), Incarnation: w.nextIncarnation, DataCentre: fmt.Sprintf("dc%d", i),
+		Address: fmt.Sprintf("127.0.0.%d:1", i+1), Beat: 1, StartedMs: int64(w.nextIncarnation),
 	}
-	m := core.New(core.WithNode(self), core.WithSeed(w.nextInc), core.WithSecret([]byte("s")), core.WithAnswers(1))
+	m := core.New(core.WithNode(self), core.WithSeed(w.nextIncarnation), core.WithSecret([]byte("s")), core.WithAnswerBytes(1))
 	n := &fakeNode{model: m, self: self, callers: make(map[uint64]func(core.Cmd))}
 	w.update(n, core.ChangesMsg{Records: []*wire.ChangeRecord{worldConfig()}})
 	w.update(n, core.ListMsg{Upstreams: w.listing()})
 	return n
 }
 
-// introduce tells every node of every other, as the platform's table would.
-func (w *world) introduce() {
+// announceNodes tells every node of every other, as the platform's table would.
+func (w *world) announceNodes() {
 	var records []*wire.NodeRecord
 	for _, n := range w.nodes {
 		records = append(records, n.model.Self())
 	}
 	for _, n := range w.nodes {
-		w.tell(n, core.NodesMsg{Nodes: records})
+		w.deliver(n, core.NodesMsg{Nodes: records})
 	}
 }
 
@@ -119,14 +119,14 @@
 	return list
 }
 
-func (w *world) fault(format string, args ...any) {
-	w.faults = append(w.faults, fmt.Sprintf(format, args...))
+func (w *world) addViolation(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-// tell gives a node a message, or keeps it until the node is thawed.
-func (w *world) tell(n *fakeNode, msg core.Msg) {
+// deliver gives a node a message, or keeps it until the node is thawed.
+func (w *world) deliver(n *fakeNode, msg core.Msg) {
 	if n.frozen {
-		n.held = append(n.held, msg)
+		n.heldMsgs = append(n.heldMsgs, msg)
 		return
 	}
 	w.update(n, msg)
@@ -150,15 +150,15 @@
 
 // reply puts a message to a node on its way. A dead node hears nothing.
 func (w *world) reply(n *fakeNode, name string, msg core.Msg, lost core.Msg) {
-	e := event{name: name, do: func() {
+	e := event{name: name, onDeliver: func() {
 		if w.alive(n) {
-			w.tell(n, msg)
+			w.deliver(n, msg)
 		}
 	}}
 	if lost != nil {
-		e.lost = func() {
+		e.onLost = func() {
 			if w.alive(n) {
-				w.tell(n, lost)
+				w.deliver(n, lost)
 			}
 		}
 	}
@@ -166,7 +166,7 @@
 }
 
 func (w *world) send(name string, do, lost func()) {
-	w.events = append(w.events, event{name: name, do: do, lost: lost})
+	w.events = append(w.events, event{name: name, onDeliver: do, onLost: lost})
 }
 
 func (w *world) execute(n *fakeNode, cmd core.Cmd) {
@@ -218,15 +218,15 @@
 // know the session, and says that it expects another position.
 func (w *world) step(n *fakeNode, s core.StepCmd) {
 	e := w.engines[s.Upstream]
-	w.reply(n, "step answer", e.run(n.self.GetIncarnation(), s), nil)
+	w.reply(n, "step answer", e.execute(n.self.GetIncarnation(), s), nil)
 }
 
 // call runs a call at the plain service.
 func (w *world) call(n *fakeNode, c core.CallCmd) {
 	if c.Key != "" {
-		w.runs[c.Key]++
-		if w.runs[c.Key] > 1 {
-			w.fault("key %s has run %d times", c.Key, w.runs[c.Key])
+		w.executions[c.Key]++
+		if w.executions[c.Key] > 1 {
+			w.addViolation("key %s has run %d times", c.Key, w.executions[c.Key])
 		}
 	}
 	w.reply(n, "call answer",
@@ -237,7 +237,7 @@
 // claims writes claims into the table: the first for a key stands.
 func (w *world) claims(n *fakeNode, batch core.ClaimsCmd) {
 	failed := core.ClaimsFailedMsg{Batch: batch.Batch}
-	if w.down {
+	if w.storeDown {
 		w.reply(n, "claims refused", failed, nil)
 		return
 	}
@@ -261,7 +261,7 @@
 		spec := r.Spec
 		spec.Caller, spec.Relayed, spec.Account, spec.Claim = w.callers, true, r.Account, r.Owner
 		owner.callers[spec.Caller] = func(cmd core.Cmd) { w.relayed(from, r.Request, cmd) }
-		w.tell(owner, spec)
+		w.deliver(owner, spec)
 		return
 	}
 	w.reply(from, "relay refused", core.RelayFailedMsg{Request: r.Request, NotSent: true}, nil)
@@ -274,8 +274,8 @@
 			continue
 		}
 		msg := core.HandoverMsg{To: h.To, Ledgers: h.Ledgers}
-		w.tell(to, msg)
-		w.reply(from, "handover answer", core.HandedOverMsg{Done: to.model.Holds(msg)}, core.HandedOverMsg{})
+		w.deliver(to, msg)
+		w.reply(from, "handover answer", core.HandedOverMsg{Done: to.model.HoldsLedgers(msg)}, core.HandedOverMsg{})
 	}
 }
 
@@ -286,7 +286,7 @@
 			w.nodes[i] = w.newNode(i)
 		}
 	}
-	w.introduce()
+	w.announceNodes()
 }
 
 func (w *world) relayed(from *fakeNode, request uint64, cmd core.Cmd) {
@@ -296,7 +296,7 @@
 	switch cmd := cmd.(type) {
 	case *core.EmitCmd:
 		// The pieces of one relay travel on one stream, in order.
-		w.tell(from, core.RelayTokensMsg{Request: request, Texts: cmd.Texts})
+		w.deliver(from, core.RelayTokensMsg{Request: request, Texts: cmd.Texts})
 	case *core.FinishCmd:
 		w.reply(from, "relay answer", core.RelayDoneMsg{Request: request, Finish: *cmd}, core.RelayFailedMsg{Request: request})
 	}
@@ -306,28 +306,28 @@
 func (w *world) submit(r *fakeRequest, n *fakeNode) {
 	w.callers++
 	r.tries++
-	r.serial++
+	r.currentTry++
 	r.waiting = true
 	r.texts = ""
 	spec := r.spec
 	spec.Caller = w.callers
 	spec.FirstTry = r.tries == 1
-	serial := r.serial
+	serial := r.currentTry
 	n.callers[spec.Caller] = func(cmd core.Cmd) {
-		if r.serial == serial {
-			w.answered(r, cmd)
+		if r.currentTry == serial {
+			w.checkOutput(r, cmd)
 		}
 	}
-	w.tell(n, spec)
+	w.deliver(n, spec)
 }
 
-// answered checks what a caller is told.
-func (w *world) answered(r *fakeRequest, cmd core.Cmd) {
+// checkOutput checks what a caller is told.
+func (w *world) checkOutput(r *fakeRequest, cmd core.Cmd) {
 	switch cmd := cmd.(type) {
 	case *core.EmitCmd:
 		r.texts += strings.Join(cmd.Texts, "")
-		if want := reference(r.spec); !strings.HasPrefix(want, r.texts) {
-			w.fault("got text %q, want a beginning of %q", r.texts, want)
+		if want := expectedAnswer(r.spec); !strings.HasPrefix(want, r.texts) {
+			w.addViolation("got text %q, want a beginning of %q", r.texts, want)
 		}
 	case *core.FinishCmd:
 		r.waiting = false
@@ -338,26 +338,26 @@
 
 func (w *world) final(r *fakeRequest, cmd *core.FinishCmd) {
 	if cmd.Outcome == outcome.Done {
-		w.whole(r, cmd)
+		w.checkWholeAnswer(r, cmd)
 	}
 	if cmd.Outcome != outcome.NotExecuted {
 		return
 	}
-	if r.spec.Key != "" && w.runs[r.spec.Key] > 0 {
-		w.fault("key %s was told not run (%s) and has run", r.spec.Key, cmd.Reason)
+	if r.spec.Key != "" && w.executions[r.spec.Key] > 0 {
+		w.addViolation("key %s was told not run (%s) and has run", r.spec.Key, cmd.Reason)
 	}
 	if cmd.RetryAfter <= 0 {
-		w.fault("not run (%s) without a time to come back", cmd.Reason)
+		w.addViolation("not run (%s) without a time to come back", cmd.Reason)
 	}
 }
 
-// whole checks that an answer is all of the right one.
-func (w *world) whole(r *fakeRequest, cmd *core.FinishCmd) {
+// checkWholeAnswer checks that an answer is all of the right one.
+func (w *world) checkWholeAnswer(r *fakeRequest, cmd *core.FinishCmd) {
 	got, want := string(cmd.Body), r.spec.Path
 	if r.spec.Prompt != "" {
-		got, want = r.texts, reference(r.spec)
+		got, want = r.texts, expectedAnswer(r.spec)
 	}
 	if got != want {
-		w.fault("got answer %q, want %q", got, want)
+		w.addViolation("got answer %q, want %q", got, want)
 	}
 }
--- a/dispatch/cmd.go
+++ b/dispatch/cmd.go
@@ -129,7 +129,7 @@
 	// Nodes is the number of nodes; 0 while unknown.
 	Nodes int
 	// Limits are the known rate limits of upstreams.
-	Limits map[fleet.Incarnation]limit.Named
+	Limits map[fleet.Incarnation]limit.Advertised
 }
 
 // ResponsivenessCmd notifies the placement planner that an engine became unresponsive or
@@ -177,7 +177,7 @@
 }
 
 // QuarantineCmd reports a change in the quarantine of requests that crash upstreams.
-type QuarantineCmd struct{ News quarantine.News }
+type QuarantineCmd struct{ News quarantine.Event }
 
 // RecheckDeadlineCmd resets the timers of a request after a suspension of the VM, during which
 // they did not run.
--- a/dispatch/identity.go
+++ b/dispatch/identity.go
@@ -23,7 +23,7 @@
 	switch {
 	case !msg.Answered:
 		return m.quarantineCmds(m.quarantine.SetUpstreamState(m.now, msg.Upstream, quarantine.Unresponsive))
-	case msg.Named:
+	case msg.Identified:
 		return m.quarantineCmds(m.quarantine.UpstreamAnswered(msg.Upstream))
 	}
 	return m.identify(u)
@@ -65,7 +65,7 @@
 	case fleet.Present:
 		return m.quarantineCmds(m.quarantine.UpstreamAnswered(msg.Upstream))
 	case fleet.Replaced:
-		return m.quarantineCmds(m.quarantine.SetUpstreamState(m.now, msg.Upstream, quarantine.Ended))
+		return m.quarantineCmds(m.quarantine.SetUpstreamState(m.now, msg.Upstream, quarantine.Crashed))
 	case fleet.PresenceUnknown:
 		if u != nil {
 			u.identifyAfter = m.now.Add(min(minIdentifyPause<<min(u.failedIdentifications, 8), maxIdentifyPause))
--- a/dispatch/limit.go
+++ b/dispatch/limit.go
@@ -36,8 +36,8 @@
 // PermitRequestMsg delivers another node's request for permits. Its ages are already converted to
 // this node's clock.
 type PermitRequestMsg struct {
-	From string
-	Ask  limit.Ask
+	From          string
+	PermitRequest limit.PermitRequest
 }
 
 // PermitGrantMsg delivers the answer to a permit request.
@@ -47,7 +47,7 @@
 }
 
 // RequestPermitsCmd requests permits from another node.
-type RequestPermitsCmd struct{ limit.AskCmd }
+type RequestPermitsCmd struct{ limit.PermitRequestCmd }
 
 // GrantPermitsCmd answers another node's permit request.
 type GrantPermitsCmd struct {
@@ -78,7 +78,7 @@
 func (m *Model) updateLimits(msg Msg) []Cmd {
 	switch msg := msg.(type) {
 	case AdvertisedLimitMsg:
-		if m.upstreams[msg.Upstream] != nil && m.limits.Named(m.now, msg.Upstream, msg.Rate) {
+		if m.upstreams[msg.Upstream] != nil && m.limits.SetAdvertised(m.now, msg.Upstream, msg.Rate) {
 			return append(m.limitChanged(msg.Upstream, ""), requestPermitsCmds(m.limits.ReportSent(m.now, msg.Upstream))...)
 		}
 	case NoAdvertisedLimitMsg:
@@ -86,7 +86,7 @@
 			return append(m.limitChanged(msg.Upstream, ""), m.resumePermitWaiters(msg.Upstream)...)
 		}
 	case PermitRequestMsg:
-		grant, requests := m.limits.HandleAsk(m.now, msg.From, msg.Ask)
+		grant, requests := m.limits.HandleRequest(m.now, msg.From, msg.PermitRequest)
 		return append(requestPermitsCmds(requests), GrantPermitsCmd{To: msg.From, Grant: grant})
 	case PermitGrantMsg:
 		return m.permitsGranted(msg)
@@ -137,7 +137,7 @@
 	return []Cmd{cmd}
 }
 
-func requestPermitsCmds(requests []limit.AskCmd) []Cmd {
+func requestPermitsCmds(requests []limit.PermitRequestCmd) []Cmd {
 	var cmds []Cmd
 	for _, req := range requests {
 		cmds = append(cmds, RequestPermitsCmd{req})
@@ -172,7 +172,7 @@
 	}
 	r.permitUpstream = id
 	m.permitWaiters[id] = append(m.permitWaiters[id], r.arrival.Request)
-	cmds := requestPermitsCmds(m.limits.Ask(m.now, id, len(m.permitWaiters[id])))
+	cmds := requestPermitsCmds(m.limits.RequestPermits(m.now, id, len(m.permitWaiters[id])))
 	if m.limits.State(m.now, id) == limit.RequestPending {
 		return cmds
 	}
--- a/dispatch/loss.go
+++ b/dispatch/loss.go
@@ -98,7 +98,7 @@
 	u := m.upstreams[id]
 	switch {
 	case u == nil && m.crashed.Contains(id), u != nil && u.crashed:
-		return quarantine.Ended
+		return quarantine.Crashed
 	case u == nil:
 		return quarantine.Unresponsive
 	case u.suspected && u.unansweredProbes > 0:
@@ -166,7 +166,7 @@
 	return cmds
 }
 
-func (m *Model) quarantineCmds(news []quarantine.News) []Cmd {
+func (m *Model) quarantineCmds(news []quarantine.Event) []Cmd {
 	var cmds []Cmd
 	for _, n := range news {
 		cmds = append(cmds, QuarantineCmd{News: n})
@@ -190,7 +190,7 @@
 		case u != nil:
 			m.probeNextTick(u)
 		case m.crashed.Contains(id), before[id]:
-			cmds = append(cmds, m.quarantineCmds(m.quarantine.SetUpstreamState(m.now, id, quarantine.Ended))...)
+			cmds = append(cmds, m.quarantineCmds(m.quarantine.SetUpstreamState(m.now, id, quarantine.Crashed))...)
 		case len(m.upstreams) > 0:
 			// The list may be older than the upstream.
 			m.unlisted[id] = true
--- a/dispatch/model.go
+++ b/dispatch/model.go
@@ -251,7 +251,7 @@
 				m.entryRemoved(u)
 			}
 			m.crashed.Add(c.ID, true)
-			cmds = append(cmds, m.quarantineCmds(m.quarantine.SetUpstreamState(m.now, c.ID, quarantine.Ended))...)
+			cmds = append(cmds, m.quarantineCmds(m.quarantine.SetUpstreamState(m.now, c.ID, quarantine.Crashed))...)
 			delete(m.upstreams, c.ID)
 			m.limits.Remove(c.ID)
 			if known && c.Ended {
--- a/dispatch/msg.go
+++ b/dispatch/msg.go
@@ -59,7 +59,7 @@
 	// Nodes is the number of nodes in the sum; 0 if unknown.
 	Nodes int
 	// Limits are the rate limits of upstreams as that node knows them.
-	Limits map[fleet.Incarnation]limit.Named
+	Limits map[fleet.Incarnation]limit.Advertised
 }
 
 // PlacedMsg reports that an engine was ordered to hold the given layers or, with Completed, that
@@ -186,10 +186,10 @@
 type ProbedMsg struct {
 	Upstream fleet.Incarnation
 	Answered bool
-	// Named reports whether the answer names the probed incarnation. An answer without that name
+	// Identified reports whether the answer names the probed incarnation. An answer without that name
 	// may come from the next process at the same address.
-	Named  bool
-	Report Report
+	Identified bool
+	Report     Report
 }
 
 // PeerUnresponsiveMsg reports that an engine answered neither streams nor a probe of another
--- a/dispatch/script_test.go
+++ b/dispatch/script_test.go
@@ -93,7 +93,7 @@
 	case "left":
 		return dispatch.RequestEndedMsg{Request: request}
 	case "probed":
-		return dispatch.ProbedMsg{Upstream: script.Incarnation(s.Arg(0)), Answered: s.Params["well"] == "yes", Named: s.Params["named"] == "yes", Report: testReport(s)}
+		return dispatch.ProbedMsg{Upstream: script.Incarnation(s.Arg(0)), Answered: s.Params["well"] == "yes", Identified: s.Params["named"] == "yes", Report: testReport(s)}
 	case "identified":
 		return dispatch.IdentifiedMsg{Upstream: script.Incarnation(s.Arg(0)), Presence: map[string]fleet.Presence{"itself": fleet.Present, "another": fleet.Replaced}[s.Params["as"]]}
 	case "told":
@@ -125,8 +125,8 @@
 		return membersMsg(s)
 	case "permits":
 		return dispatch.PermitGrantMsg{From: s.Arg(0), Grant: limit.Grant{
-			Upstream: script.Incarnation(s.Arg(1)), Number: uint64(s.Int("number", 1)), Permits: s.Int("permits", 0),
-			NextIn: clock.Millis(s.Int("next", 0)), Queue: s.Int("queue", 0),
+			Upstream: script.Incarnation(s.Arg(1)), Seq: uint64(s.Int("number", 1)), Permits: s.Int("permits", 0),
+			NextIn: clock.Millis(s.Int("next", 0)), Denied: s.Int("queue", 0),
 		}}
 	}
 	return nil
@@ -307,7 +307,7 @@
 	case dispatch.LimitChangedCmd:
 		return fmt.Sprintf("limit %s %v from=%s", c.Upstream, c.Rate, c.From)
 	case dispatch.RequestPermitsCmd:
-		return fmt.Sprintf("ask %s for %s number=%d want=%d", c.To, c.Ask.Upstream, c.Ask.Number, c.Ask.Want)
+		return fmt.Sprintf("ask %s for %s number=%d want=%d", c.To, c.PermitRequest.Upstream, c.PermitRequest.Seq, c.PermitRequest.Permits)
 	case dispatch.SlotWaitCmd:
 		return fmt.Sprintf("await %d waiting=%d", c.Request, c.Waiting)
 	case dispatch.SuspectCmd:
@@ -316,15 +316,15 @@
 	return fmt.Sprintf("%T", cmd)
 }
 
-func showNews(news quarantine.News) string {
+func showNews(news quarantine.Event) string {
 	switch n := news.(type) {
-	case quarantine.LossNews:
+	case quarantine.LossEvent:
 		return "lost at " + n.Upstream.String()
-	case quarantine.QuarantinedNews:
-		return fmt.Sprintf("quarantined for %v", n.Ended)
-	case quarantine.ConfirmedNews:
+	case quarantine.QuarantinedEvent:
+		return fmt.Sprintf("quarantined for %v", n.Crashed)
+	case quarantine.ConfirmedEvent:
 		return fmt.Sprintf("certain own=%v", n.Local)
-	case quarantine.ClearedNews:
+	case quarantine.ClearedEvent:
 		return fmt.Sprintf("cleared own=%v held=%v", n.Local, n.WasQuarantined)
 	}
 	return fmt.Sprintf("%T", news)
--- a/dispatch/slot_queue.go
+++ b/dispatch/slot_queue.go
@@ -75,7 +75,7 @@
 func (m *Model) awaitSlot(r *request) []Cmd {
 	q := m.slotQueue(r.service.Name)
 	level := min(max(r.priority(), 0), fairqueue.Priorities-1)
-	ahead := q.Ahead(level) + q.LenOf(level, r.account.Name)
+	ahead := q.Ahead(level) + q.AccountLen(level, r.account.Name)
 	if r.timeLeft(m.now) < m.expectedSlotWait(r, ahead) {
 		return m.giveUp(r, ReasonNoSlot)
 	}
--- a/engine/link.go
+++ b/engine/link.go
@@ -18,12 +18,12 @@
 // How a link finds out that the other end is gone.
 const (
 	dialTimeout  = time.Second
-	pingAfter    = 2 * time.Second
-	pingPatience = 2 * time.Second
+	pingIdleTime = 2 * time.Second
+	pingTimeout  = 2 * time.Second
 )
 
-// item is something to be sent: a step or the end of a generation.
-type item struct {
+// outgoing is something to be sent: a step or the end of a generation.
+type outgoing struct {
 	step *core.StepCmd
 	end  *core.EndCmd
 }
@@ -35,16 +35,16 @@
 	pool    *Pool
 	name    string
 	address string
-	ring    *ring.Ring[item]
+	ring    *ring.Ring[outgoing]
 	ctx     context.Context
 	stop    context.CancelFunc
-	// dialed is set once there has been a connection. Until then it is
+	// connected is set once there has been a connection. Until then it is
 	// certain that nothing has reached the engine.
-	dialed atomic.Bool
+	connected atomic.Bool
 }
 
 func newLink(p *Pool, name, address string) *link {
-	l := &link{pool: p, name: name, address: address, ring: ring.New[item](p.ring)}
+	l := &link{pool: p, name: name, address: address, ring: ring.New[outgoing](p.ring)}
 	l.ctx, l.stop = context.WithCancel(context.Background())
 	return l
 }
@@ -57,11 +57,11 @@
 	protocols.SetUnencryptedHTTP2(true)
 	return &http.Transport{
 		Protocols: protocols,
-		HTTP2:     &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingPatience},
+		HTTP2:     &http.HTTP2Config{SendPingTimeout: pingIdleTime, PingTimeout: pingTimeout},
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := dialer.DialContext(ctx, network, address)
 			if err == nil {
-				l.dialed.Store(true)
+				l.connected.Store(true)
 			}
 			return conn, err
 		},
@@ -75,18 +75,18 @@
 	defer t.CloseIdleConnections()
 	client := wireconnect.NewEngineClient(&http.Client{Transport: t}, "http://"+l.address, connect.WithGRPC())
 	s := client.Steps(l.ctx)
-	var unsent *item
+	var unsent *outgoing
 	if err := s.Send(nil); err == nil {
 		unsent = l.exchange(s)
 	}
 	l.stop()
-	l.pool.forget(l)
-	l.settle(unsent)
+	l.pool.removeLink(l)
+	l.reportUnanswered(unsent)
 }
 
 // exchange writes and reads until the stream breaks. It returns the item that
 // was in the writer's hands then.
-func (l *link) exchange(s *stream) *item {
+func (l *link) exchange(s *stream) *outgoing {
 	broken := make(chan struct{})
 	l.pool.wg.Go(func() {
 		defer close(broken)
@@ -102,7 +102,7 @@
 }
 
 // write sends what is in the ring.
-func (l *link) write(s *stream, broken <-chan struct{}) *item {
+func (l *link) write(s *stream, broken <-chan struct{}) *outgoing {
 	for {
 		select {
 		case <-broken:
@@ -110,34 +110,34 @@
 		case <-l.ctx.Done():
 			return nil
 		case it := <-l.ring.Items():
-			if err := s.Send(l.request(it)); err != nil {
+			if err := s.Send(l.stepRequest(it)); err != nil {
 				return &it
 			}
 		}
 	}
 }
 
-// settle reports what became of the steps: those that never left are not
+// reportUnanswered reports what became of the steps: those that never left are not
 // sent, and the rest is lost with the engine. The former go first, so that
 // they are not taken for lost.
-func (l *link) settle(unsent *item) {
-	if unsent != nil && unsent.step != nil && !l.dialed.Load() {
-		l.pool.report(notSent(unsent.step))
+func (l *link) reportUnanswered(unsent *outgoing) {
+	if unsent != nil && unsent.step != nil && !l.connected.Load() {
+		l.pool.report(notSentMsg(unsent.step))
 	}
-	for l.settleNext() {
+	for l.reportNextUnsent() {
 		continue
 	}
-	if l.dialed.Load() {
+	if l.connected.Load() {
 		l.pool.report(core.UpstreamDownMsg{Upstream: l.name})
 	}
 }
 
-// settleNext reports one step that is still in the ring; false for none.
-func (l *link) settleNext() bool {
+// reportNextUnsent reports one step that is still in the ring; false for none.
+func (l *link) reportNextUnsent() bool {
 	select {
 	case it := <-l.ring.Items():
 		if it.step != nil {
-			l.pool.report(notSent(it.step))
+			l.pool.report(notSentMsg(it.step))
 		}
 		return true
 	default:
@@ -154,11 +154,11 @@
 			_ = s.CloseRequest()
 			return
 		}
-		l.pool.report(l.answer(reply))
+		l.pool.report(l.message(reply))
 	}
 }
 
-func (l *link) request(it item) *wire.StepRequest {
+func (l *link) stepRequest(it outgoing) *wire.StepRequest {
 	if it.end != nil {
 		return &wire.StepRequest{
 			Node: l.pool.node, Request: it.end.Request, Generation: it.end.Generation, End: true,
@@ -176,16 +176,16 @@
 	}
 }
 
-// faults maps the engines' refusals to what the core knows of them.
-var faults = map[wire.StepStatus]core.StepFault{
+// stepFaults maps the engines' refusals to what the core knows of them.
+var stepFaults = map[wire.StepStatus]core.StepFault{
 	wire.StepStatus_STEP_STATUS_GAP:     core.StepGap,
 	wire.StepStatus_STEP_STATUS_FENCED:  core.StepFenced,
 	wire.StepStatus_STEP_STATUS_LEAVING: core.StepRefused,
 	wire.StepStatus_STEP_STATUS_FULL:    core.StepRefused,
 }
 
-func (l *link) answer(r *wire.StepReply) core.Msg {
-	if fault, failed := faults[r.GetStatus()]; failed {
+func (l *link) message(r *wire.StepReply) core.Msg {
+	if fault, failed := stepFaults[r.GetStatus()]; failed {
 		return core.StepFailedMsg{
 			Upstream: l.name, Request: r.GetRequest(), Generation: r.GetGeneration(),
 			Position: r.GetPosition(), Fault: fault, Leaving: r.GetLeaving(),
--- a/engine/pool.go
+++ b/engine/pool.go
@@ -28,16 +28,16 @@
 // Option sets up a Pool.
 type Option func(*Pool)
 
-// WithRing sets how many steps may wait for one engine's stream.
-func WithRing(capacity int) Option { return func(p *Pool) { p.ring = capacity } }
+// WithRingCapacity sets how many steps may wait for one engine's stream.
+func WithRingCapacity(capacity int) Option { return func(p *Pool) { p.ring = capacity } }
 
-// defaultRing holds more steps than an engine takes generations.
-const defaultRing = 4096
+// defaultRingCapacity holds more steps than an engine takes generations.
+const defaultRingCapacity = 4096
 
 // NewPool returns a pool without streams. The node's incarnation names it to
 // the engines.
 func NewPool(node uint64, report Reporter, opts ...Option) *Pool {
-	p := &Pool{node: node, report: report, ring: defaultRing, links: make(map[string]*link)}
+	p := &Pool{node: node, report: report, ring: defaultRingCapacity, links: make(map[string]*link)}
 	for _, opt := range opts {
 		opt(p)
 	}
@@ -48,8 +48,8 @@
 // room it returns the message that says so, and else nil.
 func (p *Pool) Step(cmd *core.StepCmd) core.Msg {
 	l := p.link(cmd.Upstream, cmd.Address)
-	if l == nil || !l.ring.Offer(item{step: cmd}) {
-		return notSent(cmd)
+	if l == nil || !l.ring.Offer(outgoing{step: cmd}) {
+		return notSentMsg(cmd)
 	}
 	return nil
 }
@@ -60,7 +60,7 @@
 	l := p.links[cmd.Upstream]
 	p.mu.Unlock()
 	if l != nil {
-		l.ring.Offer(item{end: cmd})
+		l.ring.Offer(outgoing{end: cmd})
 	}
 }
 
@@ -96,8 +96,8 @@
 	return l
 }
 
-// forget takes a broken stream out, so that the next step opens another.
-func (p *Pool) forget(l *link) {
+// removeLink takes a broken stream out, so that the next step opens another.
+func (p *Pool) removeLink(l *link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.links[l.name] == l {
@@ -105,7 +105,7 @@
 	}
 }
 
-func notSent(cmd *core.StepCmd) core.Msg {
+func notSentMsg(cmd *core.StepCmd) core.Msg {
 	return core.StepFailedMsg{
 		Upstream: cmd.Upstream, Request: cmd.Request, Generation: cmd.Generation,
 		Position: cmd.Position, Fault: core.StepNotSent,
--- a/entry/admin_server.go
+++ b/entry/admin_server.go
@@ -17,52 +17,52 @@
 	"github.com/hoistjunction/hoistjunction/wire/wireconnect"
 )
 
-// proposePatience bounds an operator's wait; the core answers before.
-const proposePatience = 10 * time.Second
+// proposeTimeout bounds an operator's wait; the core answers before.
+const proposeTimeout = 10 * time.Second
 
-// operatorName is where the guard leaves the operator's name for the calls.
-type operatorName struct{}
+// operatorKey is where the guard leaves the operator's name for the calls.
+type operatorKey struct{}
 
 // adminServer serves operators, and hoistburn.
 type adminServer struct {
 	log       *logging.Log
-	decider   *decider
+	loop      *modelLoop
 	recorder  *record.Recorder
 	operators map[string]string
-	proposals *proposalDesk
-	wall      func() int64
+	proposals *proposalWaiters
+	wallTime  func() int64
 }
 
 func (s *adminServer) handler() http.Handler {
 	mux := http.NewServeMux()
 	path, h := wireconnect.NewAdminHandler(s)
-	mux.Handle(path, s.guard(h))
-	mux.Handle("GET /debug/vars", s.guard(http.HandlerFunc(s.vars)))
-	mux.Handle("GET /debug/burn", s.guard(http.HandlerFunc(s.burn)))
+	mux.Handle(path, s.authenticate(h))
+	mux.Handle("GET /debug/vars", s.authenticate(http.HandlerFunc(s.serveVars)))
+	mux.Handle("GET /debug/burn", s.authenticate(http.HandlerFunc(s.burn)))
 	return mux
 }
 
-// guard lets operators through, and notes who it is.
-func (s *adminServer) guard(next http.Handler) http.Handler {
+// authenticate lets operators through, and notes who it is.
+func (s *adminServer) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		name, ok := operatorOf(s.operators, tokenOf(r.Header.Get("Authorization")))
+		name, ok := operatorByToken(s.operators, bearerToken(r.Header.Get("Authorization")))
 		if !ok {
 			http.Error(w, "credentials required", http.StatusUnauthorized)
 			return
 		}
-		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), operatorName{}, name)))
+		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), operatorKey{}, name)))
 	})
 }
 
-func operator(ctx context.Context) string {
-	name, _ := ctx.Value(operatorName{}).(string)
+func operatorFrom(ctx context.Context) string {
+	name, _ := ctx.Value(operatorKey{}).(string)
 	return name
 }
 
 // burn answers with the counts that hoistburn reads.
 func (s *adminServer) burn(w http.ResponseWriter, _ *http.Request) {
 	lines := []burn.Line{}
-	s.decider.ask(func(m *core.Model) { lines = append(lines, m.Burn()...) })
+	s.loop.query(func(m *core.Model) { lines = append(lines, m.Burn()...) })
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(lines)
 }
@@ -71,17 +71,17 @@
 func (s *adminServer) Propose(ctx context.Context, req *connect.Request[wire.ProposeRequest]) (*connect.Response[wire.ProposeReply], error) {
 	call, answer := s.proposals.open()
 	defer s.proposals.close(call)
-	s.decider.tell(core.ProposeMsg{
+	s.loop.post(core.ProposeMsg{
 		Call: call, ChangeID: req.Msg.GetChangeId(), Base: req.Msg.GetBaseVersion(),
-		Operator: operator(ctx), AtMillis: s.wall(), Changes: req.Msg.GetChanges(),
+		Operator: operatorFrom(ctx), AtMillis: s.wallTime(), Changes: req.Msg.GetChanges(),
 	})
-	ctx, cancel := context.WithTimeout(ctx, proposePatience)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	select {
 	case <-ctx.Done():
 		return nil, connect.NewError(connect.CodeUnavailable, ctx.Err())
 	case reply := <-answer:
-		s.log.Info("proposal", zap.String("operator", operator(ctx)), zap.String("change", req.Msg.GetChangeId()),
+		s.log.Info("proposal", zap.String("operator", operatorFrom(ctx)), zap.String("change", req.Msg.GetChangeId()),
 			zap.Stringer("state", reply.GetState()), zap.Uint64("version", reply.GetVersion()))
 		return connect.NewResponse(reply), nil
 	}
@@ -90,11 +90,11 @@
 // GetConfig implements the operators' protocol.
 func (s *adminServer) GetConfig(_ context.Context, req *connect.Request[wire.GetConfigRequest]) (*connect.Response[wire.GetConfigReply], error) {
 	reply := &wire.GetConfigReply{}
-	if !s.decider.ask(func(m *core.Model) { reply.Config = m.ConfigAt(req.Msg.GetVersion()) }) {
+	if !s.loop.query(func(m *core.Model) { reply.Config = m.ConfigAt(req.Msg.GetVersion()) }) {
 		return nil, errStopping()
 	}
 	if reply.GetConfig() == nil {
-		return nil, connect.NewError(connect.CodeNotFound, ErrNoVersion)
+		return nil, connect.NewError(connect.CodeNotFound, ErrVersionNotFound)
 	}
 	return connect.NewResponse(reply), nil
 }
@@ -102,7 +102,7 @@
 // History implements the operators' protocol.
 func (s *adminServer) History(_ context.Context, req *connect.Request[wire.HistoryRequest]) (*connect.Response[wire.HistoryReply], error) {
 	reply := &wire.HistoryReply{}
-	if !s.decider.ask(func(m *core.Model) { reply.Records = m.History(int(req.Msg.GetLimit())) }) {
+	if !s.loop.query(func(m *core.Model) { reply.Records = m.History(int(req.Msg.GetLimit())) }) {
 		return nil, errStopping()
 	}
 	return connect.NewResponse(reply), nil
@@ -111,7 +111,7 @@
 // Status implements the operators' protocol.
 func (s *adminServer) Status(context.Context, *connect.Request[wire.StatusRequest]) (*connect.Response[wire.StatusReply], error) {
 	var reply *wire.StatusReply
-	if !s.decider.ask(func(m *core.Model) { reply = m.Status() }) {
+	if !s.loop.query(func(m *core.Model) { reply = m.Status() }) {
 		return nil, errStopping()
 	}
 	return connect.NewResponse(reply), nil
@@ -120,21 +120,21 @@
 // MarkLeaving implements the operators' protocol.
 func (s *adminServer) MarkLeaving(ctx context.Context, req *connect.Request[wire.MarkLeavingRequest]) (*connect.Response[wire.MarkLeavingReply], error) {
 	known := false
-	if !s.decider.ask(func(m *core.Model) { known = m.Knows(req.Msg.GetUpstream()) }) {
+	if !s.loop.query(func(m *core.Model) { known = m.HasUpstream(req.Msg.GetUpstream()) }) {
 		return nil, errStopping()
 	}
 	if !known {
-		return nil, connect.NewError(connect.CodeNotFound, ErrNoUpstream)
+		return nil, connect.NewError(connect.CodeNotFound, ErrUpstreamNotFound)
 	}
-	s.log.Info("mark_leaving", zap.String("operator", operator(ctx)), zap.String("upstream", req.Msg.GetUpstream()))
-	s.decider.tell(core.MarkLeavingMsg{Upstream: req.Msg.GetUpstream()})
+	s.log.Info("mark_leaving", zap.String("operator", operatorFrom(ctx)), zap.String("upstream", req.Msg.GetUpstream()))
+	s.loop.post(core.MarkLeavingMsg{Upstream: req.Msg.GetUpstream()})
 	return connect.NewResponse(&wire.MarkLeavingReply{}), nil
 }
 
 // Drain implements the operators' protocol.
 func (s *adminServer) Drain(ctx context.Context, _ *connect.Request[wire.DrainRequest]) (*connect.Response[wire.DrainReply], error) {
-	s.log.Info("drain", zap.String("operator", operator(ctx)))
-	s.decider.tell(core.DrainMsg{})
+	s.log.Info("drain", zap.String("operator", operatorFrom(ctx)))
+	s.loop.post(core.DrainMsg{})
 	return connect.NewResponse(&wire.DrainReply{}), nil
 }
 
--- a/entry/bearer.go
+++ b/entry/bearer.go
@@ -11,17 +11,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrNoCredentials is what a call with a missing or wrong token is refused
+// ErrCredentialsRequired is what a call with a missing or wrong token is refused
 // with. It says nothing about which of the two.
-var ErrNoCredentials = errors.New("entry: credentials required")
+var ErrCredentialsRequired = errors.New("entry: credentials required")
 
 const bearerPrefix = "Bearer "
 
 // bearerInterceptor puts a token on outgoing calls.
 type bearerInterceptor struct{ token string }
 
-// bearer returns an interceptor for clients that puts a token on every call.
-func bearer(token string) connect.Interceptor { return &bearerInterceptor{token: token} }
+// newBearerInterceptor returns an interceptor for clients that puts a token on every call.
+func newBearerInterceptor(token string) connect.Interceptor { return &bearerInterceptor{token: token} }
 
 // WrapUnary implements connect.Interceptor.
 func (b *bearerInterceptor) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
@@ -45,15 +45,15 @@
 	return next
 }
 
-// tokenOf returns the token of an Authorization header.
-func tokenOf(header string) string {
+// bearerToken returns the token of an Authorization header.
+func bearerToken(header string) string {
 	token, _ := strings.CutPrefix(header, bearerPrefix)
 	return token
 }
 
-// operatorOf returns the name of the operator whose token it is. Operators
+// operatorByToken returns the name of the operator whose token it is. Operators
 // are kept as SHA-256 in hexadecimal, by name.
-func operatorOf(operators map[string]string, token string) (string, bool) {
+func operatorByToken(operators map[string]string, token string) (string, bool) {
 	sum := sha256.Sum256([]byte(token))
 	given := []byte(hex.EncodeToString(sum[:]))
 	found, ok := "", false
--- a/entry/bed_test.go
+++ b/entry/bed_test.go
@@ -15,24 +15,24 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience bounds every wait of the tests. It is no measurement: a test that
+// testTimeout bounds every wait of the tests. It is no measurement: a test that
 // reaches it has failed for another reason.
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-// start brings up a configured testbed that ends with the test.
-func start(t *testing.T, opts ...testbed.Option) *testbed.Bed {
+// startTestbed brings up a configured testbed that ends with the test.
+func startTestbed(t *testing.T, opts ...testbed.Option) *testbed.Bed {
 	t.Helper()
-	return startWithin(t, testbed.FirstTokenMS, testbed.TokenMS, opts...)
+	return startTestbedWithin(t, testbed.FirstTokenMS, testbed.TokenMS, opts...)
 }
 
-// startPatient is start with bounds so wide that nothing is refused for being
+// startTolerantTestbed is start with bounds so wide that nothing is refused for being
 // late: for tests of what becomes of requests, on machines of any speed.
-func startPatient(t *testing.T, opts ...testbed.Option) *testbed.Bed {
+func startTolerantTestbed(t *testing.T, opts ...testbed.Option) *testbed.Bed {
 	t.Helper()
-	return startWithin(t, 25_000, 2_000, opts...)
+	return startTestbedWithin(t, 25_000, 2_000, opts...)
 }
 
-func startWithin(t *testing.T, first, token uint32, opts ...testbed.Option) *testbed.Bed {
+func startTestbedWithin(t *testing.T, first, token uint32, opts ...testbed.Option) *testbed.Bed {
 	t.Helper()
 	t.Parallel()
 	bed, err := testbed.Start(opts...)
@@ -53,9 +53,9 @@
 	return c
 }
 
-// run sends items to the nodes and returns the results.
-func run(bed *testbed.Bed, items []load.Item, opts ...load.Option) []load.Result {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// runItems sends items to the nodes and returns the results.
+func runItems(bed *testbed.Bed, items []load.Item, opts ...load.Option) []load.Result {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	all := []load.Option{
 		load.WithKeys(map[string]string{"clinic": testbed.AccountKey("clinic")}), load.WithLayers(testbed.Layers), load.WithTries(20),
@@ -63,8 +63,8 @@
 	return load.NewRunner(bed.Addresses(), append(all, opts...)...).Run(ctx, items)
 }
 
-// notices returns requests to the pipeline, one each few milliseconds.
-func notices(n, tokens int) []load.Item {
+// noticeRequests returns requests to the pipeline, one each few milliseconds.
+func noticeRequests(n, tokens int) []load.Item {
 	var items []load.Item
 	for i := range n {
 		items = append(items, load.Item{
@@ -75,8 +75,8 @@
 	return items
 }
 
-// orders returns calls to the plain service, each with a key of its own.
-func orders(n int) []load.Item {
+// orderRequests returns calls to the plain service, each with a key of its own.
+func orderRequests(n int) []load.Item {
 	var items []load.Item
 	for i := range n {
 		items = append(items, load.Item{
@@ -87,8 +87,8 @@
 	return items
 }
 
-// wantWhole checks that every answer is whole and right.
-func wantWhole(t *testing.T, results []load.Result) {
+// wantCorrect checks that every answer is whole and right.
+func wantCorrect(t *testing.T, results []load.Result) {
 	t.Helper()
 	for i, r := range results {
 		if !r.Correct {
@@ -97,11 +97,11 @@
 	}
 }
 
-// wantOnce checks that no key has run more than once at the services.
-func wantOnce(t *testing.T, bed *testbed.Bed) {
+// wantAtMostOneRun checks that no key has run more than once at the services.
+func wantAtMostOneRun(t *testing.T, bed *testbed.Bed) {
 	t.Helper()
 	for _, s := range bed.Services {
-		for key, n := range s.Runs() {
+		for key, n := range s.Executions() {
 			if n > 1 {
 				t.Errorf("key %s: got %d runs, want at most 1", key, n)
 			}
--- a/entry/caller.go
+++ b/entry/caller.go
@@ -17,8 +17,8 @@
 	"github.com/hoistjunction/hoistjunction/logging"
 )
 
-// maxServiceAnswer bounds a plain service's answer, in bytes.
-const maxServiceAnswer = 4 << 20
+// maxServiceResponseBytes bounds a plain service's answer, in bytes.
+const maxServiceResponseBytes = 4 << 20
 
 // serviceCaller carries requests to plain services.
 //
@@ -27,16 +27,16 @@
 // not look so: it is a POST, it has no GetBody to rewind with, and its key
 // travels under a name that net/http does not know.
 type serviceCaller struct {
-	client *http.Client
-	// fresh makes a connection for each call. Every attempt after the first goes out
+	keepAliveClient *http.Client
+	// singleUseClient makes a connection for each call. Every attempt after the first goes out
 	// on one: connections may go silent for good, all at once, and the caller's time
 	// does not last for one after the other.
-	fresh *http.Client
-	log   *logging.Log
-	tell  func(core.Msg)
-	wg    sync.WaitGroup
-	ctx   context.Context
-	stop  context.CancelFunc
+	singleUseClient *http.Client
+	log             *logging.Log
+	post            func(core.Msg)
+	wg              sync.WaitGroup
+	ctx             context.Context
+	stop            context.CancelFunc
 }
 
 // serviceOption sets up a serviceCaller.
@@ -48,15 +48,15 @@
 }
 
 func newServiceCaller(log *logging.Log, tell func(core.Msg), opts ...serviceOption) *serviceCaller {
-	c := &serviceCaller{log: log, tell: tell}
+	c := &serviceCaller{log: log, post: tell}
 	transport := &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second}
 	for _, opt := range opts {
 		opt(transport)
 	}
-	c.client = withoutRedirects(transport)
+	c.keepAliveClient = withoutRedirects(transport)
 	single := transport.Clone()
 	single.DisableKeepAlives = true
-	c.fresh = withoutRedirects(single)
+	c.singleUseClient = withoutRedirects(single)
 	c.ctx, c.stop = context.WithCancel(context.Background())
 	return c
 }
@@ -74,39 +74,39 @@
 // clientFor returns what an attempt is made with.
 func (c *serviceCaller) clientFor(cmd *core.CallCmd) *http.Client {
 	if cmd.Attempt > firstAttempt {
-		return c.fresh
+		return c.singleUseClient
 	}
-	return c.client
+	return c.keepAliveClient
 }
 
 func (c *serviceCaller) call(cmd *core.CallCmd) {
-	c.wg.Go(func() { c.tell(c.exchange(cmd)) })
+	c.wg.Go(func() { c.post(c.attempt(cmd)) })
 }
 
 func (c *serviceCaller) close() {
 	c.stop()
 	c.wg.Wait()
-	c.client.CloseIdleConnections()
+	c.keepAliveClient.CloseIdleConnections()
 }
 
-// exchange makes one attempt. It says "not sent" only when there never was a
+// attempt makes one attempt. It says "not sent" only when there never was a
 // connection for the request.
-func (c *serviceCaller) exchange(cmd *core.CallCmd) core.Msg {
+func (c *serviceCaller) attempt(cmd *core.CallCmd) core.Msg {
 	var connected atomic.Bool
 	ctx, cancel := context.WithTimeout(c.ctx, cmd.Timeout.Duration())
 	defer cancel()
-	req, err := newServiceRequest(watch(ctx, &connected), cmd)
+	req, err := newServiceRequest(traceConnection(ctx, &connected), cmd)
 	if err != nil {
 		return core.CallFailedMsg{Request: cmd.Request, Attempt: cmd.Attempt, NotSent: true}
 	}
 	resp, err := c.clientFor(cmd).Do(req)
 	if err != nil {
-		return c.failed(cmd, err, !connected.Load())
+		return c.callFailed(cmd, err, !connected.Load())
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxServiceAnswer+1))
-	if err != nil || len(body) > maxServiceAnswer {
-		return c.failed(cmd, err, false)
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxServiceResponseBytes+1))
+	if err != nil || len(body) > maxServiceResponseBytes {
+		return c.callFailed(cmd, err, false)
 	}
 	return core.CallDoneMsg{
 		Request: cmd.Request, Attempt: cmd.Attempt, Status: resp.StatusCode,
@@ -131,7 +131,7 @@
 	return req, nil
 }
 
-func (c *serviceCaller) failed(cmd *core.CallCmd, err error, notSent bool) core.Msg {
+func (c *serviceCaller) callFailed(cmd *core.CallCmd, err error, notSent bool) core.Msg {
 	c.log.Info("call_failed", zap.Uint64("request", cmd.Request), zap.String("upstream", cmd.Upstream),
 		zap.Uint32("attempt", cmd.Attempt), zap.Bool("not_sent", notSent), zap.Error(err))
 	return core.CallFailedMsg{Request: cmd.Request, Attempt: cmd.Attempt, NotSent: notSent}
--- a/entry/completions.go
+++ b/entry/completions.go
@@ -30,22 +30,22 @@
 	Content string `json:"content"`
 }
 
-// completions serves a request to a pipeline, streamed or in one piece. It returns
+// serveCompletions serves a request to a pipeline, streamed or in one piece. It returns
 // whether the answer has ended.
-func (s *callerServer) completions(w http.ResponseWriter, r *http.Request) (ended bool) {
-	msg, err := message(r)
+func (s *callerServer) serveCompletions(w http.ResponseWriter, r *http.Request) (ended bool) {
+	msg, err := submitFromHeaders(r)
 	if err != nil {
-		s.refuseRequest(w, http.StatusBadRequest, err)
+		s.writeBadRequest(w, http.StatusBadRequest, err)
 		return true
 	}
 	body, err := s.readBody(w, r)
 	if err != nil {
-		s.refuseRequest(w, bodyStatus(err), err)
+		s.writeBadRequest(w, bodyStatus(err), err)
 		return true
 	}
 	req, err := parseCompletion(body)
 	if err != nil {
-		s.refuseRequest(w, http.StatusBadRequest, err)
+		s.writeBadRequest(w, http.StatusBadRequest, err)
 		return true
 	}
 	msg.Route, msg.Prompt, msg.MaxTokens = req.Model, req.Prompt, req.MaxTokens
@@ -53,15 +53,15 @@
 	if !ok {
 		return true
 	}
-	defer func() { s.leave(msg.Caller, ended) }()
+	defer func() { s.closeMailbox(msg.Caller, ended) }()
 	if req.Stream {
-		return s.stream(w, r, box, req.Model)
+		return s.streamCompletion(w, r, box, req.Model)
 	}
-	return s.whole(w, r, box, req.Model)
+	return s.bufferCompletion(w, r, box, req.Model)
 }
 
 func (s *callerServer) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
-	return io.ReadAll(http.MaxBytesReader(w, r.Body, s.maxBody))
+	return io.ReadAll(http.MaxBytesReader(w, r.Body, s.maxBodyBytes))
 }
 
 func bodyStatus(err error) int {
@@ -77,7 +77,7 @@
 func parseCompletion(body []byte) (completionRequest, error) {
 	var req completionRequest
 	if err := json.Unmarshal(body, &req); err != nil {
-		return req, errors.Wrapf(ErrRequest, "the body is not the JSON of a completion: %v", err)
+		return req, errors.Wrapf(ErrBadRequest, "the body is not the JSON of a completion: %v", err)
 	}
 	if req.MaxTokens == 0 {
 		req.MaxTokens = defaultMaxTokens
@@ -96,8 +96,8 @@
 	return req, nil
 }
 
-// whole waits for the whole answer. It returns whether there was a final word.
-func (s *callerServer) whole(w http.ResponseWriter, r *http.Request, box *mailbox, model string) bool {
+// bufferCompletion waits for the whole answer. It returns whether there was a final word.
+func (s *callerServer) bufferCompletion(w http.ResponseWriter, r *http.Request, box *mailbox, model string) bool {
 	var text strings.Builder
 	var texts []string
 	for {
@@ -107,25 +107,25 @@
 			text.WriteString(t)
 		}
 		if final != nil {
-			s.writeWhole(w, final, text.String(), model)
+			s.writeCompletion(w, final, text.String(), model)
 			return true
 		}
 		select {
 		case <-r.Context().Done():
 			return false
-		case <-box.wake:
+		case <-box.updated:
 		}
 	}
 }
 
-func (s *callerServer) writeWhole(w http.ResponseWriter, f *core.FinishCmd, text, model string) {
+func (s *callerServer) writeCompletion(w http.ResponseWriter, f *core.FinishCmd, text, model string) {
 	if f.Outcome != outcome.Done {
-		s.writeFinal(w, f)
+		s.writeResult(w, f)
 		return
 	}
-	setOutcome(w.Header(), f)
+	setOutcomeHeaders(w.Header(), f)
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(completionAnswer{
+	_ = json.NewEncoder(w).Encode(completionResponse{
 		Object:  "text_completion",
 		Model:   model,
 		Choices: []completionChoice{{Text: text, FinishReason: "stop"}},
@@ -133,8 +133,8 @@
 	})
 }
 
-// completionAnswer is the JSON of an answer, or of a piece of one.
-type completionAnswer struct {
+// completionResponse is the JSON of an answer, or of a piece of one.
+type completionResponse struct {
 	Object  string             `json:"object"`
 	Model   string             `json:"model"`
 	Choices []completionChoice `json:"choices"`
--- a/entry/config.go
+++ b/entry/config.go
@@ -11,9 +11,9 @@
 
 // The words of policy.chooser.
 const (
-	chooserTwo   = "two_choices"
-	chooserLeast = "least_in_flight"
-	chooserRound = "round_robin"
+	chooserTwoChoices    = "two_choices"
+	chooserLeastInFlight = "least_in_flight"
+	chooserRoundRobin    = "round_robin"
 )
 
 // Config is an entry node's settings.
@@ -26,25 +26,25 @@
 	PeerListen   string
 	AdminListen  string
 	// PeerAdvertise is the address that peers are told, if not the listener's.
-	PeerAdvertise string
-	PeerSecret    string
-	PeerSeeds     []string
-	Platform      string
-	MaxBody       int
+	PeerAdvertise   string
+	PeerSecret      string
+	PeerSeeds       []string
+	PlatformAddress string
+	MaxBodyBytes    int
 	// MaxRequests bounds the callers' requests that are open at a time, and
-	// with MaxBody the memory that they can take.
-	MaxRequests int
-	Grace       clock.Millis
-	Seed        int
-	Recording   int
-	TLSCert     string
-	TLSKey      string
-	TLSCA       string
-	Operators   map[string]string
-	Policy      core.Policy
-	Chooser     string
-	FixedLimit  int
-	MaxQueue    int
+	// with MaxBodyBytes the memory that they can take.
+	MaxRequests       int
+	Grace             clock.Millis
+	Seed              int
+	RecordingCapacity int
+	TLSCert           string
+	TLSKey            string
+	TLSCA             string
+	OperatorHashes    map[string]string
+	Policy            core.Policy
+	Chooser           string
+	FixedLimit        int
+	MaxQueue          int
 }
 
 // NewConfig returns a configuration with the defaults of a node that is made
@@ -53,19 +53,19 @@
 	return &Config{
 		Name: "node", DataCentre: "dc", LogLevel: "info",
 		CallerListen: "127.0.0.1:0", PeerListen: "127.0.0.1:0", AdminListen: "127.0.0.1:0",
-		MaxBody: defaultMaxBody, MaxRequests: defaultMaxRequests, Grace: defaultGrace, Recording: defaultRecording,
-		Operators: make(map[string]string), Policy: core.DefaultPolicy(), Chooser: chooserTwo,
+		MaxBodyBytes: defaultMaxBodyBytes, MaxRequests: defaultMaxRequests, Grace: defaultGrace, RecordingCapacity: defaultRecordingCapacity,
+		OperatorHashes: make(map[string]string), Policy: core.DefaultPolicy(), Chooser: chooserTwoChoices,
 	}
 }
 
 // Defaults that are numbers.
 const (
-	defaultMaxBody                  = 1 << 20
-	defaultMaxRequests              = 8192
-	defaultGrace       clock.Millis = 3000
-	defaultRecording                = 1 << 14
-	largestBody                     = 64 << 20
-	largestNumber                   = 1 << 30
+	defaultMaxBodyBytes                   = 1 << 20
+	defaultMaxRequests                    = 8192
+	defaultGrace             clock.Millis = 3000
+	defaultRecordingCapacity              = 1 << 14
+	maxBodyBytesLimit                     = 64 << 20
+	maxIntSetting                         = 1 << 30
 )
 
 // Settings declares every setting of an entry node.
@@ -74,36 +74,36 @@
 	s.String("node", "name", &c.Name, settings.Required())
 	s.String("node", "data_centre", &c.DataCentre, settings.Required())
 	s.Millis("node", "grace_ms", &c.Grace, settings.WithDefault("3000"))
-	s.Int("node", "seed", &c.Seed, 0, largestNumber, settings.WithDefault("0"))
-	s.Int("node", "recording", &c.Recording, 0, largestNumber, settings.WithDefault("16384"))
+	s.Int("node", "seed", &c.Seed, 0, maxIntSetting, settings.WithDefault("0"))
+	s.Int("node", "recording", &c.RecordingCapacity, 0, maxIntSetting, settings.WithDefault("16384"))
 	s.Address("caller", "listen", &c.CallerListen, settings.WithDefault("127.0.0.1:0"))
-	s.Int("caller", "max_body", &c.MaxBody, 1, largestBody, settings.WithDefault("1048576"))
-	s.Int("caller", "max_requests", &c.MaxRequests, 1, largestNumber, settings.WithDefault("8192"))
+	s.Int("caller", "max_body", &c.MaxBodyBytes, 1, maxBodyBytesLimit, settings.WithDefault("1048576"))
+	s.Int("caller", "max_requests", &c.MaxRequests, 1, maxIntSetting, settings.WithDefault("8192"))
 	s.Address("peer", "listen", &c.PeerListen, settings.WithDefault("127.0.0.1:0"))
 	s.Address("peer", "advertise", &c.PeerAdvertise)
 	s.String("peer", "secret", &c.PeerSecret, settings.Required(), settings.Secret())
 	s.Addresses("peer", "seeds", &c.PeerSeeds)
 	s.Address("admin", "listen", &c.AdminListen, settings.WithDefault("127.0.0.1:0"))
-	s.Address("platform", "address", &c.Platform, settings.Required())
+	s.Address("platform", "address", &c.PlatformAddress, settings.Required())
 	s.File("tls", "cert", &c.TLSCert)
 	s.File("tls", "key", &c.TLSKey)
 	s.File("tls", "ca", &c.TLSCA)
 	s.OneOf("log", "level", &c.LogLevel, []string{"debug", "info", "warn", "error"}, settings.WithDefault("info"))
-	c.policySettings(s)
-	s.Map("operators", c.Operators)
+	c.addPolicySettings(s)
+	s.Map("operators", c.OperatorHashes)
 	return s
 }
 
-func (c *Config) policySettings(s *settings.Set) {
+func (c *Config) addPolicySettings(s *settings.Set) {
 	c.Policy = core.DefaultPolicy()
 	s.Bool("policy", "predict", &c.Policy.Predict, settings.WithDefault("true"))
 	s.Bool("policy", "fair", &c.Policy.Fair, settings.WithDefault("true"))
 	s.Bool("policy", "adapt", &c.Policy.Adapt, settings.WithDefault("true"))
 	s.Bool("policy", "affinity", &c.Policy.Affinity, settings.WithDefault("true"))
 	s.Bool("policy", "budget", &c.Policy.Budget, settings.WithDefault("true"))
-	s.Int("policy", "fixed_limit", &c.FixedLimit, 1, largestNumber, settings.WithDefault("64"))
-	s.Int("policy", "max_queue", &c.MaxQueue, 1, largestNumber, settings.WithDefault("4096"))
-	s.OneOf("policy", "chooser", &c.Chooser, []string{chooserTwo, chooserLeast, chooserRound}, settings.WithDefault(chooserTwo))
+	s.Int("policy", "fixed_limit", &c.FixedLimit, 1, maxIntSetting, settings.WithDefault("64"))
+	s.Int("policy", "max_queue", &c.MaxQueue, 1, maxIntSetting, settings.WithDefault("4096"))
+	s.OneOf("policy", "chooser", &c.Chooser, []string{chooserTwoChoices, chooserLeastInFlight, chooserRoundRobin}, settings.WithDefault(chooserTwoChoices))
 }
 
 // Load reads a settings file.
@@ -114,11 +114,11 @@
 	}
 	c.Policy.FixedLimit = float64(c.FixedLimit)
 	c.Policy.MaxQueue = c.MaxQueue
-	return s, c.check()
+	return s, c.validate()
 }
 
-// check looks at what no single setting shows.
-func (c *Config) check() error {
+// validate looks at what no single setting shows.
+func (c *Config) validate() error {
 	if (c.TLSCert == "") != (c.TLSKey == "") {
 		return errors.Wrap(settings.ErrSettings, "[tls] cert and key go together: set both or neither")
 	}
@@ -128,11 +128,11 @@
 	return nil
 }
 
-func (c *Config) chooser() pool.Chooser {
+func (c *Config) newChooser() pool.Chooser {
 	switch c.Chooser {
-	case chooserLeast:
+	case chooserLeastInFlight:
 		return pool.LeastInFlight{}
-	case chooserRound:
+	case chooserRoundRobin:
 		return pool.NewRoundRobin()
 	default:
 		return pool.TwoChoices{}
--- a/entry/config_test.go
+++ b/entry/config_test.go
@@ -20,7 +20,7 @@
 
 func propose(t *testing.T, bed *testbed.Bed, n *testbed.Node, req *wire.ProposeRequest) *wire.ProposeReply {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	resp, err := bed.Admin(n).Propose(ctx, connect.NewRequest(req))
 	if err != nil {
@@ -29,7 +29,7 @@
 	return resp.Msg
 }
 
-func version(t *testing.T, bed *testbed.Bed, n *testbed.Node) *wire.Config {
+func activeConfig(t *testing.T, bed *testbed.Bed, n *testbed.Node) *wire.Config {
 	t.Helper()
 	resp, err := bed.Admin(n).GetConfig(context.Background(), connect.NewRequest(&wire.GetConfigRequest{}))
 	if err != nil {
@@ -41,18 +41,18 @@
 // awaitVersion waits until a node has a version in force.
 func awaitVersion(t *testing.T, bed *testbed.Bed, n *testbed.Node, want uint64) *wire.Config {
 	t.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
-		if c := version(t, bed, n); c.GetVersion() >= want {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+		if c := activeConfig(t, bed, n); c.GetVersion() >= want {
 			return c
 		}
 	}
-	t.Fatalf("got version %d, want %d", version(t, bed, n).GetVersion(), want)
+	t.Fatalf("got version %d, want %d", activeConfig(t, bed, n).GetVersion(), want)
 	return nil
 }
 
 func TestRacingOperatorsOneWinsEachVersion(t *testing.T) {
-	bed := start(t, testbed.WithNodes(3))
-	base := version(t, bed, bed.Nodes[0]).GetVersion()
+	bed := startTestbed(t, testbed.WithNodes(3))
+	base := activeConfig(t, bed, bed.Nodes[0]).GetVersion()
 	replies := make([]*wire.ProposeReply, 6)
 	var wg sync.WaitGroup
 	for i := range replies {
@@ -92,10 +92,10 @@
 }
 
 func TestLostCommitAnswerIsNotCommittedTwice(t *testing.T) {
-	bed := start(t)
-	bed.Platform.SetFaults(standin.PlatformFaults{LoseAnswers: true})
+	bed := startTestbed(t)
+	bed.Platform.SetFaults(standin.PlatformFaults{LoseResponses: true})
 	testbed.AfterFunc(t, 600*time.Millisecond, func() { bed.Platform.SetFaults(standin.PlatformFaults{}) })
-	base := version(t, bed, bed.Nodes[0]).GetVersion()
+	base := activeConfig(t, bed, bed.Nodes[0]).GetVersion()
 	r := propose(t, bed, bed.Nodes[0], &wire.ProposeRequest{ChangeId: "lost", Changes: []*wire.Change{putAccount("late")}})
 	if r.GetState() != wire.ProposeState_PROPOSE_STATE_ACCEPTED || r.GetVersion() != base+1 {
 		t.Errorf("got %s at version %d, want accepted at %d", r.GetState(), r.GetVersion(), base+1)
@@ -107,8 +107,8 @@
 }
 
 func TestNodeStartedInAnOutageLearnsFromPeers(t *testing.T) {
-	bed := start(t)
-	want := version(t, bed, bed.Nodes[0]).GetVersion()
+	bed := startTestbed(t)
+	want := activeConfig(t, bed, bed.Nodes[0]).GetVersion()
 	bed.Platform.SetFaults(standin.PlatformFaults{Down: true})
 	n, err := bed.StartNode()
 	if err != nil {
@@ -118,8 +118,8 @@
 }
 
 func TestNodeCutOffFromTheStoreFollowsItsPeers(t *testing.T) {
-	bed := start(t)
-	base := version(t, bed, bed.Nodes[0]).GetVersion()
+	bed := startTestbed(t)
+	base := activeConfig(t, bed, bed.Nodes[0]).GetVersion()
 	r := propose(t, bed, bed.Nodes[0], &wire.ProposeRequest{ChangeId: "before", Changes: []*wire.Change{putAccount("early")}})
 	bed.Platform.SetFaults(standin.PlatformFaults{Down: true})
 	awaitVersion(t, bed, bed.Nodes[1], base+1)
@@ -133,7 +133,7 @@
 }
 
 func TestInvalidConfigurationIsRefused(t *testing.T) {
-	bed := start(t)
+	bed := startTestbed(t)
 	for name, change := range map[string]*wire.Change{
 		"a gap between stages": {Edit: &wire.Change_PutPipeline{PutPipeline: &wire.Pipeline{
 			Name: "bad", Layers: 8, Stages: []*wire.Stage{{Pool: "low", LastLayer: 3}, {Pool: "high", FirstLayer: 5, LastLayer: 7}},
--- a/entry/decider.go
+++ b/entry/decider.go
@@ -12,33 +12,33 @@
 
 // Sizes of the rings before the decisions.
 const (
-	submissionRing = 4096
-	eventRing      = 65536
-	questionRing   = 64
+	submissionRingSize = 4096
+	eventRingSize      = 65536
+	queryRingSize      = 64
 )
 
-// decider owns the model. Its goroutine is the only one that touches it.
-type decider struct {
+// modelLoop owns the model. Its goroutine is the only one that touches it.
+type modelLoop struct {
 	model       *core.Model
 	clock       *clock.Clock
 	submissions *ring.Ring[core.Msg]
 	events      *ring.Ring[core.Msg]
-	questions   *ring.Ring[func(*core.Model)]
+	queries     *ring.Ring[func(*core.Model)]
 	recorder    *record.Recorder
 	execute     func(core.Cmd)
 	done        chan struct{}
-	// own holds messages that carrying out commands has brought about at
+	// pending holds messages that carrying out commands has brought about at
 	// once.
-	own []core.Msg
+	pending []core.Msg
 }
 
-func newDecider(m *core.Model, c *clock.Clock, rec *record.Recorder) *decider {
-	return &decider{
+func newModelLoop(m *core.Model, c *clock.Clock, rec *record.Recorder) *modelLoop {
+	return &modelLoop{
 		model:       m,
 		clock:       c,
-		submissions: ring.New[core.Msg](submissionRing),
-		events:      ring.New[core.Msg](eventRing),
-		questions:   ring.New[func(*core.Model)](questionRing),
+		submissions: ring.New[core.Msg](submissionRingSize),
+		events:      ring.New[core.Msg](eventRingSize),
+		queries:     ring.New[func(*core.Model)](queryRingSize),
 		recorder:    rec,
 		done:        make(chan struct{}),
 	}
@@ -46,14 +46,14 @@
 
 // run takes messages until the context ends. Events go before submissions:
 // what is in progress is worth more than what is new.
-func (d *decider) run(ctx context.Context) error {
+func (d *modelLoop) run(ctx context.Context) error {
 	defer close(d.done)
-	ticker := time.NewTicker(core.TickEvery.Duration())
+	ticker := time.NewTicker(core.TickInterval.Duration())
 	defer ticker.Stop()
 	for {
 		select {
 		case msg := <-d.events.Items():
-			d.update(msg)
+			d.process(msg)
 			continue
 		default:
 		}
@@ -61,27 +61,27 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case msg := <-d.events.Items():
-			d.update(msg)
+			d.process(msg)
 		case msg := <-d.submissions.Items():
-			d.update(msg)
-		case ask := <-d.questions.Items():
+			d.process(msg)
+		case ask := <-d.queries.Items():
 			ask(d.model)
 		case <-ticker.C:
-			d.update(core.TickMsg{})
+			d.process(core.TickMsg{})
 		}
 	}
 }
 
-func (d *decider) update(msg core.Msg) {
-	d.step(msg)
-	for len(d.own) > 0 {
-		next := d.own[0]
-		d.own = d.own[1:]
-		d.step(next)
+func (d *modelLoop) process(msg core.Msg) {
+	d.apply(msg)
+	for len(d.pending) > 0 {
+		next := d.pending[0]
+		d.pending = d.pending[1:]
+		d.apply(next)
 	}
 }
 
-func (d *decider) step(msg core.Msg) {
+func (d *modelLoop) apply(msg core.Msg) {
 	now := d.clock.Now()
 	d.recorder.Add(now, msg)
 	for _, cmd := range d.model.Update(now, msg) {
@@ -89,21 +89,21 @@
 	}
 }
 
-// tell brings an event from another goroutine. It waits for room: there are
+// post brings an event from another goroutine. It waits for room: there are
 // never more events on their way than commands have asked for.
-func (d *decider) tell(msg core.Msg) { d.events.Put(msg, d.done) }
+func (d *modelLoop) post(msg core.Msg) { d.events.Put(msg, d.done) }
 
-// note brings an event from within execute.
-func (d *decider) note(msg core.Msg) { d.own = append(d.own, msg) }
+// postLocal brings an event from within execute.
+func (d *modelLoop) postLocal(msg core.Msg) { d.pending = append(d.pending, msg) }
 
 // submit offers a caller's message, and reports whether there was room.
-func (d *decider) submit(msg core.Msg) bool { return d.submissions.Offer(msg) }
+func (d *modelLoop) submit(msg core.Msg) bool { return d.submissions.Offer(msg) }
 
-// ask runs a function on the model, in the decider's goroutine, and waits for
+// query runs a function on the model, in the decider's goroutine, and waits for
 // it. It returns false when the decider has stopped.
-func (d *decider) ask(f func(*core.Model)) bool {
+func (d *modelLoop) query(f func(*core.Model)) bool {
 	answered := make(chan struct{})
-	put := d.questions.Put(func(m *core.Model) {
+	put := d.queries.Put(func(m *core.Model) {
 		f(m)
 		close(answered)
 	}, d.done)
--- a/entry/errors.go
+++ b/entry/errors.go
@@ -6,8 +6,8 @@
 var (
 	// ErrStopping means that the node is about to exit.
 	ErrStopping = errors.New("entry: stopping")
-	// ErrNoVersion means that a version of the configuration is not held here.
-	ErrNoVersion = errors.New("entry: no such version here")
-	// ErrNoUpstream means that no upstream has that name.
-	ErrNoUpstream = errors.New("entry: no such upstream")
+	// ErrVersionNotFound means that a version of the configuration is not held here.
+	ErrVersionNotFound = errors.New("entry: no such version here")
+	// ErrUpstreamNotFound means that no upstream has that name.
+	ErrUpstreamNotFound = errors.New("entry: no such upstream")
 )
--- a/entry/execute.go
+++ b/entry/execute.go
@@ -11,14 +11,14 @@
 func (n *Node) execute(cmd core.Cmd) {
 	switch cmd := cmd.(type) {
 	case *core.EmitCmd:
-		n.mail.emit(cmd)
+		n.mailboxes.emit(cmd)
 	case *core.FinishCmd:
 		n.logFinish(cmd)
-		n.mail.finish(cmd)
+		n.mailboxes.finish(cmd)
 	case *core.TicketsCmd:
-		n.mail.grant(cmd)
+		n.mailboxes.setTickets(cmd)
 	case *core.StepCmd:
-		n.note(n.engines.Step(cmd))
+		n.postIfAny(n.engines.Step(cmd))
 	case *core.EndCmd:
 		n.engines.End(cmd)
 	case *core.CallCmd:
@@ -28,35 +28,35 @@
 	case *core.HeartbeatCmd:
 		n.peers.heartbeat(cmd)
 	case *core.HandoverCmd:
-		n.peers.handOver(cmd)
+		n.peers.handover(cmd)
 	case *core.ProposedCmd:
-		n.desk.answer(cmd)
+		n.pendingProposals.deliver(cmd)
 	case *core.ExitCmd:
 		n.log.Info("drained")
-		close(n.exit)
+		close(n.drained)
 	case *core.FetchChangesCmd:
-		n.fetch(cmd)
+		n.fetchChanges(cmd)
 	default:
-		n.offerStore(cmd)
+		n.enqueueStore(cmd)
 	}
 }
 
-func (n *Node) fetch(cmd *core.FetchChangesCmd) {
+func (n *Node) fetchChanges(cmd *core.FetchChangesCmd) {
 	if cmd.Address != "" {
-		n.peers.fetch(cmd)
+		n.peers.fetchChanges(cmd)
 		return
 	}
-	n.offerStore(cmd)
+	n.enqueueStore(cmd)
 }
 
-func (n *Node) offerStore(cmd core.Cmd) {
-	n.note(n.store.offer(cmd))
+func (n *Node) enqueueStore(cmd core.Cmd) {
+	n.postIfAny(n.store.enqueue(cmd))
 }
 
-// note brings a message that a command has brought about at once, if any.
-func (n *Node) note(msg core.Msg) {
+// postIfAny brings a message that a command has brought about at once, if any.
+func (n *Node) postIfAny(msg core.Msg) {
 	if msg != nil {
-		n.decider.note(msg)
+		n.loop.postLocal(msg)
 	}
 }
 
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -14,9 +14,9 @@
 	[]byte(`{`),
 }
 
-func checkCompletion(t *testing.T, body []byte) {
+func checkParseCompletion(t *testing.T, body []byte) {
 	req, err := parseCompletion(body)
-	if err != nil && !errors.Is(err, ErrRequest) {
+	if err != nil && !errors.Is(err, ErrBadRequest) {
 		t.Errorf("got %v, want ErrRequest", err)
 	}
 	if err == nil && req.MaxTokens == 0 {
@@ -28,9 +28,9 @@
 	for _, e := range completionExamples {
 		f.Add(e)
 	}
-	f.Fuzz(checkCompletion)
+	f.Fuzz(checkParseCompletion)
 }
 
 func TestCompletionOnManyInputs(t *testing.T) {
-	fixedseed.Mutate(completionExamples, func(input []byte) { checkCompletion(t, input) })
+	fixedseed.Mutate(completionExamples, func(input []byte) { checkParseCompletion(t, input) })
 }
--- a/entry/input_test.go
+++ b/entry/input_test.go
@@ -35,7 +35,7 @@
 }
 
 func TestBadInputGetsAClearAnswer(t *testing.T) {
-	bed := start(t)
+	bed := startTestbed(t)
 	address := bed.Nodes[0].CallerAddress()
 	good := `{"model":"notices","prompt":"hola","max_tokens":2}`
 	for _, c := range []struct {
@@ -55,8 +55,8 @@
 		{"priority no number", "/v1/completions", good, []string{callkey.Priority, "high"}, 400, "failed bad_request"},
 		{"deadline below zero", "/v1/completions", good, []string{callkey.Deadline, "-1"}, 400, "failed bad_request"},
 		{"priority out of range", "/v1/completions", good, []string{callkey.Priority, "10"}, 400, "failed bad_request"},
-		{"key too long", "/v1/completions", good, []string{callkey.Idempotency, strings.Repeat("k", 300)}, 400, "failed bad_request"},
-		{"forged ticket", "/v1/completions", good, []string{callkey.Idempotency, "hjt1-0000000000000001-1-0000000000000000", callkey.Try, "1"}, 502, "not_run owner_gone"},
+		{"key too long", "/v1/completions", good, []string{callkey.IdempotencyKey, strings.Repeat("k", 300)}, 400, "failed bad_request"},
+		{"forged ticket", "/v1/completions", good, []string{callkey.IdempotencyKey, "hjt1-0000000000000001-1-0000000000000000", callkey.Try, "1"}, 502, "not_run owner_gone"},
 		{"no such path", "/v2/x", good, nil, 404, " "},
 		{"a good one after all that", "/v1/completions", good, nil, 200, "done "},
 	} {
@@ -69,24 +69,24 @@
 
 // TestDroppedConnectionsDisturbNobody hangs up at each point of a request.
 func TestDroppedConnectionsDisturbNobody(t *testing.T) {
-	bed := startPatient(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
+	bed := startTolerantTestbed(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
 	address := bed.Nodes[0].CallerAddress()
 	body := `{"model":"notices","prompt":"hola","max_tokens":50,"stream":true}`
 	whole := fmt.Sprintf("POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s",
 		testbed.AccountKey("clinic"), len(body), body)
 	for cut := 10; cut <= len(whole); cut += 40 {
-		hangUp(t, address, whole[:cut], false)
+		sendAndClose(t, address, whole[:cut], false)
 	}
 	for range 10 {
-		hangUp(t, address, whole, true)
+		sendAndClose(t, address, whole, true)
 	}
 	for range 20 {
-		holdOpen(t, address, whole[:len(whole)-5])
+		sendAndHold(t, address, whole[:len(whole)-5])
 	}
-	wantWhole(t, run(bed, notices(10, 5)))
+	wantCorrect(t, runItems(bed, noticeRequests(10, 5)))
 }
 
-func hangUp(t *testing.T, address, text string, readFirst bool) {
+func sendAndClose(t *testing.T, address, text string, readFirst bool) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -101,9 +101,9 @@
 	}
 }
 
-// holdOpen sends a part of a request and leaves the rest out until the test
+// sendAndHold sends a part of a request and leaves the rest out until the test
 // ends, as a slow body does.
-func holdOpen(t *testing.T, address, text string) {
+func sendAndHold(t *testing.T, address, text string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -116,9 +116,9 @@
 }
 
 func TestOperatorsNeedAToken(t *testing.T) {
-	bed := start(t)
+	bed := startTestbed(t)
 	for _, path := range []string{"/debug/vars", "/debug/burn"} {
-		resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(request(t, bed.Nodes[0].AdminAddress(), path))
+		resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(newGetRequest(t, bed.Nodes[0].AdminAddress(), path))
 		if err != nil {
 			t.Fatalf("got %v, want an answer", err)
 		}
@@ -129,7 +129,7 @@
 	}
 }
 
-func request(t *testing.T, address, path string) *http.Request {
+func newGetRequest(t *testing.T, address, path string) *http.Request {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
--- a/entry/left_test.go
+++ b/entry/left_test.go
@@ -18,7 +18,7 @@
 // empty 200 where nothing had been answered, and a stream that ended without a break.
 // Found by reading the handlers for returns without a final word.
 func TestHalfClosedCallerSeesNoEnd(t *testing.T) {
-	bed := startPatient(t, testbed.WithNodes(1),
+	bed := startTolerantTestbed(t, testbed.WithNodes(1),
 		testbed.WithStages(testbed.Stages(1, slowEngine())...), testbed.WithServices(1, 300*time.Millisecond))
 	for _, tt := range []struct {
 		name, path, body string
@@ -34,7 +34,7 @@
 				t.Fatal(err)
 			}
 			defer func() { _ = conn.Close() }()
-			if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+			if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 				t.Fatal(err)
 			}
 			if _, err := fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s",
--- a/entry/mailbox.go
+++ b/entry/mailbox.go
@@ -13,16 +13,16 @@
 type mailbox struct {
 	mu      sync.Mutex
 	texts   []string
-	final   *core.FinishCmd
+	result  *core.FinishCmd
 	tickets *core.TicketsCmd
-	wake    chan struct{}
+	updated chan struct{}
 }
 
-func newMailbox() *mailbox { return &mailbox{wake: make(chan struct{}, 1)} }
+func newMailbox() *mailbox { return &mailbox{updated: make(chan struct{}, 1)} }
 
-func (b *mailbox) ring() {
+func (b *mailbox) signal() {
 	select {
-	case b.wake <- struct{}{}:
+	case b.updated <- struct{}{}:
 	default:
 	}
 }
@@ -31,21 +31,21 @@
 	b.mu.Lock()
 	b.texts = append(b.texts, texts...)
 	b.mu.Unlock()
-	b.ring()
+	b.signal()
 }
 
 func (b *mailbox) finish(f *core.FinishCmd) {
 	b.mu.Lock()
-	b.final = f
+	b.result = f
 	b.mu.Unlock()
-	b.ring()
+	b.signal()
 }
 
-func (b *mailbox) grant(t *core.TicketsCmd) {
+func (b *mailbox) setTickets(t *core.TicketsCmd) {
 	b.mu.Lock()
 	b.tickets = t
 	b.mu.Unlock()
-	b.ring()
+	b.signal()
 }
 
 // take returns what has come since the last take, and the final word if it is
@@ -55,10 +55,10 @@
 	defer b.mu.Unlock()
 	into = append(into[:0], b.texts...)
 	b.texts = slices.Delete(b.texts, 0, len(b.texts))
-	return into, b.final
+	return into, b.result
 }
 
-func (b *mailbox) granted() *core.TicketsCmd {
+func (b *mailbox) grantedTickets() *core.TicketsCmd {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.tickets
--- a/entry/node.go
+++ b/entry/node.go
@@ -20,39 +20,39 @@
 
 // Bounds of the listeners against callers that send slowly or not at all.
 const (
-	headerTimeout = 5 * time.Second
-	bodyTimeout   = 30 * time.Second
-	idleTimeout   = 60 * time.Second
-	maxHeader     = 64 << 10
-	stopTimeout   = 2 * time.Second
+	readHeaderTimeout = 5 * time.Second
+	readTimeout       = 30 * time.Second
+	idleTimeout       = 60 * time.Second
+	maxHeaderBytes    = 64 << 10
+	shutdownTimeout   = 2 * time.Second
 )
 
 // Node is an entry node: the core, and the shell around it.
 type Node struct {
-	config   *Config
-	log      *logging.Log
-	clock    *clock.Clock
-	tls      *TLSFiles
-	decider  *decider
-	mail     *mailroom
-	engines  *engine.Pool
-	services *serviceCaller
-	peers    *peerCaller
-	store    *storeWorker
-	platform *tablestore.Client
-	desk     *proposalDesk
-
-	caller net.Listener
-	peer   net.Listener
-	admin  net.Listener
-	exit   chan struct{}
+	config           *Config
+	log              *logging.Log
+	clock            *clock.Clock
+	tls              *TLSFiles
+	loop             *modelLoop
+	mailboxes        *mailboxRegistry
+	engines          *engine.Pool
+	services         *serviceCaller
+	peers            *peerCaller
+	store            *storeWorker
+	platform         *tablestore.Client
+	pendingProposals *proposalWaiters
+
+	caller  net.Listener
+	peer    net.Listener
+	admin   net.Listener
+	drained chan struct{}
 }
 
 // NewNode binds the node's ports and builds it. Run makes it work.
 func NewNode(c *Config, log *logging.Log) (*Node, error) {
 	n := &Node{
-		config: c, log: log, clock: clock.New(), mail: newMailroom(), desk: newProposalDesk(),
-		exit: make(chan struct{}),
+		config: c, log: log, clock: clock.New(), mailboxes: newMailboxRegistry(), pendingProposals: newProposalWaiters(),
+		drained: make(chan struct{}),
 	}
 	if c.TLSCert != "" {
 		files, err := NewTLSFiles(c.TLSCert, c.TLSKey, c.TLSCA)
@@ -64,7 +64,7 @@
 	if err := n.listen(); err != nil {
 		return nil, err
 	}
-	n.build()
+	n.buildComponents()
 	return n, nil
 }
 
@@ -97,27 +97,27 @@
 	}
 }
 
-// build joins the duties.
-func (n *Node) build() {
-	start := record.Start{
-		Node: n.record(), Seed: uint64(n.config.Seed), Seeds: n.config.PeerSeeds,
+// buildComponents joins the duties.
+func (n *Node) buildComponents() {
+	start := record.Header{
+		Node: n.nodeRecord(), Seed: uint64(n.config.Seed), Seeds: n.config.PeerSeeds,
 		Grace: n.config.Grace, Policy: n.config.Policy,
 	}
 	secret := randomBytes(32)
-	model := start.Model(core.WithSecret(secret), core.WithChooser(n.config.chooser()))
-	recorder := record.NewRecorder(start, record.WithCapacity(n.config.Recording))
-	n.decider = newDecider(model, n.clock, recorder)
-	n.decider.execute = n.execute
-	n.engines = engine.NewPool(start.Node.GetIncarnation(), n.decider.tell)
-	n.services = newServiceCaller(n.log, n.decider.tell)
-	n.peers = newPeerCaller(n.tls, n.config.PeerSecret, n.log, n.decider.tell)
-	n.platform = tablestore.NewClient(n.config.Platform)
-	n.store = newStoreWorker(n.platform, n.log, n.decider.tell)
+	model := start.NewModel(core.WithSecret(secret), core.WithChooser(n.config.newChooser()))
+	recorder := record.NewRecorder(start, record.WithCapacity(n.config.RecordingCapacity))
+	n.loop = newModelLoop(model, n.clock, recorder)
+	n.loop.execute = n.execute
+	n.engines = engine.NewPool(start.Node.GetIncarnation(), n.loop.post)
+	n.services = newServiceCaller(n.log, n.loop.post)
+	n.peers = newPeerCaller(n.tls, n.config.PeerSecret, n.log, n.loop.post)
+	n.platform = tablestore.NewClient(n.config.PlatformAddress)
+	n.store = newStoreWorker(n.platform, n.log, n.loop.post)
 }
 
-// record is what the node says of itself. Its incarnation is 64 random bits:
+// nodeRecord is what the node says of itself. Its incarnation is 64 random bits:
 // the ownership of keys rests on no two being equal.
-func (n *Node) record() *wire.NodeRecord {
+func (n *Node) nodeRecord() *wire.NodeRecord {
 	address := n.config.PeerAdvertise
 	if address == "" {
 		address = n.peer.Addr().String()
@@ -147,4 +147,4 @@
 func (n *Node) AdminAddress() string { return n.admin.Addr().String() }
 
 // Drain begins a planned stop. Run returns when nothing is in progress.
-func (n *Node) Drain() { n.decider.tell(core.DrainMsg{}) }
+func (n *Node) Drain() { n.loop.post(core.DrainMsg{}) }
--- a/entry/once_test.go
+++ b/entry/once_test.go
@@ -12,13 +12,13 @@
 	"github.com/hoistjunction/hoistjunction/testbed"
 )
 
-// wantAccounted checks that a whole answer means that the key has run, and
+// wantOutcomesMatchRuns checks that a whole answer means that the key has run, and
 // "not run" that it has not.
-func wantAccounted(t *testing.T, bed *testbed.Bed, results []load.Result) {
+func wantOutcomesMatchRuns(t *testing.T, bed *testbed.Bed, results []load.Result) {
 	t.Helper()
 	runs := make(map[string]int)
 	for _, s := range bed.Services {
-		for key, n := range s.Runs() {
+		for key, n := range s.Executions() {
 			runs[key] += n
 		}
 	}
@@ -37,12 +37,12 @@
 }
 
 func TestKeysRunOnceWhileNodesDie(t *testing.T) {
-	bed := start(t, testbed.WithNodes(3), testbed.WithServices(2, 10*time.Millisecond))
-	items := orders(150)
+	bed := startTestbed(t, testbed.WithNodes(3), testbed.WithServices(2, 10*time.Millisecond))
+	items := orderRequests(150)
 	addresses := bed.Addresses()
 	testbed.AfterFunc(t, 200*time.Millisecond, func() { bed.Nodes[1].Kill() })
-	results := run(bed, items, load.WithTries(6))
-	wantAccounted(t, bed, results)
+	results := runItems(bed, items, load.WithTries(6))
+	wantOutcomesMatchRuns(t, bed, results)
 	done := load.Summarize(results).Done()
 	if len(addresses) != 3 || done < len(items)/2 {
 		t.Errorf("got %d of %d keys done, want most of them", done, len(items))
@@ -50,11 +50,11 @@
 }
 
 func TestKeyAskedAtBothNodesAtOnce(t *testing.T) {
-	bed := start(t, testbed.WithServices(1, 20*time.Millisecond))
+	bed := startTestbed(t, testbed.WithServices(1, 20*time.Millisecond))
 	client := load.NewClient()
 	defer client.Close()
 	var wg sync.WaitGroup
-	for _, item := range orders(20) {
+	for _, item := range orderRequests(20) {
 		for _, node := range bed.Addresses() {
 			wg.Go(func() {
 				answer, err := client.Send(context.Background(), node, testbed.AccountKey("clinic"), item, 2)
@@ -65,55 +65,55 @@
 		}
 	}
 	wg.Wait()
-	wantOnce(t, bed)
-	if got := bed.Services[0].Total(); got != 20 {
+	wantAtMostOneRun(t, bed)
+	if got := bed.Services[0].TotalExecutions(); got != 20 {
 		t.Errorf("got %d runs, want 20", got)
 	}
 }
 
 func TestStoreOutageStopsKeysButNotTickets(t *testing.T) {
-	bed := start(t)
+	bed := startTestbed(t)
 	bed.Platform.SetFaults(standin.PlatformFaults{Down: true})
-	tickets := orders(10)
+	tickets := orderRequests(10)
 	for i := range tickets {
 		tickets[i].Key, tickets[i].Ticket = "", true
 	}
-	wantWhole(t, run(bed, tickets))
-	before := bed.Services[0].Total()
-	refused := run(bed, orders(10), load.WithTries(1))
+	wantCorrect(t, runItems(bed, tickets))
+	before := bed.Services[0].TotalExecutions()
+	refused := runItems(bed, orderRequests(10), load.WithTries(1))
 	for _, r := range refused {
 		if r.Outcome != outcome.NotExecuted || r.Reason != "store_down" {
 			t.Errorf("key %s: got %s (%s), want not_run (store_down)", r.Item.Key, r.Outcome, r.Reason)
 		}
 	}
-	if got := bed.Services[0].Total(); got != before {
+	if got := bed.Services[0].TotalExecutions(); got != before {
 		t.Errorf("got %d runs during the outage, want none", got-before)
 	}
 	bed.Platform.SetFaults(standin.PlatformFaults{})
-	wantWhole(t, run(bed, orders(10)))
-	wantOnce(t, bed)
+	wantCorrect(t, runItems(bed, orderRequests(10)))
+	wantAtMostOneRun(t, bed)
 }
 
 func TestLostStoreAnswersAreReadBack(t *testing.T) {
-	bed := start(t)
-	bed.Platform.SetFaults(standin.PlatformFaults{LoseAnswers: true})
+	bed := startTestbed(t)
+	bed.Platform.SetFaults(standin.PlatformFaults{LoseResponses: true})
 	testbed.AfterFunc(t, 400*time.Millisecond, func() { bed.Platform.SetFaults(standin.PlatformFaults{}) })
-	results := run(bed, orders(40))
-	wantWhole(t, results)
-	wantAccounted(t, bed, results)
+	results := runItems(bed, orderRequests(40))
+	wantCorrect(t, results)
+	wantOutcomesMatchRuns(t, bed, results)
 }
 
 func TestServiceCutAfterRunningIsNotRepeated(t *testing.T) {
-	bed := start(t)
-	bed.Services[0].SetFaults(standin.ServiceFaults{CutAfterRun: true})
-	results := run(bed, orders(10), load.WithTries(3))
+	bed := startTestbed(t)
+	bed.Services[0].SetFaults(standin.ServiceFaults{DropAfterExecution: true})
+	results := runItems(bed, orderRequests(10), load.WithTries(3))
 	for _, r := range results {
 		if r.Outcome != outcome.Unknown {
 			t.Errorf("key %s: got %s, want unknown", r.Item.Key, r.Outcome)
 		}
 	}
-	wantOnce(t, bed)
-	if got := bed.Services[0].Total(); got != 10 {
+	wantAtMostOneRun(t, bed)
+	if got := bed.Services[0].TotalExecutions(); got != 10 {
 		t.Errorf("got %d runs, want 10", got)
 	}
 }
--- a/entry/peer_server.go
+++ b/entry/peer_server.go
@@ -23,14 +23,14 @@
 func (s *peerServer) handler() http.Handler {
 	mux := http.NewServeMux()
 	path, h := wireconnect.NewPeerHandler(s)
-	mux.Handle(path, s.guard(h))
+	mux.Handle(path, s.authenticate(h))
 	return mux
 }
 
-// guard lets through only who knows the peers' secret.
-func (s *peerServer) guard(next http.Handler) http.Handler {
+// authenticate lets through only who knows the peers' secret.
+func (s *peerServer) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		token := tokenOf(r.Header.Get("Authorization"))
+		token := bearerToken(r.Header.Get("Authorization"))
 		if subtle.ConstantTimeCompare([]byte(token), []byte(s.secret)) != 1 {
 			http.Error(w, "credentials required", http.StatusUnauthorized)
 			return
@@ -43,12 +43,12 @@
 func (s *peerServer) Heartbeat(_ context.Context, req *connect.Request[wire.HeartbeatRequest]) (*connect.Response[wire.HeartbeatReply], error) {
 	m := req.Msg
 	if m.GetFrom() == nil {
-		return nil, connect.NewError(connect.CodeInvalidArgument, ErrRequest)
+		return nil, connect.NewError(connect.CodeInvalidArgument, ErrBadRequest)
 	}
-	d := s.callers.decider
-	d.tell(core.HeartbeatMsg{From: m.GetFrom(), Heard: m.GetHeard(), Leaving: m.GetLeaving()})
+	d := s.callers.loop
+	d.post(core.HeartbeatMsg{From: m.GetFrom(), Heard: m.GetHeard(), Leaving: m.GetLeaving()})
 	var reply *wire.HeartbeatReply
-	if !d.ask(func(m *core.Model) { reply = m.HeartbeatReply() }) {
+	if !d.query(func(m *core.Model) { reply = m.HeartbeatReply() }) {
 		return nil, errStopping()
 	}
 	return connect.NewResponse(reply), nil
@@ -57,7 +57,7 @@
 // Changes implements the peers' protocol.
 func (s *peerServer) Changes(_ context.Context, req *connect.Request[wire.ChangesRequest]) (*connect.Response[wire.ChangesReply], error) {
 	var reply *wire.ChangesReply
-	if !s.callers.decider.ask(func(m *core.Model) { reply = m.Changes(req.Msg.GetAfterVersion()) }) {
+	if !s.callers.loop.query(func(m *core.Model) { reply = m.ChangesAfter(req.Msg.GetAfterVersion()) }) {
 		return nil, errStopping()
 	}
 	return connect.NewResponse(reply), nil
@@ -65,13 +65,13 @@
 
 // Relay implements the peers' protocol: the peer is treated as a caller.
 func (s *peerServer) Relay(ctx context.Context, req *connect.Request[wire.RelayRequest], stream *connect.ServerStream[wire.RelayEvent]) error {
-	caller, box := s.callers.mail.open()
-	if !s.callers.decider.submit(relayedMessage(caller, req.Msg)) {
-		s.callers.mail.close(caller)
-		return connect.NewError(connect.CodeResourceExhausted, ErrRequest)
+	caller, box := s.callers.mailboxes.open()
+	if !s.callers.loop.submit(submitFromRelay(caller, req.Msg)) {
+		s.callers.mailboxes.close(caller)
+		return connect.NewError(connect.CodeResourceExhausted, ErrBadRequest)
 	}
 	final := false
-	defer func() { s.callers.leave(caller, final) }()
+	defer func() { s.callers.closeMailbox(caller, final) }()
 	for {
 		texts, f := box.take(nil)
 		if len(texts) > 0 || f != nil {
@@ -86,12 +86,12 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-box.wake:
+		case <-box.updated:
 		}
 	}
 }
 
-func relayedMessage(caller uint64, r *wire.RelayRequest) core.SubmitMsg {
+func submitFromRelay(caller uint64, r *wire.RelayRequest) core.SubmitMsg {
 	return core.SubmitMsg{
 		Caller:      caller,
 		Relayed:     true,
