--- a/entry/peers.go
+++ b/entry/peers.go
@@ -22,31 +22,31 @@
 // peerTimeout bounds heartbeats and fetches.
 const peerTimeout = time.Second
 
-// A connection to a peer on which nothing has come for peerPingAfter is pinged, and
-// closed if that brings nothing in peerPingPatience. With the half second between
+// A connection to a peer on which nothing has come for peerPingIdle is pinged, and
+// closed if that brings nothing in peerPingTimeout. With the half second between
 // heartbeats that leaves 1.5 s of the five after which a silent peer counts as gone. The
 // patience is that for engines: what a peer runs for this node breaks with it, and one
 // that stands still for a second or two goes on afterwards.
 const (
-	peerPingAfter    = time.Second
-	peerPingPatience = 2 * time.Second
+	peerPingIdle    = time.Second
+	peerPingTimeout = 2 * time.Second
 )
 
-// heartbeatsAtOnce bounds the heartbeats on their way. One that finds no
+// maxHeartbeatsInFlight bounds the heartbeats on their way. One that finds no
 // place is left out; the next round has others.
-const heartbeatsAtOnce = 16
+const maxHeartbeatsInFlight = 16
 
 // peerCaller speaks to the other entry nodes.
 type peerCaller struct {
-	http   *http.Client
-	scheme string
-	secret string
-	log    *logging.Log
-	tell   func(core.Msg)
-	beats  chan struct{}
-	wg     sync.WaitGroup
-	ctx    context.Context
-	stop   context.CancelFunc
+	http           *http.Client
+	scheme         string
+	secret         string
+	log            *logging.Log
+	post           func(core.Msg)
+	heartbeatSlots chan struct{}
+	wg             sync.WaitGroup
+	ctx            context.Context
+	stop           context.CancelFunc
 }
 
 // peerOption sets up a peerCaller.
@@ -59,14 +59,14 @@
 
 func newPeerCaller(tlsFiles *TLSFiles, secret string, log *logging.Log, tell func(core.Msg), opts ...peerOption) *peerCaller {
 	p := &peerCaller{
-		secret: secret, log: log, tell: tell, scheme: "http://",
-		beats: make(chan struct{}, heartbeatsAtOnce),
+		secret: secret, log: log, post: tell, scheme: "http://",
+		heartbeatSlots: make(chan struct{}, maxHeartbeatsInFlight),
 	}
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
 	t := &http.Transport{
 		Protocols: protocols, IdleConnTimeout: 30 * time.Second,
-		HTTP2: &http.HTTP2Config{SendPingTimeout: peerPingAfter, PingTimeout: peerPingPatience},
+		HTTP2: &http.HTTP2Config{SendPingTimeout: peerPingIdle, PingTimeout: peerPingTimeout},
 	}
 	t.DialContext = (&net.Dialer{Timeout: peerTimeout}).DialContext
 	if tlsFiles != nil {
@@ -89,18 +89,18 @@
 }
 
 func (p *peerCaller) client(address string) wireconnect.PeerClient {
-	return wireconnect.NewPeerClient(p.http, p.scheme+address, connect.WithInterceptors(bearer(p.secret)))
+	return wireconnect.NewPeerClient(p.http, p.scheme+address, connect.WithInterceptors(newBearerInterceptor(p.secret)))
 }
 
 // heartbeat tells a peer what this node knows, and brings back what it says.
 func (p *peerCaller) heartbeat(cmd *core.HeartbeatCmd) {
 	select {
-	case p.beats <- struct{}{}:
+	case p.heartbeatSlots <- struct{}{}:
 	default:
 		return
 	}
 	p.wg.Go(func() {
-		defer func() { <-p.beats }()
+		defer func() { <-p.heartbeatSlots }()
 		ctx, cancel := context.WithTimeout(p.ctx, peerTimeout)
 		defer cancel()
 		resp, err := p.client(cmd.Address).Heartbeat(ctx, connect.NewRequest(cmd.Beat))
@@ -108,21 +108,21 @@
 			p.log.Debug("heartbeat_failed", zap.String("peer", cmd.Address), zap.Error(err))
 			return
 		}
-		p.tell(core.HeartbeatMsg{From: resp.Msg.GetFrom(), Heard: resp.Msg.GetHeard(), Leaving: resp.Msg.GetLeaving()})
+		p.post(core.HeartbeatMsg{From: resp.Msg.GetFrom(), Heard: resp.Msg.GetHeard(), Leaving: resp.Msg.GetLeaving()})
 	})
 }
 
-// fetch reads change records from a peer.
-func (p *peerCaller) fetch(cmd *core.FetchChangesCmd) {
+// fetchChanges reads change records from a peer.
+func (p *peerCaller) fetchChanges(cmd *core.FetchChangesCmd) {
 	p.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(p.ctx, peerTimeout)
 		defer cancel()
 		resp, err := p.client(cmd.Address).Changes(ctx, connect.NewRequest(&wire.ChangesRequest{AfterVersion: cmd.After}))
 		if err != nil {
-			p.tell(core.FetchFailedMsg{})
+			p.post(core.FetchFailedMsg{})
 			return
 		}
-		p.tell(core.ChangesMsg{Snapshot: resp.Msg.GetSnapshot(), Records: resp.Msg.GetRecords()})
+		p.post(core.ChangesMsg{Snapshot: resp.Msg.GetSnapshot(), Records: resp.Msg.GetRecords()})
 	})
 }
 
@@ -132,30 +132,30 @@
 	p.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(p.ctx, cmd.Deadline.Duration())
 		defer cancel()
-		p.follow(ctx, cmd)
+		p.receiveRelay(ctx, cmd)
 	})
 }
 
-func (p *peerCaller) follow(ctx context.Context, cmd *core.RelayCmd) {
+func (p *peerCaller) receiveRelay(ctx context.Context, cmd *core.RelayCmd) {
 	var connected atomic.Bool
-	stream, err := p.client(cmd.Address).Relay(watch(ctx, &connected), connect.NewRequest(relayRequest(cmd)))
+	stream, err := p.client(cmd.Address).Relay(traceConnection(ctx, &connected), connect.NewRequest(relayRequest(cmd)))
 	if err != nil {
-		p.tell(core.RelayFailedMsg{Request: cmd.Request, NotSent: !connected.Load()})
+		p.post(core.RelayFailedMsg{Request: cmd.Request, NotSent: !connected.Load()})
 		return
 	}
 	defer func() { _ = stream.Close() }()
 	for stream.Receive() {
 		event := stream.Msg()
 		if len(event.GetTexts()) > 0 {
-			p.tell(core.RelayTokensMsg{Request: cmd.Request, Texts: event.GetTexts()})
+			p.post(core.RelayTokensMsg{Request: cmd.Request, Texts: event.GetTexts()})
 		}
 		if event.GetOutcome() != "" {
-			p.tell(core.RelayDoneMsg{Request: cmd.Request, Finish: finishOf(event)})
+			p.post(core.RelayDoneMsg{Request: cmd.Request, Finish: finishFromEvent(event)})
 			return
 		}
 	}
 	p.log.Info("relay_failed", zap.Uint64("request", cmd.Request), zap.Error(stream.Err()))
-	p.tell(core.RelayFailedMsg{Request: cmd.Request, NotSent: !connected.Load()})
+	p.post(core.RelayFailedMsg{Request: cmd.Request, NotSent: !connected.Load()})
 }
 
 func relayRequest(cmd *core.RelayCmd) *wire.RelayRequest {
@@ -177,7 +177,7 @@
 	}
 }
 
-func finishOf(e *wire.RelayEvent) core.FinishCmd {
+func finishFromEvent(e *wire.RelayEvent) core.FinishCmd {
 	o, err := outcome.Parse(e.GetOutcome())
 	if err != nil {
 		o = outcome.Unknown
--- a/entry/proposal_desk.go
+++ b/entry/proposal_desk.go
@@ -7,37 +7,37 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// proposalDesk finds the operator's call that waits for a proposal's answer.
-type proposalDesk struct {
-	mu      sync.Mutex
-	last    uint64
-	waiting map[uint64]chan *wire.ProposeReply
+// proposalWaiters finds the operator's call that waits for a proposal's answer.
+type proposalWaiters struct {
+	mu       sync.Mutex
+	lastCall uint64
+	byCall   map[uint64]chan *wire.ProposeReply
 }
 
-func newProposalDesk() *proposalDesk {
-	return &proposalDesk{waiting: make(map[uint64]chan *wire.ProposeReply)}
+func newProposalWaiters() *proposalWaiters {
+	return &proposalWaiters{byCall: make(map[uint64]chan *wire.ProposeReply)}
 }
 
-func (d *proposalDesk) open() (uint64, <-chan *wire.ProposeReply) {
+func (d *proposalWaiters) open() (uint64, <-chan *wire.ProposeReply) {
 	answer := make(chan *wire.ProposeReply, 1)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.last++
-	d.waiting[d.last] = answer
-	return d.last, answer
+	d.lastCall++
+	d.byCall[d.lastCall] = answer
+	return d.lastCall, answer
 }
 
-func (d *proposalDesk) close(call uint64) {
+func (d *proposalWaiters) close(call uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.waiting, call)
+	delete(d.byCall, call)
 }
 
-func (d *proposalDesk) answer(cmd *core.ProposedCmd) {
+func (d *proposalWaiters) deliver(cmd *core.ProposedCmd) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if w := d.waiting[cmd.Call]; w != nil {
+	if w := d.byCall[cmd.Call]; w != nil {
 		w <- cmd.Reply
-		delete(d.waiting, cmd.Call)
+		delete(d.byCall, cmd.Call)
 	}
 }
--- a/entry/recording_test.go
+++ b/entry/recording_test.go
@@ -17,9 +17,9 @@
 // TestRecordingOfALiveNodeReplays reads a node's recording and plays it again:
 // every caller must get what it got from the node.
 func TestRecordingOfALiveNodeReplays(t *testing.T) {
-	bed := startPatient(t, testbed.WithNodes(1))
-	results := run(bed, notices(10, 6))
-	wantWhole(t, results)
+	bed := startTolerantTestbed(t, testbed.WithNodes(1))
+	results := runItems(bed, noticeRequests(10, 6))
+	wantCorrect(t, results)
 	resp, err := bed.Admin(bed.Nodes[0]).Recording(context.Background(), connect.NewRequest(&wire.RecordingRequest{}))
 	if err != nil || resp.Msg.GetDropped() != 0 {
 		t.Fatalf("got %v and %d dropped, want a whole recording", err, resp.Msg.GetDropped())
@@ -36,7 +36,7 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := record.File(path); err != nil {
+	if err := record.ReplayFile(path); err != nil {
 		t.Errorf("got %v, want the replay to end as the run did", err)
 	}
 }
--- a/entry/resend_test.go
+++ b/entry/resend_test.go
@@ -17,22 +17,22 @@
 	"github.com/hoistjunction/hoistjunction/logging"
 )
 
-// breaker answers the first request on each connection, reads the second in
+// resettingService answers the first request on each connection, reads the second in
 // full, and breaks the connection without a word: the request may have run.
-type breaker struct {
+type resettingService struct {
 	listener net.Listener
-	read     atomic.Int64
+	requests atomic.Int64
 	done     chan struct{}
 }
 
-func newBreaker(t *testing.T) *breaker {
+func newResettingService(t *testing.T) *resettingService {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatalf("got %v, want a port", err)
 	}
-	b := &breaker{listener: l, done: make(chan struct{})}
-	go b.run()
+	b := &resettingService{listener: l, done: make(chan struct{})}
+	go b.acceptLoop()
 	t.Cleanup(func() {
 		_ = l.Close()
 		<-b.done
@@ -40,7 +40,7 @@
 	return b
 }
 
-func (b *breaker) run() {
+func (b *resettingService) acceptLoop() {
 	defer close(b.done)
 	for {
 		conn, err := b.listener.Accept()
@@ -51,7 +51,7 @@
 	}
 }
 
-func (b *breaker) serve(conn net.Conn) {
+func (b *resettingService) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	in := bufio.NewReader(conn)
 	for i := range 2 {
@@ -62,7 +62,7 @@
 		if _, err := io.Copy(io.Discard, req.Body); err != nil {
 			return
 		}
-		b.read.Add(1)
+		b.requests.Add(1)
 		if i == 0 {
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}
@@ -70,11 +70,11 @@
 }
 
 func TestMarkedCallIsNotSentAgainByNetHTTP(t *testing.T) {
-	b := newBreaker(t)
+	b := newResettingService(t)
 	c := newServiceCaller(logging.Nop(), func(core.Msg) {})
 	defer c.close()
 	call := func(request uint64) core.Msg {
-		return c.exchange(&core.CallCmd{
+		return c.attempt(&core.CallCmd{
 			Request: request, Attempt: 1, Address: b.listener.Addr().String(), Path: "/confirm", Body: []byte("{}"),
 			Key: "order-" + strconv.FormatUint(request, 10), NoRepeat: true, Timeout: 5000,
 		})
@@ -87,7 +87,7 @@
 	if got != core.Msg(want) {
 		t.Errorf("got %#v, want %#v", got, want)
 	}
-	if n := b.read.Load(); n != 2 {
+	if n := b.requests.Load(); n != 2 {
 		t.Errorf("got %d requests at the service, want 2", n)
 	}
 }
@@ -96,7 +96,7 @@
 // avoids: the same call, under the key's usual name and with a body that can
 // be rewound, reaches the service twice.
 func TestNetHTTPSendsAgainWhatLooksHarmless(t *testing.T) {
-	b := newBreaker(t)
+	b := newResettingService(t)
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport}
@@ -106,7 +106,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		req.Header.Set(callkey.Idempotency, "order-1")
+		req.Header.Set(callkey.IdempotencyKey, "order-1")
 		resp, err := client.Do(req)
 		if err != nil {
 			t.Fatalf("got %v, want net/http to have sent it again", err)
@@ -114,7 +114,7 @@
 		_, _ = io.Copy(io.Discard, resp.Body)
 		_ = resp.Body.Close()
 	}
-	if n := b.read.Load(); n != 3 {
+	if n := b.requests.Load(); n != 3 {
 		t.Errorf("got %d requests at the service for 2 calls, want 3", n)
 	}
 }
@@ -128,7 +128,7 @@
 	_ = l.Close()
 	c := newServiceCaller(logging.Nop(), func(core.Msg) {})
 	defer c.close()
-	got := c.exchange(&core.CallCmd{Request: 1, Attempt: 1, Address: address, Path: "/", NoRepeat: true, Timeout: 1000})
+	got := c.attempt(&core.CallCmd{Request: 1, Attempt: 1, Address: address, Path: "/", NoRepeat: true, Timeout: 1000})
 	if want := (core.CallFailedMsg{Request: 1, Attempt: 1, NotSent: true}); got != core.Msg(want) {
 		t.Errorf("got %#v, want %#v", got, want)
 	}
@@ -136,7 +136,7 @@
 
 func TestBearerTokenIsOnlyTakenWhole(t *testing.T) {
 	operators := map[string]string{"ana": strings.Repeat("0", 64)}
-	if name, ok := operatorOf(operators, "guess"); ok {
+	if name, ok := operatorByToken(operators, "guess"); ok {
 		t.Errorf("got operator %q for a wrong token, want none", name)
 	}
 }
--- a/entry/run.go
+++ b/entry/run.go
@@ -17,19 +17,19 @@
 // until a planned stop is through.
 func (n *Node) Run(ctx context.Context) error {
 	callers := &callerServer{
-		log: n.log, decider: n.decider, mail: n.mail, maxBody: int64(n.config.MaxBody),
-		open: make(chan struct{}, n.config.MaxRequests),
+		log: n.log, loop: n.loop, mailboxes: n.mailboxes, maxBodyBytes: int64(n.config.MaxBodyBytes),
+		openRequests: make(chan struct{}, n.config.MaxRequests),
 	}
 	peers := &peerServer{callers: callers, secret: n.config.PeerSecret}
 	admin := &adminServer{
-		log: n.log, decider: n.decider, recorder: n.decider.recorder, operators: n.config.Operators,
-		proposals: n.desk, wall: n.clock.Wall,
+		log: n.log, loop: n.loop, recorder: n.loop.recorder, operators: n.config.OperatorHashes,
+		proposals: n.pendingProposals, wallTime: n.clock.Wall,
 	}
 	var g run.Group
 	n.addContext(ctx, &g)
-	n.addLoop(&g, n.decider.run)
+	n.addLoop(&g, n.loop.run)
 	for _, r := range []*ring.Ring[core.Cmd]{n.store.claims, n.store.commits, n.store.reads, n.store.lists} {
-		n.addLoop(&g, func(ctx context.Context) error { return n.store.work(ctx, r) })
+		n.addLoop(&g, func(ctx context.Context) error { return n.store.processRing(ctx, r) })
 	}
 	n.addServer(&g, n.caller, callers.handler())
 	n.addServer(&g, n.peer, peers.handler())
@@ -52,7 +52,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-n.exit:
+		case <-n.drained:
 			return errDrained
 		}
 	}, func(error) { cancel() })
@@ -70,8 +70,8 @@
 	protocols.SetHTTP1(true)
 	protocols.SetUnencryptedHTTP2(true)
 	server := &http.Server{
-		Handler: h, Protocols: protocols, ReadHeaderTimeout: headerTimeout, ReadTimeout: bodyTimeout,
-		IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader, ErrorLog: zap.NewStdLog(n.log.Logger),
+		Handler: h, Protocols: protocols, ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout,
+		IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: zap.NewStdLog(n.log.Logger),
 	}
 	if n.tls != nil {
 		protocols.SetHTTP2(true)
@@ -83,7 +83,7 @@
 		}
 		return server.Serve(l)
 	}, func(error) {
-		ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
 		if server.Shutdown(ctx) != nil {
 			_ = server.Close()
--- a/entry/service.go
+++ b/entry/service.go
@@ -9,16 +9,16 @@
 	"github.com/hoistjunction/hoistjunction/outcome"
 )
 
-// service serves a call to a plain service. It returns whether the answer has ended.
-func (s *callerServer) service(w http.ResponseWriter, r *http.Request) (ended bool) {
-	msg, err := message(r)
+// serveService serves a call to a plain service. It returns whether the answer has ended.
+func (s *callerServer) serveService(w http.ResponseWriter, r *http.Request) (ended bool) {
+	msg, err := submitFromHeaders(r)
 	if err != nil {
-		s.refuseRequest(w, http.StatusBadRequest, err)
+		s.writeBadRequest(w, http.StatusBadRequest, err)
 		return true
 	}
 	msg.Body, err = s.readBody(w, r)
 	if err != nil {
-		s.refuseRequest(w, bodyStatus(err), err)
+		s.writeBadRequest(w, bodyStatus(err), err)
 		return true
 	}
 	msg.Route = r.PathValue("route")
@@ -28,17 +28,17 @@
 	if !ok {
 		return true
 	}
-	final := s.await(r, box)
-	defer s.leave(msg.Caller, final != nil)
+	final := s.awaitResult(r, box)
+	defer s.closeMailbox(msg.Caller, final != nil)
 	if final == nil {
 		return false
 	}
-	s.writeFinal(w, final)
+	s.writeResult(w, final)
 	return true
 }
 
-// await waits for the final word. It returns nil when the caller hangs up.
-func (s *callerServer) await(r *http.Request, box *mailbox) *core.FinishCmd {
+// awaitResult waits for the final word. It returns nil when the caller hangs up.
+func (s *callerServer) awaitResult(r *http.Request, box *mailbox) *core.FinishCmd {
 	for {
 		if _, final := box.take(nil); final != nil {
 			return final
@@ -46,43 +46,43 @@
 		select {
 		case <-r.Context().Done():
 			return nil
-		case <-box.wake:
+		case <-box.updated:
 		}
 	}
 }
 
-// ticketsAnswer is the JSON of a grant of tickets.
-type ticketsAnswer struct {
+// ticketsResponse is the JSON of a grant of tickets.
+type ticketsResponse struct {
 	Tickets []string `json:"tickets"`
 }
 
-// tickets grants keys that only this node will run, and runs without asking
+// serveTickets grants keys that only this node will run, and runs without asking
 // the platform. It returns whether the answer has ended.
-func (s *callerServer) tickets(w http.ResponseWriter, r *http.Request) (ended bool) {
-	caller, box := s.mail.open()
-	defer s.mail.close(caller)
+func (s *callerServer) serveTickets(w http.ResponseWriter, r *http.Request) (ended bool) {
+	caller, box := s.mailboxes.open()
+	defer s.mailboxes.close(caller)
 	count, _ := strconv.Atoi(r.URL.Query().Get("count"))
 	ask := core.TicketsMsg{
-		Caller: caller, KeyHash: core.HashKey(tokenOf(r.Header.Get("Authorization"))), Count: count,
+		Caller: caller, KeyHash: core.HashKey(bearerToken(r.Header.Get("Authorization"))), Count: count,
 	}
-	if !s.decider.submit(ask) {
-		s.writeFinal(w, &core.FinishCmd{Outcome: outcome.NotExecuted, Reason: core.ReasonShed, RetryAfter: shedPause})
+	if !s.loop.submit(ask) {
+		s.writeResult(w, &core.FinishCmd{Outcome: outcome.NotExecuted, Reason: core.ReasonShed, RetryAfter: shedRetryAfter})
 		return true
 	}
 	for {
-		if t := box.granted(); t != nil {
+		if t := box.grantedTickets(); t != nil {
 			w.Header().Set("Content-Type", "application/json")
-			_ = json.NewEncoder(w).Encode(ticketsAnswer{Tickets: t.Tickets})
+			_ = json.NewEncoder(w).Encode(ticketsResponse{Tickets: t.Tickets})
 			return true
 		}
 		if _, final := box.take(nil); final != nil {
-			s.writeFinal(w, final)
+			s.writeResult(w, final)
 			return true
 		}
 		select {
 		case <-r.Context().Done():
 			return false
-		case <-box.wake:
+		case <-box.updated:
 		}
 	}
 }
--- a/entry/silent_peers_test.go
+++ b/entry/silent_peers_test.go
@@ -17,13 +17,13 @@
 	"github.com/hoistjunction/hoistjunction/wire/wireconnect"
 )
 
-// beatingPeer answers heartbeats and nothing else.
-type beatingPeer struct {
+// heartbeatOnlyPeer answers heartbeats and nothing else.
+type heartbeatOnlyPeer struct {
 	wireconnect.UnimplementedPeerHandler
 }
 
 // Heartbeat implements wireconnect.PeerHandler.
-func (beatingPeer) Heartbeat(context.Context, *connect.Request[wire.HeartbeatRequest]) (*connect.Response[wire.HeartbeatReply], error) {
+func (heartbeatOnlyPeer) Heartbeat(context.Context, *connect.Request[wire.HeartbeatRequest]) (*connect.Response[wire.HeartbeatReply], error) {
 	return connect.NewResponse(&wire.HeartbeatReply{From: &wire.NodeRecord{Name: "b"}}), nil
 }
 
@@ -33,7 +33,7 @@
 func TestHeartbeatsAfterASilentConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := pipenet.New()
-		path, handler := wireconnect.NewPeerHandler(beatingPeer{})
+		path, handler := wireconnect.NewPeerHandler(heartbeatOnlyPeer{})
 		mux := http.NewServeMux()
 		mux.Handle(path, handler)
 		protocols := new(http.Protocols)
--- a/entry/stage_test.go
+++ b/entry/stage_test.go
@@ -9,27 +9,27 @@
 )
 
 func TestStageKilledMidStream(t *testing.T) {
-	bed := startPatient(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
+	bed := startTolerantTestbed(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
 	testbed.AfterFunc(t, 150*time.Millisecond, func() { bed.Engines[2].Kill() })
-	wantWhole(t, run(bed, notices(60, 20)))
+	wantCorrect(t, runItems(bed, noticeRequests(60, 20)))
 }
 
 func TestStageFrozenMidStream(t *testing.T) {
-	bed := startPatient(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
+	bed := startTolerantTestbed(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
 	testbed.AfterFunc(t, 150*time.Millisecond, func() { bed.Engines[0].SetFaults(standin.EngineFaults{Frozen: true}) })
-	wantWhole(t, run(bed, notices(60, 20)))
+	wantCorrect(t, runItems(bed, noticeRequests(60, 20)))
 }
 
 func TestAnswersThatComeTwiceAndLate(t *testing.T) {
-	bed := startPatient(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
+	bed := startTolerantTestbed(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
 	for i, e := range bed.Engines {
-		e.SetFaults(standin.EngineFaults{Doubled: 1, LinkMS: i * 2})
+		e.SetFaults(standin.EngineFaults{ExtraReplies: 1, LinkDelayMS: i * 2})
 	}
-	wantWhole(t, run(bed, notices(60, 12)))
+	wantCorrect(t, runItems(bed, noticeRequests(60, 12)))
 }
 
 func TestTwoStagesKilledAndOneBack(t *testing.T) {
-	bed := startPatient(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
+	bed := startTolerantTestbed(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
 	testbed.AfterFunc(t, 100*time.Millisecond, func() {
 		bed.Engines[0].Kill()
 		bed.Engines[5].Kill()
@@ -39,17 +39,17 @@
 		}
 		bed.PublishUpstreams()
 	})
-	wantWhole(t, run(bed, notices(60, 20)))
+	wantCorrect(t, runItems(bed, noticeRequests(60, 20)))
 }
 
 func TestLeavingEngineGetsNoNewWork(t *testing.T) {
-	bed := startPatient(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
-	wantWhole(t, run(bed, notices(20, 4)))
+	bed := startTolerantTestbed(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
+	wantCorrect(t, runItems(bed, noticeRequests(20, 4)))
 	leaving := bed.Engines[0]
 	leaving.SetFaults(standin.EngineFaults{Leaving: true})
-	wantWhole(t, run(bed, notices(20, 4)))
+	wantCorrect(t, runItems(bed, noticeRequests(20, 4)))
 	before := leaving.Counts().Admitted
-	wantWhole(t, run(bed, notices(40, 4)))
+	wantCorrect(t, runItems(bed, noticeRequests(40, 4)))
 	if got := leaving.Counts().Admitted; got != before {
 		t.Errorf("got %d generations admitted by the leaving engine, want none", got-before)
 	}
--- a/entry/stop_test.go
+++ b/entry/stop_test.go
@@ -13,15 +13,15 @@
 )
 
 func TestPlannedStopCutsNothing(t *testing.T) {
-	bed := startPatient(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
+	bed := startTolerantTestbed(t, testbed.WithStages(testbed.Stages(2, slowEngine())...))
 	stopping := bed.Nodes[0]
 	testbed.AfterFunc(t, 100*time.Millisecond, func() {
 		stopping.Drain()
 		time.Sleep(20 * time.Millisecond)
 		stopping.Drain()
 	})
-	results := run(bed, append(notices(40, 30), orders(10)...))
-	wantWhole(t, results)
+	results := runItems(bed, append(noticeRequests(40, 30), orderRequests(10)...))
+	wantCorrect(t, results)
 	for i, r := range results {
 		if r.Truncated > 0 && r.Outcome.String() == "none" {
 			t.Errorf("request %d: got a cut answer, want none cut", i)
@@ -29,7 +29,7 @@
 	}
 	select {
 	case <-stopping.Done():
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("got a node that still runs, want it stopped")
 	}
 	if err := stopping.Err(); err != nil {
@@ -38,14 +38,14 @@
 }
 
 func TestPlannedStopFinishesLongStreams(t *testing.T) {
-	bed := startPatient(t, testbed.WithNodes(1), testbed.WithStages(testbed.Stages(1, slowEngine())...))
+	bed := startTolerantTestbed(t, testbed.WithNodes(1), testbed.WithStages(testbed.Stages(1, slowEngine())...))
 	testbed.AfterFunc(t, 150*time.Millisecond, func() { bed.Nodes[0].Drain() })
 	// As many as a new engine is given at a time, so that none has to queue.
-	items := notices(int(pool.DefaultLimits().Start), 60)
+	items := noticeRequests(int(pool.DefaultLimits().Start), 60)
 	for i := range items {
 		items[i].ArrivalMS = 0
 	}
-	for i, r := range run(bed, items, load.WithTries(1)) {
+	for i, r := range runItems(bed, items, load.WithTries(1)) {
 		if !r.Correct {
 			t.Errorf("request %d: got %s (%s), want its whole answer", i, r.Outcome, r.Reason)
 		}
@@ -55,7 +55,7 @@
 // TestTicketsOfAStoppedNodeRunAtItsSuccessor takes tickets from a node, stops
 // it as planned, and uses them at the one that is left.
 func TestTicketsOfAStoppedNodeRunAtItsSuccessor(t *testing.T) {
-	bed := start(t)
+	bed := startTestbed(t)
 	client := load.NewClient()
 	defer client.Close()
 	stopping := bed.Nodes[0]
@@ -63,18 +63,18 @@
 	if err != nil || len(tickets) != 5 {
 		t.Fatalf("got %d tickets (%v), want 5", len(tickets), err)
 	}
-	items := orders(5)
+	items := orderRequests(5)
 	for i := range items {
 		items[i].Key = tickets[i]
 	}
-	wantWhole(t, run(bed, items[:2]))
+	wantCorrect(t, runItems(bed, items[:2]))
 	stopping.Drain()
 	<-stopping.Done()
 	bed.Platform.SetFaults(standin.PlatformFaults{Down: true})
-	wantWhole(t, run(bed, items[2:]))
-	again := run(bed, items[:1], load.WithTries(1))
+	wantCorrect(t, runItems(bed, items[2:]))
+	again := runItems(bed, items[:1], load.WithTries(1))
 	if again[0].Outcome != outcome.Unknown {
 		t.Errorf("got %s for a ticket used before the stop, want unknown", again[0].Outcome)
 	}
-	wantOnce(t, bed)
+	wantAtMostOneRun(t, bed)
 }
--- a/entry/store_worker.go
+++ b/entry/store_worker.go
@@ -11,23 +11,23 @@
 	"github.com/hoistjunction/hoistjunction/tablestore"
 )
 
-// storeRing is how many commands may wait for the platform. Their timers and
+// storeRingSize is how many commands may wait for the platform. Their timers and
 // batches keep them few.
-const storeRing = 64
+const storeRingSize = 64
 
 // storeWorker carries out the commands for the platform. Claims, commits and
 // the rest each have a goroutine, so that none waits behind another's slow
 // answer.
 type storeWorker struct {
-	client  *tablestore.Client
-	store   *tablestore.Store
-	log     *logging.Log
-	tell    func(core.Msg)
-	claims  *ring.Ring[core.Cmd]
-	commits *ring.Ring[core.Cmd]
-	reads   *ring.Ring[core.Cmd]
-	lists   *ring.Ring[core.Cmd]
-	seen    uint64
+	client      *tablestore.Client
+	store       *tablestore.Store
+	log         *logging.Log
+	post        func(core.Msg)
+	claims      *ring.Ring[core.Cmd]
+	commits     *ring.Ring[core.Cmd]
+	reads       *ring.Ring[core.Cmd]
+	lists       *ring.Ring[core.Cmd]
+	listVersion uint64
 }
 
 func newStoreWorker(c *tablestore.Client, log *logging.Log, tell func(core.Msg)) *storeWorker {
@@ -35,17 +35,17 @@
 		client:  c,
 		store:   tablestore.NewStore(c),
 		log:     log,
-		tell:    tell,
-		claims:  ring.New[core.Cmd](storeRing),
-		commits: ring.New[core.Cmd](storeRing),
-		reads:   ring.New[core.Cmd](storeRing),
-		lists:   ring.New[core.Cmd](storeRing),
+		post:    tell,
+		claims:  ring.New[core.Cmd](storeRingSize),
+		commits: ring.New[core.Cmd](storeRingSize),
+		reads:   ring.New[core.Cmd](storeRingSize),
+		lists:   ring.New[core.Cmd](storeRingSize),
 	}
 }
 
-// offer takes a command in. It returns the message that stands for a command
+// enqueue takes a command in. It returns the message that stands for a command
 // that found no room, or nil.
-func (w *storeWorker) offer(cmd core.Cmd) core.Msg {
+func (w *storeWorker) enqueue(cmd core.Cmd) core.Msg {
 	switch cmd := cmd.(type) {
 	case *core.ClaimsCmd:
 		if !w.claims.Offer(cmd) {
@@ -69,88 +69,88 @@
 	return nil
 }
 
-// work carries out one ring's commands until the context ends.
-func (w *storeWorker) work(ctx context.Context, r *ring.Ring[core.Cmd]) error {
+// processRing carries out one ring's commands until the context ends.
+func (w *storeWorker) processRing(ctx context.Context, r *ring.Ring[core.Cmd]) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case cmd := <-r.Items():
-			w.do(ctx, cmd)
+			w.execute(ctx, cmd)
 		}
 	}
 }
 
-func (w *storeWorker) do(ctx context.Context, cmd core.Cmd) {
+func (w *storeWorker) execute(ctx context.Context, cmd core.Cmd) {
 	switch cmd := cmd.(type) {
 	case *core.ClaimsCmd:
-		w.claim(ctx, cmd)
+		w.writeClaims(ctx, cmd)
 	case *core.CommitCmd:
-		w.tell(w.store.Commit(ctx, cmd.Call, cmd.Record))
+		w.post(w.store.Commit(ctx, cmd.Call, cmd.Record))
 	case *core.SnapshotCmd:
-		w.warn("snapshot_failed", w.store.PutSnapshot(ctx, cmd.Config))
+		w.warnOnError("snapshot_failed", w.store.PutSnapshot(ctx, cmd.Config))
 	case *core.FetchChangesCmd:
-		w.fetch(ctx, cmd)
+		w.fetchChanges(ctx, cmd)
 	case *core.PollHeadCmd:
-		w.head(ctx)
+		w.pollHead(ctx)
 	case *core.PollNodesCmd:
-		w.nodes(ctx)
+		w.pollNodes(ctx)
 	case *core.RegisterCmd:
-		w.warn("register_failed", w.store.Register(ctx, cmd.Node))
+		w.warnOnError("register_failed", w.store.Register(ctx, cmd.Node))
 	case *core.PollListCmd:
-		w.list(ctx)
+		w.pollList(ctx)
 	}
 }
 
-func (w *storeWorker) claim(ctx context.Context, cmd *core.ClaimsCmd) {
+func (w *storeWorker) writeClaims(ctx context.Context, cmd *core.ClaimsCmd) {
 	claims, err := w.store.Claim(ctx, cmd.Claims)
 	if err != nil {
-		w.warn("claims_failed", err)
-		w.tell(core.ClaimsFailedMsg{Batch: cmd.Batch})
+		w.warnOnError("claims_failed", err)
+		w.post(core.ClaimsFailedMsg{Batch: cmd.Batch})
 		return
 	}
-	w.tell(core.ClaimsMsg{Batch: cmd.Batch, Claims: claims})
+	w.post(core.ClaimsMsg{Batch: cmd.Batch, Claims: claims})
 }
 
-func (w *storeWorker) fetch(ctx context.Context, cmd *core.FetchChangesCmd) {
+func (w *storeWorker) fetchChanges(ctx context.Context, cmd *core.FetchChangesCmd) {
 	msg, err := w.store.Changes(ctx, cmd.After)
 	if err != nil {
-		w.warn("fetch_failed", err)
-		w.tell(core.FetchFailedMsg{})
+		w.warnOnError("fetch_failed", err)
+		w.post(core.FetchFailedMsg{})
 		return
 	}
-	w.tell(msg)
+	w.post(msg)
 }
 
-func (w *storeWorker) head(ctx context.Context) {
+func (w *storeWorker) pollHead(ctx context.Context) {
 	version, err := w.store.Head(ctx)
 	if err != nil {
-		w.warn("head_failed", err)
+		w.warnOnError("head_failed", err)
 		return
 	}
-	w.tell(core.HeadMsg{Version: version})
+	w.post(core.HeadMsg{Version: version})
 }
 
-func (w *storeWorker) nodes(ctx context.Context) {
+func (w *storeWorker) pollNodes(ctx context.Context) {
 	nodes, err := w.store.Nodes(ctx)
 	if err != nil {
-		w.warn("nodes_failed", err)
+		w.warnOnError("nodes_failed", err)
 		return
 	}
-	w.tell(core.NodesMsg{Nodes: nodes})
+	w.post(core.NodesMsg{Nodes: nodes})
 }
 
-func (w *storeWorker) list(ctx context.Context) {
-	list, err := w.client.VMs(ctx, w.seen)
+func (w *storeWorker) pollList(ctx context.Context) {
+	list, err := w.client.VMs(ctx, w.listVersion)
 	if err != nil {
 		w.log.Debug("list_failed", zap.Error(err))
 		return
 	}
-	w.seen = list.Version
-	w.tell(core.ListMsg{Upstreams: list.VMs})
+	w.listVersion = list.Version
+	w.post(core.ListMsg{Upstreams: list.VMs})
 }
 
-func (w *storeWorker) warn(event string, err error) {
+func (w *storeWorker) warnOnError(event string, err error) {
 	if err != nil {
 		w.log.Warn(event, zap.Error(err))
 	}
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -8,42 +8,42 @@
 	"github.com/hoistjunction/hoistjunction/outcome"
 )
 
-// terminalEvent is the last event of a stream. A stream that has none was cut
+// outcomeEvent is the last event of a stream. A stream that has none was cut
 // and is not whole, however it looks.
-type terminalEvent struct {
+type outcomeEvent struct {
 	Outcome      string `json:"outcome"`
 	Reason       string `json:"reason,omitempty"`
 	Tokens       int    `json:"tokens"`
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 }
 
-// stream sends the answer as server-sent events, each as soon as it is there.
+// streamCompletion sends the answer as server-sent events, each as soon as it is there.
 // A request that ends before its first token is answered without a stream. It
 // returns whether there was a final word.
-func (s *callerServer) stream(w http.ResponseWriter, r *http.Request, box *mailbox, model string) bool {
+func (s *callerServer) streamCompletion(w http.ResponseWriter, r *http.Request, box *mailbox, model string) bool {
 	events := &eventWriter{w: w, control: http.NewResponseController(w)}
 	var texts []string
 	for {
 		var final *core.FinishCmd
 		texts, final = box.take(texts)
 		if final != nil && !events.started && len(texts) == 0 && final.Outcome != outcome.Done {
-			s.writeFinal(w, final)
+			s.writeResult(w, final)
 			return true
 		}
 		for _, t := range texts {
-			events.data(completionAnswer{
+			events.writeData(completionResponse{
 				Object: "text_completion", Model: model, Choices: []completionChoice{{Text: t}},
 			})
 		}
 		if final != nil {
-			events.terminal(final)
+			events.writeOutcome(final)
 			return true
 		}
 		events.flush()
 		select {
 		case <-r.Context().Done():
 			return false
-		case <-box.wake:
+		case <-box.updated:
 		}
 	}
 }
@@ -55,7 +55,7 @@
 	started bool
 }
 
-func (e *eventWriter) start() {
+func (e *eventWriter) setHeaders() {
 	if e.started {
 		return
 	}
@@ -65,8 +65,8 @@
 	h.Set("Cache-Control", "no-store")
 }
 
-func (e *eventWriter) data(v any) {
-	e.start()
+func (e *eventWriter) writeData(v any) {
+	e.setHeaders()
 	raw, err := json.Marshal(v)
 	if err != nil {
 		return
@@ -76,16 +76,16 @@
 	_, _ = e.w.Write([]byte("\n\n"))
 }
 
-// terminal writes the outcome, and then the mark that clients of model
+// writeOutcome writes the outcome, and then the mark that clients of model
 // servers know.
-func (e *eventWriter) terminal(f *core.FinishCmd) {
-	t := terminalEvent{Outcome: f.Outcome.String(), Tokens: f.Tokens, RetryAfterMS: int64(f.RetryAfter)}
+func (e *eventWriter) writeOutcome(f *core.FinishCmd) {
+	t := outcomeEvent{Outcome: f.Outcome.String(), Tokens: f.Tokens, RetryAfterMS: int64(f.RetryAfter)}
 	if f.Reason != core.ReasonNone {
 		t.Reason = f.Reason.String()
 	}
-	e.start()
+	e.setHeaders()
 	_, _ = e.w.Write([]byte("event: outcome\n"))
-	e.data(t)
+	e.writeData(t)
 	_, _ = e.w.Write([]byte("data: [DONE]\n\n"))
 	e.flush()
 }
--- a/entry/tls.go
+++ b/entry/tls.go
@@ -16,23 +16,23 @@
 // TLSFiles is a certificate with its key, and the authority that peers'
 // certificates are checked against. The files are read again when they change.
 type TLSFiles struct {
-	cert string
-	key  string
-	ca   string
+	certPath string
+	keyPath  string
+	caPath   string
 
-	mu     sync.Mutex
-	read   time.Time
-	loaded *tls.Certificate
+	mu          sync.Mutex
+	certModTime time.Time
+	loaded      *tls.Certificate
 }
 
 // NewTLSFiles reads the files once, to find out early that they are wrong.
 func NewTLSFiles(cert, key, ca string) (*TLSFiles, error) {
-	f := &TLSFiles{cert: cert, key: key, ca: ca}
+	f := &TLSFiles{certPath: cert, keyPath: key, caPath: ca}
 	if _, err := f.certificate(); err != nil {
 		return nil, err
 	}
 	if ca != "" {
-		if _, err := f.pool(); err != nil {
+		if _, err := f.caPool(); err != nil {
 			return nil, err
 		}
 	}
@@ -50,20 +50,20 @@
 // ClientConfig returns the configuration for calls to peers.
 func (f *TLSFiles) ClientConfig() *tls.Config {
 	c := &tls.Config{MinVersion: tls.VersionTLS12}
-	if pool, err := f.pool(); err == nil {
+	if pool, err := f.caPool(); err == nil {
 		c.RootCAs = pool
 	}
 	return c
 }
 
-func (f *TLSFiles) pool() (*x509.CertPool, error) {
-	text, err := os.ReadFile(f.ca)
+func (f *TLSFiles) caPool() (*x509.CertPool, error) {
+	text, err := os.ReadFile(f.caPath)
 	if err != nil {
 		return nil, errors.Wrapf(ErrTLS, "cannot read the authority's file: %v", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
-		return nil, errors.Wrapf(ErrTLS, "no certificate in %s", f.ca)
+		return nil, errors.Wrapf(ErrTLS, "no certificate in %s", f.caPath)
 	}
 	return pool, nil
 }
@@ -73,20 +73,20 @@
 func (f *TLSFiles) certificate() (*tls.Certificate, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	info, err := os.Stat(f.cert)
-	if f.loaded != nil && (err != nil || info.ModTime().Equal(f.read)) {
+	info, err := os.Stat(f.certPath)
+	if f.loaded != nil && (err != nil || info.ModTime().Equal(f.certModTime)) {
 		return f.loaded, nil
 	}
-	c, err := tls.LoadX509KeyPair(f.cert, f.key)
+	c, err := tls.LoadX509KeyPair(f.certPath, f.keyPath)
 	if err != nil {
 		if f.loaded != nil {
 			return f.loaded, nil
 		}
-		return nil, errors.Wrapf(ErrTLS, "cannot use %s with %s: %v", f.cert, f.key, err)
+		return nil, errors.Wrapf(ErrTLS, "cannot use %s with %s: %v", f.certPath, f.keyPath, err)
 	}
 	f.loaded = &c
 	if info != nil {
-		f.read = info.ModTime()
+		f.certModTime = info.ModTime()
 	}
 	return f.loaded, nil
 }
--- a/entry/tls_test.go
+++ b/entry/tls_test.go
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(client.HTTP().CloseIdleConnections)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	admin := wireconnect.NewAdminClient(client.HTTP(), client.URL(bed.Nodes[0].AdminAddress()))
 	resp, err := admin.Propose(ctx, connect.NewRequest(&wire.ProposeRequest{ChangeId: "first", Changes: testbed.Changes()}))
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -6,9 +6,9 @@
 	"sync/atomic"
 )
 
-// watch notes whether a request made with the context ever had a connection.
+// traceConnection notes whether a request made with the context ever had a connection.
 // While it had none, nothing of it can have reached the other end.
-func watch(ctx context.Context, connected *atomic.Bool) context.Context {
+func traceConnection(ctx context.Context, connected *atomic.Bool) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -19,19 +19,19 @@
 
 // Figures of the search.
 const (
-	// before is how long before a request's first line what the node believed
+	// contextBefore is how long before a request's first line what the node believed
 	// may still bear on it, and after the same for its last.
-	before = 3 * time.Second
-	after  = 300 * time.Millisecond
-	// longestLine bounds a line, in bytes.
-	longestLine = 1 << 20
+	contextBefore = 3 * time.Second
+	contextAfter  = 300 * time.Millisecond
+	// maxLineBytes bounds a line, in bytes.
+	maxLineBytes = 1 << 20
 )
 
 // beliefs are the events about an upstream, and conditions those about the
 // whole node.
 var (
-	beliefs    = []string{"suspect", "silent", "probe", "upstream_leaving", "upstream_says_it_leaves", "rest", "word_unread", "identified", "upstream_replaced", "order"}
-	conditions = []string{"store_lost", "store_back", "store_returned", "config", "config_outdated", "freshness_from_peer", "reader", "reader_failed", "coverage", "drain", "start", "stop"}
+	upstreamEvents = []string{"suspect", "silent", "probe", "upstream_leaving", "upstream_says_it_leaves", "rest", "word_unread", "identified", "upstream_replaced", "order"}
+	nodeEvents     = []string{"store_lost", "store_back", "store_returned", "config", "config_outdated", "freshness_from_peer", "reader", "reader_failed", "coverage", "drain", "start", "stop"}
 )
 
 // Line is one line of a log.
@@ -52,16 +52,16 @@
 func Read(r io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, longestLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
-		if line, ok := parse(scanner.Text()); ok {
+		if line, ok := parseLine(scanner.Text()); ok {
 			lines = append(lines, line)
 		}
 	}
 	return lines, errors.Wrap(scanner.Err(), "explain: cannot read")
 }
 
-func parse(text string) (Line, bool) {
+func parseLine(text string) (Line, bool) {
 	at, event := timePattern.FindStringSubmatch(text), eventPattern.FindStringSubmatch(text)
 	if at == nil || event == nil {
 		return Line{}, false
@@ -73,9 +73,9 @@
 	return Line{Time: when, Event: event[1], Text: text}, true
 }
 
-// Request returns the lines that bear on a request, in the order of their
+// RequestLines returns the lines that bear on a request, in the order of their
 // times; ErrNoLines if none names it.
-func Request(id string, lines []Line) ([]Line, error) {
+func RequestLines(id string, lines []Line) ([]Line, error) {
 	own := regexp.MustCompile(`\bid=` + regexp.QuoteMeta(id) + `\b`)
 	var found []Line
 	for _, line := range lines {
@@ -86,22 +86,22 @@
 	if len(found) == 0 {
 		return nil, errors.Wrapf(ErrNoLines, "%q", id)
 	}
-	slices.SortStableFunc(found, byTime)
-	from, to := found[0].Time.Add(-before), found[len(found)-1].Time.Add(after)
+	slices.SortStableFunc(found, compareTime)
+	from, to := found[0].Time.Add(-contextBefore), found[len(found)-1].Time.Add(contextAfter)
 	passed := upstreamsOf(found)
 	for _, line := range lines {
 		if line.Time.Before(from) || line.Time.After(to) || own.MatchString(line.Text) {
 			continue
 		}
-		if slices.Contains(conditions, line.Event) || slices.Contains(beliefs, line.Event) && passed[upstreamOf(line)] {
+		if slices.Contains(nodeEvents, line.Event) || slices.Contains(upstreamEvents, line.Event) && passed[upstreamOf(line)] {
 			found = append(found, line)
 		}
 	}
-	slices.SortStableFunc(found, byTime)
+	slices.SortStableFunc(found, compareTime)
 	return found, nil
 }
 
-func byTime(a, b Line) int { return a.Time.Compare(b.Time) }
+func compareTime(a, b Line) int { return a.Time.Compare(b.Time) }
 
 func upstreamOf(line Line) string {
 	if m := upstreamPattern.FindStringSubmatch(line.Text); m != nil {
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -24,7 +24,7 @@
 }
 
 func TestRequest(t *testing.T) {
-	found, err := explain.Request("aa11", testLines(t))
+	found, err := explain.RequestLines("aa11", testLines(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +39,7 @@
 }
 
 func TestRequestThatNobodyNames(t *testing.T) {
-	if _, err := explain.Request("a", testLines(t)); !errors.Is(err, explain.ErrNoLines) {
+	if _, err := explain.RequestLines("a", testLines(t)); !errors.Is(err, explain.ErrNoLines) {
 		t.Errorf("got error %v, want %v", err, explain.ErrNoLines)
 	}
 }
--- a/explain/files.go
+++ b/explain/files.go
@@ -6,9 +6,9 @@
 	"os"
 )
 
-// Files prints all that bears on a request, from log files. Each holds all lines
+// PrintRequest prints all that bears on a request, from log files. Each holds all lines
 // of one node, or of several.
-func Files(out io.Writer, id string, paths []string) error {
+func PrintRequest(out io.Writer, id string, paths []string) error {
 	var all []Line
 	for _, path := range paths {
 		lines, err := readFile(path)
@@ -17,7 +17,7 @@
 		}
 		all = append(all, lines...)
 	}
-	found, err := Request(id, all)
+	found, err := RequestLines(id, all)
 	if err != nil {
 		return err
 	}
--- a/explain/losses.go
+++ b/explain/losses.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// Loss is a request that did not end as its caller wants it: refused, cut, failed,
+// Failure is a request that did not end as its caller wants it: refused, cut, failed,
 // left by its caller, or late.
-type Loss struct {
+type Failure struct {
 	Time time.Time
 	// Cause is what became of it and why, as "refused no_memory_left".
 	Cause string
@@ -27,16 +27,16 @@
 	Layers string
 }
 
-// Account is all that the logs say of how requests ended.
-type Account struct {
-	// Ended counts the requests that ended, well or not.
-	Ended  int
-	Losses []Loss
+// Summary is all that the logs say of how requests ended.
+type Summary struct {
+	// Total counts the requests that ended, well or not.
+	Total    int
+	Failures []Failure
 }
 
 var (
-	sourcePattern = regexp.MustCompile(`(\S+)\s+time=`)
-	fieldPattern  = regexp.MustCompile(`\b([a-z_]+)=("[^"]*"|\S*)`)
+	nodePattern  = regexp.MustCompile(`(\S+)\s+time=`)
+	fieldPattern = regexp.MustCompile(`\b([a-z_]+)=("[^"]*"|\S*)`)
 )
 
 // fields returns the values of a line by their names.
@@ -50,39 +50,39 @@
 	return values
 }
 
-// source names the node that wrote a line, where all nodes' lines stand in one
+// nodeName names the node that wrote a line, where all nodes' lines stand in one
 // file and each begins with its node.
-func (l Line) source(file string) string {
-	if m := sourcePattern.FindStringSubmatch(l.Text); m != nil {
+func (l Line) nodeName(file string) string {
+	if m := nodePattern.FindStringSubmatch(l.Text); m != nil {
 		return m[1]
 	}
 	return file
 }
 
 // add takes in the lines of one file.
-func (a *Account) add(file string, lines []Line) {
+func (a *Summary) add(file string, lines []Line) {
 	centres := make(map[string]string)
 	for _, line := range lines {
-		source := line.source(file)
+		source := line.nodeName(file)
 		if line.Event == "start" {
 			centres[source] = line.fields()["data_centre"]
 			continue
 		}
-		if !slices.Contains(ends, line.Event) {
+		if !slices.Contains(endEvents, line.Event) {
 			continue
 		}
 		f := line.fields()
-		a.Ended++
+		a.Total++
 		cause := causeOf(line.Event, f)
 		if cause == "" {
 			continue
 		}
-		a.Losses = append(a.Losses, Loss{Time: line.Time, Cause: cause, Route: f["route"], DataCentre: centres[source], Layers: f["lacks"]})
+		a.Failures = append(a.Failures, Failure{Time: line.Time, Cause: cause, Route: f["route"], DataCentre: centres[source], Layers: f["lacks"]})
 	}
 }
 
-// ends are the events that end a request.
-var ends = []string{"refused", "answered", "cut", "caller_left", "caller_lost", "left_open"}
+// endEvents are the events that end a request.
+var endEvents = []string{"refused", "answered", "cut", "caller_left", "caller_lost", "left_open"}
 
 // causeOf says why a request counts as lost, from the fields of its last line;
 // empty where it does not.
@@ -104,11 +104,11 @@
 	case f["late"] == "":
 		return ""
 	}
-	return "late " + f["late"] + afterwards(f)
+	return "late " + f["late"] + lateSuffix(f)
 }
 
-// afterwards says what had happened to a late answer on its way.
-func afterwards(f map[string]string) string {
+// lateSuffix says what had happened to a late answer on its way.
+func lateSuffix(f map[string]string) string {
 	switch {
 	case f["attempts"] > "1":
 		return ", repeated"
@@ -118,9 +118,9 @@
 	return ""
 }
 
-// Losses reads log files and returns how the requests in them ended.
-func Losses(paths []string) (*Account, error) {
-	a := &Account{}
+// ReadSummary reads log files and returns how the requests in them ended.
+func ReadSummary(paths []string) (*Summary, error) {
+	a := &Summary{}
 	for _, path := range paths {
 		lines, err := readFile(path)
 		if err != nil {
@@ -128,44 +128,44 @@
 		}
 		a.add(filepath.Base(path), lines)
 	}
-	slices.SortStableFunc(a.Losses, func(x, y Loss) int { return x.Time.Compare(y.Time) })
+	slices.SortStableFunc(a.Failures, func(x, y Failure) int { return x.Time.Compare(y.Time) })
 	return a, nil
 }
 
 // Write prints the account: losses by cause, by second, by route, by data centre
 // and by what ran short.
-func (a *Account) Write(out io.Writer) error {
-	if _, err := fmt.Fprintf(out, "%d requests ended, %d of them lost or late\n", a.Ended, len(a.Losses)); err != nil {
+func (a *Summary) Write(out io.Writer) error {
+	if _, err := fmt.Fprintf(out, "%d requests ended, %d of them lost or late\n", a.Total, len(a.Failures)); err != nil {
 		return err
 	}
 	for _, by := range []struct {
 		name string
-		of   func(Loss) string
+		of   func(Failure) string
 	}{
-		{"cause", func(l Loss) string { return l.Cause }},
-		{"route", func(l Loss) string { return l.Route }},
-		{"data centre", func(l Loss) string { return l.DataCentre }},
-		{"layers that ran short", func(l Loss) string { return l.Layers }},
+		{"cause", func(l Failure) string { return l.Cause }},
+		{"route", func(l Failure) string { return l.Route }},
+		{"data centre", func(l Failure) string { return l.DataCentre }},
+		{"layers that ran short", func(l Failure) string { return l.Layers }},
 	} {
-		if err := a.writeBy(out, by.name, by.of); err != nil {
+		if err := a.writeGroups(out, by.name, by.of); err != nil {
 			return err
 		}
 	}
 	return a.writeSeconds(out)
 }
 
-// mostRows bounds each table but the one by second.
-const mostRows = 14
+// maxTableRows bounds each table but the one by second.
+const maxTableRows = 14
 
-// group is the losses that share a value.
-type group struct {
-	name   string
-	losses []Loss
+// failureGroup is the losses that share a value.
+type failureGroup struct {
+	name     string
+	failures []Failure
 }
 
-// groups sorts losses by a value, the largest group first.
-func groups(losses []Loss, of func(Loss) string) []group {
-	var list []group
+// groupFailures sorts losses by a value, the largest group first.
+func groupFailures(losses []Failure, of func(Failure) string) []failureGroup {
+	var list []failureGroup
 	place := make(map[string]int)
 	for _, loss := range losses {
 		name := of(loss)
@@ -173,28 +173,28 @@
 		if !known {
 			i = len(list)
 			place[name] = i
-			list = append(list, group{name: name})
+			list = append(list, failureGroup{name: name})
 		}
-		list[i].losses = append(list[i].losses, loss)
+		list[i].failures = append(list[i].failures, loss)
 	}
-	slices.SortStableFunc(list, func(x, y group) int { return cmp.Compare(len(y.losses), len(x.losses)) })
+	slices.SortStableFunc(list, func(x, y failureGroup) int { return cmp.Compare(len(y.failures), len(x.failures)) })
 	return list
 }
 
-// writeBy prints one table: how many, from when to when, and the worst second.
-func (a *Account) writeBy(out io.Writer, name string, of func(Loss) string) error {
+// writeGroups prints one table: how many, from when to when, and the worst second.
+func (a *Summary) writeGroups(out io.Writer, name string, of func(Failure) string) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, err := fmt.Fprintf(w, "\nby %s\tlost\tfirst\tlast\tworst second\n", name)
 	if err != nil {
 		return err
 	}
-	for i, g := range groups(a.Losses, of) {
-		if g.name == "" || i >= mostRows {
+	for i, g := range groupFailures(a.Failures, of) {
+		if g.name == "" || i >= maxTableRows {
 			continue
 		}
-		worst := groups(g.losses, bySecond)[0]
-		_, err = fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%d at %s\n", g.name, len(g.losses),
-			bySecond(g.losses[0]), bySecond(g.losses[len(g.losses)-1]), len(worst.losses), worst.name)
+		worst := groupFailures(g.failures, secondOf)[0]
+		_, err = fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%d at %s\n", g.name, len(g.failures),
+			secondOf(g.failures[0]), secondOf(g.failures[len(g.failures)-1]), len(worst.failures), worst.name)
 		if err != nil {
 			return err
 		}
@@ -202,22 +202,22 @@
 	return w.Flush()
 }
 
-func bySecond(l Loss) string { return l.Time.Format(time.TimeOnly) }
+func secondOf(l Failure) string { return l.Time.Format(time.TimeOnly) }
 
 // writeSeconds prints the losses of each second with its largest causes.
-func (a *Account) writeSeconds(out io.Writer) error {
+func (a *Summary) writeSeconds(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if _, err := fmt.Fprint(w, "\nsecond\tlost\tlargest causes\n"); err != nil {
 		return err
 	}
-	seconds := groups(a.Losses, bySecond)
-	slices.SortStableFunc(seconds, func(x, y group) int { return strings.Compare(x.name, y.name) })
+	seconds := groupFailures(a.Failures, secondOf)
+	slices.SortStableFunc(seconds, func(x, y failureGroup) int { return strings.Compare(x.name, y.name) })
 	for _, s := range seconds {
 		var causes []string
-		for _, c := range groups(s.losses, func(l Loss) string { return l.Cause }) {
-			causes = append(causes, fmt.Sprintf("%d %s", len(c.losses), c.name))
+		for _, c := range groupFailures(s.failures, func(l Failure) string { return l.Cause }) {
+			causes = append(causes, fmt.Sprintf("%d %s", len(c.failures), c.name))
 		}
-		if _, err := fmt.Fprintf(w, "%s\t%d\t%s\n", s.name, len(s.losses), strings.Join(causes[:min(len(causes), 3)], "; ")); err != nil {
+		if _, err := fmt.Fprintf(w, "%s\t%d\t%s\n", s.name, len(s.failures), strings.Join(causes[:min(len(causes), 3)], "; ")); err != nil {
 			return err
 		}
 	}
--- a/fairqueue/flow.go
+++ b/fairqueue/flow.go
@@ -2,16 +2,16 @@
 
 // entry is a waiting item with its virtual start time.
 type entry[T any] struct {
-	value T
-	start float64
+	value    T
+	startTag float64
 }
 
 // flow is one account's line at one priority.
 type flow[T any] struct {
-	name   string
-	weight float64
-	finish float64
-	items  []entry[T]
+	name      string
+	weight    float64
+	finishTag float64
+	items     []entry[T]
 }
 
 // flowHeap orders accounts by the virtual start of their first item, and by
@@ -21,7 +21,7 @@
 func (h flowHeap[T]) Len() int      { return len(h) }
 func (h flowHeap[T]) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h flowHeap[T]) Less(i, j int) bool {
-	a, b := h[i].items[0].start, h[j].items[0].start
+	a, b := h[i].items[0].startTag, h[j].items[0].startTag
 	if a != b {
 		return a < b
 	}
--- a/fairqueue/queue.go
+++ b/fairqueue/queue.go
@@ -50,8 +50,8 @@
 // Len returns the number of waiting items.
 func (q *Queue[T]) Len() int { return q.length }
 
-// LenOf returns how many items an account has waiting at a priority.
-func (q *Queue[T]) LenOf(priority int, account string) int {
+// AccountLen returns how many items an account has waiting at a priority.
+func (q *Queue[T]) AccountLen(priority int, account string) int {
 	f := q.levels[priority].flows[account]
 	if f == nil {
 		return 0
@@ -69,9 +69,9 @@
 	return n
 }
 
-// Weight returns the summed weights of the accounts that wait at a priority,
+// ActiveWeight returns the summed weights of the accounts that wait at a priority,
 // counting the named one with the given weight even if it does not wait yet.
-func (q *Queue[T]) Weight(priority int, account string, weight float64) float64 {
+func (q *Queue[T]) ActiveWeight(priority int, account string, weight float64) float64 {
 	l := &q.levels[priority]
 	sum := l.weight
 	if f := l.flows[account]; f == nil || len(f.items) == 0 {
@@ -126,11 +126,11 @@
 
 // level is one priority: its accounts, and a heap of those with items.
 type level[T any] struct {
-	flows   map[string]*flow[T]
-	active  flowHeap[T]
-	virtual float64
-	length  int
-	weight  float64
+	flows       map[string]*flow[T]
+	active      flowHeap[T]
+	virtualTime float64
+	length      int
+	weight      float64
 }
 
 func (l *level[T]) push(item T, p pushOptions) {
@@ -139,9 +139,9 @@
 		f = &flow[T]{name: p.account}
 		l.flows[p.account] = f
 	}
-	start := max(l.virtual, f.finish)
-	f.finish = start + p.cost/p.weight
-	f.items = append(f.items, entry[T]{value: item, start: start})
+	start := max(l.virtualTime, f.finishTag)
+	f.finishTag = start + p.cost/p.weight
+	f.items = append(f.items, entry[T]{value: item, startTag: start})
 	l.length++
 	if len(f.items) == 1 {
 		f.weight = p.weight
@@ -154,29 +154,29 @@
 	f := l.active[0]
 	head := f.items[0]
 	f.items = f.items[1:]
-	l.virtual = head.start
+	l.virtualTime = head.startTag
 	l.length--
 	if len(f.items) > 0 {
 		heap.Fix(&l.active, 0)
 		return head.value
 	}
 	heap.Pop(&l.active)
-	l.rest(f)
+	l.deactivate(f)
 	return head.value
 }
 
-// rest takes an account out of the sums when nothing of it waits. An account
+// deactivate takes an account out of the sums when nothing of it waits. An account
 // whose virtual time has been overtaken is forgotten, so that the map holds
 // only accounts that were busy of late.
-func (l *level[T]) rest(f *flow[T]) {
+func (l *level[T]) deactivate(f *flow[T]) {
 	l.weight -= f.weight
 	if l.length == 0 {
 		l.weight = 0
 		clear(l.flows)
-		l.virtual = 0
+		l.virtualTime = 0
 		return
 	}
-	if f.finish <= l.virtual {
+	if f.finishTag <= l.virtualTime {
 		delete(l.flows, f.name)
 	}
 }
@@ -210,7 +210,7 @@
 			l.active = append(l.active, f)
 			continue
 		}
-		l.rest(f)
+		l.deactivate(f)
 	}
 	heap.Init(&l.active)
 }
--- a/fleet/view_restore.go
+++ b/fleet/view_restore.go
@@ -12,9 +12,9 @@
 // upstream; this is somewhat longer.
 const RestoreGrace clock.Millis = 5000
 
-// Returned records that the store was restored from a backup. The store may list entries
+// MarkRestored records that the store was restored from a backup. The store may list entries
 // again that were removed after the backup was made.
-func (v *View) Returned(now clock.Millis) { v.restoredAt = now }
+func (v *View) MarkRestored(now clock.Millis) { v.restoredAt = now }
 
 // holdBackStale reports whether an entry of a complete list may exist only because the backup
 // contained it: its upstream was removed, and has not written the entry since the restore. The
--- a/fleet/view_test.go
+++ b/fleet/view_test.go
@@ -37,7 +37,7 @@
 		v.StoreRecovered(now)
 		return nil
 	case "copy":
-		v.Returned(now)
+		v.MarkRestored(now)
 		return nil
 	case "ended":
 		v.OutageEnded(now)
--- a/follow/catalog.go
+++ b/follow/catalog.go
@@ -69,7 +69,7 @@
 	for ctx.Err() == nil {
 		reader, pending := f.selectReader(p.hasRead)
 		if pending {
-			clock.Pause(ctx, pollInterval(p.hasRead))
+			clock.Sleep(ctx, pollInterval(p.hasRead))
 			continue
 		}
 		sent := f.clock.Now()
@@ -118,7 +118,7 @@
 		}
 		p.failures++
 		// Subtracts the duration of the call from the pause.
-		clock.Pause(ctx, f.lastRequest.Add(retryPause(p.failures)).Sub(f.clock.Now()).Duration())
+		clock.Sleep(ctx, f.lastRequest.Add(retryPause(p.failures)).Sub(f.clock.Now()).Duration())
 	}
 }
 
@@ -186,7 +186,7 @@
 // fail together with this node's, would find its proof too old and call the store themselves.
 func (f *Catalog) renewalTimeout(p catalogProgress) (clock.Millis, bool) {
 	timeout := p.provenAt.Add(ProofLifetime - renewalTime).Sub(f.clock.Now())
-	return timeout, p.target == trusted && f.readers.Followed() && timeout >= p.nextWait+renewalTime
+	return timeout, p.target == trusted && f.readers.HasFollowers() && timeout >= p.nextWait+renewalTime
 }
 
 // nextWait returns how long the store may hold the next call. For a node with followers it is
@@ -198,9 +198,9 @@
 	switch {
 	case p.target == unresponsive:
 		return 0, p.skippedWait
-	case f.readers.Overdue() && !p.skippedWait:
+	case f.readers.NeedsProof() && !p.skippedWait:
 		return 0, true
-	case f.readers.Followed():
+	case f.readers.HasFollowers():
 		return max(followedConfigWait-latencyFactor*p.extraLatency, minWait), false
 	default:
 		return f.limits.configWait, false
--- a/follow/fleet.go
+++ b/follow/fleet.go
@@ -96,7 +96,7 @@
 		reader, pending := f.selectReader(p.hasRead)
 		if pending {
 			f.applyPeerList(f.clock.Now())
-			clock.Pause(ctx, pollInterval(p.hasRead))
+			clock.Sleep(ctx, pollInterval(p.hasRead))
 			continue
 		}
 		p.setReader(reader, f.clock.Now())
@@ -117,7 +117,7 @@
 		p = fleetProgress{asOf: reading.AsOf, hasRead: true, reader: p.reader, readerSince: p.readerSince}
 		if len(reading.Changes) > 0 {
 			p.paused = f.gatherPause(reader != nil)
-			clock.Pause(ctx, p.paused.Duration())
+			clock.Sleep(ctx, p.paused.Duration())
 		}
 	}
 	return ctx.Err()
@@ -131,11 +131,11 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.view.Returned(now)
+	f.view.MarkRestored(now)
 	if p.hasRead {
 		f.restoredAt = now
 		f.checkRestore("fleet", p.asOf, asOf)
-		f.publisher.Returned()
+		f.publisher.MarkRestored()
 	}
 }
 
@@ -183,7 +183,7 @@
 			return
 		}
 		f.applyPeerList(f.clock.Now())
-		clock.Pause(ctx, minRetryPause.Duration())
+		clock.Sleep(ctx, minRetryPause.Duration())
 		lost = lost || f.outage.Ongoing()
 		if f.clock.Now() >= until || lost && !f.outage.Ongoing() {
 			return
@@ -234,7 +234,7 @@
 		return min(max(next.Sub(f.clock.Now()), minWait), expiryCheckInterval)
 	case fromReader:
 		return readerListWait
-	case f.readers.Followed():
+	case f.readers.HasFollowers():
 		return min(f.limits.listWait, followedListWait)
 	default:
 		return f.limits.listWait
@@ -249,7 +249,7 @@
 	case ok:
 		// Held entries must be checked when their grace period ends.
 		return min(max(next.Sub(f.clock.Now()), minWait), gatherFollowed)
-	case fromReader, f.readers.Followed():
+	case fromReader, f.readers.HasFollowers():
 		return gatherFollowed
 	case f.clock.Now() < startPeriod:
 		return gatherAtStart
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -185,7 +185,7 @@
 	go func() {
 		for ctx.Err() == nil {
 			outage.RecordAnswer(c.Now())
-			clock.Pause(ctx, minRetryPause.Duration())
+			clock.Sleep(ctx, minRetryPause.Duration())
 		}
 	}()
 	if err := f.Run(ctx); !errors.Is(err, context.Canceled) {
--- a/follow/reader.go
+++ b/follow/reader.go
@@ -33,26 +33,26 @@
 
 // Readers selects the node that reads the store for this one.
 type Readers interface {
-	// First returns the node from which this node fetches its initial reading, or nil to read
+	// InitialReader returns the node from which this node fetches its initial reading, or nil to read
 	// the store. pending reports whether the caller should ask again because the other nodes
 	// are not known yet.
-	First() (reader Reader, pending bool)
+	InitialReader() (reader Reader, pending bool)
 	// Reader returns the node that reads the store for this one, or nil if there is none.
 	Reader() Reader
-	// Failed records that a call to a reader failed.
-	Failed(r Reader)
-	// Followed reports whether other nodes follow this one.
-	Followed() bool
-	// Overdue reports whether followers wait for a proof that this node does not have.
-	Overdue() bool
-	// Waits reports whether this node, which has no reader, should not call the store yet.
-	Waits() bool
-	// StoreLost records that a call of this node to the store failed, and StoreBack that the
+	// ReaderFailed records that a call to a reader failed.
+	ReaderFailed(r Reader)
+	// HasFollowers reports whether other nodes follow this one.
+	HasFollowers() bool
+	// NeedsProof reports whether followers wait for a proof that this node does not have.
+	NeedsProof() bool
+	// ShouldWait reports whether this node, which has no reader, should not call the store yet.
+	ShouldWait() bool
+	// StoreLost records that a call of this node to the store failed, and StoreRecovered that the
 	// store has answered again.
 	StoreLost()
-	StoreBack()
-	// StoreReturned records a store restore. It is called once for each restore.
-	StoreReturned()
+	StoreRecovered()
+	// StoreRestored records a store restore. It is called once for each restore.
+	StoreRestored()
 }
 
 // Publisher publishes readings to the nodes that follow this one.
@@ -64,9 +64,9 @@
 	AddFleet(asOf moment.Moment, changes []fleet.Change)
 	// AddEnded publishes the removal of upstreams without a change at the store.
 	AddEnded(ended []fleet.Change)
-	// Returned records a store restore, after which this node may know more than the store
+	// MarkRestored records a store restore, after which this node may know more than the store
 	// contains.
-	Returned()
+	MarkRestored()
 	// Suspend stops publishing the list until the next SetFleet.
 	Suspend()
 }
@@ -74,20 +74,20 @@
 // standalone implements Readers and Publisher for a node without other nodes.
 type standalone struct{}
 
-func (standalone) First() (Reader, bool)                    { return nil, false }
+func (standalone) InitialReader() (Reader, bool)            { return nil, false }
 func (standalone) Reader() Reader                           { return nil }
-func (standalone) Failed(Reader)                            {}
-func (standalone) Followed() bool                           { return false }
-func (standalone) Overdue() bool                            { return false }
-func (standalone) Waits() bool                              { return false }
+func (standalone) ReaderFailed(Reader)                      {}
+func (standalone) HasFollowers() bool                       { return false }
+func (standalone) NeedsProof() bool                         { return false }
+func (standalone) ShouldWait() bool                         { return false }
 func (standalone) StoreLost()                               {}
-func (standalone) StoreReturned()                           {}
-func (standalone) StoreBack()                               {}
+func (standalone) StoreRestored()                           {}
+func (standalone) StoreRecovered()                          {}
 func (standalone) SetConfig(PublishedConfig)                {}
 func (standalone) SetFleet(moment.Moment, []fleet.Upstream) {}
 func (standalone) AddFleet(moment.Moment, []fleet.Change)   {}
 func (standalone) AddEnded([]fleet.Change)                  {}
-func (standalone) Returned()                                {}
+func (standalone) MarkRestored()                            {}
 func (standalone) Suspend()                                 {}
 
 // base is the common part of both followers of a node.
@@ -143,10 +143,10 @@
 // requests soon.
 func (s *base) selectReader(hasRead bool) (reader Reader, pending bool) {
 	if !hasRead {
-		return s.readers.First()
+		return s.readers.InitialReader()
 	}
 	reader = s.readers.Reader()
-	return reader, reader == nil && s.readers.Waits()
+	return reader, reader == nil && s.readers.ShouldWait()
 }
 
 // targetState is the assumed state of the store or the reader that gets the next call.
@@ -199,7 +199,7 @@
 	if state == trusted && errors.Is(err, ErrNoAnswer) {
 		return errors.Mark(err, errReaderUnresponsive)
 	}
-	s.readers.Failed(reader)
+	s.readers.ReaderFailed(reader)
 	if ctx.Err() == nil {
 		s.log.Info("reader_failed", zap.String("table", table), logging.Err(err))
 	}
@@ -229,13 +229,13 @@
 	now := s.clock.Now()
 	if reader != nil {
 		if s.outage.RecordReaderAnswer(now) {
-			s.readers.StoreBack()
+			s.readers.StoreRecovered()
 			s.log.Info("store_lost_long_ago", zap.String("table", table))
 		}
 		return
 	}
 	if s.outage.RecordAnswer(now) {
-		s.readers.StoreBack()
+		s.readers.StoreRecovered()
 		s.log.Info("store_back", zap.String("table", table))
 	}
 }
@@ -244,7 +244,7 @@
 // from a backup, which may lack entries of running upstreams.
 func (s *base) checkRestore(table string, previous, asOf moment.Moment) {
 	if s.outage.RecordEra(s.clock.Now(), asOf) {
-		s.readers.StoreReturned()
+		s.readers.StoreRestored()
 		s.log.Info("read_in_another_era", zap.String("table", table), zap.Stringer("as_of", asOf), zap.Stringer("known", previous))
 	}
 }
--- a/follow/reader_test.go
+++ b/follow/reader_test.go
@@ -63,15 +63,15 @@
 	return r
 }
 
-func (r *scriptedReader) Failed(Reader) { r.failed, r.offersLeft = r.failed+1, 0 }
+func (r *scriptedReader) ReaderFailed(Reader) { r.failed, r.offersLeft = r.failed+1, 0 }
 
-func (r *scriptedReader) Followed() bool { return false }
+func (r *scriptedReader) HasFollowers() bool { return false }
 
-func (r *scriptedReader) First() (Reader, bool) { return nil, false }
+func (r *scriptedReader) InitialReader() (Reader, bool) { return nil, false }
 
-func (r *scriptedReader) Overdue() bool { return false }
+func (r *scriptedReader) NeedsProof() bool { return false }
 
-func (r *scriptedReader) Waits() bool {
+func (r *scriptedReader) ShouldWait() bool {
 	if r.waitsLeft == 0 {
 		return false
 	}
@@ -80,9 +80,9 @@
 	return true
 }
 
-func (r *scriptedReader) StoreLost()     { r.storeFailures++ }
-func (r *scriptedReader) StoreBack()     { r.storeFailures = 0 }
-func (r *scriptedReader) StoreReturned() { r.restores++ }
+func (r *scriptedReader) StoreLost()      { r.storeFailures++ }
+func (r *scriptedReader) StoreRecovered() { r.storeFailures = 0 }
+func (r *scriptedReader) StoreRestored()  { r.restores++ }
 
 // Checks that a node follows a reader after its initial reading of the store, and reads the
 // full configuration from the store when the reader fails. A failure of the reader is no
@@ -175,7 +175,7 @@
 func endOutageSoon(ctx context.Context, outage *Outage, c *clock.Clock) {
 	for ctx.Err() == nil {
 		outage.RecordAnswer(c.Now())
-		clock.Pause(ctx, minRetryPause.Duration())
+		clock.Sleep(ctx, minRetryPause.Duration())
 	}
 }
 
@@ -335,10 +335,10 @@
 	needsProof bool
 }
 
-func (followedNode) Followed() bool          { return true }
-func (r followedNode) First() (Reader, bool) { return nil, false }
+func (followedNode) HasFollowers() bool              { return true }
+func (r followedNode) InitialReader() (Reader, bool) { return nil, false }
 
-func (r followedNode) Overdue() bool { return r.needsProof }
+func (r followedNode) NeedsProof() bool { return r.needsProof }
 
 // Checks that a node with followers sends shorter waits to a slow store, so that its proof does
 // not get too old, and no wait while followers need a proof.
--- a/follow/silent_reader_test.go
+++ b/follow/silent_reader_test.go
@@ -52,8 +52,8 @@
 	return r
 }
 
-func (r *unresponsiveReader) Failed(Reader) { r.failed = true }
-func (r *unresponsiveReader) StoreLost()    { r.storeFailures++ }
+func (r *unresponsiveReader) ReaderFailed(Reader) { r.failed = true }
+func (r *unresponsiveReader) StoreLost()          { r.storeFailures++ }
 
 // Guards against an endless loop: during an outage, a call to an unresponsive reader was
 // handled as a failed call to the store. Such a call is not repeated during an outage, so the
--- a/follow/unresponsive_test.go
+++ b/follow/unresponsive_test.go
@@ -29,7 +29,7 @@
 	return CatalogReading{}, errors.Mark(errStoreDown, ErrNoAnswer)
 }
 
-func (r noAnswerReader) Failed(Reader) { r.offersLeft = 0 }
+func (r noAnswerReader) ReaderFailed(Reader) { r.offersLeft = 0 }
 
 // Guards against an endless loop: during an outage, a node called a reader with unresponsive
 // connections again and again without a pause, because different conditions decided about a
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -115,7 +115,7 @@
 			found <- address
 			found = nil
 		}
-		if path, ok := strings.CutPrefix(line, standin.EndedBy); ok && p.onCrash != nil {
+		if path, ok := strings.CutPrefix(line, standin.CrashedBy); ok && p.onCrash != nil {
 			p.onCrash(path)
 		}
 	}
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -105,7 +105,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case c := <-k.pending.Items():
-			clock.Pause(ctx, batchDelay)
+			clock.Sleep(ctx, batchDelay)
 			changes := k.collectBatch(c)
 			k.write(ctx, changes)
 			k.rememberWrites(changes)
@@ -115,9 +115,9 @@
 	}
 }
 
-// StoreReturned records that the store was restored from a backup, which may lack the most recent
+// StoreRestored records that the store was restored from a backup, which may lack the most recent
 // writes.
-func (k *Keeper) StoreReturned() {
+func (k *Keeper) StoreRestored() {
 	select {
 	case k.restored <- struct{}{}:
 	default:
@@ -233,7 +233,7 @@
 			return err
 		}
 		k.log.Info(event, logging.Err(err))
-		clock.Pause(ctx, pause)
+		clock.Sleep(ctx, pause)
 	}
 	return nil
 }
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -149,9 +149,9 @@
 		time.Sleep(time.Second)
 		k.Release(a)
 		time.Sleep(time.Second)
-		k.StoreReturned()
+		k.StoreRestored()
 		time.Sleep(moment.MaxBackupAge.Duration())
-		k.StoreReturned()
+		k.StoreRestored()
 	}, time.Second)
 	if got, want := calls, []string{"keep2", "release1", "keep1", "release1"}; !slices.Equal(got, want) {
 		t.Errorf("got calls %v, want %v", got, want)
--- a/lab/attempt.go
+++ b/lab/attempt.go
@@ -12,28 +12,28 @@
 
 // Times of a node's shell, as the relay has them (relay/stall.go).
 const (
-	// onTheWay is the time of a request or an answer between a node and an engine.
-	onTheWay clock.Millis = 1
-	// firstStall and stillFor are after how long without a first or a further event the
-	// engines are asked why, silentAsk how long one is waited for that does not answer, and
-	// askAgain how soon they are asked again.
-	firstStall clock.Millis = 220
-	stillFor   clock.Millis = 110
-	silentAsk  clock.Millis = 160
-	askAgain   clock.Millis = 200
-	// slowAfter is for how long a stream must have stood still until a slow engine is left.
-	slowAfter clock.Millis = 400
+	// networkDelay is the time of a request or an answer between a node and an engine.
+	networkDelay clock.Millis = 1
+	// firstEventStallAfter and stallAfter are after how long without a first or a further event the
+	// engines are asked why, probeTimeout how long one is waited for that does not answer, and
+	// stallRecheckInterval how soon they are asked again.
+	firstEventStallAfter clock.Millis = 220
+	stallAfter           clock.Millis = 110
+	probeTimeout         clock.Millis = 160
+	stallRecheckInterval clock.Millis = 200
+	// slowStreamAfter is for how long a stream must have stood still until a slow engine is left.
+	slowStreamAfter clock.Millis = 400
 	// abandonAfter is after how long without an event a stream is taken up elsewhere.
 	abandonAfter clock.Millis = 1600
-	// engineCuts is after how long an engine cuts a stream that waits for a lost one.
-	engineCuts clock.Millis = 2500
+	// engineAbortAfter is after how long an engine cuts a stream that waits for a lost one.
+	engineAbortAfter clock.Millis = 2500
 )
 
 const (
-	// slowPace is how much slower than usual such an engine is.
-	slowPace = 2.5
-	// eventsAtOnce is how many events are played together.
-	eventsAtOnce = 8
+	// slowdownThreshold is how much slower than usual such an engine is.
+	slowdownThreshold = 2.5
+	// maxEventBatch is how many events are played together.
+	maxEventBatch = 8
 )
 
 // hop is a part of an attempt's chain.
@@ -47,195 +47,195 @@
 	world   *world
 	session *session
 	cmd     dispatch.SendCmd
-	parts   []hop
-	// tokens is what it takes at each layer.
-	tokens float64
-	// last is when the last event came, or it was sent.
-	last clock.Millis
-	// sent is the age of the node's process at which it was sent, and heard tells that the
+	hops    []hop
+	// reservedTokens is what it takes at each layer.
+	reservedTokens float64
+	// lastEventAt is when the last event came, or it was sent.
+	lastEventAt clock.Millis
+	// sentAt is the age of the node's process at which it was sent, and heard tells that the
 	// first engine's answer has begun.
-	sent  clock.Millis
-	heard bool
-	over  bool
-	// still is the engine that it waits for, and plan counts what was planned for it: what
+	sentAt          clock.Millis
+	responseStarted bool
+	finished        bool
+	// stalledOn is the engine that it waits for, and plan counts what was planned for it: what
 	// was planned before the last change counts no more.
-	still *engine
-	plan  int
+	stalledOn   *engine
+	planVersion int
 }
 
-// needs tells whether it passes layers that an engine is to give up.
-func (a *attempt) needs(e *engine) bool {
-	return slices.ContainsFunc(a.parts, func(h hop) bool { return h.engine == e && !e.held.Covers(h.layers) })
+// usesRemovedLayers tells whether it passes layers that an engine is to give up.
+func (a *attempt) usesRemovedLayers(e *engine) bool {
+	return slices.ContainsFunc(a.hops, func(h hop) bool { return h.engine == e && !e.held.Covers(h.layers) })
 }
 
 // send sends a request to its first engine.
 func (s *session) send(cmd dispatch.SendCmd) {
 	w := s.node.world
-	w.result.Sends++
-	a := &attempt{world: w, session: s, cmd: cmd, tokens: s.caller.tokens(), last: w.now, sent: s.node.age()}
+	w.result.EngineAttempts++
+	a := &attempt{world: w, session: s, cmd: cmd, reservedTokens: s.caller.totalTokens(), lastEventAt: w.now, sentAt: s.node.uptime()}
 	s.attempt = a
 	if !chain.Valid(w.pipeline.Layers, cmd.Chain) {
-		w.result.breach("layers", "a chain that does not run each layer once")
+		w.result.violate("layers", "a chain that does not run each layer once")
 	}
-	w.after(onTheWay, a.arrive)
+	w.after(networkDelay, a.arrive)
 }
 
 // arrive has an attempt reach its first engine, which takes or refuses it.
 func (a *attempt) arrive() {
 	w := a.world
-	if a.over || !a.session.node.up {
+	if a.finished || !a.session.node.running {
 		return
 	}
-	first := w.at[a.cmd.Address]
+	first := w.engineAt[a.cmd.Address]
 	switch {
-	case first == nil || !first.up:
+	case first == nil || !first.running:
 		a.fail(dispatch.CauseNotSent, "")
 		return
 	case first.id != a.cmd.Upstream:
-		a.session.node.replaced(a.cmd.Upstream, a.cmd.Address)
+		a.session.node.noteReplaced(a.cmd.Upstream, a.cmd.Address)
 		a.fail(dispatch.CauseMisdirected, "")
 		return
 	}
-	w.count(a.session)
-	first.judge(a.session.node)
-	first.visited(a.session.node)
-	if first.turnsAway() {
-		first.ask(a.session.node)
-		first.answers(a.session.node, a.sent)
+	w.countArrival(a.session)
+	first.checkBackOff(a.session.node)
+	first.recordArrival(a.session.node)
+	if first.refusesNew() {
+		first.requestBackOff(a.session.node)
+		first.sendLimit(a.session.node, a.sentAt)
 		a.fail(dispatch.CauseFull, "")
 		return
 	}
-	if cause, at, ok := a.build(a.cmd.Chain); !ok {
-		first.answers(a.session.node, a.sent)
+	if cause, at, ok := a.reserveChain(a.cmd.Chain); !ok {
+		first.sendLimit(a.session.node, a.sentAt)
 		a.fail(cause, at)
 		return
 	}
-	a.begin()
+	a.startStream()
 }
 
-// build finds the engines of a chain, or tells what is wrong with it.
-func (a *attempt) build(parts []chain.Stage) (cause dispatch.Cause, at string, ok bool) {
+// reserveChain finds the engines of a chain, or tells what is wrong with it.
+func (a *attempt) reserveChain(parts []chain.Stage) (cause dispatch.Cause, at string, ok bool) {
 	var hops []hop
 	for _, p := range parts {
-		e := a.world.at[p.Address]
-		if e == nil || !e.up {
+		e := a.world.engineAt[p.Address]
+		if e == nil || !e.running {
 			return dispatch.CauseFull, p.Address, false
 		}
 		if e.id != p.ID || !e.held.Covers(p.Layers) {
 			return dispatch.CauseMisdirected, p.Address, false
 		}
-		need := a.tokens * float64(p.Layers.Len())
-		if !slices.ContainsFunc(a.parts, func(h hop) bool { return h.engine == e }) && e.used+need > e.room() {
+		need := a.reservedTokens * float64(p.Layers.Len())
+		if !slices.ContainsFunc(a.hops, func(h hop) bool { return h.engine == e }) && e.usedMemory+need > e.requestMemory() {
 			return dispatch.CauseFull, p.Address, false
 		}
 		hops = append(hops, hop{engine: e, layers: p.Layers})
 	}
-	a.leave()
-	a.parts = hops
+	a.releaseEngines()
+	a.hops = hops
 	for i, h := range hops {
-		h.engine.take(a, h.layers.Len(), i == 0)
+		h.engine.addAttempt(a, h.layers.Len(), i == 0)
 	}
 	return 0, "", true
 }
 
-// leave gives back what it takes at the engines.
-func (a *attempt) leave() {
-	parts := a.parts
-	a.parts = nil
+// releaseEngines gives back what it takes at the engines.
+func (a *attempt) releaseEngines() {
+	parts := a.hops
+	a.hops = nil
 	for i, h := range parts {
-		h.engine.release(a, h.layers.Len(), i == 0)
+		h.engine.removeAttempt(a, h.layers.Len(), i == 0)
 	}
 }
 
-// begin reads the prompt, and what there is of the answer, on all parts in turn.
-func (a *attempt) begin() {
-	tokens := float64(a.session.caller.prompt + a.session.events*a.world.scenario.Load.EventTokens)
-	done := a.readOn(a.parts, tokens)
-	if a.session.caller.deadly {
-		a.world.ends(a, clock.Millis(math.Ceil(done)))
+// startStream reads the prompt, and what there is of the answer, on all parts in turn.
+func (a *attempt) startStream() {
+	tokens := float64(a.session.caller.prompt + a.session.receivedEvents*a.world.scenario.Load.TokensPerEvent)
+	done := a.prefill(a.hops, tokens)
+	if a.session.caller.crashesEngines {
+		a.world.scheduleCrash(a, clock.Millis(math.Ceil(done)))
 		return
 	}
-	a.next(clock.Millis(math.Ceil(done))+a.pause(1), 1)
-	a.watch(firstStall)
+	a.scheduleEvents(clock.Millis(math.Ceil(done))+a.eventTime(1), 1)
+	a.watchProgress(firstEventStallAfter)
 }
 
-// readOn reads tokens on some parts in turn, and returns in how many ms that is done.
-func (a *attempt) readOn(parts []hop, tokens float64) float64 {
+// prefill reads tokens on some parts in turn, and returns in how many ms that is done.
+func (a *attempt) prefill(parts []hop, tokens float64) float64 {
 	now := float64(a.world.now)
 	done := now
 	for i, h := range parts {
 		if i > 0 {
-			done += a.world.between(parts[i-1].engine, h.engine)
+			done += a.world.linkDelay(parts[i-1].engine, h.engine)
 		}
-		done = h.engine.read(done, tokens, h.layers.Len())
+		done = h.engine.prefill(done, tokens, h.layers.Len())
 	}
 	return done - now
 }
 
-// pause is the time of a number of events.
-func (a *attempt) pause(events int) clock.Millis {
-	context := float64(a.session.caller.prompt + a.session.events*a.world.scenario.Load.EventTokens)
-	token := a.world.between(a.parts[len(a.parts)-1].engine, a.parts[0].engine)
-	for i, h := range a.parts {
+// eventTime is the time of a number of events.
+func (a *attempt) eventTime(events int) clock.Millis {
+	context := float64(a.session.caller.prompt + a.session.receivedEvents*a.world.scenario.Load.TokensPerEvent)
+	token := a.world.linkDelay(a.hops[len(a.hops)-1].engine, a.hops[0].engine)
+	for i, h := range a.hops {
 		if i > 0 {
-			token += a.world.between(a.parts[i-1].engine, h.engine)
+			token += a.world.linkDelay(a.hops[i-1].engine, h.engine)
 		}
 		token += h.engine.stepTime(h.layers.Len(), context)
 	}
-	return max(clock.Millis(math.Round(token*float64(events*a.world.scenario.Load.EventTokens))), 1)
+	return max(clock.Millis(math.Round(token*float64(events*a.world.scenario.Load.TokensPerEvent))), 1)
 }
 
-// next plans the next events.
-func (a *attempt) next(in clock.Millis, events int) {
-	a.plan++
-	plan := a.plan
-	if each := in / clock.Millis(max(events, 1)); each > slowAfter && a.session.events > 0 {
-		a.world.after(slowAfter, func() { a.tooSlow(plan) })
+// scheduleEvents plans the next events.
+func (a *attempt) scheduleEvents(in clock.Millis, events int) {
+	a.planVersion++
+	plan := a.planVersion
+	if each := in / clock.Millis(max(events, 1)); each > slowStreamAfter && a.session.receivedEvents > 0 {
+		a.world.after(slowStreamAfter, func() { a.reportSlow(plan) })
 	}
 	a.world.after(in, func() {
-		if a.over || a.plan != plan {
+		if a.finished || a.planVersion != plan {
 			return
 		}
-		if !a.heard {
-			a.heard = true
-			a.parts[0].engine.answers(a.session.node, a.sent)
+		if !a.responseStarted {
+			a.responseStarted = true
+			a.hops[0].engine.sendLimit(a.session.node, a.sentAt)
 		}
-		a.session.take(events, (a.world.now.Sub(a.last))/clock.Millis(events))
-		a.last = a.world.now
-		if left := a.session.caller.events - a.session.events; left > 0 {
-			n := min(left, eventsAtOnce)
-			a.next(a.pause(n), n)
+		a.session.deliverEvents(events, (a.world.now.Sub(a.lastEventAt))/clock.Millis(events))
+		a.lastEventAt = a.world.now
+		if left := a.session.caller.answerEvents - a.session.receivedEvents; left > 0 {
+			n := min(left, maxEventBatch)
+			a.scheduleEvents(a.eventTime(n), n)
 			return
 		}
-		a.done()
+		a.complete()
 	})
 }
 
-// drop ends the attempt without a word.
-func (a *attempt) drop() {
-	a.over = true
-	a.leave()
+// cancel ends the attempt without a word.
+func (a *attempt) cancel() {
+	a.finished = true
+	a.releaseEngines()
 }
 
 // fail tells the node that the attempt has brought nothing more.
 func (a *attempt) fail(cause dispatch.Cause, at string) {
-	if a.over {
+	if a.finished {
 		return
 	}
-	a.drop()
+	a.cancel()
 	s := a.session
-	msg := dispatch.AttemptFailedMsg{Request: s.id, Attempt: a.cmd.Attempt, Cause: cause, FaultyAddress: at, Events: s.events}
-	if s.events > 0 {
+	msg := dispatch.AttemptFailedMsg{Request: s.id, Attempt: a.cmd.Attempt, Cause: cause, FaultyAddress: at, Events: s.receivedEvents}
+	if s.receivedEvents > 0 {
 		msg.Delivered = dispatch.DeliveredEvents
 	}
-	a.world.after(onTheWay, func() { s.node.tell(msg) })
+	a.world.after(networkDelay, func() { s.node.update(msg) })
 }
 
-// done ends the attempt with the whole answer.
-func (a *attempt) done() {
+// complete ends the attempt with the whole answer.
+func (a *attempt) complete() {
 	s := a.session
-	a.drop()
-	s.node.tell(dispatch.AttemptDoneMsg{Request: s.id, Attempt: a.cmd.Attempt, Took: a.world.now.Sub(s.caller.sent)})
-	s.end()
-	s.caller.served()
+	a.cancel()
+	s.node.update(dispatch.AttemptDoneMsg{Request: s.id, Attempt: a.cmd.Attempt, Took: a.world.now.Sub(s.caller.firstSentAt)})
+	s.finish()
+	s.caller.finishServed()
 }
--- a/lab/caller.go
+++ b/lab/caller.go
@@ -10,153 +10,153 @@
 
 // caller is one request of a caller, over all its tries.
 type caller struct {
-	world  *world
-	number int
-	centre string
-	// asked names what is asked for, and deadly tells that it ends engines.
-	asked  work.ID
-	deadly bool
-	urgent bool
-	prompt int
-	// events is how long the answer is.
-	events int
+	world      *world
+	number     int
+	dataCentre string
+	// workID names what is asked for, and deadly tells that it ends engines.
+	workID         work.ID
+	crashesEngines bool
+	urgent         bool
+	prompt         int
+	// answerEvents is how long the answer is.
+	answerEvents int
 
-	// sent is when the first try came, and second in which second that was.
-	sent     clock.Millis
-	deadline clock.Millis
-	tries    int
-	returned bool
-	session  *session
-	// progress is when the last event came, or the last try began.
-	progress clock.Millis
-	first    clock.Millis
-	pause    clock.Millis
-	over     bool
+	// firstSentAt is when the first try came, and second in which second that was.
+	firstSentAt clock.Millis
+	deadline    clock.Millis
+	tries       int
+	retried     bool
+	session     *session
+	// lastProgressAt is when the last event came, or the last try began.
+	lastProgressAt  clock.Millis
+	firstEventAfter clock.Millis
+	longestGap      clock.Millis
+	finished        bool
 }
 
-// arrive has the caller ask a node of its data centre, another one with each try.
-func (c *caller) arrive() {
-	if c.over {
+// sendRequest has the caller ask a node of its data centre, another one with each try.
+func (c *caller) sendRequest() {
+	if c.finished {
 		return
 	}
-	n := c.world.nodeFor(c.centre, c.number+c.tries)
+	n := c.world.pickNode(c.dataCentre, c.number+c.tries)
 	c.tries++
-	c.progress = c.world.now
+	c.lastProgressAt = c.world.now
 	if n == nil {
-		c.failed("no node")
+		c.handleFailure("no node")
 		return
 	}
-	n.next++
-	s := &session{node: n, id: n.next, caller: c}
+	n.lastRequestID++
+	s := &session{node: n, id: n.lastRequestID, caller: c}
 	c.session = s
 	n.sessions[s.id] = s
-	c.world.result.Tries++
+	c.world.result.ClientAttempts++
 	path := "/other/"
 	if c.urgent {
 		path = "/urgent/"
 	}
-	n.tell(dispatch.ArriveMsg{
-		Request: s.id, CallerID: fmt.Sprint(c.number, ".", c.tries), Work: c.asked, Host: host, Path: path + "a",
-		Remaining: c.deadline.Sub(c.world.now), PromptTokens: c.prompt, AnswerTokens: c.events * c.world.scenario.Load.EventTokens,
-		HintTokens: c.events * c.world.scenario.Load.EventTokens,
+	n.update(dispatch.ArriveMsg{
+		Request: s.id, CallerID: fmt.Sprint(c.number, ".", c.tries), Work: c.workID, Host: host, Path: path + "a",
+		Remaining: c.deadline.Sub(c.world.now), PromptTokens: c.prompt, AnswerTokens: c.answerEvents * c.world.scenario.Load.TokensPerEvent,
+		HintTokens: c.answerEvents * c.world.scenario.Load.TokensPerEvent,
 	})
 }
 
-// tokens is the memory that it takes at each layer, in tokens.
-func (c *caller) tokens() float64 {
-	return float64(c.prompt) + float64(c.events*c.world.scenario.Load.EventTokens)
+// totalTokens is the memory that it takes at each layer, in tokens.
+func (c *caller) totalTokens() float64 {
+	return float64(c.prompt) + float64(c.answerEvents*c.world.scenario.Load.TokensPerEvent)
 }
 
-// hears takes events in, with the longest pause before one of them.
-func (c *caller) hears(pause clock.Millis) {
-	if c.first == 0 {
-		c.first = max(c.world.now.Sub(c.sent), 1)
+// recordEvents takes events in, with the longest pause before one of them.
+func (c *caller) recordEvents(pause clock.Millis) {
+	if c.firstEventAfter == 0 {
+		c.firstEventAfter = max(c.world.now.Sub(c.firstSentAt), 1)
 	} else {
-		c.pause = max(c.pause, pause)
+		c.longestGap = max(c.longestGap, pause)
 	}
-	c.progress = c.world.now
+	c.lastProgressAt = c.world.now
 }
 
-// refused has the caller come back when it is told to, if it has tries and time left.
-func (c *caller) refused(reason dispatch.Reason, back clock.Millis) {
-	if c.over {
+// handleRefusal has the caller come back when it is told to, if it has tries and time left.
+func (c *caller) handleRefusal(reason dispatch.Reason, back clock.Millis) {
+	if c.finished {
 		return
 	}
 	c.session = nil
-	if reason == dispatch.ReasonQuarantined && !c.deadly {
-		c.world.result.breach("innocent", "a request that ends nothing was refused as if it did")
+	if reason == dispatch.ReasonQuarantined && !c.crashesEngines {
+		c.world.result.violate("innocent", "a request that ends nothing was refused as if it did")
 	}
-	if c.returned {
-		c.world.result.RefusedAgain++
+	if c.retried {
+		c.world.result.RefusedRetries++
 	}
-	if c.world.variant.NoReturnTime {
-		back = fixedReturn
+	if c.world.variant.IgnoreRetryAfter {
+		back = fixedRetryDelay
 	}
-	if c.tries > c.world.scenario.Load.Returns || c.deadly {
-		c.end(Refused, string(reason))
+	if c.tries > c.world.scenario.Load.MaxRetries || c.crashesEngines {
+		c.finish(Refused, string(reason))
 		return
 	}
-	c.returned = true
-	c.world.after(max(min(back, c.deadline.Sub(c.world.now)/heededPart), 1), c.arrive)
+	c.retried = true
+	c.world.after(max(min(back, c.deadline.Sub(c.world.now)/maxRetryDelayDivisor), 1), c.sendRequest)
 }
 
 const (
-	// fixedReturn is when callers come back that do not heed what they are told.
-	fixedReturn clock.Millis = 300
-	// heededPart is the part of the time left, one in so many, up to which callers heed when
+	// fixedRetryDelay is when callers come back that do not heed what they are told.
+	fixedRetryDelay clock.Millis = 300
+	// maxRetryDelayDivisor is the part of the time left, one in so many, up to which callers heed when
 	// to come back.
-	heededPart = 3
-	// retriesIn is when a caller tries again after a failure.
-	retriesIn clock.Millis = 20
+	maxRetryDelayDivisor = 3
+	// failureRetryDelay is when a caller tries again after a failure.
+	failureRetryDelay clock.Millis = 20
 )
 
-// failed has the caller try again at once, if it has tries left.
-func (c *caller) failed(why string) {
-	if c.over {
+// handleFailure has the caller try again at once, if it has tries left.
+func (c *caller) handleFailure(why string) {
+	if c.finished {
 		return
 	}
 	c.session = nil
-	if c.tries > c.world.scenario.Load.Returns || c.deadly {
-		c.end(Failed, why)
+	if c.tries > c.world.scenario.Load.MaxRetries || c.crashesEngines {
+		c.finish(Failed, why)
 		return
 	}
-	c.world.after(retriesIn, c.arrive)
+	c.world.after(failureRetryDelay, c.sendRequest)
 }
 
-// served ends the request with its whole answer.
-func (c *caller) served() {
+// finishServed ends the request with its whole answer.
+func (c *caller) finishServed() {
 	l := c.world.scenario.Load
-	if c.first <= l.AimMS && c.pause <= l.GapMS {
-		c.end(InTime, "")
+	if c.firstEventAfter <= l.FirstEventTargetMS && c.longestGap <= l.EventGapTargetMS {
+		c.finish(InTime, "")
 		return
 	}
-	c.end(Late, "")
+	c.finish(Late, "")
 }
 
-// left tells whether the caller gives up now: it waits a bounded time for each event.
-func (c *caller) left(now clock.Millis) bool {
+// timedOut tells whether the caller gives up now: it waits a bounded time for each event.
+func (c *caller) timedOut(now clock.Millis) bool {
 	l := c.world.scenario.Load
-	return now >= c.deadline || c.session != nil && now.Sub(c.progress) > max(leastPatience, aimsOfPatience*l.AimMS, gapsOfPatience*l.GapMS)
+	return now >= c.deadline || c.session != nil && now.Sub(c.lastProgressAt) > max(minEventTimeout, firstEventTargetsInTimeout*l.FirstEventTargetMS, eventGapTargetsInTimeout*l.EventGapTargetMS)
 }
 
 // How long a caller waits for an event, in aims.
 const (
-	leastPatience  clock.Millis = 2000
-	aimsOfPatience clock.Millis = 4
-	gapsOfPatience clock.Millis = 8
+	minEventTimeout            clock.Millis = 2000
+	firstEventTargetsInTimeout clock.Millis = 4
+	eventGapTargetsInTimeout   clock.Millis = 8
 )
 
-// leave has the caller give up.
-func (c *caller) leave() {
+// abandon has the caller give up.
+func (c *caller) abandon() {
 	s := c.session
-	c.end(Failed, "left")
+	c.finish(Failed, "left")
 	if s != nil {
-		s.leave()
+		s.abandon()
 	}
 }
 
-func (c *caller) end(o Outcome, why string) {
-	c.over = true
+func (c *caller) finish(o Outcome, why string) {
+	c.finished = true
 	c.session = nil
 	c.world.result.add(c, o, why)
 }
--- a/lab/draw.go
+++ b/lab/draw.go
@@ -5,5 +5,5 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// drawOn returns where a plot draws itself on a canvas.
-func drawOn(canvas vg.CanvasSizer) draw.Canvas { return draw.New(canvas) }
+// drawArea returns where a plot draws itself on a canvas.
+func drawArea(canvas vg.CanvasSizer) draw.Canvas { return draw.New(canvas) }
--- a/lab/experiment.go
+++ b/lab/experiment.go
@@ -14,12 +14,12 @@
 	Scenario *Scenario
 	Variants []Variant
 	// Seeds is how many, the first being First.
-	Seeds int
-	First uint64
-	// Jobs is how many runs go on at a time; zero for one on each processor.
-	Jobs int
-	// Step is told of each run that has ended; nil for nobody.
-	Step func()
+	Seeds     int
+	FirstSeed uint64
+	// Parallelism is how many runs go on at a time; zero for one on each processor.
+	Parallelism int
+	// RunDone is told of each run that has ended; nil for nobody.
+	RunDone func()
 }
 
 // Difference is how a variant differs from the first one in a figure.
@@ -28,9 +28,9 @@
 	Figure  string
 	// Mean is the variant's own, and By the mean of the differences seed by seed, with the
 	// bounds between which it lies with 95 in 100.
-	Mean, By, Low, High float64
-	// Broken is on how many seeds a promise was broken.
-	Broken int
+	Mean, MeanDifference, Low, High float64
+	// SeedsWithViolations is on how many seeds a promise was broken.
+	SeedsWithViolations int
 }
 
 // Run plays all, and returns the results by variant and seed.
@@ -38,7 +38,7 @@
 	if e.Seeds < 1 || len(e.Variants) < 1 {
 		return nil, errors.Wrap(ErrScenario, "an experiment needs a variant and a seed")
 	}
-	jobs := e.Jobs
+	jobs := e.Parallelism
 	if jobs < 1 {
 		jobs = runtime.NumCPU()
 	}
@@ -49,9 +49,9 @@
 		results[v] = make([]*Result, e.Seeds)
 		for i := range e.Seeds {
 			group.Go(func() error {
-				results[v][i] = Run(e.Scenario, e.Variants[v], e.First+uint64(i))
-				if e.Step != nil {
-					e.Step()
+				results[v][i] = Run(e.Scenario, e.Variants[v], e.FirstSeed+uint64(i))
+				if e.RunDone != nil {
+					e.RunDone()
 				}
 				return nil
 			})
@@ -70,12 +70,12 @@
 			for i, r := range runs {
 				own = append(own, r.Figures()[name])
 				by = append(by, r.Figures()[name]-results[0][i].Figures()[name])
-				if len(r.Broken) > 0 {
-					d.Broken++
+				if len(r.Violations) > 0 {
+					d.SeedsWithViolations++
 				}
 			}
 			d.Mean = stat.Mean(own, nil)
-			d.By, d.Low, d.High = interval(by)
+			d.MeanDifference, d.Low, d.High = interval(by)
 			list = append(list, d)
 		}
 	}
--- a/lab/limit.go
+++ b/lab/limit.go
@@ -7,153 +7,153 @@
 	"github.com/hoistjunction/hoistjunction/limit"
 )
 
-// What is promised of a limit: later than limitContact after an engine has named it first, no
-// limitWindow brings more than limitLeeway times what it allows, and limitSpare requests, from
-// the nodes that were told toldBefore or earlier.
+// What is promised of a limit: later than limitGrace after an engine has named it first, no
+// limitWindow brings more than limitTolerance times what it allows, and limitAllowance requests, from
+// the nodes that were told minNotifiedFor or earlier.
 const (
-	limitWindow  clock.Millis = 4000
-	limitContact clock.Millis = 3000
-	toldBefore   clock.Millis = 500
-	limitLeeway               = 1.5
-	limitSpare                = 5
+	limitWindow    clock.Millis = 4000
+	limitGrace     clock.Millis = 3000
+	minNotifiedFor clock.Millis = 500
+	limitTolerance              = 1.5
+	limitAllowance              = 5
 )
 
-// need is what the judge keeps of a limit that an engine names. The zero value is none.
-type need struct {
+// advertisedLimit is what the judge keeps of a limit that an engine names. The zero value is none.
+type advertisedLimit struct {
 	// rate is in requests a second from all nodes together; zero for no limit.
-	rate  float64
-	named clock.Millis
-	// told is since when the lives of nodes have known it from the engine, and visits are the
+	rate         float64
+	advertisedAt clock.Millis
+	// notifiedAt is since when the lives of nodes have known it from the engine, and visits are the
 	// requests that have come.
-	told   map[life]clock.Millis
-	visits []visit
-	// counted is since when use is counted, and used how many requests came since.
-	counted clock.Millis
-	used    int
+	notifiedAt map[nodeBoot]clock.Millis
+	arrivals   []arrival
+	// countFrom is since when use is counted, and used how many requests came since.
+	countFrom clock.Millis
+	counted   int
 }
 
-// life is one life of a node: what is promised excuses one that has started anew.
-type life struct {
-	node   *node
-	number int
+// nodeBoot is one life of a node: what is promised excuses one that has started anew.
+type nodeBoot struct {
+	node *node
+	boot int
 }
 
-// visit is a request that has reached an engine.
-type visit struct {
+// arrival is a request that has reached an engine.
+type arrival struct {
 	at   clock.Millis
-	from life
+	from nodeBoot
 }
 
 // setLimit has an engine name a limit; zero for none.
 func (e *engine) setLimit(rate float64) {
 	w := e.world
-	if e.need.rate > 0 && e.held.Len() > 0 && e.held.From == 0 {
-		w.result.countUse(e.need, w.now)
+	if e.advertised.rate > 0 && e.held.Len() > 0 && e.held.From == 0 {
+		w.result.addLimitUse(e.advertised, w.now)
 	}
-	visits := e.need.visits
-	e.need = need{rate: rate, named: w.now, told: make(map[life]clock.Millis), visits: visits, counted: w.now.Add(limitContact)}
+	visits := e.advertised.arrivals
+	e.advertised = advertisedLimit{rate: rate, advertisedAt: w.now, notifiedAt: make(map[nodeBoot]clock.Millis), arrivals: visits, countFrom: w.now.Add(limitGrace)}
 }
 
-// visited counts a request that has reached an engine, and judges the window that it ends.
-func (e *engine) visited(n *node) {
-	w, d := e.world, &e.need
-	d.visits = append(d.visits, visit{at: w.now, from: life{n, n.life}})
-	for d.visits[0].at <= w.now.Sub(limitWindow) {
-		d.visits = d.visits[1:]
+// recordArrival counts a request that has reached an engine, and judges the window that it ends.
+func (e *engine) recordArrival(n *node) {
+	w, d := e.world, &e.advertised
+	d.arrivals = append(d.arrivals, arrival{at: w.now, from: nodeBoot{n, n.boot}})
+	for d.arrivals[0].at <= w.now.Sub(limitWindow) {
+		d.arrivals = d.arrivals[1:]
 	}
-	if d.rate == 0 || w.now < d.counted {
+	if d.rate == 0 || w.now < d.countFrom {
 		return
 	}
-	d.used++
+	d.counted++
 	count := 0
-	for _, v := range d.visits {
-		if told, ok := d.told[v.from]; ok && told <= w.now.Sub(toldBefore) {
+	for _, v := range d.arrivals {
+		if told, ok := d.notifiedAt[v.from]; ok && told <= w.now.Sub(minNotifiedFor) {
 			count++
 		}
 	}
 	allows := d.rate * limitWindow.Duration().Seconds()
-	w.result.MostOfLimit = max(w.result.MostOfLimit, float64(count)/allows)
-	if float64(count) > limitLeeway*allows+limitSpare {
-		w.result.breach("limit", "more requests than an engine takes from all nodes")
+	w.result.PeakLimitRatio = max(w.result.PeakLimitRatio, float64(count)/allows)
+	if float64(count) > limitTolerance*allows+limitAllowance {
+		w.result.violate("limit", "more requests than an engine takes from all nodes")
 	}
 }
 
-// answers has an engine's answer to a request of a node, sent at an age of its process, say
+// sendLimit has an engine's answer to a request of a node, sent at an age of its process, say
 // what it takes.
-func (e *engine) answers(n *node, sent clock.Millis) {
+func (e *engine) sendLimit(n *node, sent clock.Millis) {
 	w := e.world
-	if e.need.rate > 0 {
-		if _, told := e.need.told[life{n, n.life}]; !told {
-			e.need.told[life{n, n.life}] = w.now
+	if e.advertised.rate > 0 {
+		if _, told := e.advertised.notifiedAt[nodeBoot{n, n.boot}]; !told {
+			e.advertised.notifiedAt[nodeBoot{n, n.boot}] = w.now
 		}
 	}
-	if w.variant.NoLimits {
+	if w.variant.NoAdvertisedLimits {
 		return
 	}
-	started, id, rate := n.life, e.id, e.need.rate
-	w.after(onTheWay, func() {
+	started, id, rate := n.boot, e.id, e.advertised.rate
+	w.after(networkDelay, func() {
 		switch {
-		case !n.up || n.life != started:
+		case !n.running || n.boot != started:
 		case rate > 0:
-			n.tell(dispatch.AdvertisedLimitMsg{Upstream: id, Rate: rate})
+			n.update(dispatch.AdvertisedLimitMsg{Upstream: id, Rate: rate})
 		default:
-			n.tell(dispatch.NoAdvertisedLimitMsg{Upstream: id, SentAt: sent})
+			n.update(dispatch.NoAdvertisedLimitMsg{Upstream: id, SentAt: sent})
 		}
 	})
 }
 
-// countUse adds a limit that has ended, or the run with it.
-func (r *Result) countUse(d need, until clock.Millis) {
-	if until <= d.counted {
+// addLimitUse adds a limit that has ended, or the run with it.
+func (r *Result) addLimitUse(d advertisedLimit, until clock.Millis) {
+	if until <= d.countFrom {
 		return
 	}
-	r.limitAllowed += d.rate * until.Sub(d.counted).Duration().Seconds()
-	r.limitUsed += float64(d.used)
+	r.limitAllowed += d.rate * until.Sub(d.countFrom).Duration().Seconds()
+	r.limitUsed += float64(d.counted)
 }
 
-// LimitUsed is the part of what limited engines at which streams begin allowed that reached
-// them, from limitContact after they named it on; 1 where there were none.
-func (r *Result) LimitUsed() float64 {
+// LimitUtilization is the part of what limited engines at which streams begin allowed that reached
+// them, from limitGrace after they named it on; 1 where there were none.
+func (r *Result) LimitUtilization() float64 {
 	if r.limitAllowed == 0 {
 		return 1
 	}
 	return r.limitUsed / r.limitAllowed
 }
 
-// askPermits sends another node a question for permits. Ages are counted on its clock there.
-func (n *node) askPermits(cmd limit.AskCmd) {
-	n.one(cmd.To, func(o *node) {
-		ask := cmd.Ask
-		ask.Named = n.namedFor(o, ask.Named)
-		o.tell(dispatch.PermitRequestMsg{From: n.name, Ask: ask})
+// requestPermits sends another node a question for permits. Ages are counted on its clock there.
+func (n *node) requestPermits(cmd limit.PermitRequestCmd) {
+	n.sendPermitMessage(cmd.To, func(o *node) {
+		ask := cmd.PermitRequest
+		ask.Advertised = n.limitOnClockOf(o, ask.Advertised)
+		o.update(dispatch.PermitRequestMsg{From: n.name, PermitRequest: ask})
 	})
 }
 
-// givePermits answers another node's question.
-func (n *node) givePermits(cmd dispatch.GrantPermitsCmd) {
-	n.one(cmd.To, func(o *node) {
+// grantPermits answers another node's question.
+func (n *node) grantPermits(cmd dispatch.GrantPermitsCmd) {
+	n.sendPermitMessage(cmd.To, func(o *node) {
 		grant := cmd.Grant
-		grant.Named = n.namedFor(o, grant.Named)
-		o.tell(dispatch.PermitGrantMsg{From: n.name, Grant: grant})
+		grant.Advertised = n.limitOnClockOf(o, grant.Advertised)
+		o.update(dispatch.PermitGrantMsg{From: n.name, Grant: grant})
 	})
 }
 
-// limitsFor is what is known of limits, by the clock of another node.
-func (n *node) limitsFor(o *node, limits map[fleet.Incarnation]limit.Named) map[fleet.Incarnation]limit.Named {
-	if n.world.variant.NoLimits {
+// limitsOnClockOf is what is known of limits, by the clock of another node.
+func (n *node) limitsOnClockOf(o *node, limits map[fleet.Incarnation]limit.Advertised) map[fleet.Incarnation]limit.Advertised {
+	if n.world.variant.NoAdvertisedLimits {
 		return nil
 	}
-	there := make(map[fleet.Incarnation]limit.Named, len(limits))
+	there := make(map[fleet.Incarnation]limit.Advertised, len(limits))
 	for id, named := range limits {
-		there[id] = n.namedFor(o, named)
+		there[id] = n.limitOnClockOf(o, named)
 	}
 	return there
 }
 
-// namedFor is what is known of a limit, by the clock of another node.
-func (n *node) namedFor(o *node, named limit.Named) limit.Named {
+// limitOnClockOf is what is known of a limit, by the clock of another node.
+func (n *node) limitOnClockOf(o *node, named limit.Advertised) limit.Advertised {
 	if named.ReceivedAt != clock.Never {
-		named.ReceivedAt = o.age().Sub(n.age().Sub(named.ReceivedAt))
+		named.ReceivedAt = o.uptime().Sub(n.uptime().Sub(named.ReceivedAt))
 	}
 	return named
 }
--- a/lab/list.go
+++ b/lab/list.go
@@ -5,63 +5,63 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// list is the list of engines that nodes follow, late.
-type list struct {
+// engineList is the list of engines that nodes follow, late.
+type engineList struct {
 	world   *world
 	entries map[fleet.Incarnation]fleet.Upstream
 	order   []fleet.Incarnation
-	// away tells that it stands still.
-	away bool
+	// frozen tells that it stands still.
+	frozen bool
 	// changes are all that there were, and when.
-	changes []listed
+	changes []timedChange
 }
 
-// listed is a change of the list.
-type listed struct {
+// timedChange is a change of the list.
+type timedChange struct {
 	at     clock.Millis
 	change fleet.Change
 }
 
-// listEvery is how often a node looks for changes: they come in batches.
-const listEvery clock.Millis = 250
+// listPollInterval is how often a node looks for changes: they come in batches.
+const listPollInterval clock.Millis = 250
 
 // publish has an engine write its entry.
-func (l *list) publish(e *engine) {
-	if !e.up {
+func (l *engineList) publish(e *engine) {
+	if !e.running {
 		return
 	}
 	if _, known := l.entries[e.id]; !known {
 		l.order = append(l.order, e.id)
 	}
-	l.entries[e.id] = e.entry()
-	l.change(fleet.Change{ID: e.id, Upstream: e.entry()})
+	l.entries[e.id] = e.listEntry()
+	l.addChange(fleet.Change{ID: e.id, Upstream: e.listEntry()})
 }
 
-// lapse has the entry of an engine that has ended go after a time.
-func (l *list) lapse(e *engine) {
-	l.world.after(l.world.scenario.LapseMS, func() {
+// scheduleRemoval has the entry of an engine that has ended go after a time.
+func (l *engineList) scheduleRemoval(e *engine) {
+	l.world.after(l.world.scenario.RemovalDelayMS, func() {
 		delete(l.entries, e.id)
-		l.change(fleet.Change{ID: e.id, Gone: true})
+		l.addChange(fleet.Change{ID: e.id, Gone: true})
 	})
 }
 
-func (l *list) change(c fleet.Change) {
-	l.changes = append(l.changes, listed{at: l.world.now, change: c})
+func (l *engineList) addChange(c fleet.Change) {
+	l.changes = append(l.changes, timedChange{at: l.world.now, change: c})
 }
 
-// since returns the changes after a number of them that a node with some lag sees now, and how
+// visibleSince returns the changes after a number of them that a node with some lag sees now, and how
 // many there were then.
-func (l *list) since(seen int, lag clock.Millis) ([]fleet.Change, int) {
+func (l *engineList) visibleSince(seen int, lag clock.Millis) ([]fleet.Change, int) {
 	var changes []fleet.Change
-	for !l.away && seen < len(l.changes) && l.changes[seen].at.Add(lag) <= l.world.now {
+	for !l.frozen && seen < len(l.changes) && l.changes[seen].at.Add(lag) <= l.world.now {
 		changes = append(changes, l.changes[seen].change)
 		seen++
 	}
 	return changes, seen
 }
 
-// all is the whole list, for a node that starts.
-func (l *list) all() []fleet.Change {
+// snapshot is the whole list, for a node that starts.
+func (l *engineList) snapshot() []fleet.Change {
 	var changes []fleet.Change
 	for _, id := range l.order {
 		if u, there := l.entries[id]; there {
--- a/lab/node.go
+++ b/lab/node.go
@@ -13,165 +13,165 @@
 )
 
 const (
-	// tickEvery and planEvery are how often the models are told the time.
-	tickEvery clock.Millis = 100
-	planEvery clock.Millis = 250
-	// planSlot sets the nodes' orders apart.
-	planSlot clock.Millis = 300
-	// asked is how long a question to an engine takes that answers.
-	asked clock.Millis = 4
-	// planners is how many nodes plan: the first of those that are up. The others would find
+	// tickInterval and planInterval are how often the models are told the time.
+	tickInterval clock.Millis = 100
+	planInterval clock.Millis = 250
+	// planStagger sets the nodes' orders apart.
+	planStagger clock.Millis = 300
+	// engineRoundTrip is how long a question to an engine takes that answers.
+	engineRoundTrip clock.Millis = 4
+	// maxPlanners is how many nodes plan: the first of those that are up. The others would find
 	// the same plan, later, and leave its orders to these.
-	planners = 8
-	// nearAll is up to how many nodes all tell each other what they have in use.
-	nearAll = 24
-	// circleEvery is how often a node of a large data centre looks who the hubs are.
-	circleEvery clock.Millis = 150
+	maxPlanners = 8
+	// fullMeshBelow is up to how many nodes all tell each other what they have in use.
+	fullMeshBelow = 24
+	// topologyInterval is how often a node of a large data centre looks who the hubs are.
+	topologyInterval clock.Millis = 150
 )
 
 // node is a relay node: the real models, and what their shells would do.
 type node struct {
-	world  *world
-	name   string
-	centre string
-	rank   int
-	up     bool
-	// life counts its starts: what was on its way to an earlier one is lost.
-	life    int
-	started clock.Millis
-
-	model    *dispatch.Model
-	planner  *placement.Model
-	view     *fleet.View
-	sessions map[dispatch.RequestID]*session
-	next     dispatch.RequestID
-	// seen is how many changes of the list it has seen.
-	seen int
+	world      *world
+	name       string
+	dataCentre string
+	rank       int
+	running    bool
+	// boot counts its starts: what was on its way to an earlier one is lost.
+	boot      int
+	startedAt clock.Millis
+
+	dispatcher    *dispatch.Model
+	planner       *placement.Model
+	view          *fleet.View
+	sessions      map[dispatch.RequestID]*session
+	lastRequestID dispatch.RequestID
+	// seenChanges is how many changes of the list it has seen.
+	seenChanges int
 	// roster knows the nodes of its data centre, and circle its place among them.
-	roster *reading.Roster
-	circle reading.Topology
-	// heard and sent count the datagrams that nodes tell each other.
-	heard, sent int
+	roster   *reading.Roster
+	topology reading.Topology
+	// received and sent count the datagrams that nodes tell each other.
+	received, sent int
 }
 
 // start starts the node's process.
 func (n *node) start() {
 	w := n.world
-	n.up, n.started = true, w.now
-	n.life++
-	life := n.life
+	n.running, n.startedAt = true, w.now
+	n.boot++
+	life := n.boot
 	s := w.scenario
-	n.model = dispatch.New(dispatch.WithDataCentre(n.centre), dispatch.WithSeed(uint64(n.rank)+1), dispatch.WithStoredQuarantine(),
-		dispatch.WithLimits(limit.New(limit.WithSelf(n.name), limit.WithBootID(uint64(n.life)))),
-		dispatch.WithPolicy(dispatch.Policy{RetryWindow: s.Nodes.WindowMS, RetryShare: w.retryShare(), RetrySlack: w.retrySlack()}))
-	n.planner = placement.New(placement.WithDelay(clock.Millis(n.rank)*planSlot), placement.WithStart(0))
+	n.dispatcher = dispatch.New(dispatch.WithDataCentre(n.dataCentre), dispatch.WithSeed(uint64(n.rank)+1), dispatch.WithStoredQuarantine(),
+		dispatch.WithLimits(limit.New(limit.WithSelf(n.name), limit.WithBootID(uint64(n.boot)))),
+		dispatch.WithPolicy(dispatch.Policy{RetryWindow: s.Nodes.RetryWindowMS, RetryShare: w.retryShare(), RetrySlack: w.retrySlack()}))
+	n.planner = placement.New(placement.WithDelay(clock.Millis(n.rank)*planStagger), placement.WithStart(0))
 	n.view = fleet.NewView()
 	n.sessions = make(map[dispatch.RequestID]*session)
-	n.tell(dispatch.CatalogMsg{Catalog: w.catalog, ConfirmedAt: 0})
-	n.plan(placement.CatalogMsg{Catalog: w.catalog})
-	n.hear(w.list.all())
-	n.seen = len(w.list.changes)
-	n.tell(dispatch.QuarantinedMsg{Works: w.kept()})
+	n.update(dispatch.CatalogMsg{Catalog: w.catalog, ConfirmedAt: 0})
+	n.updatePlanner(placement.CatalogMsg{Catalog: w.catalog})
+	n.applyChanges(w.list.snapshot())
+	n.seenChanges = len(w.list.changes)
+	n.update(dispatch.QuarantinedMsg{Works: w.storedQuarantines()})
 	n.roster = reading.NewRoster(&wire.Member{Name: n.name}, w.now, 0)
-	n.roster.SetGroup(w.group(n))
-	n.lookAround(true)
-	w.every(circleEvery, func() bool {
-		if n.up && n.life == life {
-			n.lookAround(false)
+	n.roster.SetGroup(w.dataCentrePeers(n))
+	n.updateTopology(true)
+	w.repeat(topologyInterval, func() bool {
+		if n.running && n.boot == life {
+			n.updateTopology(false)
 		}
-		return n.up && n.life == life
+		return n.running && n.boot == life
 	})
-	w.every(tickEvery, func() bool {
-		if n.up && n.life == life {
-			n.tell(dispatch.TickMsg{})
+	w.repeat(tickInterval, func() bool {
+		if n.running && n.boot == life {
+			n.update(dispatch.TickMsg{})
 		}
-		return n.up && n.life == life
+		return n.running && n.boot == life
 	})
-	w.every(listEvery, func() bool {
-		if n.up && n.life == life {
-			n.follow()
+	w.repeat(listPollInterval, func() bool {
+		if n.running && n.boot == life {
+			n.pollList()
 		}
-		return n.up && n.life == life
+		return n.running && n.boot == life
 	})
-	w.every(planEvery, func() bool {
-		if n.up && n.life == life && (!w.variant.NoHealing || w.now < 0) && w.plans(n) {
-			n.plan(placement.TickMsg{})
+	w.repeat(planInterval, func() bool {
+		if n.running && n.boot == life && (!w.variant.NoReplacement || w.now < 0) && w.isPlanner(n) {
+			n.updatePlanner(placement.TickMsg{})
 		}
-		return n.up && n.life == life
+		return n.running && n.boot == life
 	})
 }
 
 // kill ends the node's process. Its callers' connections break.
 func (n *node) kill() {
-	n.up = false
-	for _, id := range sortedIDs(n.sessions) {
+	n.running = false
+	for _, id := range sortedRequestIDs(n.sessions) {
 		s := n.sessions[id]
-		s.leave()
-		s.caller.failed("node lost")
+		s.abandon()
+		s.caller.handleFailure("node lost")
 	}
 	n.sessions = make(map[dispatch.RequestID]*session)
 }
 
-// age is the time since its start, which its models count in.
-func (n *node) age() clock.Millis { return n.world.now.Sub(n.started) }
+// uptime is the time since its start, which its models count in.
+func (n *node) uptime() clock.Millis { return n.world.now.Sub(n.startedAt) }
 
-// tell hands the model a message and does what follows.
-func (n *node) tell(msg dispatch.Msg) {
-	if !n.up {
+// update hands the model a message and does what follows.
+func (n *node) update(msg dispatch.Msg) {
+	if !n.running {
 		return
 	}
-	for _, cmd := range n.model.Update(n.age(), msg) {
-		n.carry(cmd)
+	for _, cmd := range n.dispatcher.Update(n.uptime(), msg) {
+		n.execute(cmd)
 	}
 }
 
-// plan hands the planner a message and gives its orders.
-func (n *node) plan(msg placement.Msg) {
-	for _, cmd := range n.planner.Update(n.age(), msg) {
-		n.order(cmd)
+// updatePlanner hands the planner a message and gives its orders.
+func (n *node) updatePlanner(msg placement.Msg) {
+	for _, cmd := range n.planner.Update(n.uptime(), msg) {
+		n.sendOrder(cmd)
 	}
 }
 
-// follow takes in what the list shows by now, with a lag that differs from time to time.
-func (n *node) follow() {
-	lag := n.world.random.Int64N(int64(max(n.world.scenario.LagMS-listEvery, 1)))
+// pollList takes in what the list shows by now, with a lag that differs from time to time.
+func (n *node) pollList() {
+	lag := n.world.eventRand.Int64N(int64(max(n.world.scenario.ListLagMS-listPollInterval, 1)))
 	var changes []fleet.Change
-	changes, n.seen = n.world.list.since(n.seen, clock.Millis(lag))
+	changes, n.seenChanges = n.world.list.visibleSince(n.seenChanges, clock.Millis(lag))
 	if len(changes) > 0 {
-		n.hear(changes)
+		n.applyChanges(changes)
 	}
 }
 
-// hear takes in changes of the list.
-func (n *node) hear(changes []fleet.Change) {
-	if changes = n.view.Apply(n.age(), changes, false); len(changes) > 0 {
-		n.pass(changes)
+// applyChanges takes in changes of the list.
+func (n *node) applyChanges(changes []fleet.Change) {
+	if changes = n.view.Apply(n.uptime(), changes, false); len(changes) > 0 {
+		n.forwardChanges(changes)
 	}
 }
 
-func (n *node) pass(changes []fleet.Change) {
-	n.tell(dispatch.FleetMsg{Changes: changes})
-	n.plan(placement.FleetMsg{Changes: changes})
+func (n *node) forwardChanges(changes []fleet.Change) {
+	n.update(dispatch.FleetMsg{Changes: changes})
+	n.updatePlanner(placement.FleetMsg{Changes: changes})
 }
 
-// replaced takes in that another engine has answered at the address of one.
-func (n *node) replaced(id fleet.Incarnation, address string) {
+// noteReplaced takes in that another engine has answered at the address of one.
+func (n *node) noteReplaced(id fleet.Incarnation, address string) {
 	if ended := n.view.NoteReplacement(id, address); len(ended) > 0 {
-		n.pass(ended)
+		n.forwardChanges(ended)
 	}
 }
 
-// carry does what the model says.
-func (n *node) carry(cmd dispatch.Cmd) {
+// execute does what the model says.
+func (n *node) execute(cmd dispatch.Cmd) {
 	switch cmd := cmd.(type) {
 	case dispatch.ShareUsageCmd:
-		n.share(cmd)
+		n.shareUsage(cmd)
 	case dispatch.ResponsivenessCmd:
-		n.plan(placement.ResponsivenessMsg{Upstream: cmd.Upstream, Unresponsive: cmd.Unresponsive, Confirmed: cmd.Confirmed})
-		if cmd.Unresponsive && !cmd.Confirmed && !n.world.variant.NoSilence {
-			n.others(func(o *node) {
-				if o.centre == n.centre || len(n.world.nodes) < nearAll {
-					o.tell(dispatch.PeerUnresponsiveMsg{Upstream: cmd.Upstream})
+		n.updatePlanner(placement.ResponsivenessMsg{Upstream: cmd.Upstream, Unresponsive: cmd.Unresponsive, Confirmed: cmd.Confirmed})
+		if cmd.Unresponsive && !cmd.Confirmed && !n.world.variant.NoUnresponsiveReports {
+			n.broadcast(func(o *node) {
+				if o.dataCentre == n.dataCentre || len(n.world.nodes) < fullMeshBelow {
+					o.update(dispatch.PeerUnresponsiveMsg{Upstream: cmd.Upstream})
 				}
 			})
 		}
@@ -180,15 +180,15 @@
 	case dispatch.IdentifyCmd:
 		n.identify(cmd)
 	case dispatch.QuarantineCmd:
-		n.spread(cmd.News)
+		n.shareQuarantineNews(cmd.News)
 	case dispatch.RequestPermitsCmd:
-		n.askPermits(cmd.AskCmd)
+		n.requestPermits(cmd.PermitRequestCmd)
 	case dispatch.GrantPermitsCmd:
-		n.givePermits(cmd)
+		n.grantPermits(cmd)
 	case dispatch.SuspectCmd, dispatch.BackOffCmd, dispatch.RecheckDeadlineCmd, dispatch.LimitChangedCmd:
 	default:
 		if s := n.sessions[requestOf(cmd)]; s != nil {
-			s.obey(cmd)
+			s.execute(cmd)
 		}
 	}
 }
--- a/lab/node_share.go
+++ b/lab/node_share.go
@@ -10,110 +10,110 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// group are the other nodes of a node's data centre.
-func (w *world) group(n *node) []*wire.Member {
+// dataCentrePeers are the other nodes of a node's data centre.
+func (w *world) dataCentrePeers(n *node) []*wire.Member {
 	var group []*wire.Member
 	for _, o := range w.nodes {
-		if o != n && o.centre == n.centre {
-			group = append(group, &wire.Member{Name: o.name, DataCentre: o.centre})
+		if o != n && o.dataCentre == n.dataCentre {
+			group = append(group, &wire.Member{Name: o.name, DataCentre: o.dataCentre})
 		}
 	}
 	return group
 }
 
-// lookAround takes in who the hubs are, if that has changed, and at first.
-func (n *node) lookAround(first bool) {
+// updateTopology takes in who the hubs are, if that has changed, and at first.
+func (n *node) updateTopology(first bool) {
 	w := n.world
 	circle := n.roster.Topology(w.now)
-	same := circle.FullMesh == n.circle.FullMesh && circle.HubIndex == n.circle.HubIndex && slices.Equal(circle.Hubs, n.circle.Hubs)
+	same := circle.FullMesh == n.topology.FullMesh && circle.HubIndex == n.topology.HubIndex && slices.Equal(circle.Hubs, n.topology.Hubs)
 	if same && !first {
 		return
 	}
-	n.circle = circle
-	msg := dispatch.PeersMsg{TotalNodes: len(w.nodes), UsagePeers: w.near(n), Members: w.members()}
-	rank := placement.RankMsg{Delay: planSlot * clock.Millis(n.rank)}
+	n.topology = circle
+	msg := dispatch.PeersMsg{TotalNodes: len(w.nodes), UsagePeers: w.usagePeers(n), Members: w.limitMembers()}
+	rank := placement.RankMsg{Delay: planStagger * clock.Millis(n.rank)}
 	if !circle.FullMesh {
 		msg.Aggregated = !circle.IsHub
 		if circle.IsHub {
 			msg.LocalNodes = circle.PeerCount + 1
 		}
-		rank = placement.RankMsg{Delay: planSlot * clock.Millis(circle.HubIndex), Standby: !circle.IsHub, ExcludedDataCentres: w.elsewhere(n)}
+		rank = placement.RankMsg{Delay: planStagger * clock.Millis(circle.HubIndex), Standby: !circle.IsHub, ExcludedDataCentres: w.otherDataCentres(n)}
 	}
-	n.tell(msg)
-	n.plan(rank)
+	n.update(msg)
+	n.updatePlanner(rank)
 }
 
-// elsewhere are the data centres in which other nodes stand.
-func (w *world) elsewhere(n *node) []string {
+// otherDataCentres are the data centres in which other nodes stand.
+func (w *world) otherDataCentres(n *node) []string {
 	var centres []string
 	for _, o := range w.nodes {
-		if o.centre != n.centre && !slices.Contains(centres, o.centre) {
-			centres = append(centres, o.centre)
+		if o.dataCentre != n.dataCentre && !slices.Contains(centres, o.dataCentre) {
+			centres = append(centres, o.dataCentre)
 		}
 	}
 	return centres
 }
 
-// share tells others what the node has in use. In larger systems each tells its own data
+// shareUsage tells others what the node has in use. In larger systems each tells its own data
 // centre, or the hubs there, and one of them others what it has in all.
-func (n *node) share(cmd dispatch.ShareUsageCmd) {
+func (n *node) shareUsage(cmd dispatch.ShareUsageCmd) {
 	w := n.world
-	if w.variant.NoUsage {
+	if w.variant.NoUsageSharing {
 		return
 	}
 	used := func(o *node) {
-		o.roster.Heard(w.now, n.name, true)
-		o.tell(dispatch.UsageMsg{Node: n.name, DataCentre: n.centre, Used: cmd.Used, Limits: n.limitsFor(o, cmd.Limits)})
+		o.roster.UpdateStatus(w.now, n.name, true)
+		o.update(dispatch.UsageMsg{Node: n.name, DataCentre: n.dataCentre, Used: cmd.Used, Limits: n.limitsOnClockOf(o, cmd.Limits)})
 	}
-	if n.circle.FullMesh {
+	if n.topology.FullMesh {
 		for _, o := range w.nodes {
-			if o != n && (len(w.nodes) < nearAll || o.centre == n.centre) {
-				n.to(o, used)
+			if o != n && (len(w.nodes) < fullMeshBelow || o.dataCentre == n.dataCentre) {
+				n.send(o, used)
 			}
 		}
 	} else {
-		n.tellEach(n.circle.Hubs, used)
+		n.sendEach(n.topology.Hubs, used)
 	}
-	if n.circle.FullMesh && len(w.nodes) >= nearAll && w.reader(n.centre) == n || n.circle.IsFirstHub() {
-		n.shareTotal(cmd)
+	if n.topology.FullMesh && len(w.nodes) >= fullMeshBelow && w.usageSender(n.dataCentre) == n || n.topology.IsFirstHub() {
+		n.shareDataCentreTotal(cmd)
 	}
-	if n.circle.IsHub {
-		n.tellEach(n.circle.Leaves, func(o *node) { n.shareWhole(o, cmd) })
+	if n.topology.IsHub {
+		n.sendEach(n.topology.Leaves, func(o *node) { n.shareSystemTotal(o, cmd) })
 	}
 }
 
-// shareTotal tells other data centres what the nodes of this one's have in use.
-func (n *node) shareTotal(cmd dispatch.ShareUsageCmd) {
+// shareDataCentreTotal tells other data centres what the nodes of this one's have in use.
+func (n *node) shareDataCentreTotal(cmd dispatch.ShareUsageCmd) {
 	w := n.world
 	told := make(map[string]int)
 	for _, o := range w.nodes {
-		if o.centre == n.centre || told[o.centre] == reading.BroadcastFanout(w.scenario.Nodes.EachCentre) {
+		if o.dataCentre == n.dataCentre || told[o.dataCentre] == reading.BroadcastFanout(w.scenario.Nodes.PerDataCentre) {
 			continue
 		}
-		told[o.centre]++
-		n.to(o, func(o *node) {
-			o.tell(dispatch.UsageMsg{
-				Node: "all of " + n.centre, Used: cmd.WholeDataCentre, WholeDataCentre: true, DataCentre: n.centre,
-				Nodes: n.circle.PeerCount + 1, Limits: n.limitsFor(o, cmd.Limits),
+		told[o.dataCentre]++
+		n.send(o, func(o *node) {
+			o.update(dispatch.UsageMsg{
+				Node: "all of " + n.dataCentre, Used: cmd.WholeDataCentre, WholeDataCentre: true, DataCentre: n.dataCentre,
+				Nodes: n.topology.PeerCount + 1, Limits: n.limitsOnClockOf(o, cmd.Limits),
 			})
 		})
 	}
 }
 
-// shareWhole tells a leaf that a hub is there and, if it is the first, what all have in use.
-func (n *node) shareWhole(o *node, cmd dispatch.ShareUsageCmd) {
-	o.roster.Heard(n.world.now, n.name, true)
-	if n.circle.IsFirstHub() {
-		o.tell(dispatch.UsageMsg{
-			Node: n.name, DataCentre: n.centre, Used: cmd.AllNodes, AllNodes: true, IncludedDataCentres: cmd.IncludedDataCentres,
-			Nodes: cmd.Nodes, Limits: n.limitsFor(o, cmd.Limits),
+// shareSystemTotal tells a leaf that a hub is there and, if it is the first, what all have in use.
+func (n *node) shareSystemTotal(o *node, cmd dispatch.ShareUsageCmd) {
+	o.roster.UpdateStatus(n.world.now, n.name, true)
+	if n.topology.IsFirstHub() {
+		o.update(dispatch.UsageMsg{
+			Node: n.name, DataCentre: n.dataCentre, Used: cmd.AllNodes, AllNodes: true, IncludedDataCentres: cmd.IncludedDataCentres,
+			Nodes: cmd.Nodes, Limits: n.limitsOnClockOf(o, cmd.Limits),
 		})
 	}
 }
 
-// tellEach tells nodes something by a datagram each.
-func (n *node) tellEach(members []*wire.Member, tell func(o *node)) {
+// sendEach tells nodes something by a datagram each.
+func (n *node) sendEach(members []*wire.Member, tell func(o *node)) {
 	for _, m := range members {
-		n.to(n.world.byName[m.GetName()], tell)
+		n.send(n.world.nodeByName[m.GetName()], tell)
 	}
 }
--- a/lab/queue.go
+++ b/lab/queue.go
@@ -9,30 +9,30 @@
 // event is something that happens at a time.
 type event struct {
 	at clock.Millis
-	// order keeps events of the same time in the order in which they were planned.
-	order uint64
-	do    func()
+	// sequence keeps events of the same time in the order in which they were planned.
+	sequence uint64
+	action   func()
 }
 
 // queue holds what is to happen, the earliest first.
 type queue struct {
-	now    clock.Millis
-	events eventHeap
-	order  uint64
+	now      clock.Millis
+	events   eventHeap
+	sequence uint64
 }
 
 // after plans something for a time from now.
 func (q *queue) after(d clock.Millis, do func()) {
-	q.order++
-	heap.Push(&q.events, &event{at: q.now.Add(max(d, 0)), order: q.order, do: do})
+	q.sequence++
+	heap.Push(&q.events, &event{at: q.now.Add(max(d, 0)), sequence: q.sequence, action: do})
 }
 
-// run has everything happen up to a time.
-func (q *queue) run(until clock.Millis) {
+// runUntil has everything happen up to a time.
+func (q *queue) runUntil(until clock.Millis) {
 	for len(q.events) > 0 && q.events[0].at <= until {
 		e := heap.Pop(&q.events).(*event)
 		q.now = e.at
-		e.do()
+		e.action()
 	}
 	q.now = until
 }
@@ -46,7 +46,7 @@
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
 	}
-	return h[i].order < h[j].order
+	return h[i].sequence < h[j].sequence
 }
 
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
--- a/lab/result.go
+++ b/lab/result.go
@@ -18,10 +18,10 @@
 	Refused
 	// Failed: not served; it may have run.
 	Failed
-	outcomes
+	outcomeCount
 )
 
-var outcomeNames = [outcomes]string{"in time", "late", "refused", "failed"}
+var outcomeNames = [outcomeCount]string{"in time", "late", "refused", "failed"}
 
 // String names the outcome.
 func (o Outcome) String() string { return outcomeNames[o] }
@@ -31,54 +31,54 @@
 	Scenario *Scenario
 	Variant  Variant
 	Seed     uint64
-	// Seconds count outcomes by the second of the first try.
-	Seconds [][outcomes]int
-	Total   [outcomes]int
-	// Why counts why requests were not served.
-	Why map[string]int
-	// Tries counts requests at nodes, Sends attempts at engines, Repeats those that reached
-	// one again, RefusedAgain returns that were refused, InRest arrivals in a rest.
-	Tries, Sends, Repeats, RefusedAgain, InRest, Moves, Orders, Probes, Ended, DeadlyEnds int
-	// PermitDatagrams counts what nodes tell each other of permits, and MostOfLimit is the
+	// BySecond count outcomes by the second of the first try.
+	BySecond [][outcomeCount]int
+	Total    [outcomeCount]int
+	// Causes counts why requests were not served.
+	Causes map[string]int
+	// ClientAttempts counts requests at nodes, Sends attempts at engines, Repeats those that reached
+	// one again, RefusedRetries returns that were refused, ArrivalsInBackOff arrivals in a rest.
+	ClientAttempts, EngineAttempts, RepeatedArrivals, RefusedRetries, ArrivalsInBackOff, Migrations, PlacementOrders, Probes, EngineCrashes, RequestCrashes int
+	// PermitDatagrams counts what nodes tell each other of permits, and PeakLimitRatio is the
 	// most that an engine got in a window over what its limit allows in it.
 	PermitDatagrams int
-	MostOfLimit     float64
-	// Heard and Sent are what nodes tell each other while there is load.
-	Heard, Sent Traffic
+	PeakLimitRatio  float64
+	// Received and Sent are what nodes tell each other while there is load.
+	Received, Sent Traffic
 	// limitAllowed and limitUsed are requests, over all limits.
 	limitAllowed, limitUsed float64
-	// Broken are the promises that were broken, each with what it was first.
-	Broken map[string]string
+	// Violations are the promises that were broken, each with what it was first.
+	Violations map[string]string
 }
 
 func newResult(s *Scenario, v Variant, seed uint64) *Result {
 	return &Result{
-		Scenario: s, Variant: v, Seed: seed, Why: make(map[string]int), Broken: make(map[string]string),
-		Seconds: make([][outcomes]int, s.Load.ForMS/1000+1),
+		Scenario: s, Variant: v, Seed: seed, Causes: make(map[string]int), Violations: make(map[string]string),
+		BySecond: make([][outcomeCount]int, s.Load.DurationMS/1000+1),
 	}
 }
 
 func (r *Result) add(c *caller, o Outcome, why string) {
-	if c.deadly {
+	if c.crashesEngines {
 		return
 	}
 	r.Total[o]++
-	r.Seconds[min(int(c.sent/1000), len(r.Seconds)-1)][o]++
+	r.BySecond[min(int(c.firstSentAt/1000), len(r.BySecond)-1)][o]++
 	if why != "" {
-		r.Why[why]++
+		r.Causes[why]++
 	}
 }
 
-func (r *Result) breach(promise, what string) {
-	if _, known := r.Broken[promise]; !known {
-		r.Broken[promise] = what
+func (r *Result) violate(promise, what string) {
+	if _, known := r.Violations[promise]; !known {
+		r.Violations[promise] = what
 	}
 }
 
-// Count is how many requests ended.
-func (r *Result) Count() int { return sum(r.Total) }
+// RequestCount is how many requests ended.
+func (r *Result) RequestCount() int { return sum(r.Total) }
 
-func sum(counts [outcomes]int) int {
+func sum(counts [outcomeCount]int) int {
 	n := 0
 	for _, c := range counts {
 		n += c
@@ -86,34 +86,34 @@
 	return n
 }
 
-// lateWorth is what a late answer is worth of one in time, as on the users' smaller sites.
-const lateWorth = 0.5
+// lateCredit is what a late answer is worth of one in time, as on the users' smaller sites.
+const lateCredit = 0.5
 
-func credit(counts [outcomes]int) float64 {
+func credit(counts [outcomeCount]int) float64 {
 	n := sum(counts)
 	if n == 0 {
 		return 1
 	}
-	return (float64(counts[InTime]) + lateWorth*float64(counts[Late])) / float64(n)
+	return (float64(counts[InTime]) + lateCredit*float64(counts[Late])) / float64(n)
 }
 
-// Served is the part of the requests that were served, also late.
-func (r *Result) Served() float64 {
-	return float64(r.Total[InTime]+r.Total[Late]) / float64(max(r.Count(), 1))
+// ServedShare is the part of the requests that were served, also late.
+func (r *Result) ServedShare() float64 {
+	return float64(r.Total[InTime]+r.Total[Late]) / float64(max(r.RequestCount(), 1))
 }
 
 // Credit is the part of the worth that was earned: half of it for a late answer.
 func (r *Result) Credit() float64 { return credit(r.Total) }
 
-// worstSpan is the length of a worst window, in seconds.
-const worstSpan = 5
+// worstWindowSeconds is the length of a worst window, in seconds.
+const worstWindowSeconds = 5
 
-// Worst is the credit of the worst window of five seconds.
-func (r *Result) Worst() float64 {
+// WorstWindow is the credit of the worst window of five seconds.
+func (r *Result) WorstWindow() float64 {
 	worst := 1.0
-	for from := 0; from+worstSpan <= len(r.Seconds); from++ {
-		var window [outcomes]int
-		for _, s := range r.Seconds[from : from+worstSpan] {
+	for from := 0; from+worstWindowSeconds <= len(r.BySecond); from++ {
+		var window [outcomeCount]int
+		for _, s := range r.BySecond[from : from+worstWindowSeconds] {
 			for o := range window {
 				window[o] += s[o]
 			}
@@ -125,23 +125,23 @@
 
 // Figures are what experiments compare, by name.
 func (r *Result) Figures() map[string]float64 {
-	n := float64(max(r.Count(), 1))
+	n := float64(max(r.RequestCount(), 1))
 	return map[string]float64{
-		"credit": r.Credit(), "worst 5 s": r.Worst(), "served": r.Served(),
+		"credit": r.Credit(), "worst 5 s": r.WorstWindow(), "served": r.ServedShare(),
 		"refused": float64(r.Total[Refused]) / n, "failed": float64(r.Total[Failed]) / n,
-		"refused again": float64(r.RefusedAgain) / n, "repeats": float64(r.Repeats) / n, "in a rest": float64(r.InRest),
-		"most of a limit": r.MostOfLimit, "used of limits": r.LimitUsed(),
+		"refused again": float64(r.RefusedRetries) / n, "repeats": float64(r.RepeatedArrivals) / n, "in a rest": float64(r.ArrivalsInBackOff),
+		"most of a limit": r.PeakLimitRatio, "used of limits": r.LimitUtilization(),
 	}
 }
 
 // FigureNames are the names of the figures in the order in which they are shown.
 var FigureNames = []string{"credit", "worst 5 s", "served", "refused", "failed", "refused again", "repeats", "in a rest", "most of a limit", "used of limits"}
 
-// Largest returns the most frequent causes, at most a number of them.
-func (r *Result) Largest(most int) []string {
-	causes := slices.SortedFunc(maps.Keys(r.Why), func(a, b string) int {
-		if r.Why[a] != r.Why[b] {
-			return r.Why[b] - r.Why[a]
+// TopCauses returns the most frequent causes, at most a number of them.
+func (r *Result) TopCauses(most int) []string {
+	causes := slices.SortedFunc(maps.Keys(r.Causes), func(a, b string) int {
+		if r.Causes[a] != r.Causes[b] {
+			return r.Causes[b] - r.Causes[a]
 		}
 		return slices.Compare([]byte(a), []byte(b))
 	})
--- a/lab/run_test.go
+++ b/lab/run_test.go
@@ -28,10 +28,10 @@
 func TestSameSeedGivesTheSame(t *testing.T) {
 	s := load(t, "small")
 	first, again, other := Run(s, Variant{}, 3), Run(s, Variant{}, 3), Run(s, Variant{}, 4)
-	if !reflect.DeepEqual(first.Figures(), again.Figures()) || !reflect.DeepEqual(first.Seconds, again.Seconds) {
+	if !reflect.DeepEqual(first.Figures(), again.Figures()) || !reflect.DeepEqual(first.BySecond, again.BySecond) {
 		t.Errorf("got %v and %v with the same seed, want the same", first.Figures(), again.Figures())
 	}
-	if reflect.DeepEqual(first.Seconds, other.Seconds) {
+	if reflect.DeepEqual(first.BySecond, other.BySecond) {
 		t.Error("got the same with another seed")
 	}
 }
@@ -41,17 +41,17 @@
 func TestRestIsKept(t *testing.T) {
 	s := load(t, "rest")
 	kept, unread := Run(s, Variant{}, 1), Run(s, without(t, "rest"), 1)
-	if kept.InRest != 0 || len(kept.Broken) != 0 {
-		t.Errorf("got %d requests in a rest, %v broken, want none", kept.InRest, kept.Broken)
+	if kept.ArrivalsInBackOff != 0 || len(kept.Violations) != 0 {
+		t.Errorf("got %d requests in a rest, %v broken, want none", kept.ArrivalsInBackOff, kept.Violations)
 	}
-	if _, broken := unread.Broken["rest"]; !broken {
-		t.Errorf("got %v broken by nodes that do not read it, want the rest", unread.Broken)
+	if _, broken := unread.Violations["rest"]; !broken {
+		t.Errorf("got %v broken by nodes that do not read it, want the rest", unread.Violations)
 	}
 	if kept.Credit() <= unread.Credit() {
 		t.Errorf("got credit %.3f, want more than the %.3f of nodes that do not read it", kept.Credit(), unread.Credit())
 	}
-	if kept.Served() < 0.95 {
-		t.Errorf("got %.3f served, want 0.95: the other half has room for all", kept.Served())
+	if kept.ServedShare() < 0.95 {
+		t.Errorf("got %.3f served, want 0.95: the other half has room for all", kept.ServedShare())
 	}
 }
 
@@ -60,49 +60,49 @@
 	s := load(t, "deadly")
 	for seed := range uint64(3) {
 		r := Run(s, Variant{}, seed)
-		if r.DeadlyEnds > mostEnds+1 || len(r.Broken) != 0 {
-			t.Errorf("seed %d: got %d ends, %v broken, want %d at the most and none", seed, r.DeadlyEnds, r.Broken, mostEnds+1)
+		if r.RequestCrashes > maxCrashes+1 || len(r.Violations) != 0 {
+			t.Errorf("seed %d: got %d ends, %v broken, want %d at the most and none", seed, r.RequestCrashes, r.Violations, maxCrashes+1)
 		}
 	}
 	alone := Run(s, without(t, "verdicts"), 0)
-	if alone.DeadlyEnds <= mostEnds+1 {
-		t.Errorf("got %d ends by nodes that tell each other nothing, want more than %d", alone.DeadlyEnds, mostEnds+1)
+	if alone.RequestCrashes <= maxCrashes+1 {
+		t.Errorf("got %d ends by nodes that tell each other nothing, want more than %d", alone.RequestCrashes, maxCrashes+1)
 	}
 }
 
 // A hunt finds what nodes break that do not read a rest, and shrinks it to that.
 func TestHuntShrinks(t *testing.T) {
 	s, v, step := load(t, "small"), without(t, "rest"), func() {}
-	find, found := Hunt(s, v, 10, 1, step)
+	find, found := FindViolation(s, v, 10, 1, step)
 	if !found {
 		t.Fatal("got no promise broken, want one")
 	}
 	small := Shrink(s, v, find, step)
-	if len(small.Faults) != 1 || small.Faults[0].Kind != Rest {
+	if len(small.Faults) != 1 || small.Faults[0].Kind != EngineBackOff {
 		t.Errorf("got %v, want one trouble, a rest", small.Faults)
 	}
-	parsed, err := parseFault(small.Faults[0].Name, strings.SplitN(small.Faults[0].Line(), "= ", 2)[1])
-	if err != nil || parsed.Kind != Rest {
-		t.Errorf("got %v, %v of the line %q, want the trouble", parsed, err, small.Faults[0].Line())
+	parsed, err := parseFault(small.Faults[0].Name, strings.SplitN(small.Faults[0].ScenarioLine(), "= ", 2)[1])
+	if err != nil || parsed.Kind != EngineBackOff {
+		t.Errorf("got %v, %v of the line %q, want the trouble", parsed, err, small.Faults[0].ScenarioLine())
 	}
 }
 
 func TestExperimentIsPaired(t *testing.T) {
 	steps := 0
-	e := Experiment{Scenario: load(t, "rest"), Variants: []Variant{{Name: "as it is"}, without(t, "rest")}, Seeds: 3, First: 1, Jobs: 1, Step: func() { steps++ }}
+	e := Experiment{Scenario: load(t, "rest"), Variants: []Variant{{Name: "as it is"}, without(t, "rest")}, Seeds: 3, FirstSeed: 1, Parallelism: 1, RunDone: func() { steps++ }}
 	results, err := e.Run()
 	if err != nil || steps != 6 {
 		t.Fatalf("got %d runs, %v, want 6", steps, err)
 	}
 	for _, d := range Differences(results) {
 		same := d.Variant == "as it is"
-		if same && (d.By != 0 || d.Low != 0 || d.High != 0) {
+		if same && (d.MeanDifference != 0 || d.Low != 0 || d.High != 0) {
 			t.Errorf("got %+v, want no difference to itself", d)
 		}
 		if !same && d.Figure == "credit" && d.High >= 0 {
 			t.Errorf("got %+v, want less credit on all seeds", d)
 		}
-		if d.Low > d.By || d.High < d.By {
+		if d.Low > d.MeanDifference || d.High < d.MeanDifference {
 			t.Errorf("got %+v, want the mean in its interval", d)
 		}
 	}
@@ -125,22 +125,22 @@
 // that, beside lost nodes and lost datagrams too, and nearly all of it is used.
 func TestLimitsAreKept(t *testing.T) {
 	s := load(t, "limit")
-	s.Nodes.LostShare = 0.02
+	s.Nodes.DatagramLoss = 0.02
 	for seed := range uint64(3) {
 		r := Run(s, Variant{}, seed+1)
-		if len(r.Broken) != 0 {
-			t.Errorf("seed %d: got %v broken, want none", seed+1, r.Broken)
+		if len(r.Violations) != 0 {
+			t.Errorf("seed %d: got %v broken, want none", seed+1, r.Violations)
 		}
-		if got := r.LimitUsed(); got < 0.9 {
+		if got := r.LimitUtilization(); got < 0.9 {
 			t.Errorf("seed %d: got %.2f of the limits used, want 0.9", seed+1, got)
 		}
 	}
-	if unread := Run(s, without(t, "limits"), 1); unread.Broken["limit"] == "" {
-		t.Errorf("got %v broken by nodes that do not read limits, want the limit", unread.Broken)
+	if unread := Run(s, without(t, "limits"), 1); unread.Violations["limit"] == "" {
+		t.Errorf("got %v broken by nodes that do not read limits, want the limit", unread.Violations)
 	}
-	s = s.with(append([]Fault{{Name: "lost", Kind: NodeKill, At: 9000, For: 1500, Share: 0.5, Every: 7000, Until: 30000}}, s.Faults...))
-	if r := Run(s, Variant{}, 4); len(r.Broken) != 0 {
-		t.Errorf("with nodes lost: got %v broken, want none", r.Broken)
+	s = s.withFaults(append([]Fault{{Name: "lost", Kind: NodeKill, At: 9000, Duration: 1500, Share: 0.5, Interval: 7000, Until: 30000}}, s.Faults...))
+	if r := Run(s, Variant{}, 4); len(r.Violations) != 0 {
+		t.Errorf("with nodes lost: got %v broken, want none", r.Violations)
 	}
 }
 
@@ -161,8 +161,8 @@
 			}
 			faults = append(faults, f)
 		}
-		if r := Run(load(t, "small").with(faults), Variant{}, seed); len(r.Broken) != 0 {
-			t.Errorf("seed %d: got %v broken, want none", seed, r.Broken)
+		if r := Run(load(t, "small").withFaults(faults), Variant{}, seed); len(r.Violations) != 0 {
+			t.Errorf("seed %d: got %v broken, want none", seed, r.Violations)
 		}
 	}
 }
--- a/lab/scale.go
+++ b/lab/scale.go
@@ -6,32 +6,32 @@
 // of repeats in proportion, and the load too unless it is held.
 func (s *Scenario) Scaled(nodes int, held bool) *Scenario {
 	scaled := *s
-	centres := len(s.Fleet.Centres())
-	scaled.Nodes.EachCentre = max(1, int(math.Round(float64(nodes)/float64(centres))))
-	times := float64(scaled.Nodes.EachCentre) / float64(s.Nodes.EachCentre)
+	centres := len(s.Fleet.DataCentres())
+	scaled.Nodes.PerDataCentre = max(1, int(math.Round(float64(nodes)/float64(centres))))
+	times := float64(scaled.Nodes.PerDataCentre) / float64(s.Nodes.PerDataCentre)
 	scaled.Fleet = s.Fleet.Scaled(times)
-	scaled.LoadsAtOnce = max(1, int(float64(s.LoadsAtOnce)*times))
+	scaled.FullSpeedLoads = max(1, int(float64(s.FullSpeedLoads)*times))
 	scaled.Nodes.RetrySlack = s.Nodes.RetrySlack * times
 	if !held {
-		scaled.Load.PerSecond = s.Load.PerSecond * times
+		scaled.Load.StreamsPerSecond = s.Load.StreamsPerSecond * times
 	}
 	return &scaled
 }
 
-// Engines is how many engines a scenario has.
-func (s *Scenario) Engines() int {
+// EngineCount is how many engines a scenario has.
+func (s *Scenario) EngineCount() int {
 	n := 0
-	for _, centre := range s.Fleet.Centres() {
+	for _, centre := range s.Fleet.DataCentres() {
 		for kind := range s.Fleet.Pipeline().Accelerators {
-			n += s.Fleet.Count(centre, kind)
+			n += s.Fleet.EngineCount(centre, kind)
 		}
 	}
 	return n
 }
 
-// Power is by which power of the size a figure grows between two sizes; NaN where it is
+// GrowthExponent is by which power of the size a figure grows between two sizes; NaN where it is
 // nothing at one of them.
-func Power(size, larger int, figure, then float64) float64 {
+func GrowthExponent(size, larger int, figure, then float64) float64 {
 	if figure <= 0 || then <= 0 || size == larger {
 		return math.NaN()
 	}
--- a/lab/scenario.go
+++ b/lab/scenario.go
@@ -21,51 +21,51 @@
 	Load  Load
 	// Slots is how many streams an engine takes that begin there; it refuses more.
 	Slots int
-	// LoadsAtOnce is how many engines load at full speed from the store of weights.
-	LoadsAtOnce int
-	// HopMS is a pass between engines of a data centre, and CrossMS one to another.
-	HopMS, CrossMS float64
-	// LagMS bounds how late the list shows a change, and LapseMS is after how long an
+	// FullSpeedLoads is how many engines load at full speed from the store of weights.
+	FullSpeedLoads int
+	// LocalHopMS is a pass between engines of a data centre, and RemoteHopMS one to another.
+	LocalHopMS, RemoteHopMS float64
+	// ListLagMS bounds how late the list shows a change, and RemovalDelayMS is after how long an
 	// engine that has ended goes from it.
-	LagMS, LapseMS clock.Millis
-	Faults         []Fault
+	ListLagMS, RemovalDelayMS clock.Millis
+	Faults                    []Fault
 	// Deployment is what a rehearsal with real processes has beside these.
 	Deployment Deployment
 }
 
 // Nodes are the relay nodes, and what operators set for them.
 type Nodes struct {
-	// EachCentre is how many there are in each data centre.
-	EachCentre int
-	// LostShare is the part of datagrams that are lost.
-	LostShare  float64
-	RetryShare float64
-	RetrySlack float64
-	WindowMS   clock.Millis
-	// MostAttempts bounds the upstreams that may run a request.
-	MostAttempts int
+	// PerDataCentre is how many there are in each data centre.
+	PerDataCentre int
+	// DatagramLoss is the part of datagrams that are lost.
+	DatagramLoss  float64
+	RetryShare    float64
+	RetrySlack    float64
+	RetryWindowMS clock.Millis
+	// MaxAttempts bounds the upstreams that may run a request.
+	MaxAttempts int
 }
 
 // Load is what callers ask for.
 type Load struct {
-	// PerSecond is how many streams a second begin, ForMS for how long, and SettleMS what
+	// StreamsPerSecond is how many streams a second begin, DurationMS for how long, and WarmupMS what
 	// passes before the first.
-	PerSecond       float64
-	ForMS, SettleMS clock.Millis
-	// Prompt and Answer are mean sizes in tokens, and EventTokens how many an event has.
-	Prompt, Answer, EventTokens int
-	// AimMS is for the first event, GapMS for pauses, PatienceMS for the whole.
-	AimMS, GapMS, PatienceMS clock.Millis
-	// Returns is how often a caller comes back after a failure or a refusal.
-	Returns int
-	// Urgent is the part of callers with the first rank; the others have the second.
-	Urgent float64
+	StreamsPerSecond     float64
+	DurationMS, WarmupMS clock.Millis
+	// PromptTokens and Answer are mean sizes in tokens, and TokensPerEvent how many an event has.
+	PromptTokens, AnswerTokens, TokensPerEvent int
+	// FirstEventTargetMS is for the first event, EventGapTargetMS for pauses, TimeoutMS for the whole.
+	FirstEventTargetMS, EventGapTargetMS, TimeoutMS clock.Millis
+	// MaxRetries is how often a caller comes back after a failure or a refusal.
+	MaxRetries int
+	// UrgentShare is the part of callers with the first rank; the others have the second.
+	UrgentShare float64
 }
 
 // Bounds of what a scenario may say.
 const (
-	mostCount = 1_000_000
-	mostRate  = 1e6
+	maxCount = 1_000_000
+	maxRate  = 1e6
 )
 
 // LoadScenario reads a scenario file. Errors name the section, the key, the line and the remedy.
@@ -97,29 +97,29 @@
 // declare declares what a scenario has beside its fleet. Defaults are those of the users'
 // smaller deployments.
 func (s *Scenario) declare(set *settings.Set) {
-	set.Int("engine", "slots", &s.Slots, 1, mostCount, settings.WithDefault("192"))
-	set.Int("engine", "loads_at_once", &s.LoadsAtOnce, 1, mostCount, settings.WithDefault("6"))
-	set.Float("links", "hop_ms", &s.HopMS, 0, mostRate, settings.WithDefault("0.2"))
-	set.Float("links", "cross_ms", &s.CrossMS, 0, mostRate, settings.WithDefault("0.5"))
-	set.Millis("list", "lag_ms", &s.LagMS, settings.WithDefault("800"))
-	set.Millis("list", "lapse_ms", &s.LapseMS, settings.WithDefault("3600"))
+	set.Int("engine", "slots", &s.Slots, 1, maxCount, settings.WithDefault("192"))
+	set.Int("engine", "loads_at_once", &s.FullSpeedLoads, 1, maxCount, settings.WithDefault("6"))
+	set.Float("links", "hop_ms", &s.LocalHopMS, 0, maxRate, settings.WithDefault("0.2"))
+	set.Float("links", "cross_ms", &s.RemoteHopMS, 0, maxRate, settings.WithDefault("0.5"))
+	set.Millis("list", "lag_ms", &s.ListLagMS, settings.WithDefault("800"))
+	set.Millis("list", "lapse_ms", &s.RemovalDelayMS, settings.WithDefault("3600"))
 	n := &s.Nodes
-	set.Int("nodes", "each_data_centre", &n.EachCentre, 1, mostCount, settings.WithDefault("2"))
-	set.Float("nodes", "datagrams_lost", &n.LostShare, 0, 1, settings.WithDefault("0"))
-	set.Int("nodes", "attempts", &n.MostAttempts, 1, mostCount, settings.WithDefault("2"))
-	set.Millis("retries", "window_ms", &n.WindowMS, settings.WithDefault("10000"))
+	set.Int("nodes", "each_data_centre", &n.PerDataCentre, 1, maxCount, settings.WithDefault("2"))
+	set.Float("nodes", "datagrams_lost", &n.DatagramLoss, 0, 1, settings.WithDefault("0"))
+	set.Int("nodes", "attempts", &n.MaxAttempts, 1, maxCount, settings.WithDefault("2"))
+	set.Millis("retries", "window_ms", &n.RetryWindowMS, settings.WithDefault("10000"))
 	set.Float("retries", "share", &n.RetryShare, 0, 1, settings.WithDefault("0.2"))
-	set.Float("retries", "slack", &n.RetrySlack, 0, mostRate, settings.WithDefault("200"))
+	set.Float("retries", "slack", &n.RetrySlack, 0, maxRate, settings.WithDefault("200"))
 	l := &s.Load
-	set.Float("load", "streams_a_second", &l.PerSecond, 0, mostRate, settings.Required())
-	set.Millis("load", "for_ms", &l.ForMS, settings.WithDefault("40000"))
-	set.Millis("load", "settle_ms", &l.SettleMS, settings.WithDefault("10000"))
-	set.Int("load", "prompt_tokens", &l.Prompt, 1, mostCount, settings.WithDefault("772"))
-	set.Int("load", "answer_tokens", &l.Answer, 1, mostCount, settings.WithDefault("154"))
-	set.Int("load", "event_tokens", &l.EventTokens, 1, mostCount, settings.WithDefault("2"))
-	set.Millis("load", "aim_ms", &l.AimMS, settings.WithDefault("500"))
-	set.Millis("load", "gap_ms", &l.GapMS, settings.WithDefault("200"))
-	set.Millis("load", "patience_ms", &l.PatienceMS, settings.WithDefault("20000"))
-	set.Int("load", "returns", &l.Returns, 0, mostCount, settings.WithDefault("1"))
-	set.Float("load", "urgent", &l.Urgent, 0, 1, settings.WithDefault("1"))
+	set.Float("load", "streams_a_second", &l.StreamsPerSecond, 0, maxRate, settings.Required())
+	set.Millis("load", "for_ms", &l.DurationMS, settings.WithDefault("40000"))
+	set.Millis("load", "settle_ms", &l.WarmupMS, settings.WithDefault("10000"))
+	set.Int("load", "prompt_tokens", &l.PromptTokens, 1, maxCount, settings.WithDefault("772"))
+	set.Int("load", "answer_tokens", &l.AnswerTokens, 1, maxCount, settings.WithDefault("154"))
+	set.Int("load", "event_tokens", &l.TokensPerEvent, 1, maxCount, settings.WithDefault("2"))
+	set.Millis("load", "aim_ms", &l.FirstEventTargetMS, settings.WithDefault("500"))
+	set.Millis("load", "gap_ms", &l.EventGapTargetMS, settings.WithDefault("200"))
+	set.Millis("load", "patience_ms", &l.TimeoutMS, settings.WithDefault("20000"))
+	set.Int("load", "returns", &l.MaxRetries, 0, maxCount, settings.WithDefault("1"))
+	set.Float("load", "urgent", &l.UrgentShare, 0, 1, settings.WithDefault("1"))
 }
--- a/lab/scenario_test.go
+++ b/lab/scenario_test.go
@@ -17,11 +17,11 @@
 		want Fault
 		bad  bool
 	}{
-		{"5.0 crash share=0.2 for=3", Fault{Kind: Crash, At: 5000, For: 3000, Share: 0.2, X: 1}, false},
-		{"1 limit x=0.5..4", Fault{Kind: Limit, At: 1000, For: 5000, Share: 0.15, X: 0.5, XMost: 4}, false},
+		{"5.0 crash share=0.2 for=3", Fault{Kind: EngineCrash, At: 5000, Duration: 3000, Share: 0.2, Magnitude: 1}, false},
+		{"1 limit x=0.5..4", Fault{Kind: EngineLimit, At: 1000, Duration: 5000, Share: 0.15, Magnitude: 0.5, MaxMagnitude: 4}, false},
 		{"1 limit x=0.5..many", Fault{}, true},
-		{"1 rest x=3 every=4 until=36", Fault{Kind: Rest, At: 1000, For: 5000, Share: 0.15, X: 3, Every: 4000, Until: 36000}, false},
-		{"1 crash share=7", Fault{Kind: Crash, At: 1000, For: 5000, Share: 1, X: 1}, false},
+		{"1 rest x=3 every=4 until=36", Fault{Kind: EngineBackOff, At: 1000, Duration: 5000, Share: 0.15, Magnitude: 3, Interval: 4000, Until: 36000}, false},
+		{"1 crash share=7", Fault{Kind: EngineCrash, At: 1000, Duration: 5000, Share: 1, Magnitude: 1}, false},
 		{"", Fault{}, true},
 		{"crash 1", Fault{}, true},
 		{"-1 crash", Fault{}, true},
--- a/lab/session.go
+++ b/lab/session.go
@@ -13,66 +13,66 @@
 	id      dispatch.RequestID
 	caller  *caller
 	attempt *attempt
-	// events are those that the caller has of this try.
-	events int
-	// arrived tells that it has reached an engine: what comes later is a repeat.
-	arrived bool
+	// receivedEvents are those that the caller has of this try.
+	receivedEvents int
+	// reachedEngine tells that it has reached an engine: what comes later is a repeat.
+	reachedEngine bool
 }
 
-// take passes events on.
-func (s *session) take(events int, pause clock.Millis) {
-	s.events += events
-	s.caller.hears(pause)
+// deliverEvents passes events on.
+func (s *session) deliverEvents(events int, pause clock.Millis) {
+	s.receivedEvents += events
+	s.caller.recordEvents(pause)
 }
 
-// end ends the try at its node.
-func (s *session) end() {
+// finish ends the try at its node.
+func (s *session) finish() {
 	delete(s.node.sessions, s.id)
-	s.node.tell(dispatch.RequestEndedMsg{Request: s.id})
+	s.node.update(dispatch.RequestEndedMsg{Request: s.id})
 }
 
-// obey does what the node's model says.
-func (s *session) obey(cmd dispatch.Cmd) {
+// execute does what the node's model says.
+func (s *session) execute(cmd dispatch.Cmd) {
 	switch cmd := cmd.(type) {
 	case dispatch.SendCmd:
 		s.send(cmd)
 	case dispatch.MigrateCmd:
 		if s.attempt != nil && s.attempt.cmd.Attempt == cmd.Attempt {
-			s.attempt.move(cmd)
+			s.attempt.migrate(cmd)
 		}
 	case dispatch.RecheckAttemptCmd:
-		s.reconsider(cmd)
+		s.recheck(cmd)
 	case dispatch.RespondCmd:
-		s.end()
+		s.finish()
 		if cmd.Status == http.StatusServiceUnavailable {
-			s.caller.refused(cmd.Reason, cmd.RetryAfter)
+			s.caller.handleRefusal(cmd.Reason, cmd.RetryAfter)
 		} else {
-			s.caller.failed(string(cmd.Reason))
+			s.caller.handleFailure(string(cmd.Reason))
 		}
 	case dispatch.AbortResponseCmd:
-		s.end()
-		s.caller.failed(string(cmd.Reason))
+		s.finish()
+		s.caller.handleFailure(string(cmd.Reason))
 	case dispatch.RelayFailureCmd:
-		s.end()
-		s.caller.failed("failed by its engine")
+		s.finish()
+		s.caller.handleFailure("failed by its engine")
 	}
 }
 
-// reconsider looks after a stream that passes an engine under suspicion.
-func (s *session) reconsider(cmd dispatch.RecheckAttemptCmd) {
+// recheck looks after a stream that passes an engine under suspicion.
+func (s *session) recheck(cmd dispatch.RecheckAttemptCmd) {
 	a := s.attempt
-	if a == nil || a.over || a.cmd.Attempt != cmd.Attempt || a.still == nil {
+	if a == nil || a.finished || a.cmd.Attempt != cmd.Attempt || a.stalledOn == nil {
 		return
 	}
-	a.found(a.plan)
+	a.reportStall(a.planVersion)
 }
 
-// leave ends the try since its caller has left, or its node was killed.
-func (s *session) leave() {
-	if s.attempt != nil && !s.attempt.over {
-		s.attempt.drop()
+// abandon ends the try since its caller has left, or its node was killed.
+func (s *session) abandon() {
+	if s.attempt != nil && !s.attempt.finished {
+		s.attempt.cancel()
 	}
-	if s.node.up {
-		s.end()
+	if s.node.running {
+		s.finish()
 	}
 }
--- a/lab/spent.go
+++ b/lab/spent.go
@@ -2,22 +2,22 @@
 
 import "github.com/hoistjunction/hoistjunction/clock"
 
-// spent are the times at which requests have reached engines for the first time, and again.
-type spent struct{ firsts, repeats []clock.Millis }
+// attemptTimes are the times at which requests have reached engines for the first time, and again.
+type attemptTimes struct{ first, repeated []clock.Millis }
 
-// count counts an arrival of a request.
-func (w *world) count(s *session) {
-	if !s.arrived {
-		s.arrived = true
-		w.spent.firsts = append(w.spent.firsts, w.now)
+// countArrival counts an arrival of a request.
+func (w *world) countArrival(s *session) {
+	if !s.reachedEngine {
+		s.reachedEngine = true
+		w.attemptTimes.first = append(w.attemptTimes.first, w.now)
 		return
 	}
-	w.result.Repeats++
-	w.spent.repeats = append(w.spent.repeats, w.now)
+	w.result.RepeatedArrivals++
+	w.attemptTimes.repeated = append(w.attemptTimes.repeated, w.now)
 }
 
-// within counts the times in a span, from included and to not.
-func within(times []clock.Millis, from, to clock.Millis) int {
+// countWithin counts the times in a span, from included and to not.
+func countWithin(times []clock.Millis, from, to clock.Millis) int {
 	n := 0
 	for _, at := range times {
 		if at >= from && at < to {
@@ -27,20 +27,20 @@
 	return n
 }
 
-// judge tells which promises were broken in the whole run.
-func (w *world) judge() {
+// checkGuarantees tells which promises were broken in the whole run.
+func (w *world) checkGuarantees() {
 	n := w.scenario.Nodes
 	const step = 500
-	for from := clock.Millis(0); from < w.scenario.Load.ForMS; from += step {
-		to := from.Add(n.WindowMS)
-		most := max(within(w.spent.firsts, from, to), within(w.spent.firsts, from-n.WindowMS, from), within(w.spent.firsts, from-n.WindowMS/2, to-n.WindowMS/2))
-		if got := within(w.spent.repeats, from, to); float64(got) > n.RetryShare*float64(most)+n.RetrySlack {
-			w.result.breach("budget", "more repeats in a window than operators allow")
+	for from := clock.Millis(0); from < w.scenario.Load.DurationMS; from += step {
+		to := from.Add(n.RetryWindowMS)
+		most := max(countWithin(w.attemptTimes.first, from, to), countWithin(w.attemptTimes.first, from-n.RetryWindowMS, from), countWithin(w.attemptTimes.first, from-n.RetryWindowMS/2, to-n.RetryWindowMS/2))
+		if got := countWithin(w.attemptTimes.repeated, from, to); float64(got) > n.RetryShare*float64(most)+n.RetrySlack {
+			w.result.violate("budget", "more repeats in a window than operators allow")
 			break
 		}
 	}
-	if w.deadly.late > mostLate {
-		w.result.breach("ends", "a request that ends engines was sent too often after the third")
+	if w.crashFault.lateAttempts > maxLateAttempts {
+		w.result.violate("ends", "a request that ends engines was sent too often after the third")
 	}
-	w.result.DeadlyEnds = len(w.deadly.ends)
+	w.result.RequestCrashes = len(w.crashFault.crashes)
 }
--- a/limit/fraction.go
+++ b/limit/fraction.go
@@ -25,11 +25,11 @@
 
 // fraction returns the fraction of an upstream's limit that this node may grant now, and the
 // probes to send to the candidates that rank before it.
-func (l *Limiter) fraction(now clock.Millis, upstream fleet.Incarnation) (float64, []AskCmd) {
+func (l *Limiter) fraction(now clock.Millis, upstream fleet.Incarnation) (float64, []PermitRequestCmd) {
 	s := l.upstreamState(upstream)
 	candidates := l.candidates(s)
 	rank := slices.Index(candidates, l.self)
-	fraction, cmds := 0.0, []AskCmd(nil)
+	fraction, cmds := 0.0, []PermitRequestCmd(nil)
 	switch {
 	case rank == 0:
 		fraction = 1
@@ -60,14 +60,14 @@
 
 // probePredecessors probes the candidates that rank before this node, and returns the time for
 // which none of them has answered.
-func (l *Limiter) probePredecessors(now clock.Millis, s *upstreamState, predecessors []string) (clock.Millis, []AskCmd) {
-	var cmds []AskCmd
+func (l *Limiter) probePredecessors(now clock.Millis, s *upstreamState, predecessors []string) (clock.Millis, []PermitRequestCmd) {
+	var cmds []PermitRequestCmd
 	unanswered := removedAfter
 	for _, name := range predecessors {
 		elapsed, due := l.members.probe(now, name)
 		unanswered = min(unanswered, elapsed)
 		if due {
-			cmds = append(cmds, AskCmd{To: name, Ask: Ask{Upstream: s.upstream, Life: l.bootID, Named: s.advertised}})
+			cmds = append(cmds, PermitRequestCmd{To: name, PermitRequest: PermitRequest{Upstream: s.upstream, BootID: l.bootID, Advertised: s.advertised}})
 		}
 	}
 	return unanswered, cmds
--- a/limit/handover_test.go
+++ b/limit/handover_test.go
@@ -49,7 +49,7 @@
 	limiter := limit.New(limit.WithSelf("a"), limit.WithBootID(1))
 	limiter.SetMembers(0, members(with))
 	start := clock.Millis(20_000)
-	limiter.Named(start, upstream, rate)
+	limiter.SetAdvertised(start, upstream, rate)
 	permits := 0
 	for now := start; now < start.Add(duration); now = now.Add(requestInterval) {
 		if now.Sub(start)%changeInterval == 0 {
@@ -62,8 +62,8 @@
 		for _, name := range with {
 			limiter.RecordSeen(now, name)
 		}
-		grant, _ := limiter.HandleAsk(now, "b", limit.Ask{
-			Upstream: upstream, Life: 1, Number: uint64(now), Want: 1, Named: limit.Named{Rate: rate, ReceivedAt: start},
+		grant, _ := limiter.HandleRequest(now, "b", limit.PermitRequest{
+			Upstream: upstream, BootID: 1, Seq: uint64(now), Permits: 1, Advertised: limit.Advertised{Rate: rate, ReceivedAt: start},
 		})
 		permits += grant.Permits
 	}
@@ -83,9 +83,9 @@
 	upstream := upstreamOwnedBy(t, "b", names)
 	limiter := limit.New(limit.WithSelf("a"), limit.WithBootID(1))
 	limiter.SetMembers(0, members(names))
-	limiter.Named(0, upstream, rate)
-	requests := limiter.Ask(10, upstream, 1)
-	limiter.HandleGrant(12, "b", limit.Grant{Upstream: upstream, Life: 1, Number: requests[0].Ask.Number, NextIn: 60_000, Named: limit.Named{Rate: rate, ReceivedAt: 0}})
+	limiter.SetAdvertised(0, upstream, rate)
+	requests := limiter.RequestPermits(10, upstream, 1)
+	limiter.HandleGrant(12, "b", limit.Grant{Upstream: upstream, BootID: 1, Seq: requests[0].PermitRequest.Seq, NextIn: 60_000, Advertised: limit.Advertised{Rate: rate, ReceivedAt: 0}})
 	if got, want := limiter.State(12+wait, upstream), limit.NeedsPermit; got != want {
 		t.Errorf("got state %d after %d ms, want %d: a permit is due", got, wait, want)
 	}
@@ -98,9 +98,9 @@
 	const atMost = clock.Millis(5000)
 	upstream := fleet.IncarnationByID("u")
 	limiter := limit.New(limit.WithSelf("a"), limit.WithBootID(1))
-	limiter.Named(0, upstream, 0)
+	limiter.SetAdvertised(0, upstream, 0)
 	for now := clock.Millis(0); now <= atMost; now += 100 {
-		limiter.Ask(now, upstream, 1)
+		limiter.RequestPermits(now, upstream, 1)
 		if limiter.State(now, upstream) == limit.HasPermit {
 			return
 		}
--- a/limit/limiter.go
+++ b/limit/limiter.go
@@ -83,14 +83,14 @@
 	l.members.recordDataCentreSeen(now, dataCentre)
 }
 
-// Named sets the limit that an upstream has advertised to this node, and reports
+// SetAdvertised sets the limit that an upstream has advertised to this node, and reports
 // whether the rate changed.
-func (l *Limiter) Named(now clock.Millis, upstream fleet.Incarnation, rate float64) bool {
+func (l *Limiter) SetAdvertised(now clock.Millis, upstream fleet.Incarnation, rate float64) bool {
 	s := l.upstreamState(upstream)
 	if rate >= unlimitedRate {
-		return l.apply(now, s, Named{ReceivedAt: now})
+		return l.apply(now, s, Advertised{ReceivedAt: now})
 	}
-	return l.apply(now, s, Named{Rate: max(rate, minRate), ReceivedAt: now})
+	return l.apply(now, s, Advertised{Rate: max(rate, minRate), ReceivedAt: now})
 }
 
 // SetUnlimited handles a response that advertises no limit, and reports whether that removes
@@ -101,26 +101,26 @@
 	if s == nil || s.advertised.Rate == 0 || sentAt <= s.advertised.ReceivedAt {
 		return false
 	}
-	return l.apply(now, s, Named{ReceivedAt: now})
+	return l.apply(now, s, Advertised{ReceivedAt: now})
 }
 
 // Merge applies another node's view of an upstream's limit, and reports whether the rate
 // changed. A view that is older than the local one is ignored.
-func (l *Limiter) Merge(now clock.Millis, upstream fleet.Incarnation, newer Named) bool {
+func (l *Limiter) Merge(now clock.Millis, upstream fleet.Incarnation, newer Advertised) bool {
 	s := l.upstreamState(upstream)
 	return newer.ReceivedAt > s.advertised.ReceivedAt && l.apply(now, s, newer)
 }
 
 // Snapshot returns the limits to announce to other nodes: the current ones and those that were
 // removed recently.
-func (l *Limiter) Snapshot(now clock.Millis) map[fleet.Incarnation]Named {
-	var snapshot map[fleet.Incarnation]Named
+func (l *Limiter) Snapshot(now clock.Millis) map[fleet.Incarnation]Advertised {
+	var snapshot map[fleet.Incarnation]Advertised
 	for id, s := range l.upstreams {
 		if s.advertised.Rate == 0 && now > s.advertised.ReceivedAt.Add(removalSharedFor) {
 			continue
 		}
 		if snapshot == nil {
-			snapshot = make(map[fleet.Incarnation]Named)
+			snapshot = make(map[fleet.Incarnation]Advertised)
 		}
 		snapshot[id] = s.advertised
 	}
@@ -128,7 +128,7 @@
 }
 
 // apply replaces a limit by a newer one, and reports whether the rate changed.
-func (l *Limiter) apply(now clock.Millis, s *upstreamState, newer Named) bool {
+func (l *Limiter) apply(now clock.Millis, s *upstreamState, newer Advertised) bool {
 	if s.advertised.Rate > 0 {
 		l.limited--
 	}
@@ -139,13 +139,13 @@
 }
 
 // Limit returns an upstream's limit, and whether it has one.
-func (l *Limiter) Limit(upstream fleet.Incarnation) (Named, bool) {
+func (l *Limiter) Limit(upstream fleet.Incarnation) (Advertised, bool) {
 	if l.limited == 0 {
-		return Named{}, false
+		return Advertised{}, false
 	}
 	s := l.upstreams[upstream]
 	if s == nil || s.advertised.Rate == 0 {
-		return Named{}, false
+		return Advertised{}, false
 	}
 	return s.advertised, true
 }
@@ -191,9 +191,9 @@
 	}
 }
 
-// HandleAsk answers another node's permit request. It also returns the probes to send to
+// HandleRequest answers another node's permit request. It also returns the probes to send to
 // candidates that rank before this node.
-func (l *Limiter) HandleAsk(now clock.Millis, from string, req Ask) (Grant, []AskCmd) {
+func (l *Limiter) HandleRequest(now clock.Millis, from string, req PermitRequest) (Grant, []PermitRequestCmd) {
 	l.members.recordSeen(now, from)
 	fraction, cmds := l.fraction(now, req.Upstream)
 	return l.owner.handle(now, from, req, fraction), cmds
@@ -210,7 +210,7 @@
 func (l *Limiter) upstreamState(upstream fleet.Incarnation) *upstreamState {
 	s := l.upstreams[upstream]
 	if s == nil {
-		s = &upstreamState{upstream: upstream, advertised: Named{ReceivedAt: clock.Never}}
+		s = &upstreamState{upstream: upstream, advertised: Advertised{ReceivedAt: clock.Never}}
 		l.upstreams[upstream] = s
 		l.candidates(s)
 	}
--- a/limit/msg.go
+++ b/limit/msg.go
@@ -5,8 +5,8 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// Named is the limit that an upstream advertises in its response headers.
-type Named struct {
+// Advertised is the limit that an upstream advertises in its response headers.
+type Advertised struct {
 	// Rate is in requests a second from all nodes together; zero if the upstream advertises no
 	// limit.
 	Rate float64
@@ -15,41 +15,41 @@
 	ReceivedAt clock.Millis
 }
 
-// Ask requests permits for an upstream from the node that grants them.
-type Ask struct {
+// PermitRequest requests permits for an upstream from the node that grants them.
+type PermitRequest struct {
 	Upstream fleet.Incarnation
-	// Life is a random number that the node draws at each start. Number counts its requests. A
+	// BootID is a random number that the node draws at each start. Number counts its requests. A
 	// request that is resent keeps its number and gets the same grant.
-	Life   uint64
-	Number uint64
-	// Want is how many permits the node can use. With zero, the request only probes whether
+	BootID uint64
+	Seq    uint64
+	// Permits is how many permits the node can use. With zero, the request only probes whether
 	// the recipient is running, or reports sent requests.
-	Want int
-	// Named is the sender's view of the limit. On the wire, ReceivedAt is sent as an age.
-	Named Named
-	// Sent counts the requests in the window for which the recipient granted no permit,
+	Permits int
+	// Advertised is the sender's view of the limit. On the wire, ReceivedAt is sent as an age.
+	Advertised Advertised
+	// Unpermitted counts the requests in the window for which the recipient granted no permit,
 	// by bucket, newest first.
-	Sent []uint32
+	Unpermitted []uint32
 }
 
 // Grant answers an Ask.
 type Grant struct {
 	Upstream fleet.Incarnation
-	Life     uint64
-	Number   uint64
+	BootID   uint64
+	Seq      uint64
 	Permits  int
 	// NextIn is the time until the next permit is available.
 	NextIn clock.Millis
-	// Queue is how many permits were requested in the window and not granted.
-	Queue int
-	// Named is the granter's view of the limit.
-	Named Named
+	// Denied is how many permits were requested in the window and not granted.
+	Denied int
+	// Advertised is the granter's view of the limit.
+	Advertised Advertised
 }
 
-// AskCmd sends a permit request to a node.
-type AskCmd struct {
-	To  string
-	Ask Ask
+// PermitRequestCmd sends a permit request to a node.
+type PermitRequestCmd struct {
+	To            string
+	PermitRequest PermitRequest
 }
 
 // Member is a node that may grant permits.
--- a/limit/owner.go
+++ b/limit/owner.go
@@ -29,7 +29,7 @@
 
 // ownedUpstream is the owner's state of one limited upstream.
 type ownedUpstream struct {
-	advertised Named
+	advertised Advertised
 	// available is the number of permits that could be granted at refilledAt.
 	available  float64
 	refilledAt clock.Millis
@@ -51,32 +51,32 @@
 
 // handle answers a permit request. fraction is the fraction of the limit that this node may
 // grant.
-func (o *owner) handle(now clock.Millis, from string, req Ask, fraction float64) Grant {
+func (o *owner) handle(now clock.Millis, from string, req PermitRequest, fraction float64) Grant {
 	u := o.lookup(now, req.Upstream)
 	u.requestedAt = now
-	if req.Named.ReceivedAt > u.advertised.ReceivedAt {
-		u.advertised = req.Named
+	if req.Advertised.ReceivedAt > u.advertised.ReceivedAt {
+		u.advertised = req.Advertised
 	}
 	last, found := u.lastGrants[from]
-	if found && last.Life == req.Life && req.Number <= last.Number {
+	if found && last.BootID == req.BootID && req.Seq <= last.Seq {
 		return u.repeat(last, req)
 	}
-	u.sent.AddCounts(now, req.Sent)
+	u.sent.AddCounts(now, req.Unpermitted)
 	u.refill(now, fraction)
-	grant := Grant{Upstream: req.Upstream, Life: req.Life, Number: req.Number, Permits: u.take(now, req.Want), Named: u.advertised}
-	u.denied.Add(now, req.Want-grant.Permits)
-	grant.NextIn, grant.Queue = u.nextIn(now, fraction), u.denied.Sum(now)
+	grant := Grant{Upstream: req.Upstream, BootID: req.BootID, Seq: req.Seq, Permits: u.take(now, req.Permits), Advertised: u.advertised}
+	u.denied.Add(now, req.Permits-grant.Permits)
+	grant.NextIn, grant.Denied = u.nextIn(now, fraction), u.denied.Sum(now)
 	u.lastGrants[from] = grant
 	return grant
 }
 
 // repeat answers a duplicate of an earlier request: the last one gets the same grant again, and
 // an older one that was delayed gets no permits.
-func (u *ownedUpstream) repeat(last Grant, req Ask) Grant {
-	if req.Number < last.Number {
-		last.Number, last.Permits = req.Number, 0
+func (u *ownedUpstream) repeat(last Grant, req PermitRequest) Grant {
+	if req.Seq < last.Seq {
+		last.Seq, last.Permits = req.Seq, 0
 	}
-	last.Named = u.advertised
+	last.Advertised = u.advertised
 	return last
 }
 
@@ -84,7 +84,7 @@
 	u := o.owned[id]
 	if u == nil {
 		// Start without permits, because another owner may have granted some until now.
-		u = &ownedUpstream{refilledAt: now, advertised: Named{ReceivedAt: clock.Never}, lastGrants: make(map[string]Grant)}
+		u = &ownedUpstream{refilledAt: now, advertised: Advertised{ReceivedAt: clock.Never}, lastGrants: make(map[string]Grant)}
 		o.owned[id] = u
 	}
 	return u
--- a/limit/request.go
+++ b/limit/request.go
@@ -5,9 +5,9 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// Ask requests permits, or resends the pending request. If this node is the granter,
+// RequestPermits requests permits, or resends the pending request. If this node is the granter,
 // the grant is applied before Ask returns.
-func (l *Limiter) Ask(now clock.Millis, upstream fleet.Incarnation, permits int) []AskCmd {
+func (l *Limiter) RequestPermits(now clock.Millis, upstream fleet.Incarnation, permits int) []PermitRequestCmd {
 	s := l.upstreamState(upstream)
 	if !s.requesting {
 		s.beginRequest(now, min(max(permits, 1), maxPermitsPerRequest))
@@ -20,7 +20,7 @@
 // ReportSent reports to an upstream's owner what this node sent there before the limit was
 // known. The owner counts these requests, so that it grants no more permits than fit beside
 // them.
-func (l *Limiter) ReportSent(now clock.Millis, upstream fleet.Incarnation) []AskCmd {
+func (l *Limiter) ReportSent(now clock.Millis, upstream fleet.Incarnation) []PermitRequestCmd {
 	s := l.upstreamState(upstream)
 	if s.requesting || s.advertised.Rate == 0 || s.sentLocally.Sum(now) == 0 {
 		return nil
@@ -30,7 +30,7 @@
 }
 
 // sendRequest sends the pending request to the first candidate that is not skipped.
-func (l *Limiter) sendRequest(now clock.Millis, s *upstreamState) []AskCmd {
+func (l *Limiter) sendRequest(now clock.Millis, s *upstreamState) []PermitRequestCmd {
 	if s.attempts >= maxAttempts {
 		l.members.recordUnanswered(now, s.granter)
 	}
@@ -44,13 +44,13 @@
 	}
 	s.lastSentAt = now
 	s.attempts++
-	req := Ask{Upstream: s.upstream, Life: l.bootID, Number: s.seq, Want: s.wanted, Named: s.advertised, Sent: s.unreported(now)}
+	req := PermitRequest{Upstream: s.upstream, BootID: l.bootID, Seq: s.seq, Permits: s.wanted, Advertised: s.advertised, Unpermitted: s.unreported(now)}
 	if to == l.self {
-		grant, cmds := l.HandleAsk(now, l.self, req)
+		grant, cmds := l.HandleRequest(now, l.self, req)
 		l.HandleGrant(now, l.self, grant)
 		return cmds
 	}
-	return []AskCmd{{To: to, Ask: req}}
+	return []PermitRequestCmd{{To: to, PermitRequest: req}}
 }
 
 // firstCandidate returns the first of an upstream's candidates that is not skipped.
@@ -81,11 +81,11 @@
 func (l *Limiter) HandleGrant(now clock.Millis, from string, grant Grant) bool {
 	l.members.recordSeen(now, from)
 	s := l.upstreams[grant.Upstream]
-	if s == nil || grant.Life != l.bootID {
+	if s == nil || grant.BootID != l.bootID {
 		return false
 	}
-	changed := grant.Named.ReceivedAt > s.advertised.ReceivedAt && l.apply(now, s, grant.Named)
-	if !s.requesting || grant.Number != s.seq || from != s.granter {
+	changed := grant.Advertised.ReceivedAt > s.advertised.ReceivedAt && l.apply(now, s, grant.Advertised)
+	if !s.requesting || grant.Seq != s.seq || from != s.granter {
 		return changed
 	}
 	s.applyGrant(now, grant)
@@ -94,7 +94,7 @@
 
 // Tick resends unanswered requests. It returns the upstreams for which all candidates left the
 // request unanswered.
-func (l *Limiter) Tick(now clock.Millis) (cmds []AskCmd, failed []fleet.Incarnation) {
+func (l *Limiter) Tick(now clock.Millis) (cmds []PermitRequestCmd, failed []fleet.Incarnation) {
 	l.owner.expire(now)
 	for _, s := range l.upstreams {
 		if !s.requesting {
@@ -113,7 +113,7 @@
 }
 
 // reportToNewGranter reports sent requests to a node that has become the granter.
-func (l *Limiter) reportToNewGranter(now clock.Millis, s *upstreamState) []AskCmd {
+func (l *Limiter) reportToNewGranter(now clock.Millis, s *upstreamState) []PermitRequestCmd {
 	if s.advertised.Rate == 0 {
 		return nil
 	}
--- a/limit/sim_test.go
+++ b/limit/sim_test.go
@@ -213,7 +213,7 @@
 	n.limiter = limit.New(limit.WithSelf(n.name), limit.WithBootID(n.bootID))
 	n.limiter.SetMembers(n.sim.now, n.sim.members())
 	if n.sim.rate > 0 {
-		n.limiter.Named(n.sim.now, simUpstream, n.sim.rate)
+		n.limiter.SetAdvertised(n.sim.now, simUpstream, n.sim.rate)
 	}
 	bootID := n.bootID
 	n.sim.schedule(clock.Millis(n.sim.random.IntN(int(tickInterval))), func() { n.tick(bootID) })
@@ -275,18 +275,18 @@
 	})
 }
 
-func (n *simNode) send(cmds []limit.AskCmd) {
+func (n *simNode) send(cmds []limit.PermitRequestCmd) {
 	for _, cmd := range cmds {
 		to := n.sim.node(cmd.To)
-		req := cmd.Ask
-		age := n.sim.now.Sub(req.Named.ReceivedAt)
+		req := cmd.PermitRequest
+		age := n.sim.now.Sub(req.Advertised.ReceivedAt)
 		n.datagram(to, true, func() {
-			req.Named.ReceivedAt = n.sim.now.Sub(age)
-			grant, probes := to.limiter.HandleAsk(n.sim.now, n.name, req)
+			req.Advertised.ReceivedAt = n.sim.now.Sub(age)
+			grant, probes := to.limiter.HandleRequest(n.sim.now, n.name, req)
 			to.send(probes)
-			age := n.sim.now.Sub(grant.Named.ReceivedAt)
+			age := n.sim.now.Sub(grant.Advertised.ReceivedAt)
 			to.datagram(n, true, func() {
-				grant.Named.ReceivedAt = n.sim.now.Sub(age)
+				grant.Advertised.ReceivedAt = n.sim.now.Sub(age)
 				n.limiter.HandleGrant(n.sim.now, to.name, grant)
 				n.retry()
 			})
@@ -332,7 +332,7 @@
 			n.sim.arrivals = append(n.sim.arrivals, now)
 			n.pending = n.pending[1:]
 		case limit.NeedsPermit:
-			n.send(n.limiter.Ask(now, simUpstream, len(n.pending)))
+			n.send(n.limiter.RequestPermits(now, simUpstream, len(n.pending)))
 			if n.limiter.State(now, simUpstream) == limit.RequestPending {
 				return
 			}
@@ -351,7 +351,7 @@
 	case "names":
 		w.rate = e.rate
 		for _, n := range w.nodes {
-			n.limiter.Named(w.now, simUpstream, e.rate)
+			n.limiter.SetAdvertised(w.now, simUpstream, e.rate)
 		}
 	case "cut":
 		for _, n := range w.nodes[len(w.nodes)-count:] {
--- a/limit/upstream.go
+++ b/limit/upstream.go
@@ -10,7 +10,7 @@
 // upstreamState is a node's view of one upstream's limit and its permits for that upstream.
 type upstreamState struct {
 	upstream   fleet.Incarnation
-	advertised Named
+	advertised Advertised
 	// permits are valid until permitsExpireAt. denied is the number of permits that all nodes
 	// were denied in the window, as the last grant reported it.
 	permits         int
@@ -60,7 +60,7 @@
 }
 
 // apply replaces the limit by a newer one, and reports whether the rate changed.
-func (s *upstreamState) apply(now clock.Millis, newer Named) bool {
+func (s *upstreamState) apply(now clock.Millis, newer Advertised) bool {
 	changed := newer.Rate != s.advertised.Rate
 	if s.advertised.Rate == 0 && newer.Rate > 0 {
 		s.sentLocally.DropBefore(now, newer.ReceivedAt.Sub(countedBefore))
@@ -112,7 +112,7 @@
 func (s *upstreamState) applyGrant(now clock.Millis, grant Grant) {
 	s.requesting = false
 	s.reported.AddCounts(s.pendingReportAt, s.pendingReport)
-	s.nextPermitAt, s.denied = 0, grant.Queue
+	s.nextPermitAt, s.denied = 0, grant.Denied
 	if grant.Permits < s.wanted || grant.NextIn > 0 {
 		s.nextPermitAt = now.Add(max(min(grant.NextIn, s.permitInterval()), 1))
 	}
--- a/load/client.go
+++ b/load/client.go
@@ -55,7 +55,7 @@
 	req.Header.Set("Authorization", "Bearer "+key)
 	req.Header.Set(callkey.Try, strconv.Itoa(attempt))
 	if item.Key != "" {
-		req.Header.Set(callkey.Idempotency, item.Key)
+		req.Header.Set(callkey.IdempotencyKey, item.Key)
 	}
 	req.GetBody = nil
 	start := time.Now()
--- a/load/runner.go
+++ b/load/runner.go
@@ -138,5 +138,5 @@
 		want := standin.ServiceAnswer(item.Service, item.Path, []byte(item.Body))
 		return slices.Equal(result.Body, want)
 	}
-	return slices.Equal(result.Texts, standin.Reference(item.Prompt, r.layers, item.MaxTokens))
+	return slices.Equal(result.Texts, standin.ReferenceAnswer(item.Prompt, r.layers, item.MaxTokens))
 }
--- a/logging/async.go
+++ b/logging/async.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// linesWaiting bounds the lines that wait to be written. At some 300 bytes
+	// maxQueuedLines bounds the lines that wait to be written. At some 300 bytes
 	// a line that is about 2 MB.
-	linesWaiting = 8192
-	// flushEvery is how long a line may wait for others to be written with it.
-	flushEvery = 40 * time.Millisecond
-	// flushBytes is how much is written at a time.
-	flushBytes = 32 << 10
+	maxQueuedLines = 8192
+	// flushInterval is how long a line may wait for others to be written with it.
+	flushInterval = 40 * time.Millisecond
+	// maxBatchBytes is how much is written at a time.
+	maxBatchBytes = 32 << 10
 )
 
 // Async writes lines from a goroutine of its own. It never makes its caller
@@ -26,13 +26,13 @@
 	out     io.Writer
 	lines   *ring.Ring[[]byte]
 	dropped atomic.Uint64
-	done    chan struct{}
-	ended   chan struct{}
+	closing chan struct{}
+	stopped chan struct{}
 }
 
 // NewAsync returns a writer in front of another one.
 func NewAsync(out io.Writer) *Async {
-	a := &Async{out: out, lines: ring.New[[]byte](linesWaiting), done: make(chan struct{}), ended: make(chan struct{})}
+	a := &Async{out: out, lines: ring.New[[]byte](maxQueuedLines), closing: make(chan struct{}), stopped: make(chan struct{})}
 	go a.run()
 	return a
 }
@@ -53,44 +53,44 @@
 
 // Close writes out what is waiting.
 func (a *Async) Close() {
-	close(a.done)
-	<-a.ended
+	close(a.closing)
+	<-a.stopped
 }
 
 func (a *Async) run() {
-	defer close(a.ended)
+	defer close(a.stopped)
 	var batch []byte
 	for {
 		select {
 		case line := <-a.lines.Items():
-			batch = a.gather(append(batch, line...))
+			batch = a.fillBatch(append(batch, line...))
 			a.flush(batch)
 			batch = batch[:0]
-		case <-a.done:
-			a.flush(a.rest(batch))
+		case <-a.closing:
+			a.flush(a.drain(batch))
 			return
 		}
 	}
 }
 
-// gather adds the lines of the next moments to a batch.
-func (a *Async) gather(batch []byte) []byte {
-	timer := time.NewTimer(flushEvery)
+// fillBatch adds the lines of the next moments to a batch.
+func (a *Async) fillBatch(batch []byte) []byte {
+	timer := time.NewTimer(flushInterval)
 	defer timer.Stop()
-	for len(batch) < flushBytes {
+	for len(batch) < maxBatchBytes {
 		select {
 		case line := <-a.lines.Items():
 			batch = append(batch, line...)
 		case <-timer.C:
 			return batch
-		case <-a.done:
+		case <-a.closing:
 			return batch
 		}
 	}
 	return batch
 }
 
-func (a *Async) rest(batch []byte) []byte {
+func (a *Async) drain(batch []byte) []byte {
 	for {
 		select {
 		case line := <-a.lines.Items():
--- a/measure/contender.go
+++ b/measure/contender.go
@@ -34,10 +34,10 @@
 		{Name: "least in flight", Policy: plain, Chooser: "least_in_flight"},
 		{Name: "least, fixed limit", Policy: limited, Chooser: "least_in_flight"},
 	}
-	return slices.DeleteFunc(all, func(c Contender) bool { return !named(c.Name, only) })
+	return slices.DeleteFunc(all, func(c Contender) bool { return !matchesAny(c.Name, only) })
 }
 
-func named(name, words string) bool {
+func matchesAny(name, words string) bool {
 	for word := range strings.SplitSeq(words, ",") {
 		if strings.Contains(name, word) {
 			return true
--- a/measure/fault.go
+++ b/measure/fault.go
@@ -16,12 +16,12 @@
 }
 
 func degradeLink(b *testbed.Bed) {
-	b.Engines[0].SetFaults(standin.EngineFaults{LinkMS: degradedLinkMS})
+	b.Engines[0].SetFaults(standin.EngineFaults{LinkDelayMS: degradedLinkMS})
 }
 
 func killNode(b *testbed.Bed) { b.Nodes[0].Kill() }
 
-func outageAndDeath(b *testbed.Bed) {
+func failStoreAndKillEngine(b *testbed.Bed) {
 	b.Platform.SetFaults(standin.PlatformFaults{Down: true})
 	killEngine(b)
 }
--- a/measure/figures.go
+++ b/measure/figures.go
@@ -9,20 +9,20 @@
 
 // Figures are what a run comes to.
 type Figures struct {
-	// Good is answers within their bounds a second, of those that arrived.
-	Good float64
-	// Share is the share of requests that were answered within their bounds.
-	Share float64
-	// Small is the same share for the small accounts, where there are any.
-	Small float64
-	// Recovery is the time from the fault until requests that arrive are
+	// GoodPerSecond is answers within their bounds a second, of those that arrived.
+	GoodPerSecond float64
+	// GoodShare is the share of requests that were answered within their bounds.
+	GoodShare float64
+	// SmallGoodShare is the same share for the small accounts, where there are any.
+	SmallGoodShare float64
+	// RecoveryTime is the time from the fault until requests that arrive are
 	// within their bounds again for good.
-	Recovery time.Duration
-	// Stall is the longest wait within an answer that was given whole.
-	Stall    time.Duration
-	Outcomes map[string]int
-	Wrong    int
-	Missing  int
+	RecoveryTime time.Duration
+	// LongestStall is the longest wait within an answer that was given whole.
+	LongestStall    time.Duration
+	Outcomes        map[string]int
+	WrongAnswers    int
+	MissingOutcomes int
 }
 
 func figures(s Scenario, results []load.Result, start time.Time) *Figures {
@@ -30,7 +30,7 @@
 	good, small, smallGood := 0, 0, 0
 	for i := range results {
 		r := &results[i]
-		within := r.MeetsBounds(FirstBound, TokenBound)
+		within := r.MeetsBounds(FirstTokenBound, TokenIntervalBound)
 		if within {
 			good++
 		}
@@ -42,11 +42,11 @@
 		}
 		f.count(r)
 	}
-	f.Good = float64(good) / s.Length.Seconds()
-	f.Share = share(good, len(results))
-	f.Small = share(smallGood, small)
+	f.GoodPerSecond = float64(good) / s.Duration.Seconds()
+	f.GoodShare = ratio(good, len(results))
+	f.SmallGoodShare = ratio(smallGood, small)
 	if s.Fault != nil {
-		f.Recovery = recovery(results, start.Add(s.FaultAt))
+		f.RecoveryTime = recovery(results, start.Add(s.FaultAt))
 	}
 	return f
 }
@@ -55,18 +55,18 @@
 	f.Outcomes[r.Outcome.String()]++
 	switch {
 	case r.Outcome == outcome.None:
-		f.Missing++
+		f.MissingOutcomes++
 	case r.Outcome == outcome.Done && !r.Correct:
-		f.Wrong++
+		f.WrongAnswers++
 	}
 	for _, g := range r.TokenGaps {
 		if r.Correct {
-			f.Stall = max(f.Stall, g)
+			f.LongestStall = max(f.LongestStall, g)
 		}
 	}
 }
 
-func share(part, whole int) float64 {
+func ratio(part, whole int) float64 {
 	if whole == 0 {
 		return 0
 	}
@@ -93,12 +93,12 @@
 		w := int(r.Scheduled.Sub(fault) / recoveryWindow)
 		last = max(last, w)
 		total[w]++
-		if r.MeetsBounds(FirstBound, TokenBound) {
+		if r.MeetsBounds(FirstTokenBound, TokenIntervalBound) {
 			good[w]++
 		}
 	}
 	for w := last; w >= 0; w-- {
-		if total[w] > 0 && share(good[w], total[w]) < recoveredShare {
+		if total[w] > 0 && ratio(good[w], total[w]) < recoveredShare {
 			return time.Duration(w+1) * recoveryWindow
 		}
 	}
--- a/measure/load.go
+++ b/measure/load.go
@@ -18,19 +18,19 @@
 
 // Tokens that a request asks for, evenly between these.
 const (
-	leastTokens = 8
-	mostTokens  = 32
+	minTokens = 8
+	maxTokens = 32
 )
 
-// Rate is requests of one account that arrive at random (a Poisson process).
-type Rate struct {
+// PoissonLoad is requests of one account that arrive at random (a Poisson process).
+type PoissonLoad struct {
 	PerSecond float64
-	Length    time.Duration
+	Duration  time.Duration
 	Account   string
 }
 
 // Items returns the requests of a run.
-func (r Rate) Items(seed uint64) []load.Item {
+func (r PoissonLoad) Items(seed uint64) []load.Item {
 	account := r.Account
 	if account == "" {
 		account = "clinic"
@@ -39,29 +39,29 @@
 	var items []load.Item
 	for at := 0.0; ; {
 		at += rng.ExpFloat64() / r.PerSecond
-		if at >= r.Length.Seconds() {
+		if at >= r.Duration.Seconds() {
 			return items
 		}
 		items = append(items, load.Item{
 			ArrivalMS: int64(at * 1000), Account: account, Route: "notices",
 			Prompt:    fmt.Sprintf(prompts[rng.IntN(len(prompts))], rng.IntN(10_000)),
-			MaxTokens: leastTokens + rng.IntN(mostTokens-leastTokens+1),
+			MaxTokens: minTokens + rng.IntN(maxTokens-minTokens+1),
 		})
 	}
 }
 
-// Flood is one account that sends three times the capacity, and three small
+// FloodLoad is one account that sends three times the capacity, and three small
 // ones that together send less than half of it.
-type Flood struct {
+type FloodLoad struct {
 	PerSecond float64
-	Length    time.Duration
+	Duration  time.Duration
 }
 
 // Items returns the requests of a run, in the order of their times.
-func (f Flood) Items(seed uint64) []load.Item {
-	items := Rate{PerSecond: 3 * f.PerSecond, Length: f.Length, Account: "flood"}.Items(seed)
+func (f FloodLoad) Items(seed uint64) []load.Item {
+	items := PoissonLoad{PerSecond: 3 * f.PerSecond, Duration: f.Duration, Account: "flood"}.Items(seed)
 	for i, name := range []string{"small-1", "small-2", "small-3"} {
-		small := Rate{PerSecond: 0.12 * f.PerSecond, Length: f.Length, Account: name}.Items(seed + uint64(i) + 100)
+		small := PoissonLoad{PerSecond: 0.12 * f.PerSecond, Duration: f.Duration, Account: name}.Items(seed + uint64(i) + 100)
 		items = merge(items, small)
 	}
 	return items
--- a/measure/overhead.go
+++ b/measure/overhead.go
@@ -21,10 +21,10 @@
 // How the overhead is measured: in slices that alternate between the service
 // itself and an entry node before it.
 const (
-	overheadRate   = 1000
-	overheadSlice  = time.Second
-	overheadSlices = 10
-	longestMicros  = 10_000_000
+	callsPerSlice = 1000
+	sliceDuration = time.Second
+	sliceCount    = 10
+	maxMicros     = 10_000_000
 )
 
 // Overhead is what an entry node adds to a plain call.
@@ -38,9 +38,9 @@
 	Calls      int
 }
 
-// AddedByNode sends the same calls to a service, straight and through a
+// RunOverhead sends the same calls to a service, straight and through a
 // node, a thousand a second, in one run.
-func AddedByNode() (*Overhead, error) {
+func RunOverhead() (*Overhead, error) {
 	bed, err := testbed.Start(testbed.WithNodes(1), testbed.WithServices(1, 0), testbed.WithRecording(0))
 	if err != nil {
 		return nil, err
@@ -50,13 +50,13 @@
 		return nil, err
 	}
 	o := &Overhead{
-		Direct: hdrhistogram.New(1, longestMicros, 3), Node: hdrhistogram.New(1, longestMicros, 3),
+		Direct: hdrhistogram.New(1, maxMicros, 3), Node: hdrhistogram.New(1, maxMicros, 3),
 	}
 	direct := "http://" + bed.Services[0].Address() + "/confirm"
 	node := "http://" + bed.Nodes[0].CallerAddress() + "/v1/services/orders/confirm"
 	caller := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	defer caller.CloseIdleConnections()
-	for slice := range overheadSlices + 1 {
+	for slice := range sliceCount + 1 {
 		if slice == 1 {
 			// The first slice warms up and is not counted.
 			o.Direct.Reset()
@@ -64,13 +64,13 @@
 			o.HeapBefore = heapInUse()
 			o.Calls = 0
 		}
-		if err := o.slice(caller, direct, o.Direct); err != nil {
+		if err := o.sendCalls(caller, direct, o.Direct); err != nil {
 			return nil, err
 		}
-		if err := o.slice(caller, node, o.Node); err != nil {
+		if err := o.sendCalls(caller, node, o.Node); err != nil {
 			return nil, err
 		}
-		o.Calls += overheadRate
+		o.Calls += callsPerSlice
 	}
 	o.HeapAfter = heapInUse()
 	return o, nil
@@ -83,15 +83,15 @@
 	return m.HeapAlloc
 }
 
-// slice sends calls at their times for a second and records each from the
+// sendCalls sends calls at their times for a second and records each from the
 // moment it was due.
-func (o *Overhead) slice(caller *http.Client, url string, into *hdrhistogram.Histogram) error {
+func (o *Overhead) sendCalls(caller *http.Client, url string, into *hdrhistogram.Histogram) error {
 	var mu sync.Mutex
 	var failed error
 	var wg sync.WaitGroup
 	start := time.Now()
-	for i := range overheadRate {
-		due := start.Add(time.Duration(i) * overheadSlice / overheadRate)
+	for i := range callsPerSlice {
+		due := start.Add(time.Duration(i) * sliceDuration / callsPerSlice)
 		time.Sleep(time.Until(due))
 		wg.Go(func() {
 			err := post(caller, url)
--- a/measure/run.go
+++ b/measure/run.go
@@ -13,12 +13,12 @@
 // and averages have been learned.
 const warmUp = 2 * time.Second
 
-// callerPatience bounds one try.
-const callerPatience = 15 * time.Second
+// tryTimeout bounds one try.
+const tryTimeout = 15 * time.Second
 
-// stages returns engines of mixed kinds: in each stage one is half as fast as
+// mixedSpeedStages returns engines of mixed kinds: in each stage one is half as fast as
 // the other two.
-func stages() []testbed.Stage {
+func mixedSpeedStages() []testbed.Stage {
 	c := standin.DefaultEngineConfig()
 	c.Base = 4 * time.Millisecond
 	c.PerStep = time.Millisecond
@@ -32,34 +32,34 @@
 
 // Run runs a scenario once with a contender.
 func Run(s Scenario, c Contender, seed uint64) (*Figures, error) {
-	bed, err := testbed.Start(testbed.WithNodes(s.Nodes), testbed.WithStages(stages()...),
+	bed, err := testbed.Start(testbed.WithNodes(s.Nodes), testbed.WithStages(mixedSpeedStages()...),
 		testbed.WithPolicy(c.Policy, c.Chooser), testbed.WithRecording(0))
 	if err != nil {
 		return nil, err
 	}
 	defer bed.Close()
 	accounts := append([]string{"clinic"}, s.Accounts...)
-	bounds := testbed.ChangesWithBounds(uint32(FirstBound.Milliseconds()), uint32(TokenBound.Milliseconds()), accounts...)
+	bounds := testbed.ChangesWithBounds(uint32(FirstTokenBound.Milliseconds()), uint32(TokenIntervalBound.Milliseconds()), accounts...)
 	if err := bed.Configure(bounds...); err != nil {
 		return nil, err
 	}
-	send(bed, s, Rate{PerSecond: 30, Length: warmUp}.Items(seed+1000), accounts)
+	runLoad(bed, s, PoissonLoad{PerSecond: 30, Duration: warmUp}.Items(seed+1000), accounts)
 	start := time.Now()
 	if s.Fault != nil {
 		timer := time.AfterFunc(s.FaultAt, func() { s.Fault(bed) })
 		defer timer.Stop()
 	}
-	results := send(bed, s, s.Load(seed), accounts)
+	results := runLoad(bed, s, s.Load(seed), accounts)
 	return figures(s, results, start), nil
 }
 
-func send(bed *testbed.Bed, s Scenario, items []load.Item, accounts []string) []load.Result {
+func runLoad(bed *testbed.Bed, s Scenario, items []load.Item, accounts []string) []load.Result {
 	keys := make(map[string]string)
 	for _, a := range accounts {
 		keys[a] = testbed.AccountKey(a)
 	}
 	r := load.NewRunner(bed.Addresses(), load.WithKeys(keys), load.WithLayers(testbed.Layers),
-		load.WithTries(s.Tries), load.WithAttemptTimeout(callerPatience), load.WithSeed(1))
+		load.WithTries(s.MaxTries), load.WithAttemptTimeout(tryTimeout), load.WithSeed(1))
 	return r.Run(context.Background(), items)
 }
 
@@ -69,13 +69,13 @@
 	best := 0.0
 	for _, rate := range []float64{40, 60, 80, 110} {
 		for _, c := range Contenders("") {
-			s := Scenario{Nodes: 2, Tries: 1, Length: 4 * time.Second, Load: Rate{PerSecond: rate, Length: 4 * time.Second}.Items}
+			s := Scenario{Nodes: 2, MaxTries: 1, Duration: 4 * time.Second, Load: PoissonLoad{PerSecond: rate, Duration: 4 * time.Second}.Items}
 			f, err := Run(s, c, seed)
 			if err != nil {
 				return 0, err
 			}
 			report(c.Name, rate, f)
-			best = max(best, f.Good)
+			best = max(best, f.GoodPerSecond)
 		}
 	}
 	return best, nil
--- a/measure/scenario.go
+++ b/measure/scenario.go
@@ -14,15 +14,15 @@
 
 // Bounds of the measured route.
 const (
-	FirstBound = 1200 * time.Millisecond
-	TokenBound = 40 * time.Millisecond
+	FirstTokenBound    = 1200 * time.Millisecond
+	TokenIntervalBound = 40 * time.Millisecond
 )
 
 // Scenario is a load, and what goes wrong under it.
 type Scenario struct {
 	Name string
-	// Length is how long requests arrive.
-	Length time.Duration
+	// Duration is how long requests arrive.
+	Duration time.Duration
 	// Load makes the requests of a run.
 	Load func(seed uint64) []load.Item
 	// Fault is what goes wrong, FaultAt after the start; nil for nothing.
@@ -30,8 +30,8 @@
 	FaultAt time.Duration
 	// Nodes is the number of entry nodes.
 	Nodes int
-	// Tries is how often a caller sends a request at the most.
-	Tries int
+	// MaxTries is how often a caller sends a request at the most.
+	MaxTries int
 	// Accounts are the client accounts, all of one weight.
 	Accounts []string
 }
@@ -41,33 +41,33 @@
 func Scenarios(capacity float64) []Scenario {
 	const length = 5 * time.Second
 	// Below what is left of a stage when one of its three engines is gone.
-	calm := Rate{PerSecond: 0.45 * capacity, Length: length}
+	calm := PoissonLoad{PerSecond: 0.45 * capacity, Duration: length}
 	return []Scenario{
-		{Name: "at capacity", Length: length, Load: Rate{PerSecond: capacity, Length: length}.Items, Nodes: 2, Tries: 1},
-		{Name: "dawn rush, 1.5 times capacity", Length: length, Load: Rate{PerSecond: 1.5 * capacity, Length: length}.Items, Nodes: 2, Tries: 1},
-		{Name: "dawn rush, 2.5 times capacity", Length: length, Load: Rate{PerSecond: 2.5 * capacity, Length: length}.Items, Nodes: 2, Tries: 1},
+		{Name: "at capacity", Duration: length, Load: PoissonLoad{PerSecond: capacity, Duration: length}.Items, Nodes: 2, MaxTries: 1},
+		{Name: "dawn rush, 1.5 times capacity", Duration: length, Load: PoissonLoad{PerSecond: 1.5 * capacity, Duration: length}.Items, Nodes: 2, MaxTries: 1},
+		{Name: "dawn rush, 2.5 times capacity", Duration: length, Load: PoissonLoad{PerSecond: 2.5 * capacity, Duration: length}.Items, Nodes: 2, MaxTries: 1},
 		{
-			Name: "Monday rush, a stage dies", Length: length, Load: calm.Items, Nodes: 2, Tries: 3,
+			Name: "Monday rush, a stage dies", Duration: length, Load: calm.Items, Nodes: 2, MaxTries: 3,
 			Fault: killEngine, FaultAt: 2 * time.Second,
 		},
 		{
-			Name: "Monday rush, a stage freezes", Length: length, Load: calm.Items, Nodes: 2, Tries: 3,
+			Name: "Monday rush, a stage freezes", Duration: length, Load: calm.Items, Nodes: 2, MaxTries: 3,
 			Fault: freezeEngine, FaultAt: 2 * time.Second,
 		},
 		{
-			Name: "a link degrades", Length: length, Load: calm.Items, Nodes: 2, Tries: 3,
+			Name: "a link degrades", Duration: length, Load: calm.Items, Nodes: 2, MaxTries: 3,
 			Fault: degradeLink, FaultAt: 2 * time.Second,
 		},
 		{
-			Name: "an entry node dies", Length: length, Load: calm.Items, Nodes: 3, Tries: 3,
+			Name: "an entry node dies", Duration: length, Load: calm.Items, Nodes: 3, MaxTries: 3,
 			Fault: killNode, FaultAt: 2 * time.Second,
 		},
 		{
-			Name: "the store is out, and a stage dies", Length: length, Load: calm.Items, Nodes: 2, Tries: 3,
-			Fault: outageAndDeath, FaultAt: 2 * time.Second,
+			Name: "the store is out, and a stage dies", Duration: length, Load: calm.Items, Nodes: 2, MaxTries: 3,
+			Fault: failStoreAndKillEngine, FaultAt: 2 * time.Second,
 		},
 		{
-			Name: "one account floods", Length: length, Load: Flood{PerSecond: capacity, Length: length}.Items, Nodes: 2, Tries: 1,
+			Name: "one account floods", Duration: length, Load: FloodLoad{PerSecond: capacity, Duration: length}.Items, Nodes: 2, MaxTries: 1,
 			Accounts: []string{"flood", "small-1", "small-2", "small-3"},
 		},
 	}
