--- a/measure/series.go
+++ b/measure/series.go
@@ -15,42 +15,42 @@
 // Add adds a run.
 func (s *Series) Add(f *Figures) { s.runs = append(s.runs, f) }
 
-// Sum is a series in a few figures: the middle one, and how far they spread.
-type Sum struct {
-	Good            float64
-	LeastGood       float64
-	MostGood        float64
-	Share           float64
-	Small           float64
-	Recovery        time.Duration
-	LongestRecovery time.Duration
-	Stall           time.Duration
-	Wrong           int
-	Missing         int
-	Outcomes        string
+// Summary is a series in a few figures: the middle one, and how far they spread.
+type Summary struct {
+	GoodPerSecond    float64
+	MinGoodPerSecond float64
+	MaxGoodPerSecond float64
+	GoodShare        float64
+	SmallGoodShare   float64
+	RecoveryTime     time.Duration
+	MaxRecoveryTime  time.Duration
+	LongestStall     time.Duration
+	WrongAnswers     int
+	MissingOutcomes  int
+	Outcomes         string
 }
 
-// Sum returns the medians and the spread.
-func (s *Series) Sum() Sum {
-	good := s.sorted(func(f *Figures) float64 { return f.Good })
-	recovery := s.sorted(func(f *Figures) float64 { return float64(f.Recovery) })
-	sum := Sum{
-		Good: middle(good), LeastGood: good[0], MostGood: good[len(good)-1],
-		Share:           middle(s.sorted(func(f *Figures) float64 { return f.Share })),
-		Small:           middle(s.sorted(func(f *Figures) float64 { return f.Small })),
-		Recovery:        time.Duration(middle(recovery)),
-		LongestRecovery: time.Duration(recovery[len(recovery)-1]),
-		Stall:           time.Duration(middle(s.sorted(func(f *Figures) float64 { return float64(f.Stall) }))),
+// Summary returns the medians and the spread.
+func (s *Series) Summary() Summary {
+	good := s.sorted(func(f *Figures) float64 { return f.GoodPerSecond })
+	recovery := s.sorted(func(f *Figures) float64 { return float64(f.RecoveryTime) })
+	sum := Summary{
+		GoodPerSecond: median(good), MinGoodPerSecond: good[0], MaxGoodPerSecond: good[len(good)-1],
+		GoodShare:       median(s.sorted(func(f *Figures) float64 { return f.GoodShare })),
+		SmallGoodShare:  median(s.sorted(func(f *Figures) float64 { return f.SmallGoodShare })),
+		RecoveryTime:    time.Duration(median(recovery)),
+		MaxRecoveryTime: time.Duration(recovery[len(recovery)-1]),
+		LongestStall:    time.Duration(median(s.sorted(func(f *Figures) float64 { return float64(f.LongestStall) }))),
 	}
 	outcomes := make(map[string]int)
 	for _, f := range s.runs {
-		sum.Wrong += f.Wrong
-		sum.Missing += f.Missing
+		sum.WrongAnswers += f.WrongAnswers
+		sum.MissingOutcomes += f.MissingOutcomes
 		for name, n := range f.Outcomes {
 			outcomes[name] += n
 		}
 	}
-	sum.Outcomes = words(outcomes)
+	sum.Outcomes = formatCounts(outcomes)
 	return sum
 }
 
@@ -63,9 +63,9 @@
 	return values
 }
 
-func middle(sorted []float64) float64 { return sorted[len(sorted)/2] }
+func median(sorted []float64) float64 { return sorted[len(sorted)/2] }
 
-func words(counts map[string]int) string {
+func formatCounts(counts map[string]int) string {
 	var parts []string
 	for name, n := range counts {
 		parts = append(parts, fmt.Sprintf("%s %d", name, n))
--- a/node/circle.go
+++ b/node/circle.go
@@ -19,49 +19,49 @@
 )
 
 const (
-	// circleEvery is how often it is looked whether the hubs have changed, and the least
+	// topologyInterval is how often it is looked whether the hubs have changed, and the least
 	// pause between two changes of whom this node tells: where all nodes start together
 	// others become known one by one.
-	circleEvery = 150 * time.Millisecond
-	// passers is how many hubs pass on what a node tells all: each may be lost meanwhile.
-	passers = 2
+	topologyInterval = 150 * time.Millisecond
+	// forwardingHubs is how many hubs pass on what a node tells all: each may be lost meanwhile.
+	forwardingHubs = 2
 )
 
-// followCircle has this node tell those whom it is to tell, as nodes become known and hubs
+// followTopology has this node tell those whom it is to tell, as nodes become known and hubs
 // change, until the context ends.
-func (n *Node) followCircle(ctx context.Context) error {
+func (n *Node) followTopology(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-n.members.known:
+	case <-n.members.ready:
 	}
 	last, seen := "", 0
 	for ctx.Err() == nil {
 		circle := n.roster.Topology(n.clock.Now())
 		others, rank, changes := n.members.get()
-		name := circleName(&circle)
+		name := topologyKey(&circle)
 		if name != last {
 			n.log.Info("circle", zap.Bool("meshed", circle.FullMesh), zap.Bool("hub", circle.IsHub), zap.Int("place", circle.HubIndex),
-				zap.String("hubs", namesOf(circle.Hubs)), zap.Int("others", circle.PeerCount))
+				zap.String("hubs", joinNames(circle.Hubs)), zap.Int("others", circle.PeerCount))
 		}
 		if changes > seen || name != last {
 			last, seen = name, changes
-			n.setCircle(&circle, others, rank)
+			n.applyTopology(&circle, others, rank)
 		}
-		clock.Pause(ctx, circleEvery)
+		clock.Sleep(ctx, topologyInterval)
 	}
 	return ctx.Err()
 }
 
-// circleName tells circles apart.
-func circleName(c *reading.Topology) string {
+// topologyKey tells circles apart.
+func topologyKey(c *reading.Topology) string {
 	if c.FullMesh {
 		return "meshed"
 	}
-	return strconv.Itoa(c.HubIndex) + " " + namesOf(c.Hubs) + " " + namesOf(c.Absent)
+	return strconv.Itoa(c.HubIndex) + " " + joinNames(c.Hubs) + " " + joinNames(c.MissingHubs)
 }
 
-func namesOf(members []*wire.Member) string {
+func joinNames(members []*wire.Member) string {
 	var names []string
 	for _, m := range members {
 		names = append(names, m.GetName())
@@ -69,33 +69,33 @@
 	return strings.Join(names, ",")
 }
 
-// setCircle takes whom this node tells, and what others leave to it.
-func (n *Node) setCircle(circle *reading.Topology, others []*wire.Member, rank int) {
+// applyTopology takes whom this node tells, and what others leave to it.
+func (n *Node) applyTopology(circle *reading.Topology, others []*wire.Member, rank int) {
 	here := n.settings.DataCentre
 	msg := peersMsg(circle, append(others[:len(others):len(others)], n.roster.Self()))
 	n.usage.SetAddresses(usageAddressesByName(others))
 	if circle.FullMesh {
-		near, far := meshedPeers(others, here)
+		near, far := meshRecipients(others, here)
 		msg.UsagePeers = len(near)
 		n.usage.SetPeers(usageAddresses(near), usageAddresses(far))
 		n.relay.SetPeers(msg)
 		n.placer.Send(placement.RankMsg{Delay: plannerDelay(rank)})
 		return
 	}
-	n.usage.SetRecipients(hubRoutes(circle, others, here))
+	n.usage.SetRecipients(hubRecipients(circle, others, here))
 	n.relay.SetPeers(msg)
-	n.placer.Send(placement.RankMsg{Delay: plannerDelay(circle.HubIndex), Standby: !circle.IsHub, ExcludedDataCentres: otherCentres(others, here)})
+	n.placer.Send(placement.RankMsg{Delay: plannerDelay(circle.HubIndex), Standby: !circle.IsHub, ExcludedDataCentres: otherDataCentres(others, here)})
 }
 
 // peersMsg tells the relay of all nodes that are known. Where others stand in a large data
 // centre not all of its nodes are, and their number is told.
 func peersMsg(circle *reading.Topology, all []*wire.Member) dispatch.PeersMsg {
-	told := toldIn(all)
-	msg := dispatch.PeersMsg{UsagePeers: circle.PeerCount, Members: owners(told)}
+	told := broadcastTargets(all)
+	msg := dispatch.PeersMsg{UsagePeers: circle.PeerCount, Members: limitOwnerCandidates(told)}
 	switch {
 	case !circle.FullMesh && !circle.IsHub:
 		msg.Aggregated = true
-	case len(told) < len(inDataCentres(all)):
+	case len(told) < len(withDataCentre(all)):
 		msg.LocalNodes = circle.PeerCount + 1
 	default:
 		msg.TotalNodes = len(msg.Members)
@@ -103,13 +103,13 @@
 	return msg
 }
 
-// inDataCentres are the nodes whose data centre is known.
-func inDataCentres(members []*wire.Member) []*wire.Member {
+// withDataCentre are the nodes whose data centre is known.
+func withDataCentre(members []*wire.Member) []*wire.Member {
 	return slices.DeleteFunc(slices.Clone(members), func(m *wire.Member) bool { return m.GetDataCentre() == "" })
 }
 
-// owners are the nodes of which some own the limits of upstreams.
-func owners(members []*wire.Member) []limit.Member {
+// limitOwnerCandidates are the nodes of which some own the limits of upstreams.
+func limitOwnerCandidates(members []*wire.Member) []limit.Member {
 	var list []limit.Member
 	for _, m := range members {
 		if m.GetUsageAddress() != "" {
@@ -119,48 +119,48 @@
 	return list
 }
 
-// meshedPeers returns the nodes that are told what this one has in use, and those that are
+// meshRecipients returns the nodes that are told what this one has in use, and those that are
 // told what its data centre has.
-func meshedPeers(others []*wire.Member, here string) (near, far []*wire.Member) {
-	if len(others) < nearAll {
+func meshRecipients(others []*wire.Member, here string) (near, far []*wire.Member) {
+	if len(others) < maxMeshUsageNodes {
 		return others, nil
 	}
-	return membersOf(others, here), toldElsewhere(others, here)
+	return membersIn(others, here), remoteBroadcastTargets(others, here)
 }
 
-// hubRoutes are the routes of a node of a data centre with hubs.
-func hubRoutes(circle *reading.Topology, others []*wire.Member, here string) usage.Recipients {
-	hubs, leaves, far := usageAddresses(circle.Hubs), usageAddresses(circle.Leaves), usageAddresses(toldElsewhere(others, here))
-	absent := usageAddresses(circle.Absent)
+// hubRecipients are the routes of a node of a data centre with hubs.
+func hubRecipients(circle *reading.Topology, others []*wire.Member, here string) usage.Recipients {
+	hubs, leaves, far := usageAddresses(circle.Hubs), usageAddresses(circle.Leaves), usageAddresses(remoteBroadcastTargets(others, here))
+	absent := usageAddresses(circle.MissingHubs)
 	if !circle.IsHub {
-		return usage.Recipients{Usage: hubs, Absent: absent, Placements: hubs, Unresponsive: hubs, Outcomes: slices.Concat(hubs, far)}
+		return usage.Recipients{Usage: hubs, MissingHubs: absent, Placements: hubs, Unresponsive: hubs, Outcomes: slices.Concat(hubs, far)}
 	}
 	near := slices.Concat(hubs, leaves)
-	r := usage.Recipients{Usage: hubs, Absent: absent, Hubs: circle.Hubs, DataCentreTotal: far, Leaves: leaves, Placements: near, Unresponsive: near, Outcomes: slices.Concat(near, far)}
-	if circle.HubIndex < passers {
+	r := usage.Recipients{Usage: hubs, MissingHubs: absent, Hubs: circle.Hubs, DataCentreTotal: far, Leaves: leaves, Placements: near, Unresponsive: near, Outcomes: slices.Concat(near, far)}
+	if circle.HubIndex < forwardingHubs {
 		r.Forward = near
 	}
 	return r
 }
 
-// toldElsewhere returns the nodes of other data centres that are told what concerns all.
-func toldElsewhere(others []*wire.Member, here string) []*wire.Member {
-	return toldIn(slices.DeleteFunc(slices.Clone(others), func(m *wire.Member) bool { return m.GetDataCentre() == here }))
+// remoteBroadcastTargets returns the nodes of other data centres that are told what concerns all.
+func remoteBroadcastTargets(others []*wire.Member, here string) []*wire.Member {
+	return broadcastTargets(slices.DeleteFunc(slices.Clone(others), func(m *wire.Member) bool { return m.GetDataCentre() == here }))
 }
 
-// toldIn returns the nodes among some that are told what concerns all: of a large data centre
+// broadcastTargets returns the nodes among some that are told what concerns all: of a large data centre
 // the first by rank, which are its hubs unless they are lost.
-func toldIn(members []*wire.Member) []*wire.Member {
+func broadcastTargets(members []*wire.Member) []*wire.Member {
 	var told []*wire.Member
-	for _, centre := range otherCentres(members, "") {
-		ranked := slices.SortedFunc(slices.Values(membersOf(members, centre)), reading.CompareRank)
+	for _, centre := range otherDataCentres(members, "") {
+		ranked := slices.SortedFunc(slices.Values(membersIn(members, centre)), reading.CompareRank)
 		told = append(told, ranked[:reading.BroadcastFanout(len(ranked))]...)
 	}
 	return told
 }
 
-// otherCentres are the data centres in which other nodes stand.
-func otherCentres(others []*wire.Member, here string) []string {
+// otherDataCentres are the data centres in which other nodes stand.
+func otherDataCentres(others []*wire.Member, here string) []string {
 	var centres []string
 	for _, m := range others {
 		if centre := m.GetDataCentre(); centre != here && centre != "" && !slices.Contains(centres, centre) {
--- a/node/circle_test.go
+++ b/node/circle_test.go
@@ -9,8 +9,8 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// fleetOf returns nodes in data centres, one in twenty of which can do more than the others.
-func fleetOf(centres []string, each int) []*wire.Member {
+// testMembers returns nodes in data centres, one in twenty of which can do more than the others.
+func testMembers(centres []string, each int) []*wire.Member {
 	var members []*wire.Member
 	for _, centre := range centres {
 		for i := range each {
@@ -25,10 +25,10 @@
 	return members
 }
 
-// circleOf returns the place of a node among others, all of which are there.
-func circleOf(self *wire.Member, others []*wire.Member) reading.Topology {
+// topologyOf returns the place of a node among others, all of which are there.
+func topologyOf(self *wire.Member, others []*wire.Member) reading.Topology {
 	r := reading.NewRoster(self, 0, 2000)
-	r.SetGroup(membersOf(others, self.GetDataCentre()))
+	r.SetGroup(membersIn(others, self.GetDataCentre()))
 	return r.Topology(0)
 }
 
@@ -37,11 +37,11 @@
 func TestWhatANodeTellsDoesNotGrow(t *testing.T) {
 	centres := []string{"a", "b", "c", "d", "e"}
 	for _, each := range []int{30, 100, 200, 400} {
-		others := fleetOf(centres, each)
+		others := testMembers(centres, each)
 		self := others[each-1]
 		others = slices.Delete(others, each-1, each)
-		circle := circleOf(self, others)
-		r := hubRoutes(&circle, others, "a")
+		circle := topologyOf(self, others)
+		r := hubRecipients(&circle, others, "a")
 		if circle.FullMesh || circle.IsHub {
 			t.Fatalf("%d nodes a data centre: got %+v, want a leaf", each, circle)
 		}
@@ -57,13 +57,13 @@
 // What any node tells all must reach all: its hubs pass it on, and so do those of other data
 // centres.
 func TestAllAreReachedThroughHubs(t *testing.T) {
-	members := fleetOf([]string{"a", "b"}, 60)
+	members := testMembers([]string{"a", "b"}, 60)
 	routes := make(map[string]func() []string)
 	passes := make(map[string][]string)
 	for i, m := range members {
 		others := slices.Delete(slices.Clone(members), i, i+1)
-		circle := circleOf(m, others)
-		r := hubRoutes(&circle, others, m.GetDataCentre())
+		circle := topologyOf(m, others)
+		r := hubRecipients(&circle, others, m.GetDataCentre())
 		routes[m.GetUsageAddress()] = func() []string { return r.Outcomes }
 		passes[m.GetUsageAddress()] = r.Forward
 	}
@@ -84,13 +84,13 @@
 
 // Nodes agree on who may own a limit, whatever else they know.
 func TestOwnersAreTheSameEverywhere(t *testing.T) {
-	members := fleetOf([]string{"a", "b"}, 60)
-	want := owners(toldIn(members))
+	members := testMembers([]string{"a", "b"}, 60)
+	want := limitOwnerCandidates(broadcastTargets(members))
 	// A leaf knows some of its own data centre, and a hub all.
 	some := slices.DeleteFunc(slices.Clone(members), func(m *wire.Member) bool {
 		return m.GetStrength() < 32 && m.GetName()[2:] > "030"
 	})
-	if got := owners(toldIn(some)); !slices.Equal(got, want) {
+	if got := limitOwnerCandidates(broadcastTargets(some)); !slices.Equal(got, want) {
 		t.Errorf("got owners %v, want %v", got, want)
 	}
 }
@@ -109,7 +109,7 @@
 	}
 	for _, tt := range tests {
 		s := &Settings{CoreShare: tt.share, Cores: tt.cores, LinkMbps: tt.mbps}
-		if got := s.strength(); got != tt.want {
+		if got := s.capacity(); got != tt.want {
 			t.Errorf("%v of %d cores, %v Mbit/s: got %d, want %d", tt.share, tt.cores, tt.mbps, got, tt.want)
 		}
 	}
@@ -118,13 +118,13 @@
 // A node of a small data centre beside a large one knows only those that have registered
 // there, and owns no larger part of what all may do for that.
 func TestNodesThatAreNotKnownAreCounted(t *testing.T) {
-	small, large := fleetOf([]string{"a"}, 10), fleetOf([]string{"b"}, 25)
+	small, large := testMembers([]string{"a"}, 10), testMembers([]string{"b"}, 25)
 	all := slices.Concat(small, large)
-	circle := circleOf(small[0], small[1:])
+	circle := topologyOf(small[0], small[1:])
 	if got := peersMsg(&circle, all); got.TotalNodes != 0 || got.LocalNodes != 10 {
 		t.Errorf("got %d nodes, %d of them here, want what others tell and 10 of its own", got.TotalNodes, got.LocalNodes)
 	}
-	circle = circleOf(small[0], small[1:])
+	circle = topologyOf(small[0], small[1:])
 	if got := peersMsg(&circle, small); got.TotalNodes != 10 || got.LocalNodes != 0 {
 		t.Errorf("got %d nodes, %d of them here, want all 10 by name", got.TotalNodes, got.LocalNodes)
 	}
--- a/node/deadly_test.go
+++ b/node/deadly_test.go
@@ -25,70 +25,70 @@
 // Here such a request comes to all nodes in turn. Upstreams come back after each end,
 // under a new id or under the one that they had, and nodes are started anew on the way.
 
-// mostEnds is how many upstreams a request may end before it is sent to none: three, and
+// maxCrashes is how many upstreams a request may end before it is sent to none: three, and
 // as many again that were sent to before all nodes knew, or since nodes were started anew.
-const mostEnds = 6
+const maxCrashes = 6
 
-// deadlyTries is how often it comes.
-const deadlyTries = 10
+// crashingTries is how often it comes.
+const crashingTries = 10
 
-// deadlySite is a site whose upstreams come back when a request has ended them.
-type deadlySite struct {
+// crashSite is a site whose upstreams come back when a request has ended them.
+type crashSite struct {
 	*site
-	// ends counts the upstreams that have ended.
-	ends    atomic.Int64
-	returns returns
+	// crashes counts the upstreams that have ended.
+	crashes atomic.Int64
+	mode    restartMode
 }
 
-// returns is how upstreams come back after their end.
-type returns string
+// restartMode is how upstreams come back after their end.
+type restartMode string
 
 const (
-	// elsewhereAnew: under another id and at another address.
-	elsewhereAnew returns = "elsewhere, anew"
-	// elsewhereReborn: under the id that they had, at another address.
-	elsewhereReborn returns = "elsewhere, reborn"
-	// inPlace: under another id at the same address, while the list shows the entry of the
+	// newIDNewAddress: under another id and at another address.
+	newIDNewAddress restartMode = "elsewhere, anew"
+	// sameIDNewAddress: under the id that they had, at another address.
+	sameIDNewAddress restartMode = "elsewhere, reborn"
+	// newIDSameAddress: under another id at the same address, while the list shows the entry of the
 	// one that has ended. Nobody tells when it started.
-	inPlace returns = "in place"
+	newIDSameAddress restartMode = "in place"
 )
 
-// newDeadlySite starts a site of four engines and three desks.
-func newDeadlySite(t *testing.T, r returns) *deadlySite {
-	s := &deadlySite{site: &site{t: t, store: standin.NewRowStore(), engines: make(map[string]*engineProcess)}, returns: r}
+// newCrashSite starts a site of four engines and three desks.
+func newCrashSite(t *testing.T, r restartMode) *crashSite {
+	s := &crashSite{site: &site{t: t, store: standin.NewRowStore(), engines: make(map[string]*engineProcess)}, mode: r}
 	server := httptest.NewServer(s.store.Handler())
 	t.Cleanup(server.Close)
-	s.storeAt = server.Listener.Addr().String()
+	s.storeAddress = server.Listener.Addr().String()
 	s.store.Put("op", "config", standin.SiteConfig(1, "k1", "k2"))
 	for i := range 4 {
-		s.start(fmt.Sprintf("e%d", i+1), anyPort, engine)
+		s.startUpstream(fmt.Sprintf("e%d", i+1), anyPort, newEngine)
 	}
 	for i := range 3 {
-		s.start(fmt.Sprintf("desk%d", i+1), anyPort, desk)
+		s.startUpstream(fmt.Sprintf("desk%d", i+1), anyPort, newPlainService)
 	}
 	return s
 }
 
-// server is a stand-in that is listed.
-type server interface {
+// upstreamServer is a stand-in that is listed.
+type upstreamServer interface {
 	Handler() http.Handler
 	Entry(centre string) *platformpb.Server
 }
 
-func engine(id, at string, opts ...standin.ServerOption) server {
+func newEngine(id, at string, opts ...standin.ServerOption) upstreamServer {
 	return standin.NewChainEngine(id, at, opts...)
 }
 
-func desk(id, at string, opts ...standin.ServerOption) server {
-	return standin.NewDesk(id, at, time.Millisecond, opts...)
+func newPlainService(id, at string, opts ...standin.ServerOption) upstreamServer {
+	return standin.NewPlainServer(id, at, time.Millisecond, opts...)
 }
 
-// entryLingers is for how long the list shows an upstream that has ended, where another one
+// staleEntryLifetime is for how long the list shows an upstream that has ended, where another one
 // has its address.
-const entryLingers = 4 * time.Second
+const staleEntryLifetime = 4 * time.Second
 
-// start starts an upstream which comes back when a request has ended it.
-func (s *deadlySite) start(id, at string, make func(id, at string, opts ...standin.ServerOption) server) {
+// startUpstream starts an upstream which comes back when a request has ended it.
+func (s *crashSite) startUpstream(id, at string, make func(id, at string, opts ...standin.ServerOption) upstreamServer) {
 	listener := httptest.NewUnstartedServer(nil)
 	_ = listener.Listener.Close()
 	var err error
@@ -98,38 +98,38 @@
 	}
 	var stop func()
 	var ended atomic.Bool
-	end := standin.WithEnd(func(string) {
+	end := standin.WithCrash(func(string) {
 		if ended.Swap(true) {
 			return
 		}
-		s.ends.Add(1)
+		s.crashes.Add(1)
 		_ = listener.Listener.Close()
 		go listener.CloseClientConnections()
 		next, address := id, anyPort
-		if s.returns != elsewhereReborn {
+		if s.mode != sameIDNewAddress {
 			next += "'"
 		}
-		if s.returns == inPlace {
+		if s.mode == newIDSameAddress {
 			address = listener.Listener.Addr().String()
-			time.AfterFunc(entryLingers, stop)
+			time.AfterFunc(staleEntryLifetime, stop)
 		} else {
 			stop()
 		}
-		time.AfterFunc(300*time.Millisecond, func() { s.start(next, address, make) })
+		time.AfterFunc(300*time.Millisecond, func() { s.startUpstream(next, address, make) })
 	})
 	opts := []standin.ServerOption{end}
-	if s.returns == inPlace {
-		opts = append(opts, standin.WithoutStart())
+	if s.mode == newIDSameAddress {
+		opts = append(opts, standin.WithoutStartTime())
 	}
 	v := make(id, listener.Listener.Addr().String(), opts...)
 	listener.Config.Handler = v.Handler()
-	stop = s.beat(id, func() *platformpb.Server { return v.Entry("dc") })
+	stop = s.startHeartbeat(id, func() *platformpb.Server { return v.Entry("dc") })
 	listener.Start()
 	s.t.Cleanup(func() { _ = listener.Listener.Close(); listener.CloseClientConnections() })
 }
 
-// awaitInnocent waits until a request of the same caller, of the same kind, is served.
-func (s *deadlySite) awaitInnocent(n *testNode, method, prefix, name string) {
+// awaitHarmless waits until a request of the same caller, of the same kind, is served.
+func (s *crashSite) awaitHarmless(n *testNode, method, prefix, name string) {
 	i := 0
 	await(s.t, "innocent request served", func() bool {
 		i++
@@ -145,33 +145,33 @@
 		{"plain that may be repeated", http.MethodGet, "/read/"},
 	}
 	for _, kind := range kinds {
-		for _, r := range []returns{elsewhereAnew, elsewhereReborn} {
+		for _, r := range []restartMode{newIDNewAddress, sameIDNewAddress} {
 			t.Run(fmt.Sprintf("%s, %s", kind.name, r), func(t *testing.T) {
 				t.Parallel()
-				s := newDeadlySite(t, r)
+				s := newCrashSite(t, r)
 				nodes := s.startNodes(3)
 				// Nodes that start know each other after 2.5 s; until then each learns alone.
 				for _, n := range nodes {
-					await(t, "nodes that know each other", func() bool { return n.Peers() == len(nodes)-1 })
+					await(t, "nodes that know each other", func() bool { return n.PeerCount() == len(nodes)-1 })
 				}
-				for i := range deadlyTries {
-					if i == deadlyTries/2 {
+				for i := range crashingTries {
+					if i == crashingTries/2 {
 						// All nodes are started anew: what they knew must outlast them.
-						await(t, "verdict in the store", s.kept)
+						await(t, "verdict in the store", s.quarantineStored)
 						for _, n := range nodes {
 							n.stop()
 						}
 						nodes = s.startNodes(3)
 					}
 					n := nodes[i%len(nodes)]
-					s.awaitInnocent(n, kind.method, kind.prefix, fmt.Sprint(i))
-					n.do(kind.method, kind.prefix+standin.DeadlyPath, fmt.Sprint("try-", i), "k1")
+					s.awaitHarmless(n, kind.method, kind.prefix, fmt.Sprint(i))
+					n.do(kind.method, kind.prefix+standin.CrashPath, fmt.Sprint("try-", i), "k1")
 				}
-				if got := s.ends.Load(); got > mostEnds {
-					t.Errorf("got %d upstreams that one request has ended, want %d at the most", got, mostEnds)
+				if got := s.crashes.Load(); got > maxCrashes {
+					t.Errorf("got %d upstreams that one request has ended, want %d at the most", got, maxCrashes)
 				}
 				for i, n := range nodes {
-					s.awaitInnocent(n, kind.method, kind.prefix, fmt.Sprint("after", i))
+					s.awaitHarmless(n, kind.method, kind.prefix, fmt.Sprint("after", i))
 				}
 			})
 		}
@@ -193,46 +193,46 @@
 	} {
 		t.Run(kind.name, func(t *testing.T) {
 			t.Parallel()
-			s := newDeadlySite(t, inPlace)
+			s := newCrashSite(t, newIDSameAddress)
 			nodes := s.startNodes(2)
 			for _, n := range nodes {
-				await(t, "nodes that know each other", func() bool { return n.Peers() == len(nodes)-1 })
-				s.awaitInnocent(n, kind.method, kind.prefix, "before")
+				await(t, "nodes that know each other", func() bool { return n.PeerCount() == len(nodes)-1 })
+				s.awaitHarmless(n, kind.method, kind.prefix, "before")
 			}
 			tries := 0
-			ask := func() answer {
+			ask := func() response {
 				tries++
-				return nodes[tries%len(nodes)].do(kind.method, kind.prefix+standin.DeadlyPath, fmt.Sprint("try-", tries), "k1")
+				return nodes[tries%len(nodes)].do(kind.method, kind.prefix+standin.CrashPath, fmt.Sprint("try-", tries), "k1")
 			}
 			await(t, "verdict", func() bool {
 				return strings.Contains(ask().body, string(dispatch.ReasonQuarantined))
 			})
-			ended := s.ends.Load()
-			for until := time.Now().Add(entryLingers); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
+			ended := s.crashes.Load()
+			for until := time.Now().Add(staleEntryLifetime); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
 				ask()
 			}
-			t.Logf("%d upstreams had ended at the verdict, %d after it", ended, s.ends.Load()-ended)
+			t.Logf("%d upstreams had ended at the verdict, %d after it", ended, s.crashes.Load()-ended)
 			// One more may have been under way at the other node.
-			if got, want := s.ends.Load(), ended+1; got > want {
+			if got, want := s.crashes.Load(), ended+1; got > want {
 				t.Errorf("got %d upstreams that one request has ended, want %d at the most: %d at the verdict", got, want, ended)
 			}
 			for i, n := range nodes {
-				s.awaitInnocent(n, kind.method, kind.prefix, fmt.Sprint("after", i))
+				s.awaitHarmless(n, kind.method, kind.prefix, fmt.Sprint("after", i))
 			}
 		})
 	}
 }
 
-// kept tells whether the store keeps a request that ends upstreams.
-func (s *deadlySite) kept() bool { return s.holds("relay_quarantine", "") }
+// quarantineStored tells whether the store keeps a request that ends upstreams.
+func (s *crashSite) quarantineStored() bool { return s.storeContains("relay_quarantine", "") }
 
 // startNodes starts nodes that know each other.
-func (s *deadlySite) startNodes(count int) []*testNode {
+func (s *crashSite) startNodes(count int) []*testNode {
 	var nodes []*testNode
 	var seeds []string
 	for i := range count {
-		n := s.startNode(fmt.Sprintf("n%d", i+1), s.storeAt, seeds...)
-		nodes, seeds = append(nodes, n), append(seeds, n.peer)
+		n := s.startNode(fmt.Sprintf("n%d", i+1), s.storeAddress, seeds...)
+		nodes, seeds = append(nodes, n), append(seeds, n.peerAddress)
 	}
 	return nodes
 }
--- a/node/drain.go
+++ b/node/drain.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// unlisted is how long a stopping node still takes connections. The
+	// deregistrationDelay is how long a stopping node still takes connections. The
 	// platform asks each second and takes a node off at the second miss.
-	unlisted clock.Millis = 3000
-	// lastCut is how long before the end of its grace a node cuts off what is
+	deregistrationDelay clock.Millis = 3000
+	// cutoffMargin is how long before the end of its grace a node cuts off what is
 	// still in progress, so that it ends by itself.
-	lastCut clock.Millis = 500
+	cutoffMargin clock.Millis = 500
 )
 
 // Drain begins a planned stop. The node is not ready from now on; once the
@@ -25,11 +25,11 @@
 	n.log.Info("drain", zap.Int64("in_progress", n.relay.InProgress()), zap.Int64("grace_ms", int64(n.settings.grace())))
 	n.relay.Stop()
 	began := n.clock.Now()
-	n.clock.Until(n.life, began.Add(min(unlisted, n.settings.grace()-lastCut)))
-	ctx, cancel := context.WithCancel(n.life)
+	n.clock.WaitUntil(n.ctx, began.Add(min(deregistrationDelay, n.settings.grace()-cutoffMargin)))
+	ctx, cancel := context.WithCancel(n.ctx)
 	defer cancel()
 	go func() {
-		n.clock.Until(ctx, began.Add(n.settings.grace()-lastCut))
+		n.clock.WaitUntil(ctx, began.Add(n.settings.grace()-cutoffMargin))
 		cancel()
 	}()
 	for _, server := range n.servers {
--- a/node/faults_test.go
+++ b/node/faults_test.go
@@ -10,26 +10,26 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// badDesk is a desk that does one thing wrong, and says how often it was asked.
-type badDesk struct {
-	asked atomic.Int64
-	wrong func(w http.ResponseWriter, r *http.Request)
-	// firstAsked is closed when it is asked for the first time.
-	firstAsked chan struct{}
+// faultyService is a desk that does one thing wrong, and says how often it was asked.
+type faultyService struct {
+	requests atomic.Int64
+	respond  func(w http.ResponseWriter, r *http.Request)
+	// firstRequest is closed when it is asked for the first time.
+	firstRequest chan struct{}
 }
 
-func (d *badDesk) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *faultyService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/report" {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	if d.asked.Add(1) == 1 {
-		close(d.firstAsked)
+	if d.requests.Add(1) == 1 {
+		close(d.firstRequest)
 	}
-	d.wrong(w, r)
+	d.respond(w, r)
 }
 
-func hijack(w http.ResponseWriter, text string) {
+func writeRaw(w http.ResponseWriter, text string) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(err)
@@ -48,14 +48,14 @@
 		asked  int64
 	}{
 		{"closes without an answer", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, http.StatusBadGateway, 1},
-		{"no HTTP", func(w http.ResponseWriter, _ *http.Request) { hijack(w, "hello\r\n\r\n") }, http.StatusBadGateway, 1},
+		{"no HTTP", func(w http.ResponseWriter, _ *http.Request) { writeRaw(w, "hello\r\n\r\n") }, http.StatusBadGateway, 1},
 		{"another request's answer", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Attempt-Id", "somebody-else")
 			w.Header().Set("Response-Seal", "s")
 		}, http.StatusBadGateway, 1},
 		{"no seal", func(w http.ResponseWriter, r *http.Request) { w.Header().Set("Attempt-Id", r.Header.Get("Attempt-Id")) }, http.StatusBadGateway, 1},
 		{"an answer that is cut off", func(w http.ResponseWriter, r *http.Request) {
-			hijack(w, "HTTP/1.1 200 OK\r\nResponse-Seal: s\r\nAttempt-Id: "+r.Header.Get("Attempt-Id")+"\r\nContent-Length: 100\r\n\r\nonly some")
+			writeRaw(w, "HTTP/1.1 200 OK\r\nResponse-Seal: s\r\nAttempt-Id: "+r.Header.Get("Attempt-Id")+"\r\nContent-Length: 100\r\n\r\nonly some")
 		}, http.StatusBadGateway, 1},
 		{"a failure of its own", func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Attempt-Id", r.Header.Get("Attempt-Id"))
@@ -63,19 +63,19 @@
 			w.WriteHeader(http.StatusInternalServerError)
 		}, http.StatusInternalServerError, 1},
 		{"an answer without a length", func(w http.ResponseWriter, r *http.Request) {
-			hijack(w, "HTTP/1.1 200 OK\r\nResponse-Seal: s\r\nAttempt-Id: "+r.Header.Get("Attempt-Id")+"\r\nConnection: close\r\n\r\nall of it")
+			writeRaw(w, "HTTP/1.1 200 OK\r\nResponse-Seal: s\r\nAttempt-Id: "+r.Header.Get("Attempt-Id")+"\r\nConnection: close\r\n\r\nall of it")
 		}, http.StatusOK, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			s := newSite(t, 0)
-			desk := s.replaceDesk(tt.wrong)
-			n := s.startNode("n1", s.storeAt)
+			desk := s.replacePlainService(tt.wrong)
+			n := s.startNode("n1", s.storeAddress)
 			await(t, "configuration", func() bool { return n.do(http.MethodPost, "/nowhere/a", "x", "k1").status == http.StatusNotFound })
 			await(t, "upstream", func() bool {
 				got := n.do(http.MethodPost, "/once/a", "o1", "k1")
-				if desk.asked.Load() == 0 {
+				if desk.requests.Load() == 0 {
 					return false
 				}
 				if got.status != tt.status {
@@ -83,22 +83,22 @@
 				}
 				return true
 			})
-			if got := desk.asked.Load(); got != tt.asked {
+			if got := desk.requests.Load(); got != tt.asked {
 				t.Errorf("got %d askings, want %d", got, tt.asked)
 			}
 		})
 	}
 }
 
-// replaceDesk starts a desk that does one thing wrong, as the only one.
-func (s *site) replaceDesk(wrong func(http.ResponseWriter, *http.Request)) *badDesk {
-	s.stopDesk()
-	desk := &badDesk{wrong: wrong, firstAsked: make(chan struct{})}
+// replacePlainService starts a desk that does one thing wrong, as the only one.
+func (s *site) replacePlainService(wrong func(http.ResponseWriter, *http.Request)) *faultyService {
+	s.stopPlainService()
+	desk := &faultyService{respond: wrong, firstRequest: make(chan struct{})}
 	server := httptest.NewServer(desk)
 	s.t.Cleanup(server.Close)
 	address := server.Listener.Addr().String()
-	s.beat("bad1", func() *platformpb.Server {
-		return &platformpb.Server{Service: standin.SiteDesk, Address: address, Zone: "dc", State: "ready", Slots: 6}
+	s.startHeartbeat("bad1", func() *platformpb.Server {
+		return &platformpb.Server{Service: standin.SitePlainService, Address: address, Zone: "dc", State: "ready", Slots: 6}
 	})
 	return desk
 }
--- a/node/left_test.go
+++ b/node/left_test.go
@@ -13,18 +13,18 @@
 	t.Parallel()
 	s := newSite(t, 0)
 	ended := make(chan struct{})
-	desk := s.replaceDesk(func(_ http.ResponseWriter, r *http.Request) {
+	desk := s.replacePlainService(func(_ http.ResponseWriter, r *http.Request) {
 		// Only once the body is read does the server look whether the connection ends.
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 		close(ended)
 	})
-	n := s.startNode("n1", s.storeAt)
+	n := s.startNode("n1", s.storeAddress)
 	await(t, "readiness", n.ready)
-	await(t, "upstream", func() bool { return s.listed("bad1") })
+	await(t, "upstream", func() bool { return s.hasEntry("bad1") })
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
-	for desk.asked.Load() == 0 {
+	for desk.requests.Load() == 0 {
 		ctx, leave := context.WithCancel(context.Background())
 		answered := make(chan struct{})
 		go func() {
@@ -37,13 +37,13 @@
 		select {
 		case <-answered:
 			// The node does not know the upstream yet, and has refused.
-		case <-desk.firstAsked:
+		case <-desk.firstRequest:
 		}
 		leave()
 		<-answered
 	}
 	<-ended
-	if got, want := desk.asked.Load(), int64(1); got != want {
+	if got, want := desk.requests.Load(), int64(1); got != want {
 		t.Errorf("got %d askings, want %d", got, want)
 	}
 }
--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -25,28 +25,28 @@
 // them.
 
 const (
-	// namedLimit is what each upstream takes, in requests a second from all nodes.
-	namedLimit = 3.0
-	// limitContact is how long after it was named first a limit binds, and limitWatched for
+	// advertisedLimit is what each upstream takes, in requests a second from all nodes.
+	advertisedLimit = 3.0
+	// limitGrace is how long after it was named first a limit binds, and limitTestDuration for
 	// how long requests come.
-	limitContact = 3 * time.Second
-	limitWatched = 8 * time.Second
+	limitGrace        = 3 * time.Second
+	limitTestDuration = 8 * time.Second
 )
 
-// namesLimit is a stand-in that can name a limit.
-type namesLimit interface {
-	SetLimit(f standin.LimitFaults)
-	Visits() []standin.Visit
+// limitAdvertiser is a stand-in that can name a limit.
+type limitAdvertiser interface {
+	SetAdvertisedLimit(f standin.LimitFaults)
+	ReceivedRequests() []standin.ReceivedRequest
 }
 
-// nodeInName is the node that a try was sent to: its name begins with it.
-func nodeInName(id string) string {
+// nodeOfAttempt is the node that a try was sent to: its name begins with it.
+func nodeOfAttempt(id string) string {
 	node, _, _ := strings.Cut(id, "-")
 	return node
 }
 
-// nobody is excused.
-func nobody(string, int64, int64) bool { return false }
+// noExemption is excused.
+func noExemption(string, int64, int64) bool { return false }
 
 func TestLimitIsKeptByAllNodesTogether(t *testing.T) {
 	for _, kind := range []struct {
@@ -59,21 +59,21 @@
 		t.Run(kind.name, func(t *testing.T) {
 			t.Parallel()
 			s := newSite(t, 2)
-			desk := s.addDesk("desk2")
-			nodes := []*testNode{s.startNode("n1", s.storeAt), s.startNode("n2", s.storeAt), s.startNode("n3", s.storeAt)}
+			desk := s.addPlainService("desk2")
+			nodes := []*testNode{s.startNode("n1", s.storeAddress), s.startNode("n2", s.storeAddress), s.startNode("n3", s.storeAddress)}
 			for _, n := range nodes {
 				n.awaitServing(t)
 			}
-			upstreams := []namesLimit{s.desk, desk, s.engines["e1"].engine, s.engines["e2"].engine}
+			upstreams := []limitAdvertiser{s.plainService, desk, s.engines["e1"].engine, s.engines["e2"].engine}
 			for _, u := range upstreams {
-				u.SetLimit(standin.LimitFaults{Name: fmt.Sprint(namedLimit)})
+				u.SetAdvertisedLimit(standin.LimitFaults{Advertised: fmt.Sprint(advertisedLimit)})
 			}
-			press(t, nodes, kind.method, kind.prefix)
+			sendRequests(t, nodes, kind.method, kind.prefix)
 			visits := 0
 			for _, u := range upstreams {
-				visits += len(u.Visits())
-				for _, b := range standin.LimitBreaches(u.Visits(), nodeInName, limitContact, nobody) {
-					t.Errorf("got %d requests in 4 s at an upstream that takes %v a second, %v, want %d at most", b.Count, b.Limit, b.Nodes, b.Allowed)
+				visits += len(u.ReceivedRequests())
+				for _, b := range standin.LimitBreaches(u.ReceivedRequests(), nodeOfAttempt, limitGrace, noExemption) {
+					t.Errorf("got %d requests in 4 s at an upstream that takes %v a second, %v, want %d at most", b.Count, b.Limit, b.RequestsByNode, b.Allowed)
 				}
 			}
 			if visits == 0 {
@@ -83,14 +83,14 @@
 	}
 }
 
-// press sends requests to nodes, one after the other at each, for limitWatched.
-func press(t *testing.T, nodes []*testNode, method, prefix string) {
+// sendRequests sends requests to nodes, one after the other at each, for limitTestDuration.
+func sendRequests(t *testing.T, nodes []*testNode, method, prefix string) {
 	t.Helper()
 	var group sync.WaitGroup
 	for i, n := range nodes {
 		group.Go(func() {
 			k := 0
-			for until := time.Now().Add(limitWatched); time.Now().Before(until); k++ {
+			for until := time.Now().Add(limitTestDuration); time.Now().Before(until); k++ {
 				name := fmt.Sprintf("n%d-%d", i+1, k)
 				if got := n.do(method, prefix+name, name, "k1"); got.err != nil {
 					t.Errorf("got %v at request %s, want an answer", got.err, name)
--- a/node/list_age_test.go
+++ b/node/list_age_test.go
@@ -8,7 +8,7 @@
 
 // A list that stands still for longer than its bound is told of once, and so is its end.
 func TestListWatch(t *testing.T) {
-	w := listWatch{within: 2000}
+	w := listWatch{maxAge: 2000}
 	for _, step := range []struct {
 		age       clock.Millis
 		news, old bool
@@ -21,7 +21,7 @@
 		{30, true, false, 8700},
 		{130, false, false, 130},
 	} {
-		news, old, stood := w.look(step.age)
+		news, old, stood := w.observe(step.age)
 		if news != step.news || old != step.old || stood != step.stood {
 			t.Errorf("age %d: got news %v, old %v, stood %d, want %v, %v, %d",
 				step.age, news, old, stood, step.news, step.old, step.stood)
--- a/node/members.go
+++ b/node/members.go
@@ -13,17 +13,17 @@
 	// rank is this node's by name among all, and changes counts what was set.
 	rank    int
 	changes int
-	// known is closed once something was set.
-	known chan struct{}
+	// ready is closed once something was set.
+	ready chan struct{}
 }
 
-func newMembers() *members { return &members{known: make(chan struct{})} }
+func newMembers() *members { return &members{ready: make(chan struct{})} }
 
 func (m *members) set(others []*wire.Member, rank int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.changes == 0 {
-		close(m.known)
+		close(m.ready)
 	}
 	m.others, m.rank = others, rank
 	m.changes++
--- a/node/node.go
+++ b/node/node.go
@@ -34,13 +34,13 @@
 
 // Bounds of the listeners.
 const (
-	// headerTime bounds the reading of a request's head.
-	headerTime = 5 * time.Second
-	// idleCaller is how long an idle connection of a caller is kept. It must
+	// readHeaderTimeout bounds the reading of a request's head.
+	readHeaderTimeout = 5 * time.Second
+	// idleTimeout is how long an idle connection of a caller is kept. It must
 	// exceed what the operator grants callers, 15 s on the users' sites.
-	idleCaller = 60 * time.Second
-	// headerBytes bounds a request's head; the operator grants 16 KB.
-	headerBytes = 32 << 10
+	idleTimeout = 60 * time.Second
+	// maxHeaderBytes bounds a request's head; the operator grants 16 KB.
+	maxHeaderBytes = 32 << 10
 )
 
 // Node is a relay node.
@@ -50,42 +50,42 @@
 	clock    *clock.Clock
 	relay    *relay.Relay
 	placer   *placer.Placer
-	// orders counts the orders to engines, by what came of them.
-	orders   *expvar.Map
-	fleets   *follow.Fleet
-	catalogs *follow.Catalog
-	peers    *peering.Peering
-	usage    *usage.Exchange
-	known    *known
-	// obeying has the node take one proof of the configuration after the other. Outdated is
+	// orderResults counts the orders to engines, by what came of them.
+	orderResults    *expvar.Map
+	fleetFollower   *follow.Fleet
+	catalogFollower *follow.Catalog
+	peers           *peering.Peering
+	usage           *usage.Exchange
+	local           *localState
+	// configMu has the node take one proof of the configuration after the other. Outdated is
 	// the last edition that was shown and is not obeyed, and asking tells that another node
 	// is being asked for a newer one.
-	obeying  sync.Mutex
-	outdated catalog.Edition
-	asking   atomic.Bool
-	roster   *reading.Roster
-	readers  *readers
-	shared   *reading.Log
-	members  *members
-	silences *silences
+	configMu       sync.Mutex
+	lastOutdated   catalog.Edition
+	queryingConfig atomic.Bool
+	roster         *reading.Roster
+	readers        *readers
+	readLog        *reading.Log
+	members        *members
+	unresponsive   *unresponsiveReports
 	// quarantined is what is told others of requests that end upstreams, and keeper
 	// keeps them in the store.
-	quarantined *quarantined
+	quarantined *quarantineSet
 	keeper      *keeper.Keeper
 	// wakes tells when the VM goes on after it was suspended.
-	wakes   *clock.Wakes
+	wakes   *clock.Suspensions
 	outage  *follow.Outage
 	store   *platform.Store
 	engines *platform.Engines
-	life    context.Context
-	end     context.CancelFunc
+	ctx     context.Context
+	cancel  context.CancelFunc
 
-	caller    net.Listener
-	readiness net.Listener
-	metrics   net.Listener
-	peer      net.Listener
-	servers   []*http.Server
-	drained   chan struct{}
+	callerListener    net.Listener
+	readinessListener net.Listener
+	metricsListener   net.Listener
+	peerListener      net.Listener
+	servers           []*http.Server
+	drained           chan struct{}
 }
 
 // Option sets up a Node.
@@ -96,80 +96,82 @@
 
 // New binds a node's ports and builds it. Run makes it work.
 func New(s *Settings, log *logging.Log, opts ...Option) (*Node, error) {
-	n := &Node{settings: s, log: log.Logger, clock: clock.New(), drained: make(chan struct{}), members: newMembers(), silences: newSilences(), orders: new(expvar.Map)}
+	n := &Node{settings: s, log: log.Logger, clock: clock.New(), drained: make(chan struct{}), members: newMembers(), unresponsive: newUnresponsiveReports(), orderResults: new(expvar.Map)}
 	for _, opt := range opts {
 		opt(n)
 	}
-	n.life, n.end = context.WithCancel(context.Background())
+	n.ctx, n.cancel = context.WithCancel(context.Background())
 	if err := n.listen(); err != nil {
 		return nil, err
 	}
-	n.store = platform.NewStore(s.Platform, n.log)
-	n.quarantined = newQuarantined(n.clock, s.quarantineLasts())
-	n.keeper = keeper.New(n.store, n.clock, n.log, s.FirstStart, n.learnQuarantined)
-	n.engines = platform.NewEngines(platform.WithLaterRuns(func(run fleet.Incarnation) { n.fleets.Supersede(run) }),
-		platform.WithWords(func(upstream fleet.Incarnation, word relay.Word) { n.relay.Said(upstream, word) }))
+	n.store = platform.NewStore(s.PlatformAddress, n.log)
+	n.quarantined = newQuarantineSet(n.clock, s.quarantineDuration())
+	n.keeper = keeper.New(n.store, n.clock, n.log, s.FirstStart, n.applyQuarantined)
+	n.engines = platform.NewEngines(platform.WithIncarnationHandler(func(run fleet.Incarnation) { n.fleetFollower.Supersede(run) }),
+		platform.WithStatusHandler(func(upstream fleet.Incarnation, word relay.UpstreamStatus) {
+			n.relay.HandleUpstreamStatus(upstream, word)
+		}))
 	model := dispatch.New(
 		dispatch.WithDataCentre(s.DataCentre),
 		dispatch.WithSeed(hash(s.Name)),
 		dispatch.WithPolicy(dispatch.Policy{
-			MaxConfigAge: s.keysWithin(), RetryWindow: clock.Millis(s.RetryWindowSeconds * msPerSecond),
+			MaxConfigAge: s.keysMaxAge(), RetryWindow: clock.Millis(s.RetryWindowSeconds * msPerSecond),
 			RetryShare: s.RetryShare, RetrySlack: s.RetrySlack,
-			QuarantineDuration: s.quarantineLasts(),
+			QuarantineDuration: s.quarantineDuration(),
 		}),
 		dispatch.WithStoredQuarantine(),
 		dispatch.WithLimits(limit.New(limit.WithSelf(s.Name), limit.WithBootID(uint64(time.Now().UnixNano())))),
 	)
-	self := &wire.Member{Name: s.Name, DataCentre: s.DataCentre, Address: n.peer.Addr().String(), Strength: s.strength()}
-	sharing, err := usage.New(n.life, self, s.UsageListen, n.log, n.followable, listener{n}, usage.WithQuarantine(n.quarantined.digest), usage.WithClock(n.clock))
+	self := &wire.Member{Name: s.Name, DataCentre: s.DataCentre, Address: n.peerListener.Addr().String(), Strength: s.capacity()}
+	sharing, err := usage.New(n.ctx, self, s.UsageListen, n.log, n.isFollowable, usageListener{n}, usage.WithQuarantine(n.quarantined.digest), usage.WithClock(n.clock))
 	if err != nil {
 		return nil, err
 	}
 	n.usage = sharing
 	self.UsageAddress = sharing.Address()
-	listAge := func() clock.Millis { return n.fleets.ListAge() }
-	n.relay = relay.New(n.life, platform.Headers{}, model, n.clock, n.log,
-		relay.WithEngines(n.engines), relay.WithDialer(platform.Dialer().DialContext), relay.WithKeysWithin(s.keysWithin()),
+	listAge := func() clock.Millis { return n.fleetFollower.ListAge() }
+	n.relay = relay.New(n.ctx, platform.Headers{}, model, n.clock, n.log,
+		relay.WithEngines(n.engines), relay.WithDialer(platform.Dialer().DialContext), relay.WithMaxConfigAge(s.keysMaxAge()),
 		relay.WithCounters("store_calls", n.store.Calls()), relay.WithCounters("store", expvar.Func(n.storeView)), relay.WithCounters("entries_refused", n.store.EntriesRefused()),
-		relay.WithCounters("quarantine_refused", n.keeper.Refused()), relay.WithCounters("orders", n.orders),
+		relay.WithCounters("quarantine_refused", n.keeper.Refused()), relay.WithCounters("orders", n.orderResults),
 		relay.WithCounters("quarantined", expvar.Func(n.quarantined.count)),
-		relay.WithCounters("peers", expvar.Func(func() any { return n.Peers() })),
-		relay.WithListAge(listAge), relay.WithSilence(n.setSilent), relay.WithSharing(n.share), relay.WithLeaving(n.setSaidLeaving), relay.WithReplaced(n.setReplaced), relay.WithQuarantine(n.setQuarantine),
-		relay.WithPermits(n.usage.Ask, n.usage.SendPermitGrant))
-	planner := placement.New(placement.WithDelay(plannerDelay(int(hash(s.Name)%unknownRanks))), placement.WithStart(n.clock.Now()))
-	n.placer = placer.New(planner, n.engines, n.clock, n.log, n.tellPlaced, placer.WithSeed(hash(s.Name)), placer.WithListAge(listAge),
-		placer.WithResults(n.orders))
-	n.wakes = n.clock.Wakes()
-	n.wakes.Tell(n.wake)
-	n.follow(self, platform.NewPeerTransport(), n.setCatalog, n.setFleet)
-	n.peers = peering.New(self, s.PeerSeeds, n.store, n.known, n.known, n.clock, n.log, platform.NewQuestionTransport(), hash(s.Name),
+		relay.WithCounters("peers", expvar.Func(func() any { return n.PeerCount() })),
+		relay.WithListAge(listAge), relay.WithResponsivenessHandler(n.reportUnresponsive), relay.WithUsageSharing(n.sendUsage), relay.WithLeavingHandler(n.markLeaving), relay.WithReplacedHandler(n.markReplaced), relay.WithQuarantine(n.handleQuarantineNews),
+		relay.WithPermitExchange(n.usage.SendPermitRequest, n.usage.SendPermitGrant))
+	planner := placement.New(placement.WithDelay(plannerDelay(int(hash(s.Name)%provisionalRanks))), placement.WithStart(n.clock.Now()))
+	n.placer = placer.New(planner, n.engines, n.clock, n.log, n.publishPlacement, placer.WithSeed(hash(s.Name)), placer.WithListAge(listAge),
+		placer.WithResults(n.orderResults))
+	n.wakes = n.clock.Suspensions()
+	n.wakes.OnResume(n.handleWake)
+	n.follow(self, platform.NewPeerTransport(), n.applyConfig, n.applyFleet)
+	n.peers = peering.New(self, s.PeerSeeds, n.store, n.local, n.local, n.clock, n.log, platform.NewOneShotTransport(), hash(s.Name),
 		peering.WithFirstStart(s.FirstStart))
 	return n, nil
 }
 
 // follow builds the followers of the store, and what they know of other nodes.
 func (n *Node) follow(self *wire.Member, peerTransport http.RoundTripper, setCatalog func(follow.Proof) follow.ActiveConfig, setFleet func([]fleet.Change)) {
-	within := n.settings.changesWithin()
+	within := n.settings.changeDeadline()
 	n.roster = reading.NewRoster(self, n.clock.Now(), follow.FailoverWait(within), reading.WithStartWait(n.settings.startWait()))
-	n.shared = reading.NewLog(n.clock, follow.ProofLifetime, follow.FirstRequestWait(within))
+	n.readLog = reading.NewLog(n.clock, follow.ProofLifetime, follow.FirstRequestWait(within))
 	n.outage = &follow.Outage{}
-	n.known = &known{node: n, inForce: follow.ActiveConfig{Confirmed: clock.Never}}
+	n.local = &localState{node: n, active: follow.ActiveConfig{Confirmed: clock.Never}}
 	n.readers = &readers{node: n, client: &http.Client{Transport: peerTransport}}
-	share := follow.WithReaders(n.readers, n.shared)
+	share := follow.WithReaders(n.readers, n.readLog)
 	bound := follow.WithChangeDeadline(within)
-	n.catalogs = follow.NewCatalog(n.store, n.clock, n.log, n.outage, setCatalog, share, bound)
-	n.fleets = follow.NewFleet(n.store, n.clock, n.log, n.outage, setFleet, share, bound)
+	n.catalogFollower = follow.NewCatalog(n.store, n.clock, n.log, n.outage, setCatalog, share, bound)
+	n.fleetFollower = follow.NewFleet(n.store, n.clock, n.log, n.outage, setFleet, share, bound)
 }
 
 // Nodes leave orders to each other for different times, by their rank among
 // the names (by a hash of the own name while others are unknown), so that they
 // seldom give the same order. An order shows in an engine's report at once.
 const (
-	unknownRanks              = 32
-	plannerSlot  clock.Millis = 300
+	provisionalRanks              = 32
+	plannerDelayStep clock.Millis = 300
 )
 
-func plannerDelay(rank int) clock.Millis { return clock.Millis(rank) * plannerSlot }
+func plannerDelay(rank int) clock.Millis { return clock.Millis(rank) * plannerDelayStep }
 
 func hash(name string) uint64 {
 	h := fnv.New64a()
@@ -180,29 +182,29 @@
 
 // CallerAddress returns where the node takes callers' requests. Settings may leave the
 // port to the kernel.
-func (n *Node) CallerAddress() string { return n.caller.Addr().String() }
+func (n *Node) CallerAddress() string { return n.callerListener.Addr().String() }
 
 // ReadinessAddress returns where the platform asks whether the node is ready.
-func (n *Node) ReadinessAddress() string { return n.readiness.Addr().String() }
+func (n *Node) ReadinessAddress() string { return n.readinessListener.Addr().String() }
 
-// Peers returns how many other nodes are known.
-func (n *Node) Peers() int { return n.peers.NamedPeers() }
+// PeerCount returns how many other nodes are known.
+func (n *Node) PeerCount() int { return n.peers.NamedPeers() }
 
 // PeerAddress returns where other nodes ask this one.
-func (n *Node) PeerAddress() string { return n.peer.Addr().String() }
+func (n *Node) PeerAddress() string { return n.peerListener.Addr().String() }
 
 func (n *Node) listen() error {
-	config := net.ListenConfig{Control: platform.BoundSilence}
+	config := net.ListenConfig{Control: platform.SetAckTimeout}
 	for _, l := range []struct {
 		into    *net.Listener
 		address string
 	}{
-		{&n.caller, n.settings.CallerListen},
-		{&n.readiness, n.settings.ReadinessListen},
-		{&n.metrics, n.settings.MetricsListen},
-		{&n.peer, n.settings.PeerListen},
+		{&n.callerListener, n.settings.CallerListen},
+		{&n.readinessListener, n.settings.ReadinessListen},
+		{&n.metricsListener, n.settings.MetricsListen},
+		{&n.peerListener, n.settings.PeerListen},
 	} {
-		listener, err := config.Listen(n.life, "tcp", l.address)
+		listener, err := config.Listen(n.ctx, "tcp", l.address)
 		if err != nil {
 			return errors.Wrapf(err, "node: cannot listen at %s", l.address)
 		}
@@ -213,28 +215,28 @@
 
 // Run serves until the context ends, or until a planned stop is through.
 func (n *Node) Run(ctx context.Context) error {
-	defer n.end()
+	defer n.cancel()
 	n.log.Info("start", zap.String("node", n.settings.Name), zap.String("data_centre", n.settings.DataCentre),
-		zap.Stringer("caller", n.caller.Addr()), zap.Stringer("peer", n.peer.Addr()))
+		zap.Stringer("caller", n.callerListener.Addr()), zap.Stringer("peer", n.peerListener.Addr()))
 	var g run.Group
-	n.addLoop(&g, func(loop context.Context) error { return n.untilDrained(ctx, loop) })
+	n.addLoop(&g, func(loop context.Context) error { return n.waitDrained(ctx, loop) })
 	n.addLoop(&g, n.relay.Run)
 	n.addLoop(&g, n.placer.Run)
-	n.addLoop(&g, n.catalogs.Run)
-	n.addLoop(&g, n.fleets.Run)
+	n.addLoop(&g, n.catalogFollower.Run)
+	n.addLoop(&g, n.fleetFollower.Run)
 	n.addLoop(&g, n.peers.MaintainRegistration)
 	n.addLoop(&g, n.peers.RestoreRegistration)
 	n.addLoop(&g, n.peers.Run)
-	n.addLoop(&g, n.followCircle)
+	n.addLoop(&g, n.followTopology)
 	n.addLoop(&g, n.usage.Run)
 	n.addLoop(&g, n.keeper.Run)
 	n.addLoop(&g, n.wakes.Run)
 	n.addLoop(&g, n.logStoreCalls)
 	n.addLoop(&g, n.watchList)
-	n.addServer(&g, n.caller, n.relay)
-	n.addServer(&g, n.readiness, http.HandlerFunc(n.relay.Readiness))
-	n.addServer(&g, n.peer, n.peerHandler())
-	n.addServer(&g, n.metrics, http.HandlerFunc(n.relay.Metrics))
+	n.addServer(&g, n.callerListener, n.relay)
+	n.addServer(&g, n.readinessListener, http.HandlerFunc(n.relay.Readiness))
+	n.addServer(&g, n.peerListener, n.peerHandler())
+	n.addServer(&g, n.metricsListener, http.HandlerFunc(n.relay.Metrics))
 	err := g.Run()
 	n.store.Close()
 	n.engines.Close()
@@ -248,7 +250,7 @@
 // errDrained ends the node after a planned stop.
 var errDrained = errors.New("node: drained")
 
-func (n *Node) untilDrained(ctx, loop context.Context) error {
+func (n *Node) waitDrained(ctx, loop context.Context) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -266,7 +268,7 @@
 
 func (n *Node) addServer(g *run.Group, l net.Listener, h http.Handler) {
 	server := &http.Server{
-		Handler: h, ReadHeaderTimeout: headerTime, IdleTimeout: idleCaller, MaxHeaderBytes: headerBytes,
+		Handler: h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: zap.NewStdLog(n.log),
 	}
 	n.servers = append(n.servers, server)
@@ -291,6 +293,6 @@
 func (n *Node) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(n.peers.Handler())
-	mux.Handle(reading.Handler(n.shared, n.askBehind))
+	mux.Handle(reading.Handler(n.readLog, n.queryNewerConfig))
 	return mux
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -10,22 +10,22 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-const long = "/write/a-path-whose-length-makes-a-long-stream"
+const longPath = "/write/a-path-whose-length-makes-a-long-stream"
 
 func TestServes(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 4)
-	n := s.startNode("n1", s.storeAt)
+	n := s.startNode("n1", s.storeAddress)
 	n.awaitServing(t)
 	tests := []struct {
 		name, method, path, key string
 		status                  int
 		body                    string
 	}{
-		{"stream", http.MethodPost, long, "k1", http.StatusOK, wholeStream(long)},
-		{"once", http.MethodPost, "/once/a", "k2", http.StatusOK, standin.DeskAnswer("/once/a")},
-		{"read", http.MethodGet, "/read/a", "k1", http.StatusOK, standin.DeskAnswer("/read/a")},
-		{"escaped path", http.MethodPost, "/once/a%2Fb?c=%20d", "k2", http.StatusOK, standin.DeskAnswer("/once/a/b")},
+		{"stream", http.MethodPost, longPath, "k1", http.StatusOK, wholeStream(longPath)},
+		{"once", http.MethodPost, "/once/a", "k2", http.StatusOK, standin.PlainAnswer("/once/a")},
+		{"read", http.MethodGet, "/read/a", "k1", http.StatusOK, standin.PlainAnswer("/read/a")},
+		{"escaped path", http.MethodPost, "/once/a%2Fb?c=%20d", "k2", http.StatusOK, standin.PlainAnswer("/once/a/b")},
 		{"no key", http.MethodPost, "/once/a", "", http.StatusUnauthorized, ""},
 		{"wrong key", http.MethodPost, "/once/a", "k9", http.StatusUnauthorized, ""},
 		{"no route", http.MethodPost, "/nowhere/a", "k1", http.StatusNotFound, ""},
@@ -41,7 +41,7 @@
 			}
 		})
 	}
-	if got, want := s.desk.Runs()["once"].Account, standin.SiteAccount; got != want {
+	if got, want := s.plainService.Executions()["once"].Account, standin.SiteAccount; got != want {
 		t.Errorf("got account %q at the desk, want %q", got, want)
 	}
 }
@@ -51,7 +51,7 @@
 	t.Helper()
 	transport := &http.Transport{}
 	t.Cleanup(transport.CloseIdleConnections)
-	resp, err := transport.RoundTrip(n.request(http.MethodPost, long, id, "k1"))
+	resp, err := transport.RoundTrip(n.request(http.MethodPost, longPath, id, "k1"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,7 +75,7 @@
 		t.Run(victim, func(t *testing.T) {
 			t.Parallel()
 			s := newSite(t, 4)
-			n := s.startNode("n1", s.storeAt)
+			n := s.startNode("n1", s.storeAddress)
 			n.awaitServing(t)
 			rest, begun := startStream(t, n, "s1", 3)
 			s.killEngine(victim)
@@ -83,7 +83,7 @@
 			if err != nil {
 				t.Fatalf("got error %v after %q", err, ended)
 			}
-			if got, want := begun+string(ended), wholeStream(long); got != want {
+			if got, want := begun+string(ended), wholeStream(longPath); got != want {
 				t.Errorf("got %q, want %q", got, want)
 			}
 		})
@@ -94,7 +94,7 @@
 func TestPlannedStopFinishesStreams(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 4)
-	n := s.startNode("n1", s.storeAt)
+	n := s.startNode("n1", s.storeAddress)
 	n.awaitServing(t)
 	rest, begun := startStream(t, n, "s1", 2)
 	go n.Drain()
@@ -103,10 +103,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := begun+string(ended), wholeStream(long); got != want {
+	if got, want := begun+string(ended), wholeStream(longPath); got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
-	if err := <-n.ended; err != nil {
+	if err := <-n.done; err != nil {
 		t.Errorf("got error %v from the node, want none", err)
 	}
 }
@@ -116,15 +116,15 @@
 func TestKeysFailClosedWithoutTheStore(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 2)
-	n := s.startNode("n1", s.storeAt)
+	n := s.startNode("n1", s.storeAddress)
 	await(t, "answer", func() bool { return n.do(http.MethodPost, "/once/a", "warm", "k1").status == http.StatusOK })
-	s.store.SetFaults(standin.RowStoreFaults{Silent: true})
+	s.store.SetFaults(standin.RowStoreFaults{Unresponsive: true})
 	refused := ""
 	await(t, "refusal", func() bool {
 		refused += "x"
 		return n.do(http.MethodPost, "/once/a", refused, "k1").status == http.StatusServiceUnavailable
 	})
-	if got := s.desk.Runs()[refused].Runs; got != 0 {
+	if got := s.plainService.Executions()[refused].Executions; got != 0 {
 		t.Errorf("got %d runs of a refused request, want 0", got)
 	}
 	await(t, "refusal to be ready", func() bool { return !n.ready() })
@@ -139,8 +139,8 @@
 	s := newSite(t, 2)
 	lost := standin.NewRowStore()
 	lost.SetFaults(standin.RowStoreFaults{Down: true})
-	n1 := s.startNode("n1", s.storeAt)
-	n2 := s.startNode("n2", s.serve(lost), n1.peer)
+	n1 := s.startNode("n1", s.storeAddress)
+	n2 := s.startNode("n2", s.serve(lost), n1.peerAddress)
 	await(t, "answer", func() bool { return n2.do(http.MethodPost, "/once/a", "warm", "k1").status == http.StatusOK })
 	s.store.Put("op", "config", standin.SiteConfig(2, "k1"))
 	await(t, "refusal of a revoked key", func() bool {
--- a/node/other_writers_test.go
+++ b/node/other_writers_test.go
@@ -17,7 +17,7 @@
 	for i := range many {
 		s.store.Put("servers", fmt.Sprintf("x%d", i), []byte(`{"service":"desk","slots":"6"}`))
 	}
-	n := s.startNode("n1", s.storeAt)
+	n := s.startNode("n1", s.storeAddress)
 	n.awaitServing(t)
 	for i := range 20 {
 		s.store.Put("servers", fmt.Sprintf("x%d", i), fmt.Appendf(nil, `{"state":%d}`, i))
@@ -26,7 +26,7 @@
 		if got := n.do(http.MethodPost, "/write/"+id, id, "k1"); got.status != http.StatusOK || got.body != wholeStream("/write/"+id) {
 			t.Errorf("got status %d, %v, want a whole stream", got.status, got.err)
 		}
-		if got := n.do(http.MethodPost, "/once/a", "o"+id, "k2"); got.status != http.StatusOK || got.body != standin.DeskAnswer("/once/a") {
+		if got := n.do(http.MethodPost, "/once/a", "o"+id, "k2"); got.status != http.StatusOK || got.body != standin.PlainAnswer("/once/a") {
 			t.Errorf("got status %d, %v, want the desk's answer", got.status, got.err)
 		}
 	}
--- a/node/put_back.go
+++ b/node/put_back.go
@@ -6,13 +6,13 @@
 	"github.com/hoistjunction/hoistjunction/moment"
 )
 
-// putBack writes again what the store may have lost with its return from a copy. Each node
+// restoreEntries writes again what the store may have lost with its return from a copy. Each node
 // does so with what it has written itself; the one that reads the store for its data centre
 // knows all that was quarantined, and stands in for nodes that have ended since.
-func (n *Node) putBack() {
+func (n *Node) restoreEntries() {
 	n.log.Info("put_back")
-	n.peers.StoreReturned()
-	n.keeper.StoreReturned()
+	n.peers.StoreRestored()
+	n.keeper.StoreRestored()
 	if !n.roster.IsReader(n.clock.Now()) {
 		return
 	}
--- a/node/quarantined_test.go
+++ b/node/quarantined_test.go
@@ -18,12 +18,12 @@
 func TestNodesCompareWhatIsQuarantined(t *testing.T) {
 	vm := clocktest.NewVM()
 	c := clock.New(clock.WithVM(vm))
-	knows := func(list ...dispatch.Quarantined) *quarantined {
-		q := newQuarantined(c, 60_000)
-		q.learn(list)
+	knows := func(list ...dispatch.Quarantined) *quarantineSet {
+		q := newQuarantineSet(c, 60_000)
+		q.addConfirmed(list)
 		return q
 	}
-	thinks := func(q *quarantined, list ...dispatch.Quarantined) *quarantined {
+	thinks := func(q *quarantineSet, list ...dispatch.Quarantined) *quarantineSet {
 		for _, w := range list {
 			q.add(w)
 		}
@@ -33,8 +33,8 @@
 	thought := dispatch.Quarantined{Work: b.Work, Ended: []fleet.Incarnation{fleet.IncarnationByID("e1")}}
 	tests := []struct {
 		name string
-		one  *quarantined
-		two  *quarantined
+		one  *quarantineSet
+		two  *quarantineSet
 		same bool
 	}{
 		{"nothing", knows(), knows(), true},
@@ -58,12 +58,12 @@
 		t.Errorf("got the same digest %d after a request has expired", got)
 	}
 	cutOff, peer := knows(a), knows(a, b)
-	if cutOff.differs(0) {
+	if cutOff.shouldQuery(0) {
 		t.Error("got a peer asked that knows of none, want it left alone")
 	}
 	asked := 0
 	for range 600 {
-		if cutOff.differs(peer.digest()) {
+		if cutOff.shouldQuery(peer.digest()) {
 			asked++
 		}
 		vm.Suspend(clock.Millis(100).Duration())
@@ -72,19 +72,19 @@
 	if got, want := asked, 7; got != want {
 		t.Errorf("got a peer asked %d times in a minute in vain, want %d", got, want)
 	}
-	cutOff.learn(peer.list())
-	if cutOff.differs(peer.digest()) {
+	cutOff.addConfirmed(peer.list())
+	if cutOff.shouldQuery(peer.digest()) {
 		t.Error("got a peer asked again that knows the same, want it left alone")
 	}
 }
 
 // BenchmarkDigest measures what a peer's word costs where thousands of requests are known.
 func BenchmarkDigest(b *testing.B) {
-	q := newQuarantined(clocktest.NewClock(), 3_600_000)
+	q := newQuarantineSet(clocktest.NewClock(), 3_600_000)
 	for i := range quarantine.MaxQuarantined {
 		q.add(dispatch.Quarantined{Work: work.ID{byte(i), byte(i >> 8)}})
 	}
 	for b.Loop() {
-		q.differs(1)
+		q.shouldQuery(1)
 	}
 }
--- a/node/reader_test.go
+++ b/node/reader_test.go
@@ -13,28 +13,28 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// storeFront passes one node's calls on to the store, and counts them.
-type storeFront struct {
+// storeProxy passes one node's calls on to the store, and counts them.
+type storeProxy struct {
 	store http.Handler
 	calls atomic.Int64
 }
 
-func (f *storeFront) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *storeProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.calls.Add(1)
 	f.store.ServeHTTP(w, r)
 }
 
-// front starts a front of the site's store, and returns its address.
-func (s *site) front() (*storeFront, string) {
-	f := &storeFront{store: s.store.Handler()}
+// startStoreProxy starts a front of the site's store, and returns its address.
+func (s *site) startStoreProxy() (*storeProxy, string) {
+	f := &storeProxy{store: s.store.Handler()}
 	server := httptest.NewServer(f)
 	s.t.Cleanup(server.Close)
 	return f, server.Listener.Addr().String()
 }
 
-// quiet tells whether a node leaves the store alone for longer than it would
+// isIdle tells whether a node leaves the store alone for longer than it would
 // wait there itself.
-func (f *storeFront) quiet() bool {
+func (f *storeProxy) isIdle() bool {
 	before := f.calls.Load()
 	time.Sleep(2500 * time.Millisecond)
 	return f.calls.Load() == before
@@ -46,19 +46,19 @@
 	t.Parallel()
 	s := newSite(t, 2)
 	var nodes []*testNode
-	var last *storeFront
+	var last *storeProxy
 	for i := range 6 {
-		front, address := s.front()
+		front, address := s.startStoreProxy()
 		nodes = append(nodes, s.startNode(fmt.Sprintf("n%d", i+1), address))
 		last = front
 	}
 	for _, n := range nodes {
 		n.awaitServing(t)
 	}
-	await(t, "node that leaves the store to another", last.quiet)
+	await(t, "node that leaves the store to another", last.isIdle)
 
 	nodes[0].stop()
-	if err := <-nodes[0].ended; !errors.Is(err, context.Canceled) {
+	if err := <-nodes[0].done; !errors.Is(err, context.Canceled) {
 		t.Errorf("got error %v from the reader's end, want %v", err, context.Canceled)
 	}
 	s.store.Put("op", "config", standin.SiteConfig(2, "k1"))
--- a/node/rest_test.go
+++ b/node/rest_test.go
@@ -21,22 +21,22 @@
 // come one after the other.
 
 const (
-	// turnedAwayFor is for how long upstreams turn requests away, and restAsked the rest
+	// rejectDuration is for how long upstreams turn requests away, and requestedBackOff the rest
 	// that they ask for each time: their last one ends after that.
-	turnedAwayFor = 1500 * time.Millisecond
-	restAsked     = "1.2"
-	// restWatched is for how long requests come.
-	restWatched = 3 * time.Second
+	rejectDuration   = 1500 * time.Millisecond
+	requestedBackOff = "1.2"
+	// backOffTestDuration is for how long requests come.
+	backOffTestDuration = 3 * time.Second
 )
 
-// asksForRest is a stand-in that can ask for rest.
-type asksForRest interface {
-	SetRest(f standin.RestFaults)
-	Visits() []standin.Visit
+// backOffRequester is a stand-in that can ask for rest.
+type backOffRequester interface {
+	SetBackOff(f standin.BackOffFaults)
+	ReceivedRequests() []standin.ReceivedRequest
 }
 
-// sameNode is the node of all tries where there is one.
-func sameNode(string) string { return "n1" }
+// onlyNode is the node of all tries where there is one.
+func onlyNode(string) string { return "n1" }
 
 func TestUpstreamThatAsksForRestGetsIt(t *testing.T) {
 	for _, kind := range []struct {
@@ -52,14 +52,14 @@
 		t.Run(kind.name, func(t *testing.T) {
 			t.Parallel()
 			s := newSite(t, 2)
-			n := s.startNode("n1", s.storeAt)
+			n := s.startNode("n1", s.storeAddress)
 			n.awaitServing(t)
-			upstreams := []asksForRest{s.desk, s.engines["e1"].engine, s.engines["e2"].engine}
+			upstreams := []backOffRequester{s.plainService, s.engines["e1"].engine, s.engines["e2"].engine}
 			for _, u := range upstreams {
-				u.SetRest(standin.RestFaults{ForMS: int(turnedAwayFor.Milliseconds()), Ask: restAsked})
+				u.SetBackOff(standin.BackOffFaults{ForMS: int(rejectDuration.Milliseconds()), RetryAfter: requestedBackOff})
 			}
 			i := 0
-			for until := time.Now().Add(restWatched); time.Now().Before(until); i++ {
+			for until := time.Now().Add(backOffTestDuration); time.Now().Before(until); i++ {
 				name := fmt.Sprintf("%s%d", strings.Trim(kind.prefix, "/"), i)
 				if got := n.do(kind.method, kind.prefix+name, name, "k1"); got.err != nil {
 					t.Fatalf("got %v at request %d, want an answer", got.err, i)
@@ -68,10 +68,10 @@
 			}
 			turned := 0
 			for _, u := range upstreams {
-				for _, b := range standin.RestBreaches(u.Visits(), sameNode) {
+				for _, b := range standin.BackOffBreaches(u.ReceivedRequests(), onlyNode) {
 					t.Errorf("got %d requests at an upstream in the rest that it had asked for, want none", b.Count)
 				}
-				turned += len(u.Visits())
+				turned += len(u.ReceivedRequests())
 			}
 			if turned == 0 {
 				t.Error("got no request at any upstream, want some")
@@ -91,8 +91,8 @@
 func TestUpstreamThatSaysItLeavesGetsNothingNew(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 2)
-	other := s.addDesk("desk2")
-	n := s.startNode("n1", s.storeAt)
+	other := s.addPlainService("desk2")
+	n := s.startNode("n1", s.storeAddress)
 	n.awaitServing(t)
 	tries := 0
 	try := func() {
@@ -102,19 +102,19 @@
 			t.Fatalf("got %d, %v at try %d, want %d", got.status, got.err, tries, http.StatusOK)
 		}
 	}
-	for len(other.Runs()) == 0 {
+	for len(other.Executions()) == 0 {
 		try()
 	}
-	other.SayLeaving()
-	said := len(other.Runs())
-	for len(other.Runs()) == said {
+	other.AnnounceLeaving()
+	said := len(other.Executions())
+	for len(other.Executions()) == said {
 		try()
 	}
-	heard := len(other.Runs())
+	heard := len(other.Executions())
 	for range 40 {
 		try()
 	}
-	if got := len(other.Runs()); got > heard {
+	if got := len(other.Executions()); got > heard {
 		t.Errorf("got %d requests at an upstream after its answer had said that it leaves, want none", got-heard)
 	}
 }
--- a/node/restarted_test.go
+++ b/node/restarted_test.go
@@ -11,11 +11,11 @@
 // the one that had started grow by what had ended.
 func TestStartedNodeIsNotToldOfWhatHasEnded(t *testing.T) {
 	const seed = 1174
-	missed, events := playSeed(t, usualSetting(), seed)
+	missed, events := runSeed(t, defaultSetting(), seed)
 	for _, m := range missed {
 		t.Error(m)
 	}
 	if t.Failed() {
-		t.Log(eventsText(events))
+		t.Log(formatEvents(events))
 	}
 }
--- a/node/returns_property_test.go
+++ b/node/returns_property_test.go
@@ -19,39 +19,39 @@
 	rapid.Check(t, func(draw *rapid.T) {
 		nodes := rapid.SampledFrom([]int{1, 2, 5, 7, 30}).Draw(draw, "nodes")
 		seed := rapid.Uint64Range(1, 1000).Draw(draw, "seed")
-		events := rapid.SliceOfN(rapid.Custom(drawReturnEvent), 1, 40).Draw(draw, "events")
-		missed := playSim(t, usualSetting(), seed, nodes, returnsEnd+simWithin+simContact+simLapse, slices.Clone(events)).missed
+		events := rapid.SliceOfN(rapid.Custom(drawRestoreEvent), 1, 40).Draw(draw, "events")
+		missed := runSim(t, defaultSetting(), seed, nodes, restoreEventsEnd+simDeadline+simStablePeriod+simExpiry, slices.Clone(events)).failures
 		if len(missed) > 0 {
-			draw.Fatalf("%d nodes: %s\n%s", nodes, strings.Join(missed[:min(len(missed), mostTold)], "; "), eventsText(events))
+			draw.Fatalf("%d nodes: %s\n%s", nodes, strings.Join(missed[:min(len(missed), maxReported)], "; "), formatEvents(events))
 		}
 	})
 }
 
-// Events are drawn between returnsBegin and returnsEnd.
+// Events are drawn between restoreEventsStart and restoreEventsEnd.
 const (
-	returnsBegin = 3 * time.Second
-	returnsEnd   = 11 * time.Second
+	restoreEventsStart = 3 * time.Second
+	restoreEventsEnd   = 11 * time.Second
 )
 
-func drawReturnEvent(draw *rapid.T) simEvent {
+func drawRestoreEvent(draw *rapid.T) simEvent {
 	between := func(from, to time.Duration, name string) time.Duration {
 		return millis(rapid.IntRange(int(from.Milliseconds()), int(to.Milliseconds())).Draw(draw, name))
 	}
 	e := simEvent{
-		at: between(returnsBegin, returnsEnd, "at"), share: 1,
-		what: rapid.SampledFrom([]string{"copy", "copy", "returns", "returns", "config", "config", "rows", "rows", "leaves", "ends", "joins", "kill", "silent", "down"}).Draw(draw, "what"),
+		at: between(restoreEventsStart, restoreEventsEnd, "at"), share: 1,
+		kind: rapid.SampledFrom([]string{"copy", "copy", "returns", "returns", "config", "config", "rows", "rows", "leaves", "ends", "joins", "kill", "silent", "down"}).Draw(draw, "what"),
 	}
-	switch e.what {
+	switch e.kind {
 	case "returns":
-		e.how = rapid.SampledFrom([]string{"", "down", "hang"}).Draw(draw, "how")
-		if e.how != "" {
-			e.lasts = between(0, 2*time.Second, "away")
+		e.mode = rapid.SampledFrom([]string{"", "down", "hang"}).Draw(draw, "how")
+		if e.mode != "" {
+			e.duration = between(0, 2*time.Second, "away")
 		}
-		e.rewrites = between(0, 300*time.Millisecond, "rewrites")
+		e.rewriteDelay = between(0, 300*time.Millisecond, "rewrites")
 	case "kill":
-		e.node, e.lasts = rapid.SampledFrom([]string{"n01", "n02", "n05"}).Draw(draw, "node"), between(100*time.Millisecond, 2*time.Second, "dead")
+		e.node, e.duration = rapid.SampledFrom([]string{"n01", "n02", "n05"}).Draw(draw, "node"), between(100*time.Millisecond, 2*time.Second, "dead")
 	case "down":
-		e.lasts = between(0, 2*time.Second, "down")
+		e.duration = between(0, 2*time.Second, "down")
 	}
 	return e
 }
--- a/node/runs_test.go
+++ b/node/runs_test.go
@@ -15,7 +15,7 @@
 		t.Run(victim, func(t *testing.T) {
 			t.Parallel()
 			s := newSite(t, 4)
-			n := s.startNode("n1", s.storeAt)
+			n := s.startNode("n1", s.storeAddress)
 			n.awaitServing(t)
 			rest, begun := startStream(t, n, "s1", 3)
 			for range 2 {
@@ -26,7 +26,7 @@
 			if err != nil {
 				t.Fatalf("got error %v after %q", err, ended)
 			}
-			if got, want := begun+string(ended), wholeStream(long); got != want {
+			if got, want := begun+string(ended), wholeStream(longPath); got != want {
 				t.Errorf("got %q, want %q", got, want)
 			}
 			others := []string{"e1", "e2", "e3", "e4"}
@@ -38,9 +38,9 @@
 			}
 			n.awaitServing(t)
 			for i := range 3 {
-				got := n.do(http.MethodPost, long, fmt.Sprint("after-", i), "k1")
-				if got.status == http.StatusOK && got.body != wholeStream(long) {
-					t.Errorf("got %q, want %q", got.body, wholeStream(long))
+				got := n.do(http.MethodPost, longPath, fmt.Sprint("after-", i), "k1")
+				if got.status == http.StatusOK && got.body != wholeStream(longPath) {
+					t.Errorf("got %q, want %q", got.body, wholeStream(longPath))
 				}
 			}
 		})
--- a/node/settings.go
+++ b/node/settings.go
@@ -30,19 +30,19 @@
 	// UsageListen is the UDP address for word of what others have in use.
 	UsageListen string
 	// PeerSeeds are addresses where other nodes may be.
-	PeerSeeds     []string
-	MetricsListen string
-	Platform      string
+	PeerSeeds       []string
+	MetricsListen   string
+	PlatformAddress string
 
 	// KeysFailClosed tells whether requests with keys are refused once the
-	// configuration may be older than KeysWithin.
+	// configuration may be older than KeysMaxAge.
 	KeysFailClosed bool
-	KeysWithin     clock.Millis
-	// ConfigWithin is within what time a change of the configuration must be in force
-	// everywhere, and LeavingWithin within what time an upstream that leaves must get
+	KeysMaxAge     clock.Millis
+	// ConfigDeadline is within what time a change of the configuration must be in force
+	// everywhere, and LeavingDeadline within what time an upstream that leaves must get
 	// no more work.
-	ConfigWithin  clock.Millis
-	LeavingWithin clock.Millis
+	ConfigDeadline  clock.Millis
+	LeavingDeadline clock.Millis
 	// RetryShare, as a part of the requests, and RetrySlack, as a number,
 	// bound the repeats of all nodes together in each window.
 	RetryWindowSeconds float64
@@ -54,9 +54,9 @@
 }
 
 const (
-	largestNumber = 1 << 30
-	largestShare  = 1000.0
-	msPerSecond   = 1000
+	maxNumber   = 1 << 30
+	maxShare    = 1000.0
+	msPerSecond = 1000
 )
 
 // Set declares every setting.
@@ -65,11 +65,11 @@
 	set.String("node", "name", &s.Name, settings.Required())
 	set.String("node", "data_centre", &s.DataCentre, settings.Required())
 	set.Bool("node", "first_start", &s.FirstStart, settings.WithDefault("false"))
-	set.Float("node", "grace_s", &s.GraceSeconds, 0, largestNumber, settings.WithDefault("8"))
-	set.Int("node", "cores", &s.Cores, 1, largestNumber, settings.WithDefault("1"))
-	set.Int("node", "memory_mb", &s.MemoryMB, 1, largestNumber, settings.WithDefault("256"))
-	set.Float("node", "core_share", &s.CoreShare, 0, largestNumber, settings.WithDefault("1"))
-	set.Float("node", "link_mbps", &s.LinkMbps, 0, largestNumber, settings.WithDefault("0"))
+	set.Float("node", "grace_s", &s.GraceSeconds, 0, maxNumber, settings.WithDefault("8"))
+	set.Int("node", "cores", &s.Cores, 1, maxNumber, settings.WithDefault("1"))
+	set.Int("node", "memory_mb", &s.MemoryMB, 1, maxNumber, settings.WithDefault("256"))
+	set.Float("node", "core_share", &s.CoreShare, 0, maxNumber, settings.WithDefault("1"))
+	set.Float("node", "link_mbps", &s.LinkMbps, 0, maxNumber, settings.WithDefault("0"))
 	set.OneOf("log", "level", &s.LogLevel, []string{"debug", "info", "warn", "error"}, settings.WithDefault("info"))
 	set.Address("caller", "listen", &s.CallerListen, settings.Required())
 	set.Address("readiness", "listen", &s.ReadinessListen, settings.Required())
@@ -77,15 +77,15 @@
 	set.Address("usage", "listen", &s.UsageListen, settings.WithDefault("127.0.0.1:0"))
 	set.Addresses("peer", "seeds", &s.PeerSeeds)
 	set.Address("metrics", "listen", &s.MetricsListen, settings.Required())
-	set.Address("platform", "address", &s.Platform, settings.Required())
+	set.Address("platform", "address", &s.PlatformAddress, settings.Required())
 	set.Bool("keys", "fail_closed", &s.KeysFailClosed, settings.WithDefault("true"))
-	set.Millis("keys", "known_within_ms", &s.KeysWithin, settings.WithDefault("5000"))
-	set.Millis("changes", "config_within_ms", &s.ConfigWithin, settings.WithDefault("2000"))
-	set.Millis("changes", "leaving_within_ms", &s.LeavingWithin, settings.WithDefault("2000"))
-	set.Float("retries", "window_s", &s.RetryWindowSeconds, 0, largestNumber, settings.WithDefault("10"))
-	set.Float("retries", "share", &s.RetryShare, 0, largestShare, settings.WithDefault("0.2"))
-	set.Float("retries", "slack", &s.RetrySlack, 0, largestNumber, settings.WithDefault("200"))
-	set.Float("quarantine", "lasts_s", &s.QuarantineSeconds, 1, largestNumber, settings.WithDefault("3600"))
+	set.Millis("keys", "known_within_ms", &s.KeysMaxAge, settings.WithDefault("5000"))
+	set.Millis("changes", "config_within_ms", &s.ConfigDeadline, settings.WithDefault("2000"))
+	set.Millis("changes", "leaving_within_ms", &s.LeavingDeadline, settings.WithDefault("2000"))
+	set.Float("retries", "window_s", &s.RetryWindowSeconds, 0, maxNumber, settings.WithDefault("10"))
+	set.Float("retries", "share", &s.RetryShare, 0, maxShare, settings.WithDefault("0.2"))
+	set.Float("retries", "slack", &s.RetrySlack, 0, maxNumber, settings.WithDefault("200"))
+	set.Float("quarantine", "lasts_s", &s.QuarantineSeconds, 1, maxNumber, settings.WithDefault("3600"))
 	return set
 }
 
@@ -101,48 +101,48 @@
 
 // Steps in which VMs are compared for what they can do for others.
 const (
-	stepsOfCore = 20
-	stepMbps    = 10
+	capacityPerCore = 20
+	mbpsPerCapacity = 10
 )
 
-// strength is how much the VM can do for other nodes, in steps of a part of a core or of the
+// capacity is how much the VM can do for other nodes, in steps of a part of a core or of the
 // link, whichever it has fewer of. VMs that differ by less count as alike.
-func (s *Settings) strength() uint32 {
-	steps := s.CoreShare * float64(s.Cores) * stepsOfCore
+func (s *Settings) capacity() uint32 {
+	steps := s.CoreShare * float64(s.Cores) * capacityPerCore
 	if s.LinkMbps > 0 {
-		steps = min(steps, s.LinkMbps/stepMbps)
+		steps = min(steps, s.LinkMbps/mbpsPerCapacity)
 	}
 	return uint32(max(steps, 1))
 }
 
-// knownWithin is how long a node that starts alone may wait to know of others.
-const knownWithin clock.Millis = 250
+// maxPeerWait is how long a node that starts alone may wait to know of others.
+const maxPeerWait clock.Millis = 250
 
 // startWait is how long a node that has just started may wait to know of others before it
 // turns to the store.
 func (s *Settings) startWait() clock.Millis {
-	wait := peering.MaxStartWait(s.strength())
+	wait := peering.MaxStartWait(s.capacity())
 	if s.FirstStart {
 		return wait
 	}
-	return min(wait, knownWithin)
+	return min(wait, maxPeerWait)
 }
 
 // grace is how long a planned stop may take.
 func (s *Settings) grace() clock.Millis { return clock.Millis(s.GraceSeconds * msPerSecond) }
 
-// quarantineLasts is for how long a request that ends upstreams is sent to none.
-func (s *Settings) quarantineLasts() clock.Millis {
+// quarantineDuration is for how long a request that ends upstreams is sent to none.
+func (s *Settings) quarantineDuration() clock.Millis {
 	return clock.Millis(s.QuarantineSeconds * msPerSecond)
 }
 
-// changesWithin is within what time any change that the store has taken must be known.
-func (s *Settings) changesWithin() clock.Millis { return min(s.ConfigWithin, s.LeavingWithin) }
+// changeDeadline is within what time any change that the store has taken must be known.
+func (s *Settings) changeDeadline() clock.Millis { return min(s.ConfigDeadline, s.LeavingDeadline) }
 
-// keysWithin returns the bound in force; zero for none.
-func (s *Settings) keysWithin() clock.Millis {
+// keysMaxAge returns the bound in force; zero for none.
+func (s *Settings) keysMaxAge() clock.Millis {
 	if !s.KeysFailClosed {
 		return 0
 	}
-	return s.KeysWithin
+	return s.KeysMaxAge
 }
--- a/node/silences_test.go
+++ b/node/silences_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestSilencesAreNewsOnce(t *testing.T) {
-	s := newSilences()
+	s := newUnresponsiveReports()
 	steps := []struct {
 		upstream fleet.ID
 		at       clock.Millis
@@ -21,7 +21,7 @@
 		{"e1", 600, true},
 	}
 	for _, step := range steps {
-		if got := s.news(step.at, fleet.IncarnationByID(step.upstream)); got != step.want {
+		if got := s.isNew(step.at, fleet.IncarnationByID(step.upstream)); got != step.want {
 			t.Errorf("%s at %d: got news %v, want %v", step.upstream, step.at, got, step.want)
 		}
 	}
--- a/node/silent_connections_test.go
+++ b/node/silent_connections_test.go
@@ -11,29 +11,29 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// mutable passes connections on to an address until they are muted: then those that are
+// mutableProxy passes connections on to an address until they are muted: then those that are
 // open say nothing any more, without a reset, while new ones work.
-type mutable struct {
+type mutableProxy struct {
 	listener net.Listener
-	to       string
+	target   string
 	mu       sync.Mutex
 	// muted is closed when the connections of the present generation are muted.
 	muted chan struct{}
 }
 
-func newMutable(t *testing.T, to string) *mutable {
+func newMutableProxy(t *testing.T, to string) *mutableProxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &mutable{listener: listener, to: to, muted: make(chan struct{})}
+	m := &mutableProxy{listener: listener, target: to, muted: make(chan struct{})}
 	t.Cleanup(func() { _ = listener.Close() })
 	go m.accept()
 	return m
 }
 
-func (m *mutable) accept() {
+func (m *mutableProxy) accept() {
 	for {
 		conn, err := m.listener.Accept()
 		if err != nil {
@@ -42,12 +42,12 @@
 		m.mu.Lock()
 		muted := m.muted
 		m.mu.Unlock()
-		go m.pass(conn, muted)
+		go m.forward(conn, muted)
 	}
 }
 
-func (m *mutable) pass(near net.Conn, muted <-chan struct{}) {
-	far, err := net.Dial("tcp", m.to)
+func (m *mutableProxy) forward(near net.Conn, muted <-chan struct{}) {
+	far, err := net.Dial("tcp", m.target)
 	if err != nil {
 		_ = near.Close()
 		return
@@ -84,7 +84,7 @@
 }
 
 // mute mutes the connections that are open now.
-func (m *mutable) mute() {
+func (m *mutableProxy) mute() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	close(m.muted)
@@ -96,7 +96,7 @@
 func TestSilentConnectionsToTheStore(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 2)
-	front := newMutable(t, s.storeAt)
+	front := newMutableProxy(t, s.storeAddress)
 	n := s.startNode("n1", front.listener.Addr().String())
 	await(t, "answer", func() bool { return n.do(http.MethodPost, "/once/a", "warm", "k1").status == http.StatusOK })
 	front.mute()
--- a/node/simcopy_test.go
+++ b/node/simcopy_test.go
@@ -9,39 +9,39 @@
 )
 
 const (
-	// simBeat is within what time an upstream writes its entry again that a store has lost,
-	// and simLapse after what time one that has ended has lapsed again.
-	simBeat  = 1200 * time.Millisecond
-	simLapse = 3600 * time.Millisecond
+	// simHeartbeat is within what time an upstream writes its entry again that a store has lost,
+	// and simExpiry after what time one that has ended has lapsed again.
+	simHeartbeat = 1200 * time.Millisecond
+	simExpiry    = 3600 * time.Millisecond
 )
 
-// returns has the store be away and come back from its copy. The operator and the upstreams
+// restoreStore has the store be away and come back from its copy. The operator and the upstreams
 // write again what it has lost.
-func (s *simSite) returns(e simEvent, away bool) {
+func (s *simSite) restoreStore(e simEvent, away bool) {
 	if away {
-		if e.how != "" {
-			s.fail(e.how, true)
+		if e.mode != "" {
+			s.setStoreFault(e.mode, true)
 		}
 		return
 	}
-	s.store.Return()
-	s.fail(e.how, false)
+	s.store.Restore()
+	s.setStoreFault(e.mode, false)
 	s.mu.Lock()
-	s.returned = time.Now()
-	s.forgetUndone()
+	s.restoredAt = time.Now()
+	s.ignoreRestoredCrashes()
 	s.mu.Unlock()
-	time.AfterFunc(e.rewrites, s.rewriteConfig)
-	time.AfterFunc(simBeat, s.rewriteEntries)
-	time.AfterFunc(simLapse, s.lapseEntries)
+	time.AfterFunc(e.rewriteDelay, s.rewriteConfig)
+	time.AfterFunc(simHeartbeat, s.rewriteEntries)
+	time.AfterFunc(simExpiry, s.removeCrashedEntries)
 }
 
-// forgetUndone leaves upstreams out of account that have ended without a word and are listed
+// ignoreRestoredCrashes leaves upstreams out of account that have ended without a word and are listed
 // again: who has not seen them go cannot know it before their entries have lapsed. Who has must
 // not forget. The caller holds the lock.
-func (s *simSite) forgetUndone() {
+func (s *simSite) ignoreRestoredCrashes() {
 	for _, c := range s.changes {
-		if c.ends && s.store.Value("servers", c.upstream) != nil {
-			c.undone = true
+		if c.crash && s.store.Value("servers", c.upstream) != nil {
+			c.restoredEntry = true
 		}
 	}
 }
@@ -67,8 +67,8 @@
 	}
 }
 
-// lapseEntries has the entries lapse of upstreams that have ended.
-func (s *simSite) lapseEntries() {
+// removeCrashedEntries has the entries lapse of upstreams that have ended.
+func (s *simSite) removeCrashedEntries() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range simUpstreams {
@@ -79,64 +79,64 @@
 	}
 }
 
-// judgeForgotten notes what a node has known and does not know any more, whatever happens:
+// checkLostState notes what a node has known and does not know any more, whatever happens:
 // within the life of a process nothing that was confirmed is taken back, and no upstream is
 // taken as gone that lives. The caller holds the lock.
-func (s *simSite) judgeForgotten(name string, n *simNode) {
-	at := time.Since(s.began).Milliseconds()
+func (s *simSite) checkLostState(name string, n *simNode) {
+	at := time.Since(s.startedAt).Milliseconds()
 	for _, c := range s.changes {
 		switch {
-		case n.hasTaken(c):
-			c.known[name] = n
-		case c.known[name] == n:
-			delete(c.known, name)
-			s.missed = append(s.missed, fmt.Sprintf("at %d %s has forgotten %s%s of %d", at, name, c.upstream, versionText(c.version), c.at.Sub(s.began).Milliseconds()))
+		case n.hasApplied(c):
+			c.appliedBy[name] = n
+		case c.appliedBy[name] == n:
+			delete(c.appliedBy, name)
+			s.failures = append(s.failures, fmt.Sprintf("at %d %s has forgotten %s%s of %d", at, name, c.upstream, versionText(c.version), c.at.Sub(s.startedAt).Milliseconds()))
 		}
 	}
-	if s.returned.IsZero() {
+	if s.restoredAt.IsZero() {
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for id, state := range s.states {
-		if state == "ready" && n.left[id] {
-			n.left[id] = false
-			s.missed = append(s.missed, fmt.Sprintf("at %d %s takes %s as gone", at, name, id))
+		if state == "ready" && n.unavailable[id] {
+			n.unavailable[id] = false
+			s.failures = append(s.failures, fmt.Sprintf("at %d %s takes %s as gone", at, name, id))
 		}
 	}
 }
 
-// hasTaken tells whether the node has been told a change and goes by it.
-func (n *simNode) hasTaken(c *simChange) bool {
+// hasApplied tells whether the node has been told a change and goes by it.
+func (n *simNode) hasApplied(c *simChange) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if c.upstream == "" {
 		return n.version >= c.version
 	}
-	return n.left[c.upstream]
+	return n.unavailable[c.upstream]
 }
 
-// seedReturns draws returns of the store from copies, beside rows that others write: the
+// seedRestores draws returns of the store from copies, beside rows that others write: the
 // revisions that are given out again stop short of, at and past those that nodes know.
-func seedReturns(random *rand.Rand) []simEvent {
+func seedRestores(random *rand.Rand) []simEvent {
 	const longestCopy, longestAway, longestRewrite = 6 * time.Second, 3 * time.Second, 400 * time.Millisecond
 	var events []simEvent
 	for range 1 + random.IntN(3) {
-		at := seedBegins + time.Duration(random.Int64N(int64(seedEnds-seedBegins)))
-		e := simEvent{at: at, what: "returns", how: []string{"", "down", "hang"}[random.IntN(3)]}
-		if e.how != "" {
-			e.lasts = time.Duration(random.Int64N(int64(longestAway)))
+		at := seedEventsStart + time.Duration(random.Int64N(int64(seedEventsEnd-seedEventsStart)))
+		e := simEvent{at: at, kind: "returns", mode: []string{"", "down", "hang"}[random.IntN(3)]}
+		if e.mode != "" {
+			e.duration = time.Duration(random.Int64N(int64(longestAway)))
 		}
 		if random.IntN(2) == 0 {
-			e.rewrites = time.Duration(random.Int64N(int64(longestRewrite)))
+			e.rewriteDelay = time.Duration(random.Int64N(int64(longestRewrite)))
 		}
-		events = append(events, e, simEvent{at: at - time.Duration(random.Int64N(int64(longestCopy))), what: "copy"})
+		events = append(events, e, simEvent{at: at - time.Duration(random.Int64N(int64(longestCopy))), kind: "copy"})
 		if random.IntN(2) == 0 {
-			events = append(events, simEvent{at: at + 10*time.Millisecond, what: "config"})
+			events = append(events, simEvent{at: at + 10*time.Millisecond, kind: "config"})
 		}
 	}
 	for range random.IntN(60) {
-		events = append(events, simEvent{at: time.Duration(random.Int64N(int64(seedEnds))), what: "rows"})
+		events = append(events, simEvent{at: time.Duration(random.Int64N(int64(seedEventsEnd))), kind: "rows"})
 	}
 	return events
 }
--- a/node/simnet_test.go
+++ b/node/simnet_test.go
@@ -23,22 +23,22 @@
 	mu        sync.Mutex
 	listeners map[string]*simListener
 	// links are the open connections, in the order in which they were opened.
-	links  []*simLink
-	opened map[[2]string]int
-	frozen map[string]bool
+	links      []*simLink
+	linkCounts map[[2]string]int
+	frozen     map[string]bool
 	// cut holds pairs of hosts between which nothing passes.
 	cut map[[2]string]bool
 	// changed is closed, and replaced, when frozen or cut changes.
 	changed chan struct{}
-	// wait draws how long a host's processor makes what it sends wait.
-	wait func() time.Duration
+	// sendDelay draws how long a host's processor makes what it sends wait.
+	sendDelay func() time.Duration
 }
 
 func newSimNet() *simNet {
 	return &simNet{
 		listeners: make(map[string]*simListener), frozen: make(map[string]bool),
-		cut: make(map[[2]string]bool), opened: make(map[[2]string]int), changed: make(chan struct{}),
-		wait: func() time.Duration { return 0 },
+		cut: make(map[[2]string]bool), linkCounts: make(map[[2]string]int), changed: make(chan struct{}),
+		sendDelay: func() time.Duration { return 0 },
 	}
 }
 
@@ -48,7 +48,7 @@
 		return
 	}
 	random := rand.New(rand.NewPCG(seed, 1))
-	n.wait = func() time.Duration {
+	n.sendDelay = func() time.Duration {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		return time.Duration(random.Int64N(int64(most)))
@@ -59,8 +59,8 @@
 type simLink struct {
 	net      *simNet
 	from, to string
-	// nth is how many connections the one has opened to the other.
-	nth    int
+	// number is how many connections the one has opened to the other.
+	number int
 	silent chan struct{}
 	once   sync.Once
 }
@@ -81,11 +81,11 @@
 // simConn is an end of a link.
 type simConn struct {
 	net.Conn
-	link         *simLink
-	local        string
-	remote       string
-	closed       chan struct{}
-	closedByOnce sync.Once
+	link      *simLink
+	local     string
+	remote    string
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
 type simAddr string
@@ -98,11 +98,11 @@
 
 // Write passes on what is written once the way is free.
 func (c *simConn) Write(p []byte) (int, error) {
-	if wait := c.link.net.wait(); wait > 0 {
+	if wait := c.link.net.sendDelay(); wait > 0 {
 		time.Sleep(wait)
 	}
 	for {
-		free, changed := c.link.net.free(c.local, c.remote)
+		free, changed := c.link.net.canPass(c.local, c.remote)
 		switch {
 		case c.link.muted():
 			return len(p), nil
@@ -120,15 +120,15 @@
 
 // Close closes the connection. Of a silent one the other end learns nothing.
 func (c *simConn) Close() error {
-	c.closedByOnce.Do(func() { close(c.closed) })
+	c.closeOnce.Do(func() { close(c.closed) })
 	if c.link.muted() {
 		return c.SetDeadline(time.Unix(1, 0))
 	}
 	return c.Conn.Close()
 }
 
-// free tells whether anything passes between two hosts, and when to look again.
-func (n *simNet) free(a, b string) (bool, <-chan struct{}) {
+// canPass tells whether anything passes between two hosts, and when to look again.
+func (n *simNet) canPass(a, b string) (bool, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.frozen[a] && !n.frozen[b] && !n.cut[pair(a, b)], n.changed
@@ -136,8 +136,8 @@
 
 func pair(a, b string) [2]string { return [2]string{min(a, b), max(a, b)} }
 
-// change changes what is frozen or cut.
-func (n *simNet) change(do func()) {
+// update changes what is frozen or cut.
+func (n *simNet) update(do func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	do()
@@ -145,14 +145,14 @@
 	n.changed = make(chan struct{})
 }
 
-// silence makes open connections go silent: each with a chance, and of one host alone
+// muteLinks makes open connections go silent: each with a chance, and of one host alone
 // if it is named. The chance hangs on the two hosts and on how many connections they
 // have opened, not on the order in which goroutines run at one moment.
-func (n *simNet) silence(seed uint64, share float64, host string) {
+func (n *simNet) muteLinks(seed uint64, share float64, host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.links = slices.DeleteFunc(n.links, func(l *simLink) bool {
-		random := rand.New(rand.NewPCG(seed, hash(fmt.Sprint(l.from, l.to, l.nth))))
+		random := rand.New(rand.NewPCG(seed, hash(fmt.Sprint(l.from, l.to, l.number))))
 		if host != "" && l.from != host && l.to != host || random.Float64() >= share {
 			return false
 		}
@@ -198,11 +198,11 @@
 		return nil, errRefused
 	}
 	n.mu.Lock()
-	n.opened[[2]string{from, to}]++
-	link.nth = n.opened[[2]string{from, to}]
+	n.linkCounts[[2]string{from, to}]++
+	link.number = n.linkCounts[[2]string{from, to}]
 	n.links = append(n.links, link)
 	n.mu.Unlock()
-	listener.note(near, far)
+	listener.addPipes(near, far)
 	return dialed, nil
 }
 
@@ -235,7 +235,7 @@
 	}
 }
 
-func (l *simListener) note(pipes ...net.Conn) {
+func (l *simListener) addPipes(pipes ...net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.pipes = append(l.pipes, pipes...)
--- a/node/simsite_test.go
+++ b/node/simsite_test.go
@@ -33,55 +33,55 @@
 )
 
 const (
-	// simContact is for how long a node must have had no disruption to be judged, and
-	// simWithin within what time it must know a change: the users' bounds.
-	simContact = 3 * time.Second
-	simWithin  = 2 * time.Second
-	// simReserve is what is left of a bound for the work on what a change brings.
-	simReserve = 50 * time.Millisecond
-	// simWord is how often nodes tell each other of themselves.
-	simWord = 300 * time.Millisecond
-	// simAnswer is what the store takes for an answer.
-	simAnswer clock.Millis = 4
-	// simLook is how often what nodes know is looked at.
-	simLook  = 10 * time.Millisecond
-	simStore = "store"
+	// simStablePeriod is for how long a node must have had no disruption to be judged, and
+	// simDeadline within what time it must know a change: the users' bounds.
+	simStablePeriod = 3 * time.Second
+	simDeadline     = 2 * time.Second
+	// simMargin is what is left of a bound for the work on what a change brings.
+	simMargin = 50 * time.Millisecond
+	// simStatusInterval is how often nodes tell each other of themselves.
+	simStatusInterval = 300 * time.Millisecond
+	// simStoreLatency is what the store takes for an answer.
+	simStoreLatency clock.Millis = 4
+	// simCheckInterval is how often what nodes know is looked at.
+	simCheckInterval = 10 * time.Millisecond
+	simStoreHost     = "store"
 )
 
 // simEvent is something that happens at a time of a play.
 type simEvent struct {
 	at time.Duration
-	// what is the verb: silent, freeze, kill, cut_store, cut_nodes, refuse, refuse_list,
+	// kind is the verb: silent, freeze, kill, cut_store, cut_nodes, refuse, refuse_list,
 	// down, slow, leaves, ends, joins, config, rows, copy or returns.
-	what string
+	kind string
 	// node is the node that it strikes; empty for all, or for the store.
 	node string
-	// lasts is how long it lasts, share how many connections it strikes.
-	lasts time.Duration
-	share float64
-	// how is what a store answers that refuses: 503, 429, or silence; or how one is away that
+	// duration is how long it lasts, share how many connections it strikes.
+	duration time.Duration
+	share    float64
+	// mode is what a store answers that refuses: 503, 429, or silence; or how one is away that
 	// comes back from a copy: down, hang, or not at all.
-	how string
-	// rewrites is how long after its return the operator writes what the store has lost.
-	rewrites time.Duration
+	mode string
+	// rewriteDelay is how long after its return the operator writes what the store has lost.
+	rewriteDelay time.Duration
 }
 
 func (e simEvent) String() string {
-	text := fmt.Sprintf("at=%d %s", e.at.Milliseconds(), e.what)
+	text := fmt.Sprintf("at=%d %s", e.at.Milliseconds(), e.kind)
 	if e.node != "" {
 		text += " node=" + e.node
 	}
-	if e.lasts > 0 {
-		text += fmt.Sprintf(" for=%d", e.lasts.Milliseconds())
+	if e.duration > 0 {
+		text += fmt.Sprintf(" for=%d", e.duration.Milliseconds())
 	}
 	if e.share > 0 && e.share < 1 {
 		text += fmt.Sprintf(" share=%.2f", e.share)
 	}
-	if e.how != "" {
-		text += " how=" + e.how
+	if e.mode != "" {
+		text += " how=" + e.mode
 	}
-	if e.rewrites > 0 {
-		text += fmt.Sprintf(" rewrites=%d", e.rewrites.Milliseconds())
+	if e.rewriteDelay > 0 {
+		text += fmt.Sprintf(" rewrites=%d", e.rewriteDelay.Milliseconds())
 	}
 	return text
 }
@@ -93,97 +93,97 @@
 	// configuration, of a version.
 	upstream string
 	version  uint64
-	// ends tells that the upstream has ended without a word.
-	ends bool
-	// undone tells that the store has come back from a copy that shows it still.
-	undone bool
-	// reported are the nodes that are known to have missed it, and known those that know it,
+	// crash tells that the upstream has ended without a word.
+	crash bool
+	// restoredEntry tells that the store has come back from a copy that shows it still.
+	restoredEntry bool
+	// missedBy are the nodes that are known to have missed it, and known those that know it,
 	// by name.
-	reported map[string]bool
-	known    map[string]*simNode
+	missedBy  map[string]bool
+	appliedBy map[string]*simNode
 }
 
 // simSetting is what a site is like throughout a play.
 type simSetting struct {
-	// within is within what time changes must be known.
-	within time.Duration
+	// deadline is within what time changes must be known.
+	deadline time.Duration
 	// loss is the share of the nodes' word of themselves that is lost.
 	loss float64
 	// jitter bounds how long a node's processor makes what it sends wait, each time.
 	jitter time.Duration
-	// returns tells that the store of a seed comes back from copies.
-	returns bool
+	// restores tells that the store of a seed comes back from copies.
+	restores bool
 }
 
-// usualSetting is that of the users' sites.
-func usualSetting() simSetting { return simSetting{within: simWithin} }
+// defaultSetting is that of the users' sites.
+func defaultSetting() simSetting { return simSetting{deadline: simDeadline} }
 
 // simSite is a store and the nodes that follow it, in virtual time.
 type simSite struct {
-	t       *testing.T
-	setting simSetting
-	net     *simNet
-	store   *standin.RowStore
-	random  *rand.Rand
-	began   time.Time
-	names   []string
-	mu      sync.Mutex
-	nodes   map[string]*simNode
-	refuses map[string]string
-	// refusesList is what the store answers some nodes that ask for the list alone.
-	refusesList map[string]string
-	calls       int
-	// disturbed is until when something lasts that disturbs a node, by name, or the
+	t          *testing.T
+	setting    simSetting
+	net        *simNet
+	store      *standin.RowStore
+	random     *rand.Rand
+	startedAt  time.Time
+	names      []string
+	mu         sync.Mutex
+	nodes      map[string]*simNode
+	rejections map[string]string
+	// listRejections is what the store answers some nodes that ask for the list alone.
+	listRejections map[string]string
+	calls          int
+	// disturbedUntil is until when something lasts that disturbs a node, by name, or the
 	// store.
-	disturbed map[string]time.Time
-	changes   []*simChange
-	next      int
-	version   uint64
-	missed    []string
-	closed    bool
+	disturbedUntil map[string]time.Time
+	changes        []*simChange
+	next           int
+	version        uint64
+	failures       []string
+	closed         bool
 	// states are what upstreams say of themselves, without those that have ended.
 	states map[string]string
-	// returned is when the store has come back from a copy last, and rows counts what others
+	// restoredAt is when the store has come back from a copy last, and rows counts what others
 	// have written.
-	returned time.Time
-	rows     int
+	restoredAt time.Time
+	rows       int
 }
 
 // simNode is a node's followers.
 type simNode struct {
 	*Node
-	end     context.CancelFunc
-	ended   sync.WaitGroup
-	idle    func()
-	mu      sync.Mutex
-	left    map[string]bool
-	listed  map[string]bool
-	version uint64
+	stop        context.CancelFunc
+	wg          sync.WaitGroup
+	closeIdle   func()
+	mu          sync.Mutex
+	unavailable map[string]bool
+	listed      map[string]bool
+	version     uint64
 }
 
 // simResult is what has come of a play: which nodes in touch did not know a change in
 // time, and how often the store was called.
 type simResult struct {
-	missed []string
-	calls  int
+	failures []string
+	calls    int
 }
 
-// playSim plays events on a site of some nodes.
-func playSim(t *testing.T, setting simSetting, seed uint64, nodes int, until time.Duration, events []simEvent) (result simResult) {
+// runSim plays events on a site of some nodes.
+func runSim(t *testing.T, setting simSetting, seed uint64, nodes int, until time.Duration, events []simEvent) (result simResult) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimSite(t, setting, seed, nodes)
 		defer s.close()
 		slices.SortStableFunc(events, func(a, b simEvent) int { return int(a.at - b.at) })
-		for at := time.Duration(0); at < until; at += simLook {
+		for at := time.Duration(0); at < until; at += simCheckInterval {
 			for len(events) > 0 && events[0].at <= at {
-				s.do(events[0])
+				s.apply(events[0])
 				events = events[1:]
 			}
-			time.Sleep(simLook)
-			s.judge()
+			time.Sleep(simCheckInterval)
+			s.check()
 		}
-		result = simResult{missed: s.missed, calls: s.calls}
+		result = simResult{failures: s.failures, calls: s.calls}
 	})
 	return result
 }
@@ -193,42 +193,42 @@
 
 func newSimSite(t *testing.T, setting simSetting, seed uint64, nodes int) *simSite {
 	s := &simSite{
-		t: t, setting: setting, net: newSimNet(), store: standin.NewRowStore(), random: rand.New(rand.NewPCG(seed, seed)), began: time.Now(),
-		nodes: make(map[string]*simNode), refuses: make(map[string]string), refusesList: make(map[string]string), disturbed: make(map[string]time.Time), version: 1,
+		t: t, setting: setting, net: newSimNet(), store: standin.NewRowStore(), random: rand.New(rand.NewPCG(seed, seed)), startedAt: time.Now(),
+		nodes: make(map[string]*simNode), rejections: make(map[string]string), listRejections: make(map[string]string), disturbedUntil: make(map[string]time.Time), version: 1,
 		states: make(map[string]string),
 	}
 	s.net.jitter(seed, setting.jitter)
 	s.store.Put("op", "config", standin.SiteConfig(s.version, "k1"))
 	for i := range simUpstreams {
-		s.put(fmt.Sprintf("u%d", i), "ready")
+		s.putUpstream(fmt.Sprintf("u%d", i), "ready")
 	}
 	s.store.SetFaults(s.faults())
-	server := &http.Server{Handler: s.front(s.store.Handler())}
-	listener := s.net.listen(simStore)
+	server := &http.Server{Handler: s.rejectingHandler(s.store.Handler())}
+	listener := s.net.listen(simStoreHost)
 	go func() { _ = server.Serve(listener) }()
 	for i := range nodes {
 		s.names = append(s.names, fmt.Sprintf("n%02d", i+1))
 	}
 	for _, name := range s.names {
-		s.start(name)
+		s.startNode(name)
 	}
 	t.Cleanup(func() { _ = server.Close() })
 	return s
 }
 
 func (s *simSite) faults() standin.RowStoreFaults {
-	return standin.RowStoreFaults{SlowMS: int64(simAnswer)}
+	return standin.RowStoreFaults{ResponseDelayMS: int64(simStoreLatency)}
 }
 
-// front turns nodes away, and counts calls.
-func (s *simSite) front(store http.Handler) http.Handler {
+// rejectingHandler turns nodes away, and counts calls.
+func (s *simSite) rejectingHandler(store http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		host, _, _ := net.SplitHostPort(r.RemoteAddr)
 		s.mu.Lock()
 		s.calls++
-		how := s.refuses[host]
+		how := s.rejections[host]
 		if how == "" && r.URL.Query().Get("table") == "servers" {
-			how = s.refusesList[host]
+			how = s.listRejections[host]
 		}
 		s.mu.Unlock()
 		switch how {
@@ -244,7 +244,7 @@
 	})
 }
 
-func (s *simSite) put(id, state string) {
+func (s *simSite) putUpstream(id, state string) {
 	s.setState(id, state)
 	s.store.Put("servers", id, s.entry(id, state))
 }
@@ -268,8 +268,8 @@
 	return entry
 }
 
-// start starts a node.
-func (s *simSite) start(name string) {
+// startNode starts a node.
+func (s *simSite) startNode(name string) {
 	log := zap.NewNop()
 	if os.Getenv("SIM_LOG") != "" {
 		to, err := logging.NewTo("debug", zapcore.Lock(os.Stdout))
@@ -279,44 +279,44 @@
 		log = to.With(zap.String("node", name))
 	}
 	life, end := context.WithCancel(context.Background())
-	n := &simNode{end: end, left: make(map[string]bool), listed: make(map[string]bool)}
+	n := &simNode{stop: end, unavailable: make(map[string]bool), listed: make(map[string]bool)}
 	c := clocktest.NewClock()
 	n.Node = &Node{
-		settings: &Settings{Name: name, DataCentre: "z", ConfigWithin: clock.FromDuration(s.setting.within), LeavingWithin: clock.FromDuration(s.setting.within)},
-		log:      log, clock: c, life: life, silences: newSilences(),
-		store: platform.NewStore(simStore+":1", log, platform.WithDial(s.net.dial(name))),
+		settings: &Settings{Name: name, DataCentre: "z", ConfigDeadline: clock.FromDuration(s.setting.deadline), LeavingDeadline: clock.FromDuration(s.setting.deadline)},
+		log:      log, clock: c, ctx: life, unresponsive: newUnresponsiveReports(),
+		store: platform.NewStore(simStoreHost+":1", log, platform.WithDialer(s.net.dial(name))),
 		relay: relay.New(life, platform.Headers{}, dispatch.New(), c, log),
 	}
-	n.quarantined = newQuarantined(c, n.settings.quarantineLasts())
+	n.quarantined = newQuarantineSet(c, n.settings.quarantineDuration())
 	n.keeper = keeper.New(n.store, c, log, true, func([]dispatch.Quarantined) {})
-	peers := platform.NewPeerTransport(platform.WithDial(s.net.dial(name)))
-	n.idle = peers.CloseIdleConnections
-	n.follow(&wire.Member{Name: name, DataCentre: "z"}, peers, n.tellCatalog, n.tellFleet)
-	n.peers = peering.New(&wire.Member{Name: name}, nil, n.store, n.known, n.known, c, log, peers, 1)
-	n.roster.SetGroup(s.others(name))
+	peers := platform.NewPeerTransport(platform.WithDialer(s.net.dial(name)))
+	n.closeIdle = peers.CloseIdleConnections
+	n.follow(&wire.Member{Name: name, DataCentre: "z"}, peers, n.recordCatalog, n.recordFleet)
+	n.peers = peering.New(&wire.Member{Name: name}, nil, n.store, n.local, n.local, c, log, peers, 1)
+	n.roster.SetGroup(s.otherMembers(name))
 	mux := http.NewServeMux()
-	mux.Handle(reading.Handler(n.shared, func(string) {}))
+	mux.Handle(reading.Handler(n.readLog, func(string) {}))
 	server := &http.Server{Handler: mux}
 	listener := s.net.listen(name)
-	n.ended.Go(func() { _ = server.Serve(listener) })
-	n.ended.Go(func() { _ = n.catalogs.Run(life) })
-	n.ended.Go(func() { _ = n.fleets.Run(life) })
-	offset := time.Duration(s.random.Int64N(int64(simWord)))
+	n.wg.Go(func() { _ = server.Serve(listener) })
+	n.wg.Go(func() { _ = n.catalogFollower.Run(life) })
+	n.wg.Go(func() { _ = n.fleetFollower.Run(life) })
+	offset := time.Duration(s.random.Int64N(int64(simStatusInterval)))
 	lost := rand.New(rand.NewPCG(s.random.Uint64(), 0))
-	n.ended.Go(func() { s.tellOthers(life, n, offset, lost) })
-	n.ended.Go(func() {
+	n.wg.Go(func() { s.sendStatus(life, n, offset, lost) })
+	n.wg.Go(func() {
 		<-life.Done()
 		_ = server.Close()
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nodes[name] = n
-	if now := time.Now(); now.After(s.disturbed[name]) {
-		s.disturbed[name] = now
+	if now := time.Now(); now.After(s.disturbedUntil[name]) {
+		s.disturbedUntil[name] = now
 	}
 }
 
-func (s *simSite) others(name string) []*wire.Member {
+func (s *simSite) otherMembers(name string) []*wire.Member {
 	var others []*wire.Member
 	for _, other := range s.names {
 		if other != name {
@@ -326,185 +326,185 @@
 	return others
 }
 
-// tellOthers tells other nodes of a node from time to time.
-func (s *simSite) tellOthers(ctx context.Context, n *simNode, offset time.Duration, lost *rand.Rand) {
-	clock.Pause(ctx, offset)
+// sendStatus tells other nodes of a node from time to time.
+func (s *simSite) sendStatus(ctx context.Context, n *simNode, offset time.Duration, lost *rand.Rand) {
+	clock.Sleep(ctx, offset)
 	for ctx.Err() == nil {
-		told := n.told()
-		for _, other := range s.peersOf(n) {
+		told := n.statusRecipients()
+		for _, other := range s.reachablePeers(n) {
 			if told != nil && !told[other.settings.Name] || lost.Float64() < s.setting.loss {
 				continue
 			}
-			other.roster.Heard(other.clock.Now(), n.settings.Name, n.followable())
+			other.roster.UpdateStatus(other.clock.Now(), n.settings.Name, n.isFollowable())
 		}
-		clock.Pause(ctx, simWord)
+		clock.Sleep(ctx, simStatusInterval)
 	}
 }
 
-// told are the names of the nodes that a node tells of itself; nil for all.
-func (n *simNode) told() map[string]bool {
+// statusRecipients are the names of the nodes that a node tells of itself; nil for all.
+func (n *simNode) statusRecipients() map[string]bool {
 	circle := n.roster.Topology(n.clock.Now())
 	if circle.FullMesh {
 		return nil
 	}
 	told := make(map[string]bool)
-	for _, m := range slices.Concat(circle.Hubs, circle.Leaves, circle.Absent) {
+	for _, m := range slices.Concat(circle.Hubs, circle.Leaves, circle.MissingHubs) {
 		told[m.GetName()] = true
 	}
 	return told
 }
 
-// peersOf returns the nodes that a node's word reaches.
-func (s *simSite) peersOf(n *simNode) []*simNode {
+// reachablePeers returns the nodes that a node's word reaches.
+func (s *simSite) reachablePeers(n *simNode) []*simNode {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var peers []*simNode
 	for _, name := range s.names {
 		other := s.nodes[name]
-		if free, _ := s.net.free(n.settings.Name, name); free && other != nil && other != n {
+		if free, _ := s.net.canPass(n.settings.Name, name); free && other != nil && other != n {
 			peers = append(peers, other)
 		}
 	}
 	return peers
 }
 
-// tellCatalog takes what the follower of the configuration tells.
-func (n *simNode) tellCatalog(p follow.Proof) follow.ActiveConfig {
+// recordCatalog takes what the follower of the configuration tells.
+func (n *simNode) recordCatalog(p follow.Proof) follow.ActiveConfig {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	taken, inForce := n.known.take(p)
+	taken, inForce := n.local.apply(p)
 	if taken == follow.Replaced {
 		n.version, _, _ = p.Edition.Parts()
 	}
 	return inForce
 }
 
-// tellFleet takes what the follower of the list tells.
-func (n *simNode) tellFleet(changes []fleet.Change) {
+// recordFleet takes what the follower of the list tells.
+func (n *simNode) recordFleet(changes []fleet.Change) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, c := range changes {
-		n.left[string(c.ID.ID())] = c.Gone || c.Upstream.Leaving
+		n.unavailable[string(c.ID.ID())] = c.Gone || c.Upstream.Leaving
 	}
 }
 
-// knows tells whether the node knows a change. One that has started since needs not.
-func (n *simNode) knows(c *simChange) bool {
+// isUpToDate tells whether the node knows a change. One that has started since needs not.
+func (n *simNode) isUpToDate(c *simChange) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if c.upstream == "" {
 		return n.version >= c.version
 	}
-	left, listed := n.left[c.upstream]
+	left, listed := n.unavailable[c.upstream]
 	return left || !listed
 }
 
-// do lets an event happen.
-func (s *simSite) do(e simEvent) {
-	ends := time.Now().Add(e.lasts)
-	switch e.what {
+// apply lets an event happen.
+func (s *simSite) apply(e simEvent) {
+	ends := time.Now().Add(e.duration)
+	switch e.kind {
 	case "silent":
-		s.net.silence(s.random.Uint64(), e.share, e.node)
-		s.disturb(ends, s.names...)
+		s.net.muteLinks(s.random.Uint64(), e.share, e.node)
+		s.markDisturbed(ends, s.names...)
 	case "freeze":
-		s.lasting(e, ends, func(on bool) { s.net.change(func() { s.net.frozen[e.node] = on }) }, e.node)
+		s.runFault(e, ends, func(on bool) { s.net.update(func() { s.net.frozen[e.node] = on }) }, e.node)
 	case "cut_store":
-		s.lasting(e, ends, func(on bool) { s.net.change(func() { s.net.cut[pair(e.node, simStore)] = on }) }, e.node)
+		s.runFault(e, ends, func(on bool) { s.net.update(func() { s.net.cut[pair(e.node, simStoreHost)] = on }) }, e.node)
 	case "cut_nodes":
-		s.lasting(e, ends, func(on bool) {
-			s.net.change(func() {
+		s.runFault(e, ends, func(on bool) {
+			s.net.update(func() {
 				for _, other := range s.names {
 					s.net.cut[pair(e.node, other)] = on && other != e.node
 				}
 			})
 		}, e.node)
 	case "refuse":
-		s.lasting(e, ends, func(on bool) { s.refuse(s.refuses, e, on) }, simStore)
+		s.runFault(e, ends, func(on bool) { s.setRejection(s.rejections, e, on) }, simStoreHost)
 	case "refuse_list":
-		s.lasting(e, ends, func(on bool) { s.refuse(s.refusesList, e, on) }, simStore)
+		s.runFault(e, ends, func(on bool) { s.setRejection(s.listRejections, e, on) }, simStoreHost)
 	case "down", "hang", "slow":
-		s.lasting(e, ends, func(on bool) { s.fail(e.what, on) }, simStore)
+		s.runFault(e, ends, func(on bool) { s.setStoreFault(e.kind, on) }, simStoreHost)
 	case "kill":
-		s.lasting(e, ends, func(on bool) { s.kill(e.node, on) }, e.node)
+		s.runFault(e, ends, func(on bool) { s.setKilled(e.node, on) }, e.node)
 	case "leaves", "ends", "joins", "config":
-		s.changeStore(e.what)
+		s.changeStore(e.kind)
 	case "rows":
 		s.rows++
 		s.store.Put("other", fmt.Sprint(s.rows), nil)
 	case "copy":
-		s.store.Copy()
+		s.store.Backup()
 	case "returns":
-		s.lasting(e, ends, func(on bool) { s.returns(e, on) }, simStore)
+		s.runFault(e, ends, func(on bool) { s.restoreStore(e, on) }, simStoreHost)
 	default:
-		s.t.Fatalf("no event %q", e.what)
+		s.t.Fatalf("no event %q", e.kind)
 	}
 }
 
-// disturb notes that hosts are disturbed until a time.
-func (s *simSite) disturb(until time.Time, hosts ...string) {
+// markDisturbed notes that hosts are disturbed until a time.
+func (s *simSite) markDisturbed(until time.Time, hosts ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, host := range hosts {
-		if until.After(s.disturbed[host]) {
-			s.disturbed[host] = until
+		if until.After(s.disturbedUntil[host]) {
+			s.disturbedUntil[host] = until
 		}
 	}
 }
 
-// lasting turns a fault on, and off when its time is over.
-func (s *simSite) lasting(e simEvent, ends time.Time, turn func(on bool), host string) {
-	if host == simStore {
-		s.forgetEnds()
+// runFault turns a fault on, and off when its time is over.
+func (s *simSite) runFault(e simEvent, ends time.Time, turn func(on bool), host string) {
+	if host == simStoreHost {
+		s.ignoreRecentCrashes()
 	}
-	s.disturb(ends, host)
+	s.markDisturbed(ends, host)
 	turn(true)
 	go func() {
-		time.Sleep(e.lasts)
+		time.Sleep(e.duration)
 		turn(false)
 	}()
 }
 
-// simGather is for how long a node may not have asked for changes: its pause after one,
+// simPollPause is for how long a node may not have asked for changes: its pause after one,
 // and some more.
-const simGather = 1200 * time.Millisecond
+const simPollPause = 1200 * time.Millisecond
 
-// forgetEnds leaves upstreams out of account that have ended right before an outage of
+// ignoreRecentCrashes leaves upstreams out of account that have ended right before an outage of
 // the store: who has not seen that yet cannot tell it from an entry that lapsed in it.
-func (s *simSite) forgetEnds() {
+func (s *simSite) ignoreRecentCrashes() {
 	s.changes = slices.DeleteFunc(s.changes, func(c *simChange) bool {
-		return c.ends && time.Since(c.at) < simGather
+		return c.crash && time.Since(c.at) < simPollPause
 	})
 }
 
-func (s *simSite) refuse(in map[string]string, e simEvent, on bool) {
+func (s *simSite) setRejection(in map[string]string, e simEvent, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, name := range s.names {
 		if e.node == name || e.node == "" && float64(i) < e.share*float64(len(s.names)) {
 			in[name] = ""
 			if on {
-				in[name] = e.how
+				in[name] = e.mode
 			}
 		}
 	}
 }
 
-// simSlow is what a slow store takes for an answer: sixty times the usual.
-const simSlow = 60 * simAnswer
+// simSlowLatency is what a slow store takes for an answer: sixty times the usual.
+const simSlowLatency = 60 * simStoreLatency
 
-func (s *simSite) fail(what string, on bool) {
+func (s *simSite) setStoreFault(what string, on bool) {
 	f := s.faults()
 	if on {
-		f.Down, f.Silent = what == "down", what == "hang"
+		f.Down, f.Unresponsive = what == "down", what == "hang"
 		if what == "slow" {
-			f.SlowMS = int64(simSlow)
+			f.ResponseDelayMS = int64(simSlowLatency)
 		}
 	}
 	s.store.SetFaults(f)
 }
 
-// kill ends a node's process, or starts it anew unless it runs.
-func (s *simSite) kill(name string, on bool) {
+// setKilled ends a node's process, or starts it anew unless it runs.
+func (s *simSite) setKilled(name string, on bool) {
 	s.mu.Lock()
 	n, closed := s.nodes[name], s.closed
 	if on {
@@ -513,14 +513,14 @@
 	s.mu.Unlock()
 	switch {
 	case on && n != nil:
-		s.end(n)
+		s.stop(n)
 	case !on && n == nil && !closed:
-		s.start(name)
+		s.startNode(name)
 	}
 }
 
-func (s *simSite) end(n *simNode) {
-	n.end()
+func (s *simSite) stop(n *simNode) {
+	n.stop()
 	s.net.mu.Lock()
 	listener := s.net.listeners[n.settings.Name]
 	s.net.mu.Unlock()
@@ -528,21 +528,21 @@
 		_ = listener.Close()
 	}
 	n.store.Close()
-	n.idle()
-	n.ended.Wait()
+	n.closeIdle()
+	n.wg.Wait()
 }
 
 // changeStore lets an upstream leave, or end without a word, or changes the
 // configuration.
 func (s *simSite) changeStore(what string) {
-	c := &simChange{at: time.Now(), reported: make(map[string]bool), known: make(map[string]*simNode)}
+	c := &simChange{at: time.Now(), missedBy: make(map[string]bool), appliedBy: make(map[string]*simNode)}
 	switch {
 	case what == "config":
 		s.version++
 		c.version = s.version
 		s.store.Put("op", "config", standin.SiteConfig(s.version, "k1"))
 	case what == "joins":
-		s.put(fmt.Sprintf("j%d", len(s.states)), "ready")
+		s.putUpstream(fmt.Sprintf("j%d", len(s.states)), "ready")
 		return
 	case s.next >= simUpstreams:
 		return
@@ -550,53 +550,53 @@
 		c.upstream = fmt.Sprintf("u%d", s.next)
 		s.next++
 		if what == "leaves" {
-			s.put(c.upstream, "draining")
+			s.putUpstream(c.upstream, "draining")
 		} else {
 			s.setState(c.upstream, "")
 			s.store.Remove("servers", c.upstream)
 		}
 	}
-	c.ends = what == "ends"
+	c.crash = what == "ends"
 	// Around an outage an entry may vanish whose upstream lives, and counts on for a
 	// while. The users count only what a store has taken that was well.
-	if c.ends && !s.storeWell() {
+	if c.crash && !s.storeStable() {
 		return
 	}
 	s.changes = append(s.changes, c)
 }
 
-// storeWell tells whether the store has had no disruption for a while.
-func (s *simSite) storeWell() bool {
+// storeStable tells whether the store has had no disruption for a while.
+func (s *simSite) storeStable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Since(s.disturbed[simStore]) >= simContact
+	return time.Since(s.disturbedUntil[simStoreHost]) >= simStablePeriod
 }
 
-// judge notes what nodes in touch should know and do not. Only what the store has
+// check notes what nodes in touch should know and do not. Only what the store has
 // taken while it was well counts.
-func (s *simSite) judge() {
+func (s *simSite) check() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	for name, n := range s.nodes {
-		since := now.Add(simReserve)
-		s.judgeForgotten(name, n)
-		if since.Before(s.disturbed[name].Add(simContact)) {
+		since := now.Add(simMargin)
+		s.checkLostState(name, n)
+		if since.Before(s.disturbedUntil[name].Add(simStablePeriod)) {
 			continue
 		}
-		storeWell := !since.Before(s.disturbed[simStore].Add(simContact))
-		onlyReturned := !s.returned.IsZero() && !s.disturbed[simStore].After(s.returned)
+		storeWell := !since.Before(s.disturbedUntil[simStoreHost].Add(simStablePeriod))
+		onlyReturned := !s.restoredAt.IsZero() && !s.disturbedUntil[simStoreHost].After(s.restoredAt)
 		for _, c := range s.changes {
 			// What is confirmed right after a return counts from then.
-			if !storeWell && (!onlyReturned || c.version == 0 || c.at.Before(s.returned)) {
+			if !storeWell && (!onlyReturned || c.version == 0 || c.at.Before(s.restoredAt)) {
 				continue
 			}
-			if c.undone || c.reported[name] || since.Before(c.at.Add(s.setting.within)) || n.knows(c) {
+			if c.restoredEntry || c.missedBy[name] || since.Before(c.at.Add(s.setting.deadline)) || n.isUpToDate(c) {
 				continue
 			}
-			c.reported[name] = true
-			s.missed = append(s.missed, fmt.Sprintf("at %d %s does not know %s%s of %d",
-				now.Sub(s.began).Milliseconds(), name, c.upstream, versionText(c.version), c.at.Sub(s.began).Milliseconds()))
+			c.missedBy[name] = true
+			s.failures = append(s.failures, fmt.Sprintf("at %d %s does not know %s%s of %d",
+				now.Sub(s.startedAt).Milliseconds(), name, c.upstream, versionText(c.version), c.at.Sub(s.startedAt).Milliseconds()))
 		}
 	}
 }
@@ -610,7 +610,7 @@
 
 // close ends all, silent connections too.
 func (s *simSite) close() {
-	s.net.change(func() {
+	s.net.update(func() {
 		clear(s.net.frozen)
 		clear(s.net.cut)
 	})
@@ -619,7 +619,7 @@
 	s.nodes, s.closed = make(map[string]*simNode), true
 	s.mu.Unlock()
 	for _, n := range nodes {
-		n.end()
+		n.stop()
 	}
 	s.net.mu.Lock()
 	var listeners []*simListener
@@ -631,10 +631,10 @@
 		_ = l.Close()
 	}
 	for _, n := range nodes {
-		s.end(n)
+		s.stop(n)
 	}
-	time.Sleep(longestFault)
+	time.Sleep(maxFaultDuration)
 }
 
-// longestFault bounds how long an event lasts, and a call without an answer.
-const longestFault = 30 * time.Second
+// maxFaultDuration bounds how long an event lasts, and a call without an answer.
+const maxFaultDuration = 30 * time.Second
--- a/node/site_test.go
+++ b/node/site_test.go
@@ -16,25 +16,25 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// patience bounds every wait of these tests. Nothing is measured against it.
-const patience = 60 * time.Second
+// awaitTimeout bounds every wait of these tests. Nothing is measured against it.
+const awaitTimeout = 60 * time.Second
 
 // site is the outside world of a test, in this process.
 type site struct {
-	t       *testing.T
-	store   *standin.RowStore
-	storeAt string
-	engines map[string]*engineProcess
-	desk    *standin.Desk
-	// stopDesk ends the desk, and waits until its entry has lapsed.
-	stopDesk func()
+	t            *testing.T
+	store        *standin.RowStore
+	storeAddress string
+	engines      map[string]*engineProcess
+	plainService *standin.PlainServer
+	// stopPlainService ends the desk, and waits until its entry has lapsed.
+	stopPlainService func()
 }
 
 // engineProcess is an engine that can be killed.
 type engineProcess struct {
-	engine *standin.ChainEngine
-	server *httptest.Server
-	stop   context.CancelFunc
+	engine        *standin.ChainEngine
+	server        *httptest.Server
+	stopHeartbeat context.CancelFunc
 }
 
 // newSite starts a store, a desk, and engines in one data centre.
@@ -42,12 +42,12 @@
 	s := &site{t: t, store: standin.NewRowStore(), engines: make(map[string]*engineProcess)}
 	server := httptest.NewServer(s.store.Handler())
 	t.Cleanup(server.Close)
-	s.storeAt = server.Listener.Addr().String()
+	s.storeAddress = server.Listener.Addr().String()
 	s.store.Put("op", "config", standin.SiteConfig(1, "k1", "k2"))
 	for i := range engines {
 		s.startEngine(fmt.Sprintf("e%d", i+1))
 	}
-	s.startDesk()
+	s.startPlainService()
 	return s
 }
 
@@ -63,41 +63,41 @@
 	engine := standin.NewChainEngine(id, server.Listener.Addr().String())
 	server.Config.Handler = engine.Handler()
 	server.Start()
-	s.engines[id] = &engineProcess{engine: engine, server: server, stop: s.beat(id, func() *platformpb.Server { return engine.Entry("dc") })}
+	s.engines[id] = &engineProcess{engine: engine, server: server, stopHeartbeat: s.startHeartbeat(id, func() *platformpb.Server { return engine.Entry("dc") })}
 	s.t.Cleanup(func() { s.killEngine(id) })
 }
 
-func (s *site) startDesk() {
+func (s *site) startPlainService() {
 	server := httptest.NewUnstartedServer(nil)
-	s.desk = standin.NewDesk("desk1", server.Listener.Addr().String(), time.Millisecond)
-	server.Config.Handler = s.desk.Handler()
+	s.plainService = standin.NewPlainServer("desk1", server.Listener.Addr().String(), time.Millisecond)
+	server.Config.Handler = s.plainService.Handler()
 	server.Start()
-	stop := s.beat("desk1", func() *platformpb.Server { return s.desk.Entry("dc") })
-	s.stopDesk = func() {
+	stop := s.startHeartbeat("desk1", func() *platformpb.Server { return s.plainService.Entry("dc") })
+	s.stopPlainService = func() {
 		stop()
 		server.Close()
-		await(s.t, "end of the desk's entry", func() bool { return !s.listed("desk1") })
+		await(s.t, "end of the desk's entry", func() bool { return !s.hasEntry("desk1") })
 	}
 	s.t.Cleanup(server.Close)
 }
 
-// addDesk starts a further desk.
-func (s *site) addDesk(id string) *standin.Desk {
+// addPlainService starts a further desk.
+func (s *site) addPlainService(id string) *standin.PlainServer {
 	server := httptest.NewUnstartedServer(nil)
-	desk := standin.NewDesk(id, server.Listener.Addr().String(), time.Millisecond)
+	desk := standin.NewPlainServer(id, server.Listener.Addr().String(), time.Millisecond)
 	server.Config.Handler = desk.Handler()
 	server.Start()
-	s.beat(id, func() *platformpb.Server { return desk.Entry("dc") })
+	s.startHeartbeat(id, func() *platformpb.Server { return desk.Entry("dc") })
 	s.t.Cleanup(server.Close)
 	return desk
 }
 
-// listed tells whether the store shows a server's entry.
-func (s *site) listed(id string) bool { return s.holds("servers", id) }
+// hasEntry tells whether the store shows a server's entry.
+func (s *site) hasEntry(id string) bool { return s.storeContains("servers", id) }
 
-// holds tells whether a table of the store has a row with a text in it.
-func (s *site) holds(table, text string) bool {
-	resp, err := http.Get("http://" + s.storeAt + "/rows-get?table=" + table)
+// storeContains tells whether a table of the store has a row with a text in it.
+func (s *site) storeContains(table, text string) bool {
+	resp, err := http.Get("http://" + s.storeAddress + "/rows-get?table=" + table)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -109,9 +109,9 @@
 	return strings.Contains(string(body), `"table"`) && strings.Contains(string(body), text)
 }
 
-func (s *site) beat(id string, entry func() *platformpb.Server) context.CancelFunc {
+func (s *site) startHeartbeat(id string, entry func() *platformpb.Server) context.CancelFunc {
 	ctx, cancel := context.WithCancel(context.Background())
-	go standin.Beat(ctx, s.storeAt, id, entry)
+	go standin.SendHeartbeats(ctx, s.storeAddress, id, entry)
 	s.t.Cleanup(cancel)
 	return cancel
 }
@@ -123,7 +123,7 @@
 		return
 	}
 	delete(s.engines, id)
-	e.stop()
+	e.stopHeartbeat()
 	e.server.CloseClientConnections()
 	_ = e.server.Listener.Close()
 	go e.server.Close()
@@ -132,10 +132,10 @@
 // testNode is a node and where it listens.
 type testNode struct {
 	*node.Node
-	caller    string
-	readiness string
-	peer      string
-	ended     chan error
+	callerAddress    string
+	readinessAddress string
+	peerAddress      string
+	done             chan error
 	// stop ends it at once.
 	stop context.CancelFunc
 }
@@ -155,23 +155,23 @@
 	settings := &node.Settings{
 		Name: name, DataCentre: "dc", LogLevel: "info", GraceSeconds: 8, Cores: 1, MemoryMB: 256,
 		CallerListen: anyPort, ReadinessListen: anyPort, PeerListen: anyPort,
-		MetricsListen: anyPort, UsageListen: anyPort, PeerSeeds: seeds, Platform: storeAt,
-		KeysFailClosed: true, KeysWithin: 5000, ConfigWithin: 2000, LeavingWithin: 2000, RetryWindowSeconds: 10, RetryShare: 0.2, RetrySlack: 200,
+		MetricsListen: anyPort, UsageListen: anyPort, PeerSeeds: seeds, PlatformAddress: storeAt,
+		KeysFailClosed: true, KeysMaxAge: 5000, ConfigDeadline: 2000, LeavingDeadline: 2000, RetryWindowSeconds: 10, RetryShare: 0.2, RetrySlack: 200,
 	}
 	n, err := node.New(settings, logging.Nop(), opts...)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	tn := &testNode{Node: n, caller: n.CallerAddress(), readiness: n.ReadinessAddress(), peer: n.PeerAddress(), ended: make(chan error, 1)}
+	tn := &testNode{Node: n, callerAddress: n.CallerAddress(), readinessAddress: n.ReadinessAddress(), peerAddress: n.PeerAddress(), done: make(chan error, 1)}
 	ctx, cancel := context.WithCancel(context.Background())
 	tn.stop = cancel
-	go func() { tn.ended <- n.Run(ctx) }()
+	go func() { tn.done <- n.Run(ctx) }()
 	s.t.Cleanup(cancel)
 	return tn
 }
 
 func (n *testNode) ready() bool {
-	resp, err := http.Get("http://" + n.readiness + "/")
+	resp, err := http.Get("http://" + n.readinessAddress + "/")
 	if err != nil {
 		return false
 	}
@@ -179,8 +179,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// answer is what a caller got.
-type answer struct {
+// response is what a caller got.
+type response struct {
 	status int
 	body   string
 	header http.Header
@@ -188,7 +188,7 @@
 }
 
 func (n *testNode) request(method, path, id, key string) *http.Request {
-	req, err := http.NewRequest(method, "http://"+n.caller+path, strings.NewReader("x"))
+	req, err := http.NewRequest(method, "http://"+n.callerAddress+path, strings.NewReader("x"))
 	if err != nil {
 		panic(err)
 	}
@@ -202,27 +202,27 @@
 	return req
 }
 
-func (n *testNode) do(method, path, id, key string) answer {
+func (n *testNode) do(method, path, id, key string) response {
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	resp, err := transport.RoundTrip(n.request(method, path, id, key))
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
-	return answer{status: resp.StatusCode, body: string(body), header: resp.Header, err: err}
+	return response{status: resp.StatusCode, body: string(body), header: resp.Header, err: err}
 }
 
 // await waits until something holds.
 func await(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
+	for until := time.Now().Add(awaitTimeout); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		if holds() {
 			return
 		}
 	}
-	t.Fatalf("got no %s in %v", what, patience)
+	t.Fatalf("got no %s in %v", what, awaitTimeout)
 }
 
 // awaitServing waits until a node serves streams.
@@ -238,7 +238,7 @@
 // wholeStream is the answer to a path.
 func wholeStream(path string) string {
 	var b strings.Builder
-	for n := 1; n <= standin.SiteEvents(path); n++ {
+	for n := 1; n <= standin.SiteEventCount(path); n++ {
 		b.WriteString(standin.SiteEvent(path, n))
 	}
 	return b.String()
--- a/node/store_calls.go
+++ b/node/store_calls.go
@@ -7,14 +7,14 @@
 	"go.uber.org/zap"
 )
 
-// logCallsEvery is how often a node logs how often it has called the store. It
+// storeCallsLogInterval is how often a node logs how often it has called the store. It
 // bounds what is lost of the account with a node that is killed.
-const logCallsEvery = 10 * time.Second
+const storeCallsLogInterval = 10 * time.Second
 
 // logStoreCalls logs from time to time how often the node has called the store,
 // by what for, where that has changed: each call is priced.
 func (n *Node) logStoreCalls(ctx context.Context) error {
-	tick := time.NewTicker(logCallsEvery)
+	tick := time.NewTicker(storeCallsLogInterval)
 	defer tick.Stop()
 	last := ""
 	for {
--- a/node/store_view.go
+++ b/node/store_view.go
@@ -22,10 +22,10 @@
 }
 
 func (n *Node) storeView() any {
-	now, inForce := n.clock.Now(), n.known.Config()
+	now, inForce := n.clock.Now(), n.local.Config()
 	return storeView{
-		AsOf: n.fleets.AsOf().String(), From: n.readers.following(),
-		AnsweredMS: int64(clock.AgeOf(n.shared.AnsweredAt(), now)),
+		AsOf: n.fleetFollower.AsOf().String(), From: n.readers.sourceName(),
+		AnsweredMS: int64(clock.AgeOf(n.readLog.AnsweredAt(), now)),
 		Config:     inForce.Edition.String(), Written: inForce.Edition.Written().String(),
 		ConfirmedMS: int64(clock.AgeOf(inForce.Confirmed, now)), Eras: n.store.Eras(),
 	}
--- a/node/suspended_test.go
+++ b/node/suspended_test.go
@@ -20,18 +20,18 @@
 	t.Parallel()
 	s := newSite(t, 2)
 	vm := clocktest.NewVM()
-	n := s.startNodeWith("n1", s.storeAt, []node.Option{node.WithClock(clock.New(clock.WithVM(vm)))})
+	n := s.startNodeWith("n1", s.storeAddress, []node.Option{node.WithClock(clock.New(clock.WithVM(vm)))})
 	i := 0
 	await(t, "answer", func() bool {
 		i++
 		return n.do(http.MethodPost, "/once/a", fmt.Sprint("warm", i), "k1").status == http.StatusOK
 	})
-	s.store.SetFaults(standin.RowStoreFaults{Silent: true})
+	s.store.SetFaults(standin.RowStoreFaults{Unresponsive: true})
 	vm.Suspend(6 * time.Second)
 	if got, want := n.do(http.MethodPost, "/once/a", "suspended", "k1").status, http.StatusServiceUnavailable; got != want {
 		t.Errorf("got %d for a request with a key that may have been taken away, want %d", got, want)
 	}
-	if got := s.desk.Runs()["suspended"].Runs; got != 0 {
+	if got := s.plainService.Executions()["suspended"].Executions; got != 0 {
 		t.Errorf("got %d runs of a refused request, want 0", got)
 	}
 }
--- a/once/fuzz_test.go
+++ b/once/fuzz_test.go
@@ -7,13 +7,13 @@
 	"github.com/hoistjunction/hoistjunction/once"
 )
 
-// ticketExamples are keys like those that callers send.
-func ticketExamples() [][]byte {
+// keyExamples are keys like those that callers send.
+func keyExamples() [][]byte {
 	l := once.New(once.WithIncarnation(7), once.WithSecret([]byte("s")))
-	return [][]byte{[]byte(l.Issue("clinic").String()), []byte("hjt1-"), []byte("order-17")}
+	return [][]byte{[]byte(l.IssueTicket("clinic").String()), []byte("hjt1-"), []byte("order-17")}
 }
 
-func checkTicket(t *testing.T, key string) {
+func checkRoundTrip(t *testing.T, key string) {
 	ticket, ok := once.ParseTicket(key)
 	if ok && ticket.String() != key {
 		t.Errorf("got ticket %q from key %q, want the same text", ticket, key)
@@ -21,25 +21,25 @@
 }
 
 func FuzzParseTicket(f *testing.F) {
-	for _, e := range ticketExamples() {
+	for _, e := range keyExamples() {
 		f.Add(string(e))
 	}
-	f.Fuzz(checkTicket)
+	f.Fuzz(checkRoundTrip)
 }
 
 func TestParseTicketOnManyInputs(t *testing.T) {
-	fixedseed.Mutate(ticketExamples(), func(input []byte) { checkTicket(t, string(input)) })
+	fixedseed.Mutate(keyExamples(), func(input []byte) { checkRoundTrip(t, string(input)) })
 }
 
 func TestLedgerGivesUpTheLowestNumbers(t *testing.T) {
 	l := once.New(once.WithIncarnation(7), once.WithCapacity(2))
-	first := l.Next()
+	first := l.NewClaim()
 	if !l.Begin(first.Sequence) || l.Begin(first.Sequence) {
 		t.Error("got another answer than yes once, want yes once")
 	}
-	l.Next()
-	l.Next()
-	if got := l.State(first.Sequence); got != once.Forgotten {
+	l.NewClaim()
+	l.NewClaim()
+	if got := l.State(first.Sequence); got != once.Evicted {
 		t.Errorf("got state %d, want forgotten", got)
 	}
 	if l.Begin(first.Sequence) {
@@ -52,7 +52,7 @@
 
 func TestTicketBelongsToItsAccount(t *testing.T) {
 	l := once.New(once.WithIncarnation(7), once.WithSecret([]byte("s")))
-	ticket := l.Issue("clinic")
+	ticket := l.IssueTicket("clinic")
 	if !l.Verify(ticket, "clinic") {
 		t.Error("got a ticket refused to its own account, want it verified")
 	}
--- a/once/key.go
+++ b/once/key.go
@@ -56,18 +56,18 @@
 	return t, t.String() == key
 }
 
-// Issue makes a ticket for a client account.
-func (l *Ledger) Issue(account string) Ticket {
-	c := l.Next()
-	return Ticket{Claim: c, Tag: l.tag(c, account)}
+// IssueTicket makes a ticket for a client account.
+func (l *Ledger) IssueTicket(account string) Ticket {
+	c := l.NewClaim()
+	return Ticket{Claim: c, Tag: l.ticketTag(c, account)}
 }
 
 // Verify reports whether this incarnation issued a ticket to an account.
 func (l *Ledger) Verify(t Ticket, account string) bool {
-	return l.Owns(t.Claim) && l.tag(t.Claim, account) == t.Tag
+	return l.Owns(t.Claim) && l.ticketTag(t.Claim, account) == t.Tag
 }
 
-func (l *Ledger) tag(c Claim, account string) uint64 {
+func (l *Ledger) ticketTag(c Claim, account string) uint64 {
 	mac := hmac.New(sha256.New, l.secret)
 	var number [8]byte
 	binary.BigEndian.PutUint64(number[:], c.Sequence)
--- a/once/ledger.go
+++ b/once/ledger.go
@@ -59,10 +59,10 @@
 // Owns reports whether a claim is this incarnation's.
 func (l *Ledger) Owns(c Claim) bool { return c.Owner == l.incarnation }
 
-// Next makes a new claim. When more numbers are out than the ledger can
+// NewClaim makes a new claim. When more numbers are out than the ledger can
 // remember, the lowest are given up: they can never begin again, and whether
 // they did is no longer known.
-func (l *Ledger) Next() Claim {
+func (l *Ledger) NewClaim() Claim {
 	c := Claim{Owner: l.incarnation, Sequence: l.next}
 	l.next++
 	for l.next-l.floor > uint64(l.capacity) {
@@ -75,7 +75,7 @@
 // State returns what the ledger knows of one of its sequence numbers.
 func (l *Ledger) State(sequence uint64) State {
 	if sequence < l.floor {
-		return Forgotten
+		return Evicted
 	}
 	if sequence >= l.next {
 		return NeverIssued
@@ -83,21 +83,21 @@
 	if _, ok := l.begun[sequence]; ok {
 		return Begun
 	}
-	return Fresh
+	return NotBegun
 }
 
 // Begin lets a sequence number start to run. It returns true once at most.
 func (l *Ledger) Begin(sequence uint64) bool {
-	if l.State(sequence) != Fresh {
+	if l.State(sequence) != NotBegun {
 		return false
 	}
 	l.begun[sequence] = struct{}{}
 	return true
 }
 
-// Undo takes a Begin back. The caller must hold proof that nothing has run:
+// UndoBegin takes a Begin back. The caller must hold proof that nothing has run:
 // the connection was refused, or the upstream's protocol says so.
-func (l *Ledger) Undo(sequence uint64) { delete(l.begun, sequence) }
+func (l *Ledger) UndoBegin(sequence uint64) { delete(l.begun, sequence) }
 
 // Len returns how many begun sequence numbers are remembered.
 func (l *Ledger) Len() int { return len(l.begun) }
--- a/once/snapshot.go
+++ b/once/snapshot.go
@@ -22,8 +22,8 @@
 	return s
 }
 
-// Forget gives up all sequence numbers: none may begin any more.
-func (l *Ledger) Forget() {
+// EvictAll gives up all sequence numbers: none may begin any more.
+func (l *Ledger) EvictAll() {
 	l.floor = l.next
 	clear(l.begun)
 }
--- a/once/state.go
+++ b/once/state.go
@@ -4,12 +4,12 @@
 type State uint8
 
 const (
-	// Fresh means that it has not begun and may.
-	Fresh State = iota
+	// NotBegun means that it has not begun and may.
+	NotBegun State = iota
 	// Begun means that it has begun and may not again.
 	Begun
-	// Forgotten means that it is too old to tell. It may not begin.
-	Forgotten
+	// Evicted means that it is too old to tell. It may not begin.
+	Evicted
 	// NeverIssued means that this incarnation did not give it out.
 	NeverIssued
 )
--- a/operator/client.go
+++ b/operator/client.go
@@ -31,14 +31,14 @@
 	c := &Client{scheme: "http://"}
 	transport := &http.Transport{}
 	if authorityFile != "" {
-		pool, err := readAuthority(authorityFile)
+		pool, err := readCAPool(authorityFile)
 		if err != nil {
 			return nil, err
 		}
 		transport.TLSClientConfig = &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}
 		c.scheme = "https://"
 	}
-	c.http = &http.Client{Transport: &authorized{token: strings.TrimSpace(string(token)), next: transport}}
+	c.http = &http.Client{Transport: &bearerTransport{token: strings.TrimSpace(string(token)), next: transport}}
 	return c, nil
 }
 
@@ -48,7 +48,7 @@
 // URL returns the URL of a node's operators' port, given as ip:port.
 func (c *Client) URL(node string) string { return c.scheme + node }
 
-func readAuthority(path string) (*x509.CertPool, error) {
+func readCAPool(path string) (*x509.CertPool, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, errors.Wrapf(ErrCredentials, "cannot read the authority from %s", path)
@@ -60,14 +60,14 @@
 	return pool, nil
 }
 
-// authorized puts the operator's token on every call.
-type authorized struct {
+// bearerTransport puts the operator's token on every call.
+type bearerTransport struct {
 	token string
 	next  http.RoundTripper
 }
 
 // RoundTrip implements http.RoundTripper.
-func (a *authorized) RoundTrip(r *http.Request) (*http.Response, error) {
+func (a *bearerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(r.Context())
 	r.Header.Set("Authorization", "Bearer "+a.token)
 	return a.next.RoundTrip(r)
--- a/peering/coalescer_test.go
+++ b/peering/coalescer_test.go
@@ -21,7 +21,7 @@
 			node := &fakeNode{}
 			p := New(member("me"), nil, nil, node, node, clocktest.NewClock(), zap.NewNop(), http.DefaultTransport, 1)
 			for i := range nodes {
-				p.Heard(&wire.Member{Name: fmt.Sprint("n", i), Address: fmt.Sprint("n", i, ":1")})
+				p.AddSender(&wire.Member{Name: fmt.Sprint("n", i), Address: fmt.Sprint("n", i, ":1")})
 			}
 			time.Sleep(2 * memberUpdatePause)
 			synctest.Wait()
--- a/peering/doc.go
+++ b/peering/doc.go
@@ -42,21 +42,21 @@
 	Config() follow.ActiveConfig
 	// Fleet returns the list of upstreams; ok is false while it may be outdated.
 	Fleet() (list []fleet.Upstream, ok bool)
-	// Listed reports whether the node has a list of upstreams, even an outdated one.
-	Listed() bool
+	// HasList reports whether the node has a list of upstreams, even an outdated one.
+	HasList() bool
 	// Quarantined returns the requests known to be quarantined.
 	Quarantined() []dispatch.Quarantined
 }
 
 // Receiver applies what a peer has sent.
 type Receiver interface {
-	// LearnConfig applies an edition of the configuration, which was the newest one at the time
+	// ReceiveConfig applies an edition of the configuration, which was the newest one at the time
 	// confirmed, and its text. The text is empty if the edition is active already.
-	LearnConfig(edition catalog.Edition, raw []byte, confirmed clock.Millis)
-	// LearnFleet applies a list of upstreams.
-	LearnFleet(list []fleet.Upstream)
-	// LearnQuarantined adds quarantined requests.
-	LearnQuarantined(list []dispatch.Quarantined)
-	// LearnMembers sets the other known nodes, and this node's rank by name among all.
-	LearnMembers(others []*wire.Member, rank int)
+	ReceiveConfig(edition catalog.Edition, raw []byte, confirmed clock.Millis)
+	// ReceiveFleet applies a list of upstreams.
+	ReceiveFleet(list []fleet.Upstream)
+	// ReceiveQuarantined adds quarantined requests.
+	ReceiveQuarantined(list []dispatch.Quarantined)
+	// ReceiveMembers sets the other known nodes, and this node's rank by name among all.
+	ReceiveMembers(others []*wire.Member, rank int)
 }
--- a/peering/peering.go
+++ b/peering/peering.go
@@ -133,7 +133,7 @@
 func (p *Peering) MaintainRegistration(ctx context.Context) error {
 	registered := p.registerInitially(ctx)
 	for reads := 1; ctx.Err() == nil; reads++ {
-		clock.Pause(ctx, registryReadInterval)
+		clock.Sleep(ctx, registryReadInterval)
 		status, err := p.readRegistry(ctx)
 		if err != nil {
 			p.log.Info("members_not_read", logging.Err(err))
@@ -156,11 +156,11 @@
 	delay, lowCapacity := startDelay(p.directory.self.GetStrength())
 	switch {
 	case p.firstStart && !lowCapacity:
-		clock.Pause(ctx, (p.registrationDelay % spreadFor(p.directory.self.GetStrength())).Duration())
+		clock.Sleep(ctx, (p.registrationDelay % spreadFor(p.directory.self.GetStrength())).Duration())
 		p.registerAndRead(ctx)
 		return true
 	case p.firstStart:
-		clock.Pause(ctx, (delay + p.registrationDelay%lowCapacitySpread).Duration())
+		clock.Sleep(ctx, (delay + p.registrationDelay%lowCapacitySpread).Duration())
 	}
 	status, err := p.readRegistry(ctx)
 	if err != nil {
@@ -180,7 +180,7 @@
 // registered, and reads the registry.
 func (p *Peering) registerAndRead(ctx context.Context) {
 	p.retry(ctx, "not_registered", func() error { return p.register(ctx) })
-	clock.Pause(ctx, othersRegisteredAfter)
+	clock.Sleep(ctx, othersRegisteredAfter)
 	p.retry(ctx, "members_not_read", func() error {
 		_, err := p.readRegistry(ctx)
 		return err
@@ -196,7 +196,7 @@
 			return
 		}
 		p.log.Info(event, logging.Err(err))
-		clock.Pause(ctx, registryRetryPause)
+		clock.Sleep(ctx, registryRetryPause)
 	}
 }
 
@@ -236,8 +236,8 @@
 	return named
 }
 
-// Heard adds the sender of a message to the known nodes.
-func (p *Peering) Heard(m *wire.Member) {
+// AddSender adds the sender of a message to the known nodes.
+func (p *Peering) AddSender(m *wire.Member) {
 	if p.directory.addSender(p.clock.Now(), m) {
 		p.memberUpdates.trigger()
 	}
@@ -256,7 +256,7 @@
 func (p *Peering) reportMembers() {
 	others, rank := p.directory.others(), p.directory.rank()
 	p.log.Info("members", zap.Int("others", len(others)), zap.Int("rank", rank))
-	p.receiver.LearnMembers(others, rank)
+	p.receiver.ReceiveMembers(others, rank)
 }
 
 // Run queries peers while the store does not confirm that the configuration is fresh.
@@ -297,7 +297,7 @@
 // needsList reports whether to query peers for the list of upstreams too. A list from a peer
 // may be incomplete, and becomes outdated.
 func (p *Peering) needsList(now, age clock.Millis) bool {
-	if p.local.Listed() && age < listQueryAfter && now < p.listQueriedAt.Add(listQueryInterval) {
+	if p.local.HasList() && age < listQueryAfter && now < p.listQueriedAt.Add(listQueryInterval) {
 		return false
 	}
 	p.listQueriedAt = now
@@ -307,7 +307,7 @@
 // needsPeers reports whether the node has to query peers. A peer may have the configuration
 // before it has the list, so either may be missing.
 func (p *Peering) needsPeers(now clock.Millis, have catalog.Edition, age clock.Millis) bool {
-	if have.IsZero() || !p.local.Listed() {
+	if have.IsZero() || !p.local.HasList() {
 		return now >= p.startupWait
 	}
 	return age >= queryAfter
@@ -363,8 +363,8 @@
 	p.log.Info("freshness_from_peer", zap.String("peer", peer.GetName()), zap.Uint64("version", answer.GetEdition().GetVersion()),
 		zap.Int64("age_ms", int64(p.clock.Now().Sub(confirmed))), zap.Bool("newer", len(answer.GetConfig()) > 0),
 		zap.Int("upstreams", len(answer.GetFleet())))
-	p.receiver.LearnConfig(edition, answer.GetConfig(), confirmed)
+	p.receiver.ReceiveConfig(edition, answer.GetConfig(), confirmed)
 	if answer.GetHasFleet() {
-		p.receiver.LearnFleet(decodeList(answer.GetFleet()))
+		p.receiver.ReceiveFleet(decodeList(answer.GetFleet()))
 	}
 }
--- a/peering/peering_test.go
+++ b/peering/peering_test.go
@@ -53,17 +53,17 @@
 	f.listReads.Add(1)
 	return f.list, f.listValid
 }
-func (f *fakeNode) Listed() bool { return len(f.list) > 0 || len(f.receivedList) > 0 }
-func (f *fakeNode) LearnConfig(_ catalog.Edition, raw []byte, confirmed clock.Millis) {
+func (f *fakeNode) HasList() bool { return len(f.list) > 0 || len(f.receivedList) > 0 }
+func (f *fakeNode) ReceiveConfig(_ catalog.Edition, raw []byte, confirmed clock.Millis) {
 	f.receivedRaw, f.receivedConfirmed = string(raw), confirmed
 	if f.received != nil {
 		f.received <- string(raw)
 	}
 }
-func (f *fakeNode) Quarantined() []dispatch.Quarantined          { return f.quarantined }
-func (f *fakeNode) LearnQuarantined(list []dispatch.Quarantined) { f.receivedQuarantined = list }
-func (f *fakeNode) LearnFleet(list []fleet.Upstream)             { f.receivedList = list }
-func (f *fakeNode) LearnMembers(others []*wire.Member, rank int) {
+func (f *fakeNode) Quarantined() []dispatch.Quarantined            { return f.quarantined }
+func (f *fakeNode) ReceiveQuarantined(list []dispatch.Quarantined) { f.receivedQuarantined = list }
+func (f *fakeNode) ReceiveFleet(list []fleet.Upstream)             { f.receivedList = list }
+func (f *fakeNode) ReceiveMembers(others []*wire.Member, rank int) {
 	f.others, f.rank = len(others), rank
 	f.memberReports++
 }
--- a/peering/quarantined.go
+++ b/peering/quarantined.go
@@ -25,7 +25,7 @@
 	}
 	list := decodeQuarantined(resp.Msg.GetQuarantined())
 	p.log.Info("quarantine_from_peer", zap.String("peer", peer.GetName()), zap.Int("requests", len(list)))
-	p.receiver.LearnQuarantined(list)
+	p.receiver.ReceiveQuarantined(list)
 }
 
 func (p *Peering) encodeQuarantined() []*wire.QuarantinedWork {
--- a/peering/restore_registration.go
+++ b/peering/restore_registration.go
@@ -16,8 +16,8 @@
 	return err
 }
 
-// StoreReturned notifies RestoreRegistration that the store was restored from a backup.
-func (p *Peering) StoreReturned() {
+// StoreRestored notifies RestoreRegistration that the store was restored from a backup.
+func (p *Peering) StoreRestored() {
 	select {
 	case p.storeRestored <- struct{}{}:
 	default:
@@ -37,7 +37,7 @@
 		if p.clock.Now() >= clock.Millis(p.registeredAt.Load()).Add(moment.MaxBackupAge) {
 			continue
 		}
-		clock.Pause(ctx, (p.registrationDelay % spreadFor(p.directory.self.GetStrength())).Duration())
+		clock.Sleep(ctx, (p.registrationDelay % spreadFor(p.directory.self.GetStrength())).Duration())
 		p.retry(ctx, "not_registered", func() error { return p.register(ctx) })
 	}
 }
--- a/peering/restore_registration_test.go
+++ b/peering/restore_registration_test.go
@@ -47,7 +47,7 @@
 				go func() { result <- p.RestoreRegistration(ctx) }()
 				for range tt.restores {
 					time.Sleep(tt.after)
-					p.StoreReturned()
+					p.StoreRestored()
 					time.Sleep(registrationSpread.Duration())
 				}
 				cancel()
--- a/peering/server.go
+++ b/peering/server.go
@@ -16,7 +16,7 @@
 
 // Ask answers a peer's query. It implements wireconnect.FreshnessHandler.
 func (p *Peering) Ask(_ context.Context, req *connect.Request[wire.AskRequest]) (*connect.Response[wire.AskResponse], error) {
-	p.Heard(req.Msg.GetAsker())
+	p.AddSender(req.Msg.GetAsker())
 	if req.Msg.GetWantQuarantined() {
 		return connect.NewResponse(&wire.AskResponse{AgeMs: -1, Quarantined: p.encodeQuarantined()}), nil
 	}
--- a/peering/stalled_connections_test.go
+++ b/peering/stalled_connections_test.go
@@ -45,7 +45,7 @@
 	return active
 }
 
-func (n *testNode) LearnConfig(_ catalog.Edition, _ []byte, confirmed clock.Millis) {
+func (n *testNode) ReceiveConfig(_ catalog.Edition, _ []byte, confirmed clock.Millis) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.confirmed = max(n.confirmed, confirmed)
@@ -54,12 +54,12 @@
 func (*testNode) Fleet() ([]fleet.Upstream, bool) {
 	return []fleet.Upstream{{ID: fleet.IncarnationByID("u")}}, true
 }
-func (*testNode) Listed() bool                     { return true }
-func (*testNode) LearnFleet([]fleet.Upstream)      {}
-func (*testNode) LearnMembers([]*wire.Member, int) {}
+func (*testNode) HasList() bool                      { return true }
+func (*testNode) ReceiveFleet([]fleet.Upstream)      {}
+func (*testNode) ReceiveMembers([]*wire.Member, int) {}
 
-func (*testNode) Quarantined() []dispatch.Quarantined     { return nil }
-func (*testNode) LearnQuarantined([]dispatch.Quarantined) {}
+func (*testNode) Quarantined() []dispatch.Quarantined       { return nil }
+func (*testNode) ReceiveQuarantined([]dispatch.Quarantined) {}
 
 // slowPeers are nodes that can reach the store, and answer slowly while slow is set.
 type slowPeers struct {
@@ -101,7 +101,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := clocktest.NewClock()
 		peers := startSlowPeers(t, c, 3)
-		transport := platform.NewQuestionTransport()
+		transport := platform.NewOneShotTransport()
 		transport.DialContext = peers.network.DialContext
 		t.Cleanup(transport.CloseIdleConnections)
 		node := &testNode{}
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -10,12 +10,12 @@
 )
 
 // benchShape is the shape of a model with 80 layers.
-var benchShape = placement.Shape{Layers: 80, LayerTokens: 237_000, LoadTime: 175, Prompt: 775, Answer: 220, Pass: catalog.Pass{StreamSlowdown: 0.01}}
+var benchShape = placement.Shape{Layers: 80, LayerTokens: 237_000, LoadTime: 175, PromptTokens: 775, AnswerTokens: 220, Pass: catalog.Pass{StreamSlowdown: 0.01}}
 
 func benchEngines(n int, placed bool) []placement.Engine {
 	engines := make([]placement.Engine, n)
 	for i := range engines {
-		engines[i] = placement.Engine{ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%04d", i))), DataCentre: fmt.Sprintf("dc-%d", i/33), MaxLayers: 10, MemoryLayers: 10.5, LayerTime: 0.1, ReadTime: 0.0005}
+		engines[i] = placement.Engine{ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%04d", i))), DataCentre: fmt.Sprintf("dc-%d", i/33), LayerCapacity: 10, MemoryLayers: 10.5, LayerTime: 0.1, ReadTime: 0.0005}
 		if placed {
 			from := (i * 8) % 80
 			engines[i].Held = fleet.LayerRange{From: from, To: from + 8}
--- a/placement/groups.go
+++ b/placement/groups.go
@@ -41,7 +41,7 @@
 func (p *plan) groupCount(engines []*Engine) int {
 	layers := 0
 	for _, e := range engines {
-		layers += e.MaxLayers
+		layers += e.LayerCapacity
 	}
 	bySize := (len(engines) + maxGroupSize - 1) / maxGroupSize
 	return min(bySize, layers/(minGroupCopies*max(p.shape.Layers, 1)))
@@ -50,13 +50,13 @@
 // compareBySpeed orders engines by speed (fastest first), then by memory (largest first), then by
 // ID.
 func compareBySpeed(a, b *Engine) int {
-	return cmp.Or(cmp.Compare(a.LayerTime, b.LayerTime), cmp.Compare(b.MaxLayers, a.MaxLayers), a.ID.Compare(b.ID))
+	return cmp.Or(cmp.Compare(a.LayerTime, b.LayerTime), cmp.Compare(b.LayerCapacity, a.LayerCapacity), a.ID.Compare(b.ID))
 }
 
 // sameKinds reports whether another layout has the same kinds of engines in the same order, so
 // that both layouts have the same best ranges.
 func (l *layout) sameKinds(other *layout) bool {
 	return slices.EqualFunc(l.engines, other.engines, func(a, b *Engine) bool {
-		return a.MaxLayers == b.MaxLayers && a.MemoryLayers == b.MemoryLayers && a.LayerTime == b.LayerTime && a.ReadTime == b.ReadTime
+		return a.LayerCapacity == b.LayerCapacity && a.MemoryLayers == b.MemoryLayers && a.LayerTime == b.LayerTime && a.ReadTime == b.ReadTime
 	})
 }
--- a/placement/orders.go
+++ b/placement/orders.go
@@ -65,7 +65,7 @@
 			continue
 		}
 		e := Engine{
-			ID: id, DataCentre: u.DataCentre, MaxLayers: s.Pipeline.MaxLayers(kind), MemoryLayers: s.Pipeline.MemoryInLayers(kind),
+			ID: id, DataCentre: u.DataCentre, LayerCapacity: s.Pipeline.MaxLayers(kind), MemoryLayers: s.Pipeline.MemoryInLayers(kind),
 			LayerTime: s.Pipeline.StepTime(kind, 1), ReadTime: s.Pipeline.ReadTime(kind, 1), Held: u.Held,
 		}
 		e.Reserved = m.ready && m.firstSeen[id] > m.readyAt && now < m.firstSeen[id].Add(reserveDuration)
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -24,10 +24,10 @@
 type Engine struct {
 	ID         fleet.Incarnation
 	DataCentre string
-	// MaxLayers is the number of whole layers that fit into the engine's memory, and MemoryLayers
+	// LayerCapacity is the number of whole layers that fit into the engine's memory, and MemoryLayers
 	// the size of that memory in layers, including the fraction.
-	MaxLayers    int
-	MemoryLayers float64
+	LayerCapacity int
+	MemoryLayers  float64
 	// LayerTime is the time to generate one token in one layer, and ReadTime the time to process
 	// one prompt token in one layer, in milliseconds.
 	LayerTime float64
@@ -122,7 +122,7 @@
 func (p *plan) enginesIn(centre string) []*Engine {
 	var list []*Engine
 	for i := range p.engines {
-		if e := &p.engines[i]; e.DataCentre == centre && e.MaxLayers > 0 {
+		if e := &p.engines[i]; e.DataCentre == centre && e.LayerCapacity > 0 {
 			list = append(list, e)
 		}
 	}
@@ -142,7 +142,7 @@
 // layersAtFill returns how many layers an engine gets at a fill, limited so that memory for
 // requests is left.
 func layersAtFill(e *Engine, fill float64) int {
-	return max(1, min(int(float64(e.MaxLayers)*fill), e.servingLayers()))
+	return max(1, min(int(float64(e.LayerCapacity)*fill), e.servingLayers()))
 }
 
 // planInitial plans a data centre in which all engines are empty.
@@ -181,7 +181,7 @@
 
 // fillable reports whether an engine is empty and may get an order now.
 func (p *plan) fillable(e *Engine) bool {
-	return e.MaxLayers > 0 && e.assigned().Empty() && !e.Fixed && !p.isReserved(e)
+	return e.LayerCapacity > 0 && e.assigned().Empty() && !e.Fixed && !p.isReserved(e)
 }
 
 // fillEmpty gives each empty engine of a data centre the range with the highest value.
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -30,7 +30,7 @@
 	for i := range list {
 		list[i] = placement.Engine{
 			ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("%s-%s-%02d", centre, k.name, i))), DataCentre: centre,
-			MaxLayers: int(k.memory), MemoryLayers: k.memory, LayerTime: k.layerTime, ReadTime: k.readTime,
+			LayerCapacity: int(k.memory), MemoryLayers: k.memory, LayerTime: k.layerTime, ReadTime: k.readTime,
 		}
 	}
 	return list
@@ -79,11 +79,11 @@
 		largest, total := 0, 0
 		orders := placement.Plan(benchShape, list)
 		for _, e := range list {
-			total += e.MaxLayers
-			largest = max(largest, e.MaxLayers)
+			total += e.LayerCapacity
+			largest = max(largest, e.LayerCapacity)
 			for _, o := range orders {
-				if o.ID == e.ID && (o.Layers.Len() > e.MaxLayers || o.Layers.From < 0 || o.Layers.To > benchShape.Layers) {
-					t.Errorf("got order %v for an engine with memory for %d layers", o, e.MaxLayers)
+				if o.ID == e.ID && (o.Layers.Len() > e.LayerCapacity || o.Layers.From < 0 || o.Layers.To > benchShape.Layers) {
+					t.Errorf("got order %v for an engine with memory for %d layers", o, e.LayerCapacity)
 				}
 			}
 		}
@@ -105,7 +105,7 @@
 			memory = 50 * random.Float64()
 		}
 		list[i] = placement.Engine{
-			ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%02d", i))), DataCentre: "a", MaxLayers: int(memory), MemoryLayers: memory,
+			ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%02d", i))), DataCentre: "a", LayerCapacity: int(memory), MemoryLayers: memory,
 			LayerTime: 0.02 + random.Float64(), ReadTime: 0.001 * random.Float64(),
 		}
 	}
--- a/placement/rate.go
+++ b/placement/rate.go
@@ -87,5 +87,5 @@
 	if step > 0 {
 		slowdown = l.shape.Pass.StreamSlowdown * capacity / l.shape.requestTokens() * squares / step
 	}
-	return batchWaitFactor*(l.shape.Prompt*read+l.shape.Answer*(step+slowdown)) + l.shape.Answer*hops
+	return batchWaitFactor*(l.shape.PromptTokens*read+l.shape.AnswerTokens*(step+slowdown)) + l.shape.AnswerTokens*hops
 }
--- a/placement/refill_test.go
+++ b/placement/refill_test.go
@@ -25,12 +25,12 @@
 	build := func() []Engine {
 		var list []Engine
 		for i := range engines {
-			e := Engine{ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%02d", i))), DataCentre: "a", MaxLayers: 8, MemoryLayers: 8.2, LayerTime: 0.16, ReadTime: 0.0007}
+			e := Engine{ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("e%02d", i))), DataCentre: "a", LayerCapacity: 8, MemoryLayers: 8.2, LayerTime: 0.16, ReadTime: 0.0007}
 			switch {
 			case i == 0:
-				e.MaxLayers, e.MemoryLayers, e.LayerTime, e.ReadTime = 20, 20.5, 0.03, 0.0002
+				e.LayerCapacity, e.MemoryLayers, e.LayerTime, e.ReadTime = 20, 20.5, 0.03, 0.0002
 			case i < 6:
-				e.MaxLayers, e.MemoryLayers, e.LayerTime, e.ReadTime = 12, 12.3, 0.17, 0.0004
+				e.LayerCapacity, e.MemoryLayers, e.LayerTime, e.ReadTime = 12, 12.3, 0.17, 0.0004
 			}
 			list = append(list, e)
 		}
--- a/placement/search.go
+++ b/placement/search.go
@@ -58,7 +58,7 @@
 	current, base := l.ranges[i], l.value()
 	best = current
 	try := func(r fleet.LayerRange) {
-		if r.Empty() || r.From < 0 || r.To > l.shape.Layers || r.Len() > l.engines[i].MaxLayers || r == current {
+		if r.Empty() || r.From < 0 || r.To > l.shape.Layers || r.Len() > l.engines[i].LayerCapacity || r == current {
 			return
 		}
 		l.ranges[i] = r
--- a/placement/shape.go
+++ b/placement/shape.go
@@ -10,9 +10,9 @@
 	LayerTokens float64
 	// LoadTime is the time to load one layer, in milliseconds.
 	LoadTime float64
-	// Prompt and Answer are the tokens of a request of the usual size.
-	Prompt float64
-	Answer float64
+	// PromptTokens and Answer are the tokens of a request of the usual size.
+	PromptTokens float64
+	AnswerTokens float64
 	// Pass describes the cost of an engine's pass.
 	Pass catalog.Pass
 }
@@ -23,10 +23,10 @@
 		Layers: p.Layers, LayerTokens: p.LayerTokens(), LoadTime: p.LoadMS / float64(max(p.Layers, 1)),
 		Pass: p.Pass(),
 	}
-	s.Prompt, s.Answer = p.MeanTokens()
+	s.PromptTokens, s.AnswerTokens = p.MeanTokens()
 	return s
 }
 
 // requestTokens returns the tokens of a request of the usual size, which occupy memory at each
 // layer.
-func (s *Shape) requestTokens() float64 { return s.Prompt + s.Answer }
+func (s *Shape) requestTokens() float64 { return s.PromptTokens + s.AnswerTokens }
--- a/placement/size_test.go
+++ b/placement/size_test.go
@@ -14,13 +14,13 @@
 // layer, in milliseconds.
 var (
 	sizeShape = Shape{
-		Layers: 80, LayerTokens: 4000, LoadTime: 175, Prompt: 740, Answer: 77,
-		Pass: catalog.Pass{StreamSlowdown: 0.004, DecodeSteps: 1, MaxPromptTokens: 100, Prompt: 740},
+		Layers: 80, LayerTokens: 4000, LoadTime: 175, PromptTokens: 740, AnswerTokens: 77,
+		Pass: catalog.Pass{StreamSlowdown: 0.004, DecodeSteps: 1, MaxPromptTokens: 100, PromptTokens: 740},
 	}
 	sizeKinds = []Engine{
-		{MaxLayers: 20, MemoryLayers: 20.6, LayerTime: 0.033, ReadTime: 0.00016},
-		{MaxLayers: 12, MemoryLayers: 12.3, LayerTime: 0.17, ReadTime: 0.0004},
-		{MaxLayers: 8, MemoryLayers: 8.2, LayerTime: 0.16, ReadTime: 0.0007},
+		{LayerCapacity: 20, MemoryLayers: 20.6, LayerTime: 0.033, ReadTime: 0.00016},
+		{LayerCapacity: 12, MemoryLayers: 12.3, LayerTime: 0.17, ReadTime: 0.0004},
+		{LayerCapacity: 8, MemoryLayers: 8.2, LayerTime: 0.16, ReadTime: 0.0007},
 	}
 )
 
@@ -105,7 +105,7 @@
 func TestGroupsCanHoldTheModel(t *testing.T) {
 	list := sizeEngines(200)
 	for i := range list {
-		list[i].MaxLayers, list[i].MemoryLayers = 1, 1.3
+		list[i].LayerCapacity, list[i].MemoryLayers = 1, 1.3
 	}
 	p := newPlan(sizeShape, list)
 	if got := len(p.groups("a")); got != 1 {
@@ -118,7 +118,7 @@
 	kinds := make([]Engine, 1+random.IntN(4))
 	for i := range kinds {
 		memory := 6 + 20*random.Float64()
-		kinds[i] = Engine{MaxLayers: int(memory), MemoryLayers: memory, LayerTime: 0.02 + 0.2*random.Float64(), ReadTime: 0.001 * random.Float64()}
+		kinds[i] = Engine{LayerCapacity: int(memory), MemoryLayers: memory, LayerTime: 0.02 + 0.2*random.Float64(), ReadTime: 0.001 * random.Float64()}
 	}
 	list := make([]Engine, n)
 	for i := range list {
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -241,7 +241,7 @@
 	p.notifyPlaced(cmd.Upstream, cmd.Layers, false)
 	until := p.clock.Now().Add(clock.FromDuration(watchTimeout))
 	for pause := firstWatchDelay; p.clock.Now() < until && ctx.Err() == nil; pause = watchInterval {
-		clock.Pause(ctx, pause)
+		clock.Sleep(ctx, pause)
 		state, err := p.engines.State(ctx, cmd.Address, cmd.Upstream)
 		if errors.Is(err, ErrOtherIncarnation) {
 			return
--- a/pool/average.go
+++ b/pool/average.go
@@ -1,21 +1,21 @@
 package pool
 
-// averageShare is the weight of a new sample. One in eight follows a change
+// sampleWeight is the weight of a new sample. One in eight follows a change
 // within a dozen samples and still smooths single slow answers.
-const averageShare = 1.0 / 8
+const sampleWeight = 1.0 / 8
 
-// average is an exponentially weighted moving average. The first sample
+// movingAverage is an exponentially weighted moving average. The first sample
 // counts whole.
-type average struct {
-	value float64
-	seen  bool
+type movingAverage struct {
+	value     float64
+	hasSample bool
 }
 
-func (a *average) add(sample float64) {
-	if !a.seen {
+func (a *movingAverage) add(sample float64) {
+	if !a.hasSample {
 		a.value = sample
-		a.seen = true
+		a.hasSample = true
 		return
 	}
-	a.value += (sample - a.value) * averageShare
+	a.value += (sample - a.value) * sampleWeight
 }
--- a/pool/chooser.go
+++ b/pool/chooser.go
@@ -27,12 +27,12 @@
 			first = u
 			continue
 		}
-		return lessCrowded(first, u)
+		return lowerScore(first, u)
 	}
 	if first != nil {
 		return first
 	}
-	return scan(g, rng.IntN(len(g.members)), fits, lessCrowded)
+	return best(g, rng.IntN(len(g.members)), fits, lowerScore)
 }
 
 // LeastInFlight takes the upstream where this node has the least work. It is
@@ -41,7 +41,7 @@
 
 // Choose implements Chooser.
 func (LeastInFlight) Choose(g *Group, _ *rand.Rand, fits func(*Upstream) bool) *Upstream {
-	return scan(g, 0, fits, func(a, b *Upstream) *Upstream {
+	return best(g, 0, fits, func(a, b *Upstream) *Upstream {
 		if b.inFlight < a.inFlight {
 			return b
 		}
@@ -50,27 +50,27 @@
 }
 
 // RoundRobin takes the upstreams in turn. It is a baseline.
-type RoundRobin struct{ turn map[*Group]int }
+type RoundRobin struct{ last map[*Group]int }
 
 // NewRoundRobin returns a RoundRobin that starts with each group's first.
-func NewRoundRobin() *RoundRobin { return &RoundRobin{turn: make(map[*Group]int)} }
+func NewRoundRobin() *RoundRobin { return &RoundRobin{last: make(map[*Group]int)} }
 
 // Choose implements Chooser.
 func (r *RoundRobin) Choose(g *Group, _ *rand.Rand, fits func(*Upstream) bool) *Upstream {
-	r.turn[g]++
-	return scan(g, r.turn[g], fits, func(a, _ *Upstream) *Upstream { return a })
+	r.last[g]++
+	return best(g, r.last[g], fits, func(a, _ *Upstream) *Upstream { return a })
 }
 
-func lessCrowded(a, b *Upstream) *Upstream {
-	if b.crowding() < a.crowding() {
+func lowerScore(a, b *Upstream) *Upstream {
+	if b.loadScore() < a.loadScore() {
 		return b
 	}
 	return a
 }
 
-// scan looks at the whole group from a place on, and keeps the better of each
+// best looks at the whole group from a place on, and keeps the better of each
 // two that fit.
-func scan(g *Group, from int, fits func(*Upstream) bool, better func(a, b *Upstream) *Upstream) *Upstream {
+func best(g *Group, from int, fits func(*Upstream) bool, better func(a, b *Upstream) *Upstream) *Upstream {
 	var best *Upstream
 	for i := range g.members {
 		u := g.members[(from+i)%len(g.members)]
--- a/pool/group.go
+++ b/pool/group.go
@@ -7,7 +7,7 @@
 	members  []*Upstream
 	limit    float64
 	inFlight int
-	out      int
+	ejected  int
 }
 
 // Name returns the group's name, as the configuration spells it.
--- a/pool/limits.go
+++ b/pool/limits.go
@@ -6,59 +6,59 @@
 type Limits struct {
 	// Start is the limit of an upstream that is new or has come back.
 	Start float64
-	// Least and Most bound every limit.
-	Least float64
-	Most  float64
-	// Step is added to the limit after a good window.
-	Step float64
-	// Ahead is the factor after a good window while no bound has been missed.
-	Ahead float64
-	// Back is the factor after a missed bound.
-	Back float64
-	// InUse is the share of the limit that must be taken for it to grow.
-	InUse float64
-	// Over is how far work that is half done may stretch a limit.
-	Over float64
-	// Aim is the share of the bound that answers should take at the most.
-	Aim float64
-	// MayMiss is the share of answers that may take longer.
-	MayMiss float64
-	// Enough is how many answers a window must hold at least.
-	Enough int
+	// Min and Most bound every limit.
+	Min float64
+	Max float64
+	// Increment is added to the limit after a good window.
+	Increment float64
+	// SlowStartFactor is the factor after a good window while no bound has been missed.
+	SlowStartFactor float64
+	// DecreaseFactor is the factor after a missed bound.
+	DecreaseFactor float64
+	// MinUtilization is the share of the limit that must be taken for it to grow.
+	MinUtilization float64
+	// OverLimitFactor is how far work that is half done may stretch a limit.
+	OverLimitFactor float64
+	// TargetShare is the share of the bound that answers should take at the most.
+	TargetShare float64
+	// MaxMissShare is the share of answers that may take longer.
+	MaxMissShare float64
+	// MinAnswers is how many answers a window must hold at least.
+	MinAnswers int
 	// Window is the least time between two moves of a limit.
 	Window clock.Millis
-	// Ejection is how long the first failure takes an upstream out.
-	Ejection clock.Millis
-	// LongestEjection bounds the doubling.
-	LongestEjection clock.Millis
-	// MostOut is the share of a group that soft failures may take out.
-	MostOut float64
-	// Unlisted is how long an upstream may be missing from the list.
-	Unlisted clock.Millis
-	// SmallStep is the most positions of a step that counts as a decode step.
-	SmallStep int
+	// BaseEjection is how long the first failure takes an upstream out.
+	BaseEjection clock.Millis
+	// MaxEjection bounds the doubling.
+	MaxEjection clock.Millis
+	// MaxEjectedShare is the share of a group that soft failures may take out.
+	MaxEjectedShare float64
+	// UnlistedTimeout is how long an upstream may be missing from the list.
+	UnlistedTimeout clock.Millis
+	// MaxDecodePositions is the most positions of a step that counts as a decode step.
+	MaxDecodePositions int
 }
 
 // DefaultLimits returns constants that need no tuning: they only set how fast
 // the limits follow the bound, not where they end up.
 func DefaultLimits() Limits {
 	return Limits{
-		Start:           4,
-		Least:           1,
-		Most:            4096,
-		Step:            1,
-		Ahead:           1.5,
-		Back:            0.85,
-		InUse:           0.8,
-		Over:            2,
-		Aim:             0.9,
-		MayMiss:         0.02,
-		Enough:          20,
-		Window:          150,
-		Ejection:        250,
-		LongestEjection: 10_000,
-		MostOut:         0.5,
-		Unlisted:        300_000,
-		SmallStep:       4,
+		Start:              4,
+		Min:                1,
+		Max:                4096,
+		Increment:          1,
+		SlowStartFactor:    1.5,
+		DecreaseFactor:     0.85,
+		MinUtilization:     0.8,
+		OverLimitFactor:    2,
+		TargetShare:        0.9,
+		MaxMissShare:       0.02,
+		MinAnswers:         20,
+		Window:             150,
+		BaseEjection:       250,
+		MaxEjection:        10_000,
+		MaxEjectedShare:    0.5,
+		UnlistedTimeout:    300_000,
+		MaxDecodePositions: 4,
 	}
 }
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -25,7 +25,7 @@
 type Pool struct {
 	byName  map[string]*Upstream
 	groups  map[string]*Group
-	out     []*Upstream
+	ejected []*Upstream
 	chooser Chooser
 	limits  Limits
 }
@@ -88,15 +88,15 @@
 			u = p.add(now, l)
 		}
 		if u.listing.Incarnation != l.Incarnation {
-			p.renew(now, u)
+			p.reset(now, u)
 		}
 		u.listing = l
-		u.listed = now
+		u.listedAt = now
 		if l.Leaving {
-			p.leave(u)
+			p.markLeaving(u)
 		}
 	}
-	p.forgetUnlisted(now)
+	p.removeUnlisted(now)
 }
 
 func (p *Pool) add(now clock.Millis, l Listing) *Upstream {
@@ -110,59 +110,59 @@
 		return strings.Compare(m.name, name)
 	})
 	g.members = slices.Insert(g.members, at, u)
-	p.renew(now, u)
+	p.reset(now, u)
 	return u
 }
 
-// renew starts an upstream afresh: a new incarnation knows nothing of the
+// reset starts an upstream afresh: a new incarnation knows nothing of the
 // marks and measurements of the one before.
-func (p *Pool) renew(now clock.Millis, u *Upstream) {
+func (p *Pool) reset(now clock.Millis, u *Upstream) {
 	u.leaving = false
 	u.ejectedUntil = 0
 	u.failures = 0
-	u.step = average{}
-	u.reported = 0
+	u.stepTime = movingAverage{}
+	u.otherLoad = 0
 	u.limit = p.limits.Start
 	u.slowStart = true
-	u.resized = now
-	u.recount()
+	u.limitAdjustedAt = now
+	u.updateGroupLimit()
 }
 
 func (p *Pool) remove(u *Upstream) {
-	u.gone = true
-	u.recount()
+	u.removed = true
+	u.updateGroupLimit()
 	delete(p.byName, u.name)
 	g := u.group
 	g.members = slices.DeleteFunc(g.members, func(m *Upstream) bool { return m == u })
 }
 
-func (p *Pool) forgetUnlisted(now clock.Millis) {
+func (p *Pool) removeUnlisted(now clock.Millis) {
 	for _, g := range p.groups {
 		for _, u := range slices.Clone(g.members) {
-			if u.inFlight == 0 && now.Sub(u.listed) > p.limits.Unlisted {
+			if u.inFlight == 0 && now.Sub(u.listedAt) > p.limits.UnlistedTimeout {
 				p.remove(u)
 			}
 		}
 	}
 }
 
-// Leave marks an upstream as leaving, if it still runs as that incarnation.
+// MarkLeaving marks an upstream as leaving, if it still runs as that incarnation.
 // An empty incarnation stands for the present one. It returns whether the
 // mark is new.
-func (p *Pool) Leave(name, incarnation string) bool {
+func (p *Pool) MarkLeaving(name, incarnation string) bool {
 	u := p.byName[name]
 	if u == nil || (incarnation != "" && u.listing.Incarnation != incarnation) {
 		return false
 	}
-	return p.leave(u)
+	return p.markLeaving(u)
 }
 
-func (p *Pool) leave(u *Upstream) bool {
+func (p *Pool) markLeaving(u *Upstream) bool {
 	if u.leaving {
 		return false
 	}
 	u.leaving = true
-	u.recount()
+	u.updateGroupLimit()
 	return true
 }
 
@@ -172,11 +172,11 @@
 	return p.pick(group, rng, 1, exclude)
 }
 
-// PickOver is Pick for work that is half done and waits elsewhere: it may go
+// PickOverLimit is Pick for work that is half done and waits elsewhere: it may go
 // over the limits by Limits.Over, which a short crowding costs less than the
 // wait for room.
-func (p *Pool) PickOver(group string, rng *rand.Rand, exclude ...*Upstream) (*Upstream, bool) {
-	return p.pick(group, rng, p.limits.Over, exclude)
+func (p *Pool) PickOverLimit(group string, rng *rand.Rand, exclude ...*Upstream) (*Upstream, bool) {
+	return p.pick(group, rng, p.limits.OverLimitFactor, exclude)
 }
 
 func (p *Pool) pick(group string, rng *rand.Rand, over float64, exclude []*Upstream) (*Upstream, bool) {
@@ -185,7 +185,7 @@
 		return nil, false
 	}
 	u := p.chooser.Choose(g, rng, func(u *Upstream) bool {
-		return u.hasRoom(over) && !slices.Contains(exclude, u)
+		return u.hasCapacity(over) && !slices.Contains(exclude, u)
 	})
 	return u, u != nil
 }
@@ -202,23 +202,23 @@
 	u.group.inFlight--
 }
 
-// Observe learns from an answer: it took span for the given number of
+// RecordSuccess learns from an answer: it took span for the given number of
 // positions.
-func (p *Pool) Observe(u *Upstream, span clock.Millis, positions int) {
-	if positions <= p.limits.SmallStep {
-		u.step.add(float64(span))
+func (p *Pool) RecordSuccess(u *Upstream, span clock.Millis, positions int) {
+	if positions <= p.limits.MaxDecodePositions {
+		u.stepTime.add(float64(span))
 	} else {
-		u.prefill.add(float64(span) / float64(positions))
+		u.positionTime.add(float64(span) / float64(positions))
 	}
 	u.failures = 0
 	if u.ejectedUntil != 0 {
-		p.restore(u)
+		p.endEjection(u)
 	}
 }
 
-// Report takes in the number of generations that an engine says it holds for
+// RecordLoad takes in the number of generations that an engine says it holds for
 // everybody. What is not this node's is taken to be the other nodes'.
-func (p *Pool) Report(u *Upstream, load int) {
+func (p *Pool) RecordLoad(u *Upstream, load int) {
 	others := float64(max(load-u.inFlight, 0))
-	u.reported += (others - u.reported) / 8
+	u.otherLoad += (others - u.otherLoad) / 8
 }
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -9,7 +9,7 @@
 	"github.com/hoistjunction/hoistjunction/pool"
 )
 
-func listing(n int) []pool.Listing {
+func makeListings(n int) []pool.Listing {
 	var list []pool.Listing
 	for i := range n {
 		list = append(list, pool.Listing{Name: fmt.Sprintf("u%d", i), Group: "g", Incarnation: "1"})
@@ -19,24 +19,24 @@
 
 func newPool(n int) (*pool.Pool, *rand.Rand) {
 	p := pool.New()
-	p.Update(0, listing(n))
+	p.Update(0, makeListings(n))
 	return p, rand.New(rand.NewPCG(1, 1))
 }
 
 func TestEjectedUpstreamComesBackSlowly(t *testing.T) {
 	p, rng := newPool(2)
 	u := p.Get("u0")
-	p.Fail(10, u, false)
+	p.RecordFailure(10, u, false)
 	for range 20 {
 		if got, ok := p.Pick("g", rng); !ok || got == u {
 			t.Fatalf("got %v %v, want the other upstream", got, ok)
 		}
 	}
-	p.Tick(10 + pool.DefaultLimits().Ejection)
-	if !u.HasRoom() || u.Limit() != pool.DefaultLimits().Least {
+	p.StartProbes(10 + pool.DefaultLimits().BaseEjection)
+	if !u.HasCapacity() || u.Limit() != pool.DefaultLimits().Min {
 		t.Errorf("got limit %v after the ejection, want one probe", u.Limit())
 	}
-	p.Observe(u, 5, 1)
+	p.RecordSuccess(u, 5, 1)
 	if got, want := u.Limit(), pool.DefaultLimits().Start; got != want || u.State() != "starting" {
 		t.Errorf("got limit %v and state %s after a good answer, want %v and starting", got, u.State(), want)
 	}
@@ -45,7 +45,7 @@
 func TestSoftFailuresSpareHalfOfAGroup(t *testing.T) {
 	p, _ := newPool(4)
 	for i := range 4 {
-		p.Fail(10, p.Get(fmt.Sprintf("u%d", i)), true)
+		p.RecordFailure(10, p.Get(fmt.Sprintf("u%d", i)), true)
 	}
 	out := 0
 	for _, u := range p.All() {
@@ -66,22 +66,22 @@
 		u := p.Get(fmt.Sprintf("u%d", rng.IntN(6)))
 		switch rng.IntN(8) {
 		case 0:
-			p.Fail(now, u, rng.IntN(2) == 0)
+			p.RecordFailure(now, u, rng.IntN(2) == 0)
 		case 1:
-			p.Observe(u, 5, 1)
+			p.RecordSuccess(u, 5, 1)
 		case 2:
-			p.Tick(now)
+			p.StartProbes(now)
 		case 3:
-			list := listing(6)
+			list := makeListings(6)
 			list[rng.IntN(6)].Incarnation = fmt.Sprint(now)
 			p.Update(now, list)
 		case 4:
 			if rng.IntN(20) == 0 {
-				p.Leave(u.Name(), "")
+				p.MarkLeaving(u.Name(), "")
 			}
 		default:
 			p.Begin(u)
-			p.Judge(now*10, []*pool.Upstream{u}, clock.Millis(rng.IntN(60)), 30)
+			p.RecordChainTime(now*10, []*pool.Upstream{u}, clock.Millis(rng.IntN(60)), 30)
 			p.End(u)
 		}
 		want := 0.0
@@ -103,12 +103,12 @@
 	// bound of 40 ms it holds 20 of them.
 	now := clock.Millis(0)
 	for range 400 {
-		for u.HasRoom() {
+		for u.HasCapacity() {
 			p.Begin(u)
 		}
 		for range 20 {
 			now += 8
-			p.Judge(now, []*pool.Upstream{u}, clock.Millis(2*u.InFlight()), 40)
+			p.RecordChainTime(now, []*pool.Upstream{u}, clock.Millis(2*u.InFlight()), 40)
 		}
 		for u.InFlight() > 0 {
 			p.End(u)
--- a/pool/upstream.go
+++ b/pool/upstream.go
@@ -8,25 +8,25 @@
 	listing Listing
 	group   *Group
 
-	listed       clock.Millis
+	listedAt     clock.Millis
 	leaving      bool
-	gone         bool
+	removed      bool
 	probing      bool
 	ejectedUntil clock.Millis
 	failures     int
 
-	inFlight  int
-	reported  float64
-	limit     float64
-	slowStart bool
-	resized   clock.Millis
-	counted   float64
-	judged    int
-	missed    int
-	busiest   int
-
-	step    average
-	prefill average
+	inFlight          int
+	otherLoad         float64
+	limit             float64
+	slowStart         bool
+	limitAdjustedAt   clock.Millis
+	groupContribution float64
+	windowAnswers     int
+	windowMisses      int
+	windowPeak        int
+
+	stepTime     movingAverage
+	positionTime movingAverage
 }
 
 // Name returns the upstream's name, unique in the fleet.
@@ -43,10 +43,10 @@
 
 // StepMillis returns the usual time of a decode step there, link included;
 // zero before the first one.
-func (u *Upstream) StepMillis() float64 { return u.step.value }
+func (u *Upstream) StepMillis() float64 { return u.stepTime.value }
 
 // PrefillMillis returns the usual time for each position of a step.
-func (u *Upstream) PrefillMillis() float64 { return u.prefill.value }
+func (u *Upstream) PrefillMillis() float64 { return u.positionTime.value }
 
 // Leaving reports whether the upstream gets no new work.
 func (u *Upstream) Leaving() bool { return u.leaving }
@@ -54,12 +54,12 @@
 // Ejected reports whether the upstream is out of the choice after a failure.
 func (u *Upstream) Ejected() bool { return u.ejectedUntil != 0 && !u.probing }
 
-// HasRoom reports whether the upstream may be given one more piece of work.
-func (u *Upstream) HasRoom() bool { return u.hasRoom(1) }
+// HasCapacity reports whether the upstream may be given one more piece of work.
+func (u *Upstream) HasCapacity() bool { return u.hasCapacity(1) }
 
-// hasRoom is HasRoom with the limit stretched by a factor.
-func (u *Upstream) hasRoom(over float64) bool {
-	return u.open() && float64(u.inFlight)+1 <= u.limit*over
+// hasCapacity is HasCapacity with the limit stretched by a factor.
+func (u *Upstream) hasCapacity(over float64) bool {
+	return u.available() && float64(u.inFlight)+1 <= u.limit*over
 }
 
 // State returns the upstream's state in a word, for people.
@@ -76,27 +76,27 @@
 	}
 }
 
-func (u *Upstream) open() bool {
-	return !u.gone && !u.leaving && !u.Ejected()
+func (u *Upstream) available() bool {
+	return !u.removed && !u.leaving && !u.Ejected()
 }
 
 func (u *Upstream) setLimit(limit float64) {
 	u.limit = limit
-	u.recount()
+	u.updateGroupLimit()
 }
 
-// recount brings the group's sum of limits up to date with this upstream.
-func (u *Upstream) recount() {
+// updateGroupLimit brings the group's sum of limits up to date with this upstream.
+func (u *Upstream) updateGroupLimit() {
 	now := 0.0
-	if u.open() {
+	if u.available() {
 		now = u.limit
 	}
-	u.group.limit += now - u.counted
-	u.counted = now
+	u.group.limit += now - u.groupContribution
+	u.groupContribution = now
 }
 
-// crowding is the expected time of a step there, stretched by how full the
+// loadScore is the expected time of a step there, stretched by how full the
 // upstream is with this node's work and the others'. Lower is better.
-func (u *Upstream) crowding() float64 {
-	return (u.step.value + 1) * (float64(u.inFlight) + u.reported + 1) / (u.limit + u.reported)
+func (u *Upstream) loadScore() float64 {
+	return (u.stepTime.value + 1) * (float64(u.inFlight) + u.otherLoad + 1) / (u.limit + u.otherLoad)
 }
--- a/proof/freeze_test.go
+++ b/proof/freeze_test.go
@@ -102,7 +102,7 @@
 // checkExecutions compares the outcomes that callers received with the executions at the service.
 func (c *cluster) checkExecutions(t testing.TB, results []load.Result) {
 	t.Helper()
-	runs := c.bed.Services[0].Runs()
+	runs := c.bed.Services[0].Executions()
 	for key, n := range runs {
 		if n > 1 {
 			t.Errorf("key %s: got %d executions, want at most 1", key, n)
@@ -149,7 +149,7 @@
 func TestNodeKilledDuringStoreOutage(t *testing.T) {
 	c := startCluster(t, 3)
 	testbed.AfterFunc(t, 200*time.Millisecond, func() {
-		c.bed.Platform.SetFaults(standin.PlatformFaults{LoseAnswers: true})
+		c.bed.Platform.SetFaults(standin.PlatformFaults{LoseResponses: true})
 		sendSignal(t, c.nodes[0], syscall.SIGKILL)
 		time.Sleep(600 * time.Millisecond)
 		c.bed.Platform.SetFaults(standin.PlatformFaults{})
--- a/quarantine/bounds_test.go
+++ b/quarantine/bounds_test.go
@@ -37,7 +37,7 @@
 	for i := range 20_000 {
 		now := clock.Millis(i)
 		w := work.ID{}.ForAccount(fmt.Sprint("w", i))
-		events := table.RecordLoss(now, w, fleet.NewIncarnation(fleet.ID(fmt.Sprint("e", i/5)), 1), quarantine.Ended, 1000, true)
+		events := table.RecordLoss(now, w, fleet.NewIncarnation(fleet.ID(fmt.Sprint("e", i/5)), 1), quarantine.Crashed, 1000, true)
 		reported += len(events)
 	}
 	if got, want := reported, 20_000; got != want {
--- a/quarantine/cluster_test.go
+++ b/quarantine/cluster_test.go
@@ -180,7 +180,7 @@
 	}
 	for node := range c.nodes {
 		c.schedule(probedAfter+c.random.IntN(detectionJitter), func() { c.broadcast(node, c.nodes[node].SetUpstreamState(c.now, id, quarantine.Unresponsive)) })
-		c.schedule(restartDelay, func() { c.broadcast(node, c.nodes[node].SetUpstreamState(c.now, id, quarantine.Ended)) })
+		c.schedule(restartDelay, func() { c.broadcast(node, c.nodes[node].SetUpstreamState(c.now, id, quarantine.Crashed)) })
 	}
 }
 
@@ -196,7 +196,7 @@
 }
 
 // broadcast sends a node's events to the other nodes.
-func (c *cluster) broadcast(from int, events []quarantine.News) {
+func (c *cluster) broadcast(from int, events []quarantine.Event) {
 	for _, n := range events {
 		for to := range c.nodes {
 			if to == from {
@@ -207,7 +207,7 @@
 				delay += resendInterval
 			}
 			c.schedule(delay, func() { c.receive(to, n) })
-			if inQuarantine, ok := n.(quarantine.QuarantinedNews); ok {
+			if inQuarantine, ok := n.(quarantine.QuarantinedEvent); ok {
 				// Peers detect that the node has a quarantine that they lack, and request it.
 				c.schedule(c.random.IntN(syncWithin), func() { c.sync(to, inQuarantine) })
 			}
@@ -217,19 +217,19 @@
 
 // sync has a node receive a peer's unconfirmed quarantine: first as losses, then as a
 // quarantine.
-func (c *cluster) sync(to int, n quarantine.QuarantinedNews) {
-	for _, id := range n.Ended {
+func (c *cluster) sync(to int, n quarantine.QuarantinedEvent) {
+	for _, id := range n.Crashed {
 		c.broadcast(to, c.nodes[to].RecordLoss(c.now, n.Work, id, c.stateOf(id), 5000, false))
 	}
-	c.broadcast(to, c.nodes[to].AdoptUnconfirmed(c.now, n.Work, n.Ended))
+	c.broadcast(to, c.nodes[to].AdoptUnconfirmed(c.now, n.Work, n.Crashed))
 }
 
-func (c *cluster) receive(to int, n quarantine.News) {
+func (c *cluster) receive(to int, n quarantine.Event) {
 	table := c.nodes[to]
 	switch n := n.(type) {
-	case quarantine.LossNews:
+	case quarantine.LossEvent:
 		table.RecordLoss(c.now, n.Work, n.Upstream, c.stateOf(n.Upstream), 5000, false)
-	case quarantine.ClearedNews:
+	case quarantine.ClearedEvent:
 		if n.Local {
 			table.RequestAnswered(c.now, n.Work, false)
 		}
--- a/quarantine/evaluate.go
+++ b/quarantine/evaluate.go
@@ -32,7 +32,7 @@
 
 // evaluate quarantines a request if enough upstreams have crashed under it and no other request
 // explains the crashes.
-func (t *Table) evaluate(now clock.Millis, w work.ID) []News {
+func (t *Table) evaluate(now clock.Millis, w work.ID) []Event {
 	crashes := t.evidence(w)
 	if len(crashes) == 0 {
 		return nil
@@ -46,19 +46,19 @@
 }
 
 // quarantine quarantines a request for the crashes of some upstreams.
-func (t *Table) quarantine(now clock.Millis, w work.ID, crashes []fleet.Incarnation) []News {
+func (t *Table) quarantine(now clock.Millis, w work.ID, crashes []fleet.Incarnation) []Event {
 	t.suspects.Remove(w)
 	q := &quarantineEntry{since: now, crashed: crashes, local: t.lostLocally(w, crashes)}
 	t.quarantined.Add(w, q)
 	for _, id := range crashes {
 		t.attribute(id, w)
 	}
-	return append([]News{QuarantinedNews{Work: w, Ended: crashes, Local: q.local}}, t.confirm(w)...)
+	return append([]Event{QuarantinedEvent{Work: w, Crashed: crashes, Local: q.local}}, t.confirm(w)...)
 }
 
 // Review evaluates the requests that were waiting for reports of other losses.
-func (t *Table) Review(now clock.Millis) []News {
-	var events []News
+func (t *Table) Review(now clock.Millis) []Event {
+	var events []Event
 	for _, w := range sortedIDs(t.deferred) {
 		delete(t.deferred, w)
 		events = append(events, t.evaluate(now, w)...)
@@ -147,14 +147,14 @@
 
 // confirm marks a quarantined request as confirmed once enough of its upstreams have crashed
 // for certain.
-func (t *Table) confirm(w work.ID) []News {
+func (t *Table) confirm(w work.ID) []Event {
 	q, ok := t.quarantined.Peek(w)
 	if !ok || q.confirmed {
 		return nil
 	}
 	confirmed := 0
 	for _, id := range q.crashed {
-		if u, ok := t.upstreams.Peek(id); ok && u.state == Ended {
+		if u, ok := t.upstreams.Peek(id); ok && u.state == Crashed {
 			confirmed++
 		}
 	}
@@ -162,7 +162,7 @@
 		return nil
 	}
 	q.confirmed, q.crashed = true, nil
-	return []News{ConfirmedNews{Work: w, Local: q.local}}
+	return []Event{ConfirmedEvent{Work: w, Local: q.local}}
 }
 
 // release takes a request out of quarantine. The crashes that it explained stay explained for
--- a/quarantine/learn.go
+++ b/quarantine/learn.go
@@ -10,27 +10,27 @@
 
 // AdoptConfirmed adds a request under which upstreams crashed for certain, and which other nodes
 // quarantined age ago. They report unconfirmed crashes as losses instead.
-func (t *Table) AdoptConfirmed(now clock.Millis, w work.ID, age clock.Millis) []News {
+func (t *Table) AdoptConfirmed(now clock.Millis, w work.ID, age clock.Millis) []Event {
 	if q, ok := t.quarantined.Peek(w); ok {
 		if q.confirmed {
 			return nil
 		}
 		q.confirmed, q.crashed = true, nil
-		return []News{ConfirmedNews{Work: w}}
+		return []Event{ConfirmedEvent{Work: w}}
 	}
 	if s, ok := t.suspects.Peek(w); age >= t.duration || ok && now <= s.answeredAt.Add(lateReportWindow) {
 		return nil
 	}
 	t.suspects.Remove(w)
 	t.quarantined.Add(w, &quarantineEntry{since: now.Sub(max(age, 0)), confirmed: true})
-	return []News{QuarantinedNews{Work: w}}
+	return []Event{QuarantinedEvent{Work: w}}
 }
 
 // AdoptUnconfirmed handles a request that other nodes have quarantined for the crashes of some
 // upstreams. It quarantines the request too if enough of them have crashed or are unresponsive
 // in the local view. The other nodes have already considered what else was lost at the
 // upstreams.
-func (t *Table) AdoptUnconfirmed(now clock.Millis, w work.ID, crashed []fleet.Incarnation) []News {
+func (t *Table) AdoptUnconfirmed(now clock.Millis, w work.ID, crashed []fleet.Incarnation) []Event {
 	crashes := slices.DeleteFunc(slices.Clone(crashed), func(id fleet.Incarnation) bool {
 		u, ok := t.upstreams.Peek(id)
 		return !ok || u.state == Unknown
@@ -64,7 +64,7 @@
 	return slices.DeleteFunc(t.upstreams.Keys(), func(id fleet.Incarnation) bool {
 		u, _ := t.upstreams.Peek(id)
 		q, ok := t.quarantined.Peek(u.culprit)
-		return !ok || q.confirmed || u.state == Ended
+		return !ok || q.confirmed || u.state == Crashed
 	})
 }
 
@@ -78,7 +78,7 @@
 func (t *Table) NeedsCheck(id fleet.Incarnation) bool {
 	u, ok := t.upstreams.Peek(id)
 	switch {
-	case !ok || u.state == Ended:
+	case !ok || u.state == Crashed:
 		return false
 	case u.state == Unresponsive:
 		return true
@@ -93,7 +93,7 @@
 
 // RevokeCrash changes a crashed upstream to unresponsive, because it may be running after all.
 func (t *Table) RevokeCrash(id fleet.Incarnation) {
-	if u, ok := t.upstreams.Peek(id); ok && u.state == Ended {
+	if u, ok := t.upstreams.Peek(id); ok && u.state == Crashed {
 		u.state = Unresponsive
 	}
 }
@@ -102,5 +102,5 @@
 // certain.
 func (t *Table) HasUncertainLosses(id fleet.Incarnation) bool {
 	u, ok := t.upstreams.Peek(id)
-	return ok && u.state != Ended
+	return ok && u.state != Crashed
 }
--- a/quarantine/loss.go
+++ b/quarantine/loss.go
@@ -21,7 +21,7 @@
 // the upstream's state. local is set if this node made the attempt; the loss is reported to
 // other nodes once the upstream turns out to have crashed. A crash counts against the request
 // only if it is detected within the given time.
-func (t *Table) RecordLoss(now clock.Millis, w work.ID, id fleet.Incarnation, state UpstreamState, within clock.Millis, local bool) []News {
+func (t *Table) RecordLoss(now clock.Millis, w work.ID, id fleet.Incarnation, state UpstreamState, within clock.Millis, local bool) []Event {
 	u := t.upstream(id)
 	// Other requests that were lost at the upstream may be waiting for its state.
 	events := t.SetUpstreamState(now, id, state)
@@ -43,7 +43,7 @@
 }
 
 // SetUpstreamState records that an upstream is unresponsive or has crashed.
-func (t *Table) SetUpstreamState(now clock.Millis, id fleet.Incarnation, state UpstreamState) []News {
+func (t *Table) SetUpstreamState(now clock.Millis, id fleet.Incarnation, state UpstreamState) []Event {
 	u, ok := t.upstreams.Peek(id)
 	if !ok || u.state >= state {
 		return nil
@@ -53,7 +53,7 @@
 	if !first {
 		return t.confirm(u.culprit)
 	}
-	var events []News
+	var events []Event
 	for _, w := range sortedIDs(u.lost) {
 		events = append(events, t.evaluateLoss(now, id, u, w)...)
 	}
@@ -62,21 +62,21 @@
 
 // evaluateLoss evaluates the loss of a request at an upstream that has crashed or is
 // unresponsive.
-func (t *Table) evaluateLoss(now clock.Millis, id fleet.Incarnation, u *upstream, w work.ID) []News {
+func (t *Table) evaluateLoss(now clock.Millis, id fleet.Incarnation, u *upstream, w work.ID) []Event {
 	if s, ok := t.suspects.Peek(w); !ok || now > s.losses[id].countsUntil {
 		t.removeLoss(w, id)
 		return nil
 	}
-	var events []News
+	var events []Event
 	if u.lost[w] {
-		events = append(events, LossNews{Work: w, Upstream: id})
+		events = append(events, LossEvent{Work: w, Upstream: id})
 	}
 	return append(events, t.evaluate(now, w)...)
 }
 
 // UpstreamAnswered records that an upstream answers and so has not crashed under the requests
 // that were lost there.
-func (t *Table) UpstreamAnswered(id fleet.Incarnation) []News {
+func (t *Table) UpstreamAnswered(id fleet.Incarnation) []Event {
 	u, ok := t.upstreams.Peek(id)
 	if !ok {
 		return nil
@@ -94,12 +94,12 @@
 		return nil
 	}
 	t.release(u.culprit, q)
-	return []News{ClearedNews{Work: u.culprit, WasQuarantined: true, LostLocally: q.local}}
+	return []Event{ClearedEvent{Work: u.culprit, WasQuarantined: true, LostLocally: q.local}}
 }
 
 // RequestAnswered records that an upstream has answered a request. local is set if the response
 // came through this node.
-func (t *Table) RequestAnswered(now clock.Millis, w work.ID, local bool) []News {
+func (t *Table) RequestAnswered(now clock.Millis, w work.ID, local bool) []Event {
 	q, wasQuarantined := t.quarantined.Peek(w)
 	suspected := t.IsSuspect(w)
 	if s, ok := t.suspects.Peek(w); ok {
@@ -114,7 +114,7 @@
 		t.release(w, q)
 	}
 	t.suspect(w).answeredAt = now
-	return []News{ClearedNews{Work: w, Local: local, WasQuarantined: wasQuarantined}}
+	return []Event{ClearedEvent{Work: w, Local: local, WasQuarantined: wasQuarantined}}
 }
 
 // Expire removes losses at upstreams that were not found to have crashed in time.
--- a/quarantine/news.go
+++ b/quarantine/news.go
@@ -5,36 +5,36 @@
 	"github.com/hoistjunction/hoistjunction/work"
 )
 
-// News is a change in a Table that other nodes or the log need.
-type News interface{ quarantineNews() }
+// Event is a change in a Table that other nodes or the log need.
+type Event interface{ quarantineEvent() }
 
-// LossNews is a loss that this node reports to other nodes.
-type LossNews struct {
+// LossEvent is a loss that this node reports to other nodes.
+type LossEvent struct {
 	Work     work.ID
 	Upstream fleet.Incarnation
 }
 
-// QuarantinedNews means that a request is in quarantine from now on.
-type QuarantinedNews struct {
+// QuarantinedEvent means that a request is in quarantine from now on.
+type QuarantinedEvent struct {
 	Work work.ID
-	// Ended holds the upstreams that probably crashed under the request; empty if they
+	// Crashed holds the upstreams that probably crashed under the request; empty if they
 	// crashed for certain.
-	Ended []fleet.Incarnation
+	Crashed []fleet.Incarnation
 	// Local is set if this node lost the request itself.
 	Local bool
 }
 
-// ConfirmedNews means that the upstreams of a request in quarantine have crashed for certain.
-type ConfirmedNews struct {
+// ConfirmedEvent means that the upstreams of a request in quarantine have crashed for certain.
+type ConfirmedEvent struct {
 	Work work.ID
 	// Local is set if this node lost the request itself.
 	Local bool
 }
 
-// ClearedNews means that an upstream answered a suspected request, or that upstreams answered
+// ClearedEvent means that an upstream answered a suspected request, or that upstreams answered
 // that had probably crashed under it. Local is set if the response came through this node,
 // which then notifies the other nodes.
-type ClearedNews struct {
+type ClearedEvent struct {
 	Work  work.ID
 	Local bool
 	// WasQuarantined is set if the request has left quarantine. LostLocally is set if this node
@@ -43,7 +43,7 @@
 	LostLocally    bool
 }
 
-func (LossNews) quarantineNews()        {}
-func (QuarantinedNews) quarantineNews() {}
-func (ConfirmedNews) quarantineNews()   {}
-func (ClearedNews) quarantineNews()     {}
+func (LossEvent) quarantineEvent()        {}
+func (QuarantinedEvent) quarantineEvent() {}
+func (ConfirmedEvent) quarantineEvent()   {}
+func (ClearedEvent) quarantineEvent()     {}
