--- a/quarantine/script_test.go
+++ b/quarantine/script_test.go
@@ -46,7 +46,7 @@
 	case "silent":
 		return p.show(t.SetUpstreamState(p.now, script.Incarnation(s.Arg(0)), quarantine.Unresponsive))
 	case "ended":
-		return p.show(t.SetUpstreamState(p.now, script.Incarnation(s.Arg(0)), quarantine.Ended))
+		return p.show(t.SetUpstreamState(p.now, script.Incarnation(s.Arg(0)), quarantine.Crashed))
 	case "answers":
 		return p.show(t.UpstreamAnswered(script.Incarnation(s.Arg(0))))
 	case "answered":
@@ -75,22 +75,22 @@
 	case "silent":
 		return quarantine.Unresponsive
 	case "ended":
-		return quarantine.Ended
+		return quarantine.Crashed
 	}
 	return quarantine.Unknown
 }
 
-func (p *player) show(events []quarantine.News) []string {
+func (p *player) show(events []quarantine.Event) []string {
 	var lines []string
 	for _, n := range events {
 		switch n := n.(type) {
-		case quarantine.LossNews:
+		case quarantine.LossEvent:
 			lines = append(lines, fmt.Sprintf("tell %s lost at %s", p.names[n.Work], n.Upstream))
-		case quarantine.QuarantinedNews:
-			lines = append(lines, fmt.Sprintf("held %s ended=%v own=%v", p.names[n.Work], n.Ended, n.Local))
-		case quarantine.ConfirmedNews:
+		case quarantine.QuarantinedEvent:
+			lines = append(lines, fmt.Sprintf("held %s ended=%v own=%v", p.names[n.Work], n.Crashed, n.Local))
+		case quarantine.ConfirmedEvent:
 			lines = append(lines, fmt.Sprintf("certain %s own=%v", p.names[n.Work], n.Local))
-		case quarantine.ClearedNews:
+		case quarantine.ClearedEvent:
 			lines = append(lines, fmt.Sprintf("cleared %s own=%v held=%v lost=%v", p.names[n.Work], n.Local, n.WasQuarantined, n.LostLocally))
 		}
 	}
--- a/quarantine/state.go
+++ b/quarantine/state.go
@@ -10,6 +10,6 @@
 	// Unresponsive means that the upstream answers nothing, not even a probe on a new
 	// connection. It may have crashed or be cut off.
 	Unresponsive
-	// Ended means that the upstream's entry is gone or another process has taken its place.
-	Ended
+	// Crashed means that the upstream's entry is gone or another process has taken its place.
+	Crashed
 )
--- a/reading/hubs.go
+++ b/reading/hubs.go
@@ -104,10 +104,10 @@
 	// hub.
 	Hubs   []*wire.Member
 	Leaves []*wire.Member
-	// Absent are those of the hubCount highest-ranked nodes that are not responsive. They
+	// MissingHubs are those of the hubCount highest-ranked nodes that are not responsive. They
 	// should get a status now and then: after a restart such a node knows no node that is not
 	// registered in the store.
-	Absent []*wire.Member
+	MissingHubs []*wire.Member
 	// PeerCount is the number of other nodes in the group.
 	PeerCount int
 }
@@ -132,7 +132,7 @@
 	}
 	for _, name := range r.ranked[:hubCount] {
 		if !slices.Contains(names, name) {
-			t.Absent = append(t.Absent, r.group[name])
+			t.MissingHubs = append(t.MissingHubs, r.group[name])
 		}
 	}
 	if !t.IsHub {
--- a/reading/hubs_test.go
+++ b/reading/hubs_test.go
@@ -79,7 +79,7 @@
 			}
 			for _, m := range recipients {
 				if to := g.rosters[m.GetName()]; to != nil && m.GetName() != name {
-					to.Heard(g.now, name, true)
+					to.UpdateStatus(g.now, name, true)
 					g.received[m.GetName()]++
 				}
 			}
--- a/reading/log.go
+++ b/reading/log.go
@@ -181,9 +181,9 @@
 	}
 }
 
-// Returned records that the store was restored from a backup. For restoreGrace, a follower that
+// MarkRestored records that the store was restored from a backup. For restoreGrace, a follower that
 // has no list of this node yet gets the full list, which includes what the backup has lost.
-func (l *Log) Returned() {
+func (l *Log) MarkRestored() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.restoredAt = l.clock.Now()
--- a/reading/log_test.go
+++ b/reading/log_test.go
@@ -388,7 +388,7 @@
 func TestFullListAfterRestore(t *testing.T) {
 	l := newLog(t)
 	l.SetFleet(moment.At(2, 5), []fleet.Upstream{{ID: fleet.IncarnationByID("u1"), Leaving: true}})
-	l.Returned()
+	l.MarkRestored()
 	source := newSource(t, l)
 	first, err := source.AwaitUpstreams(t.Context(), moment.At(2, 5), 0)
 	if err != nil {
--- a/reading/roster.go
+++ b/reading/roster.go
@@ -150,8 +150,8 @@
 	r.updateRanks()
 }
 
-// Heard records a status of another node and whether that node can be followed.
-func (r *Roster) Heard(now clock.Millis, name string, followable bool) {
+// UpdateStatus records a status of another node and whether that node can be followed.
+func (r *Roster) UpdateStatus(now clock.Millis, name string, followable bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	status := r.statuses[name]
--- a/reading/roster_test.go
+++ b/reading/roster_test.go
@@ -27,7 +27,7 @@
 		r.SetGroup(members)
 	case "heard", "refuses":
 		for _, name := range s.Args {
-			r.Heard(now, name, s.Verb == "heard")
+			r.UpdateStatus(now, name, s.Verb == "heard")
 		}
 	case "failed":
 		for _, name := range s.Args {
--- a/record/codec.go
+++ b/record/codec.go
@@ -12,14 +12,14 @@
 	"github.com/hoistjunction/hoistjunction/core"
 )
 
-// ErrRecording means that a line of a recording cannot be read.
-var ErrRecording = errors.New("record: bad line")
+// ErrInvalidRecording means that a line of a recording cannot be read.
+var ErrInvalidRecording = errors.New("record: bad line")
 
 // maxLine bounds a line of a recording, in bytes.
 const maxLine = 16 << 20
 
-// messages are the types that a recording may hold, by name.
-var messages = byName(
+// messageTypes are the types that a recording may hold, by name.
+var messageTypes = typesByName(
 	core.TickMsg{}, core.SubmitMsg{}, core.CancelMsg{}, core.TicketsMsg{}, &core.StepDoneMsg{}, core.StepFailedMsg{},
 	core.UpstreamDownMsg{}, core.CallDoneMsg{}, core.CallFailedMsg{}, core.ClaimsMsg{}, core.ClaimsFailedMsg{},
 	core.RelayTokensMsg{}, core.RelayDoneMsg{}, core.RelayFailedMsg{}, core.ListMsg{}, core.HeadMsg{},
@@ -27,16 +27,16 @@
 	core.CommitMsg{}, core.MarkLeavingMsg{}, core.DrainMsg{}, core.HandoverMsg{}, core.HandedOverMsg{},
 )
 
-func byName(samples ...core.Msg) map[string]reflect.Type {
+func typesByName(samples ...core.Msg) map[string]reflect.Type {
 	m := make(map[string]reflect.Type, len(samples))
 	for _, s := range samples {
-		m[Name(s)] = reflect.TypeOf(s)
+		m[TypeName(s)] = reflect.TypeOf(s)
 	}
 	return m
 }
 
-// Name returns the name of a message's or command's type.
-func Name(v any) string {
+// TypeName returns the name of a message's or command's type.
+func TypeName(v any) string {
 	t := reflect.TypeOf(v)
 	if t.Kind() == reflect.Pointer {
 		t = t.Elem()
@@ -51,7 +51,7 @@
 	Msg  json.RawMessage `json:"msg"`
 }
 
-func encode(start Start, entries []entry) ([]byte, error) {
+func encode(start Header, entries []entry) ([]byte, error) {
 	var out bytes.Buffer
 	enc := json.NewEncoder(&out)
 	if err := enc.Encode(start); err != nil {
@@ -62,7 +62,7 @@
 		if err != nil {
 			return nil, errors.Wrap(err, "record")
 		}
-		if err := enc.Encode(line{At: e.at, Type: Name(e.msg), Msg: raw}); err != nil {
+		if err := enc.Encode(line{At: e.at, Type: TypeName(e.msg), Msg: raw}); err != nil {
 			return nil, errors.Wrap(err, "record")
 		}
 	}
@@ -73,11 +73,11 @@
 func decode(raw []byte) (clock.Millis, core.Msg, error) {
 	var l line
 	if err := json.Unmarshal(raw, &l); err != nil {
-		return 0, nil, errors.Wrapf(ErrRecording, "%v", err)
+		return 0, nil, errors.Wrapf(ErrInvalidRecording, "%v", err)
 	}
-	t, ok := messages[l.Type]
+	t, ok := messageTypes[l.Type]
 	if !ok {
-		return 0, nil, errors.Wrapf(ErrRecording, "no message %q", l.Type)
+		return 0, nil, errors.Wrapf(ErrInvalidRecording, "no message %q", l.Type)
 	}
 	pointer := t.Kind() == reflect.Pointer
 	if pointer {
@@ -85,7 +85,7 @@
 	}
 	v := reflect.New(t)
 	if err := json.Unmarshal(l.Msg, v.Interface()); err != nil {
-		return 0, nil, errors.Wrapf(ErrRecording, "%s: %v", l.Type, err)
+		return 0, nil, errors.Wrapf(ErrInvalidRecording, "%s: %v", l.Type, err)
 	}
 	if pointer {
 		return l.At, v.Interface(), nil
@@ -93,7 +93,7 @@
 	return l.At, v.Elem().Interface(), nil
 }
 
-func lines(text []byte) *bufio.Scanner {
+func newLineScanner(text []byte) *bufio.Scanner {
 	s := bufio.NewScanner(bytes.NewReader(text))
 	s.Buffer(nil, maxLine)
 	return s
--- a/record/expectation.go
+++ b/record/expectation.go
@@ -26,13 +26,13 @@
 	Version uint64 `json:"version"`
 }
 
-// check compares an expectation with what came of the replay.
-func (t *transcript) check(e Expectation, m *core.Model) {
+// checkExpectation compares an expectation with what came of the replay.
+func (t *transcript) checkExpectation(e Expectation, m *core.Model) {
 	if e.Command != "" && t.counts[e.Command] != e.Times {
-		t.fault("%s: got %d times, want %d", e.Command, t.counts[e.Command], e.Times)
+		t.addViolation("%s: got %d times, want %d", e.Command, t.counts[e.Command], e.Times)
 	}
 	if e.Version != 0 && m.Config().GetVersion() != e.Version {
-		t.fault("version in force: got %d, want %d", m.Config().GetVersion(), e.Version)
+		t.addViolation("version in force: got %d, want %d", m.Config().GetVersion(), e.Version)
 	}
 	if e.Caller != 0 {
 		t.checkCaller(e)
@@ -40,19 +40,19 @@
 }
 
 func (t *transcript) checkCaller(e Expectation) {
-	final := t.finals[e.Caller]
+	final := t.finalReplies[e.Caller]
 	got := final.finish.Outcome.String()
 	if e.Outcome != "" && got != e.Outcome {
-		t.fault("caller %d: got outcome %s (%s), want %s", e.Caller, got, final.finish.Reason, e.Outcome)
+		t.addViolation("caller %d: got outcome %s (%s), want %s", e.Caller, got, final.finish.Reason, e.Outcome)
 	}
 	if e.Reason != "" && final.finish.Reason.String() != e.Reason {
-		t.fault("caller %d: got reason %s, want %s", e.Caller, final.finish.Reason, e.Reason)
+		t.addViolation("caller %d: got reason %s, want %s", e.Caller, final.finish.Reason, e.Reason)
 	}
 	if e.By != 0 && final.at > e.By {
-		t.fault("caller %d: got its final word at %d, want it by %d", e.Caller, final.at, e.By)
+		t.addViolation("caller %d: got its final word at %d, want it by %d", e.Caller, final.at, e.By)
 	}
 	if e.Retry && final.finish.RetryAfter <= 0 {
-		t.fault("caller %d: got no time to come back, want one", e.Caller)
+		t.addViolation("caller %d: got no time to come back, want one", e.Caller)
 	}
 	if e.Text != "" {
 		t.checkText(e)
@@ -65,6 +65,6 @@
 		got = b.String()
 	}
 	if got != e.Text {
-		t.fault("caller %d: got text %q, want %q", e.Caller, got, e.Text)
+		t.addViolation("caller %d: got text %q, want %q", e.Caller, got, e.Text)
 	}
 }
--- a/record/recorder.go
+++ b/record/recorder.go
@@ -16,14 +16,14 @@
 // they carry.
 const (
 	DefaultCapacity = 1 << 14
-	mostBytes       = 16 << 20
+	maxPayloadBytes = 16 << 20
 )
 
 // Recorder keeps the newest messages in a bounded ring. VMs have no disks; an
 // operator reads it while the node runs. It is safe for concurrent use.
 type Recorder struct {
 	mu       sync.Mutex
-	start    Start
+	header   Header
 	entries  []entry
 	oldest   int
 	length   int
@@ -44,8 +44,8 @@
 func WithCapacity(n int) Option { return func(r *Recorder) { r.capacity = n } }
 
 // NewRecorder returns an empty recorder for a model that was made so.
-func NewRecorder(start Start, opts ...Option) *Recorder {
-	r := &Recorder{start: start, capacity: DefaultCapacity}
+func NewRecorder(start Header, opts ...Option) *Recorder {
+	r := &Recorder{header: start, capacity: DefaultCapacity}
 	for _, opt := range opts {
 		opt(r)
 	}
@@ -63,27 +63,27 @@
 		r.entries = make([]entry, r.capacity)
 	}
 	if r.length == r.capacity {
-		r.drop()
+		r.dropOldest()
 	}
 	r.entries[(r.oldest+r.length)%r.capacity] = entry{at: at, msg: msg}
 	r.length++
-	r.bytes += carried(msg)
-	for r.bytes > mostBytes && r.length > 1 {
-		r.drop()
+	r.bytes += payloadSize(msg)
+	for r.bytes > maxPayloadBytes && r.length > 1 {
+		r.dropOldest()
 	}
 }
 
-// drop drops the oldest message.
-func (r *Recorder) drop() {
-	r.bytes -= carried(r.entries[r.oldest].msg)
+// dropOldest drops the oldest message.
+func (r *Recorder) dropOldest() {
+	r.bytes -= payloadSize(r.entries[r.oldest].msg)
 	r.entries[r.oldest] = entry{}
 	r.oldest = (r.oldest + 1) % r.capacity
 	r.length--
 	r.dropped++
 }
 
-// carried is the bytes of a message that callers and upstreams decide on.
-func carried(msg core.Msg) int {
+// payloadSize is the bytes of a message that callers and upstreams decide on.
+func payloadSize(msg core.Msg) int {
 	switch msg := msg.(type) {
 	case core.SubmitMsg:
 		return len(msg.Prompt) + len(msg.Body)
@@ -103,7 +103,7 @@
 func (r *Recorder) Lines() ([]byte, uint64, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	start := r.start
+	start := r.header
 	start.Dropped = r.dropped
 	ordered := make([]entry, 0, r.length)
 	for i := range r.length {
--- a/record/recorder_test.go
+++ b/record/recorder_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestRecorderKeepsTheNewest(t *testing.T) {
-	r := record.NewRecorder(record.Start{Node: &wire.NodeRecord{Name: "n"}}, record.WithCapacity(3))
+	r := record.NewRecorder(record.Header{Node: &wire.NodeRecord{Name: "n"}}, record.WithCapacity(3))
 	for at := range clock.Millis(5) {
 		r.Add(at, core.CancelMsg{Caller: uint64(at)})
 	}
@@ -26,7 +26,7 @@
 }
 
 func TestRecorderBoundsWhatCallersSend(t *testing.T) {
-	r := record.NewRecorder(record.Start{Node: &wire.NodeRecord{Name: "n"}})
+	r := record.NewRecorder(record.Header{Node: &wire.NodeRecord{Name: "n"}})
 	body := make([]byte, 1<<20)
 	for range 40 {
 		r.Add(1, core.SubmitMsg{Body: body})
--- a/record/replay_test.go
+++ b/record/replay_test.go
@@ -23,7 +23,7 @@
 func TestRecordingsComeOutAsStated(t *testing.T) {
 	for _, file := range recordings(t) {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".jsonl"), func(t *testing.T) {
-			if err := record.File(file); err != nil {
+			if err := record.ReplayFile(file); err != nil {
 				t.Errorf("got %v, want the stated outcomes", err)
 			}
 		})
@@ -42,12 +42,12 @@
 func transcriptOf(t *testing.T, file string) string {
 	t.Helper()
 	var b strings.Builder
-	err := record.File(file, record.WithPrint(func(_ clock.Millis, kind string, v any) {
+	err := record.ReplayFile(file, record.WithPrint(func(_ clock.Millis, kind string, v any) {
 		text, err := json.Marshal(v)
 		if err != nil {
-			t.Fatalf("got %v, want JSON of %s", err, record.Name(v))
+			t.Fatalf("got %v, want JSON of %s", err, record.TypeName(v))
 		}
-		b.WriteString(kind + record.Name(v) + string(text))
+		b.WriteString(kind + record.TypeName(v) + string(text))
 	}))
 	if err != nil {
 		t.Fatalf("got %v, want a replay of %s", err, file)
--- a/record/start.go
+++ b/record/start.go
@@ -6,8 +6,8 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// Start says how a model was made.
-type Start struct {
+// Header says how a model was made.
+type Header struct {
 	Node    *wire.NodeRecord `json:"node"`
 	Seed    uint64           `json:"seed"`
 	Seeds   []string         `json:"seeds,omitempty"`
@@ -16,15 +16,15 @@
 	Dropped uint64           `json:"dropped,omitempty"`
 }
 
-// Model returns a model that is made so. The secret of the tickets is not
+// NewModel returns a model that is made so. The secret of the tickets is not
 // recorded; a replay has another, the same each time.
-func (s Start) Model(opts ...core.Option) *core.Model {
+func (s Header) NewModel(opts ...core.Option) *core.Model {
 	node := &wire.NodeRecord{
 		Name: s.Node.GetName(), Incarnation: s.Node.GetIncarnation(), DataCentre: s.Node.GetDataCentre(),
 		Address: s.Node.GetAddress(), StartedMs: s.Node.GetStartedMs(),
 	}
 	all := []core.Option{
-		core.WithNode(node), core.WithSeed(s.Seed), core.WithSeeds(s.Seeds), core.WithGrace(s.Grace),
+		core.WithNode(node), core.WithSeed(s.Seed), core.WithSeedPeers(s.Seeds), core.WithDrainGrace(s.Grace),
 		core.WithPolicy(s.Policy), core.WithSecret([]byte("replay")),
 	}
 	return core.New(append(all, opts...)...)
--- a/record/transcript.go
+++ b/record/transcript.go
@@ -11,8 +11,8 @@
 	"github.com/hoistjunction/hoistjunction/outcome"
 )
 
-// ErrOutcome means that a replay did not come out as stated.
-var ErrOutcome = errors.New("record: not as stated")
+// ErrUnexpectedOutcome means that a replay did not come out as stated.
+var ErrUnexpectedOutcome = errors.New("record: not as stated")
 
 // transcript gathers the commands of a replay, and checks on the way what must
 // hold whatever the recording:
@@ -22,61 +22,61 @@
 //     before it is proven not to have been sent;
 //   - "not run" is not said to a caller whose request is out at an upstream.
 type transcript struct {
-	counts map[string]int
-	finals map[uint64]finalWord
-	texts  map[uint64]*strings.Builder
-	out    map[uint64]bool
-	sent   map[string]bool
-	// named tells under which name a request is in sent.
-	named  map[uint64]string
-	faults []string
+	counts       map[string]int
+	finalReplies map[uint64]finalReply
+	texts        map[uint64]*strings.Builder
+	atUpstream   map[uint64]bool
+	sentCalls    map[string]bool
+	// callNames tells under which name a request is in sent.
+	callNames  map[uint64]string
+	violations []string
 }
 
-// finalWord is a caller's final word and when it came.
-type finalWord struct {
+// finalReply is a caller's final word and when it came.
+type finalReply struct {
 	at     clock.Millis
 	finish core.FinishCmd
 }
 
 func newTranscript() *transcript {
 	return &transcript{
-		counts: make(map[string]int), finals: make(map[uint64]finalWord), texts: make(map[uint64]*strings.Builder),
-		out: make(map[uint64]bool), sent: make(map[string]bool),
-		named: make(map[uint64]string),
+		counts: make(map[string]int), finalReplies: make(map[uint64]finalReply), texts: make(map[uint64]*strings.Builder),
+		atUpstream: make(map[uint64]bool), sentCalls: make(map[string]bool),
+		callNames: make(map[uint64]string),
 	}
 }
 
-// message notes what messages prove.
-func (t *transcript) message(msg core.Msg) {
+// observeMessage notes what messages prove.
+func (t *transcript) observeMessage(msg core.Msg) {
 	switch msg := msg.(type) {
 	case core.CallFailedMsg:
 		if msg.NotSent {
-			delete(t.out, msg.Request)
-			delete(t.sent, t.named[msg.Request])
+			delete(t.atUpstream, msg.Request)
+			delete(t.sentCalls, t.callNames[msg.Request])
 		}
 	case core.StepFailedMsg:
 		if msg.Fault == core.StepNotSent || msg.Fault == core.StepRefused {
-			delete(t.out, msg.Request)
+			delete(t.atUpstream, msg.Request)
 		}
 	}
 }
 
-func (t *transcript) command(at clock.Millis, cmd core.Cmd) {
-	t.counts[Name(cmd)]++
+func (t *transcript) observeCommand(at clock.Millis, cmd core.Cmd) {
+	t.counts[TypeName(cmd)]++
 	switch cmd := cmd.(type) {
 	case *core.StepCmd:
-		t.out[cmd.Request] = true
+		t.atUpstream[cmd.Request] = true
 	case *core.CallCmd:
-		t.out[cmd.Request] = true
-		t.call(cmd)
+		t.atUpstream[cmd.Request] = true
+		t.checkCall(cmd)
 	case *core.EmitCmd:
-		t.emit(cmd)
+		t.checkEmit(cmd)
 	case *core.FinishCmd:
-		t.finish(at, cmd)
+		t.checkFinish(at, cmd)
 	}
 }
 
-func (t *transcript) call(cmd *core.CallCmd) {
+func (t *transcript) checkCall(cmd *core.CallCmd) {
 	if !cmd.NoRepeat {
 		return
 	}
@@ -84,17 +84,17 @@
 	if cmd.Key != "" {
 		name = "key " + cmd.Key
 	}
-	if t.sent[name] {
-		t.fault("a call that may not be repeated was sent again: %s", name)
+	if t.sentCalls[name] {
+		t.addViolation("a call that may not be repeated was sent again: %s", name)
 	}
-	t.sent[name] = true
-	t.named[cmd.Request] = name
+	t.sentCalls[name] = true
+	t.callNames[cmd.Request] = name
 }
 
-func (t *transcript) emit(cmd *core.EmitCmd) {
+func (t *transcript) checkEmit(cmd *core.EmitCmd) {
 	for _, caller := range cmd.Callers {
-		if _, ended := t.finals[caller]; ended {
-			t.fault("caller %d was given text after its final word", caller)
+		if _, ended := t.finalReplies[caller]; ended {
+			t.addViolation("caller %d was given text after its final word", caller)
 		}
 		if t.texts[caller] == nil {
 			t.texts[caller] = &strings.Builder{}
@@ -105,23 +105,23 @@
 	}
 }
 
-func (t *transcript) finish(at clock.Millis, cmd *core.FinishCmd) {
-	if _, ended := t.finals[cmd.Caller]; ended {
-		t.fault("caller %d was given two final words", cmd.Caller)
+func (t *transcript) checkFinish(at clock.Millis, cmd *core.FinishCmd) {
+	if _, ended := t.finalReplies[cmd.Caller]; ended {
+		t.addViolation("caller %d was given two final words", cmd.Caller)
 	}
-	if cmd.Outcome == outcome.NotExecuted && t.out[cmd.Caller] {
-		t.fault("caller %d was told \"not run\" while its request was out at an upstream", cmd.Caller)
+	if cmd.Outcome == outcome.NotExecuted && t.atUpstream[cmd.Caller] {
+		t.addViolation("caller %d was told \"not run\" while its request was out at an upstream", cmd.Caller)
 	}
-	t.finals[cmd.Caller] = finalWord{at: at, finish: *cmd}
+	t.finalReplies[cmd.Caller] = finalReply{at: at, finish: *cmd}
 }
 
-func (t *transcript) fault(format string, args ...any) {
-	t.faults = append(t.faults, fmt.Sprintf(format, args...))
+func (t *transcript) addViolation(format string, args ...any) {
+	t.violations = append(t.violations, fmt.Sprintf(format, args...))
 }
 
 func (t *transcript) err() error {
-	if len(t.faults) == 0 {
+	if len(t.violations) == 0 {
 		return nil
 	}
-	return errors.Wrap(ErrOutcome, strings.Join(t.faults, "; "))
+	return errors.Wrap(ErrUnexpectedOutcome, strings.Join(t.violations, "; "))
 }
--- a/rehearse/balancer.go
+++ b/rehearse/balancer.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// askedEvery is how often the balancer asks whether a node is ready, and missesOut after
+	// readinessInterval is how often the balancer asks whether a node is ready, and maxMisses after
 	// how many questions in vain it gets no new connections.
-	askedEvery = time.Second
-	missesOut  = 2
+	readinessInterval = time.Second
+	maxMisses         = 2
 )
 
 // balancer hands callers' connections to the nodes of their data centre that are ready, as the
@@ -25,16 +25,16 @@
 }
 
 func newBalancer(nodes []*relayNode) *balancer {
-	return &balancer{nodes: nodes, client: &http.Client{Timeout: askedEvery / 2}, misses: make([]int, len(nodes))}
+	return &balancer{nodes: nodes, client: &http.Client{Timeout: readinessInterval / 2}, misses: make([]int, len(nodes))}
 }
 
 // run asks all nodes until the context ends.
 func (b *balancer) run(ctx context.Context) {
-	tick := time.NewTicker(askedEvery)
+	tick := time.NewTicker(readinessInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		for i := range b.nodes {
-			go b.ask(ctx, i)
+			go b.checkReadiness(ctx, i)
 		}
 		select {
 		case <-ctx.Done():
@@ -43,8 +43,8 @@
 	}
 }
 
-func (b *balancer) ask(ctx context.Context, i int) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+b.nodes[i].readiness+"/readiness", nil)
+func (b *balancer) checkReadiness(ctx context.Context, i int) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+b.nodes[i].readinessAddress+"/readiness", nil)
 	if err != nil {
 		return
 	}
@@ -62,18 +62,18 @@
 	}
 }
 
-// choose picks a node for a connection of a caller of a data centre, by a number of the caller's.
+// pick picks a node for a connection of a caller of a data centre, by a number of the caller's.
 // Where under half of the data centre's nodes are ready all of them are used.
-func (b *balancer) choose(centre string, number uint64) *relayNode {
+func (b *balancer) pick(centre string, number uint64) *relayNode {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var here, ready []*relayNode
 	for i, n := range b.nodes {
-		if n.centre != centre {
+		if n.dataCentre != centre {
 			continue
 		}
 		here = append(here, n)
-		if b.misses[i] < missesOut {
+		if b.misses[i] < maxMisses {
 			ready = append(ready, n)
 		}
 	}
--- a/rehearse/caller.go
+++ b/rehearse/caller.go
@@ -20,142 +20,144 @@
 
 // Request is one request of a caller, with all of its tries, and what became of it.
 type Request struct {
-	ID      string `json:"id"`
-	Kind    string `json:"kind"`
-	Centre  string `json:"centre"`
-	Account int    `json:"account"`
-	Subject string `json:"subject"`
-	Caller  string `json:"caller"`
-	Tokens  int    `json:"tokens"`
-	// Memory is what a stream takes of it at each layer, in tokens.
-	Memory float64 `json:"memory"`
-	At     float64 `json:"at_s"`
+	ID         string `json:"id"`
+	Kind       string `json:"kind"`
+	DataCentre string `json:"centre"`
+	Account    int    `json:"account"`
+	Subject    string `json:"subject"`
+	Caller     string `json:"caller"`
+	Tokens     int    `json:"tokens"`
+	// MemoryTokens is what a stream takes of it at each layer, in tokens.
+	MemoryTokens float64 `json:"memory"`
+	StartS       float64 `json:"at_s"`
 	// EndS is when it was over.
 	EndS    float64     `json:"end_s"`
 	Outcome lab.Outcome `json:"outcome"`
-	// FirstMS is when the first event came, or the answer, counted from the first try;
-	// PauseMS is the longest pause between events.
-	FirstMS float64 `json:"first_ms"`
-	PauseMS float64 `json:"pause_ms"`
-	// Why is the last thing that stood against it; empty for one that was served.
-	Why      string    `json:"why,omitempty"`
-	Refusals []Refusal `json:"refusals,omitempty"`
-	Wrong    string    `json:"wrong,omitempty"`
+	// FirstEventMS is when the first event came, or the answer, counted from the first try;
+	// MaxPauseMS is the longest pause between events.
+	FirstEventMS float64 `json:"first_ms"`
+	MaxPauseMS   float64 `json:"pause_ms"`
+	// FailureReason is the last thing that stood against it; empty for one that was served.
+	FailureReason string    `json:"why,omitempty"`
+	Refusals      []Refusal `json:"refusals,omitempty"`
+	WrongAnswer   string    `json:"wrong,omitempty"`
 }
 
 // Refusal is a try that a node has refused.
 type Refusal struct {
-	Reason string    `json:"reason"`
-	AtMS   int64     `json:"at_ms"`
-	LeftMS int64     `json:"left_ms"`
-	BackMS float64   `json:"back_ms"`
-	at     time.Time // of the node's answer
+	Reason       string    `json:"reason"`
+	AtMS         int64     `json:"at_ms"`
+	RemainingMS  int64     `json:"left_ms"`
+	RetryAfterMS float64   `json:"back_ms"`
+	at           time.Time // of the node's answer
 }
 
-// asker sends one request, with its tries.
-type asker struct {
+// sender sends one request, with its tries.
+type sender struct {
 	*Request
-	kind   lab.RequestKind
-	events int
-	prompt int
-	answer int
-	client *client
-	began  time.Time
-	// got is how many events have come, and lastEvent when the last did.
-	got       int
-	lastEvent time.Time
-	served    bool
+	kind         lab.RequestKind
+	wantedEvents int
+	promptTokens int
+	answerTokens int
+	client       *client
+	startedAt    time.Time
+	// eventsReceived is how many events have come, and lastEventAt when the last did.
+	eventsReceived int
+	lastEventAt    time.Time
+	served         bool
 }
 
-// errCut means that an answer has ended early, and errNotAsked that a node could not be reached.
+// errTruncated means that an answer has ended early, and errNotReached that a node could not be reached.
 var (
-	errCut      = errors.New("answer_cut")
-	errNotAsked = errors.New("node_not_reached")
+	errTruncated  = errors.New("answer_cut")
+	errNotReached = errors.New("node_not_reached")
 )
 
 // run sends the request until it is served, or its time or its tries are over.
-func (a *asker) run(ctx context.Context) {
+func (a *sender) run(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, a.kind.DeadlineMS.Duration())
 	defer cancel()
 	for try := 0; ; try++ {
-		back, again := a.try(ctx, try)
-		if a.served || !again || try >= a.kind.Returns {
+		back, again := a.attempt(ctx, try)
+		if a.served || !again || try >= a.kind.MaxRetries {
 			break
 		}
-		if a.left() <= back {
+		if a.remaining() <= back {
 			break
 		}
 		sleep(ctx, back)
 	}
 	a.Outcome = a.outcome()
-	a.EndS = a.At + time.Since(a.began).Seconds()
+	a.EndS = a.StartS + time.Since(a.startedAt).Seconds()
 }
 
-func (a *asker) left() time.Duration { return a.kind.DeadlineMS.Duration() - time.Since(a.began) }
+func (a *sender) remaining() time.Duration {
+	return a.kind.DeadlineMS.Duration() - time.Since(a.startedAt)
+}
 
-// try sends it once. It returns when the caller may come back, and whether it may at all.
-func (a *asker) try(ctx context.Context, number int) (back time.Duration, again bool) {
+// attempt sends it once. It returns when the caller may come back, and whether it may at all.
+func (a *sender) attempt(ctx context.Context, number int) (back time.Duration, again bool) {
 	resp, err := a.send(ctx, number)
 	if err != nil {
-		a.Why = reasonOf(ctx, err)
-		return 0, a.kind.How != lab.HowOnce || errors.Is(err, errNotAsked)
+		a.FailureReason = failureReason(ctx, err)
+		return 0, a.kind.Mode != lab.ModeOnce || errors.Is(err, errNotReached)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	switch resp.StatusCode {
 	case http.StatusOK:
-		err := a.read(resp)
+		err := a.readAnswer(resp)
 		if err != nil {
-			a.Why = reasonOf(ctx, err)
+			a.FailureReason = failureReason(ctx, err)
 		}
-		return 0, a.kind.How != lab.HowOnce
+		return 0, a.kind.Mode != lab.ModeOnce
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return a.refused(resp), true
+		return a.recordRefusal(resp), true
 	default:
-		a.Why = fmt.Sprintf("status_%d_%s", resp.StatusCode, reasonIn(resp.Body))
-		return 0, a.kind.How != lab.HowOnce
+		a.FailureReason = fmt.Sprintf("status_%d_%s", resp.StatusCode, refusalReason(resp.Body))
+		return 0, a.kind.Mode != lab.ModeOnce
 	}
 }
 
-func (a *asker) send(ctx context.Context, number int) (*http.Response, error) {
+func (a *sender) send(ctx context.Context, number int) (*http.Response, error) {
 	method, body := http.MethodPost, io.Reader(strings.NewReader(a.ID))
-	if a.kind.How == lab.HowRead {
+	if a.kind.Mode == lab.ModeRead {
 		method, body = http.MethodGet, nil
 	}
 	node := a.client.node(number)
-	path := fmt.Sprintf("/%s/%s~%d", a.kind.Name, a.Subject, a.events)
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+node.caller+path, body)
+	path := fmt.Sprintf("/%s/%s~%d", a.kind.Name, a.Subject, a.wantedEvents)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+node.callerAddress+path, body)
 	if err != nil {
 		return nil, err
 	}
 	req.Host, req.GetBody = standin.DeploymentHost, nil
-	req.Header = standin.StreamCaller{
-		ID: fmt.Sprintf("%s-%d", a.ID, number), Key: standin.DeploymentKey(a.Account), Subject: a.Subject,
-		RemainingMS: int(a.left().Milliseconds()), Prompt: a.prompt, Answer: a.answer, LastEvent: a.got,
+	req.Header = standin.StreamClient{
+		ID: fmt.Sprintf("%s-%d", a.ID, number), Key: standin.DeploymentKey(a.Account), PromptID: a.Subject,
+		RemainingMS: int(a.remaining().Milliseconds()), PromptTokens: a.promptTokens, AnswerTokens: a.answerTokens, LastEventID: a.eventsReceived,
 	}.Header()
 	resp, err := a.client.transport(number).RoundTrip(req)
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return nil, errors.Mark(err, errNotAsked)
+		return nil, errors.Mark(err, errNotReached)
 	}
 	return resp, err
 }
 
-// refused notes a refusal, and returns when to come back.
-func (a *asker) refused(resp *http.Response) time.Duration {
+// recordRefusal notes a refusal, and returns when to come back.
+func (a *sender) recordRefusal(resp *http.Response) time.Duration {
 	seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	if err != nil {
 		seconds = 0
 	}
 	now := time.Now()
-	a.Why = reasonIn(resp.Body)
+	a.FailureReason = refusalReason(resp.Body)
 	a.Refusals = append(a.Refusals, Refusal{
-		Reason: a.Why, AtMS: now.UnixMilli(), LeftMS: a.left().Milliseconds(), BackMS: seconds * msPerSecond, at: now,
+		Reason: a.FailureReason, AtMS: now.UnixMilli(), RemainingMS: a.remaining().Milliseconds(), RetryAfterMS: seconds * msPerSecond, at: now,
 	})
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// reasonIn is the reason in an answer of a node's own.
-func reasonIn(body io.Reader) string {
+// refusalReason is the reason in an answer of a node's own.
+func refusalReason(body io.Reader) string {
 	var answer struct {
 		Error string `json:"error"`
 	}
@@ -165,28 +167,28 @@
 	return answer.Error
 }
 
-func reasonOf(ctx context.Context, err error) string {
+func failureReason(ctx context.Context, err error) string {
 	switch {
 	case ctx.Err() != nil:
 		return "time_is_up"
-	case errors.Is(err, errNotAsked):
-		return errNotAsked.Error()
+	case errors.Is(err, errNotReached):
+		return errNotReached.Error()
 	default:
-		return errCut.Error()
+		return errTruncated.Error()
 	}
 }
 
-// read takes an answer in, and checks it.
-func (a *asker) read(resp *http.Response) error {
-	if a.kind.How != lab.HowStream {
+// readAnswer takes an answer in, and checks it.
+func (a *sender) readAnswer(resp *http.Response) error {
+	if a.kind.Mode != lab.ModeStream {
 		body, err := io.ReadAll(resp.Body)
 		if err != nil {
 			return err
 		}
-		a.note(time.Now())
+		a.recordEvent(time.Now())
 		a.served = true
-		if want := standin.DeskAnswer(resp.Request.URL.Path); string(body) != want {
-			a.Wrong = fmt.Sprintf("got %q, want %q", body, want)
+		if want := standin.PlainAnswer(resp.Request.URL.Path); string(body) != want {
+			a.WrongAnswer = fmt.Sprintf("got %q, want %q", body, want)
 		}
 		return nil
 	}
@@ -197,46 +199,46 @@
 		if !ok {
 			continue
 		}
-		a.note(time.Now())
-		a.got++
-		if want := strconv.Itoa(a.got); id != want {
-			a.Wrong = fmt.Sprintf("%s: got event %s, want %s", path, id, want)
+		a.recordEvent(time.Now())
+		a.eventsReceived++
+		if want := strconv.Itoa(a.eventsReceived); id != want {
+			a.WrongAnswer = fmt.Sprintf("%s: got event %s, want %s", path, id, want)
 		}
 	}
-	if lines.Err() != nil || a.got < a.events {
-		return errors.CombineErrors(lines.Err(), errCut)
+	if lines.Err() != nil || a.eventsReceived < a.wantedEvents {
+		return errors.CombineErrors(lines.Err(), errTruncated)
 	}
 	a.served = true
 	return nil
 }
 
-// note takes in that an event, or an answer, has come.
-func (a *asker) note(now time.Time) {
-	if a.lastEvent.IsZero() {
-		a.FirstMS = float64(now.Sub(a.began).Microseconds()) / msPerSecond
+// recordEvent takes in that an event, or an answer, has come.
+func (a *sender) recordEvent(now time.Time) {
+	if a.lastEventAt.IsZero() {
+		a.FirstEventMS = float64(now.Sub(a.startedAt).Microseconds()) / msPerSecond
 	} else {
-		a.PauseMS = max(a.PauseMS, float64(now.Sub(a.lastEvent).Microseconds())/msPerSecond)
+		a.MaxPauseMS = max(a.MaxPauseMS, float64(now.Sub(a.lastEventAt).Microseconds())/msPerSecond)
 	}
-	a.lastEvent = now
+	a.lastEventAt = now
 }
 
-func (a *asker) outcome() lab.Outcome {
+func (a *sender) outcome() lab.Outcome {
 	switch {
 	case a.served && a.inTime():
-		a.Why = ""
+		a.FailureReason = ""
 		return lab.InTime
 	case a.served:
-		a.Why = ""
+		a.FailureReason = ""
 		return lab.Late
-	case len(a.Refusals) > 0 && a.Refusals[len(a.Refusals)-1].Reason == a.Why:
+	case len(a.Refusals) > 0 && a.Refusals[len(a.Refusals)-1].Reason == a.FailureReason:
 		return lab.Refused
 	default:
 		return lab.Failed
 	}
 }
 
-func (a *asker) inTime() bool {
-	return a.FirstMS <= float64(a.kind.AimMS) && (a.kind.PauseMS == 0 || a.PauseMS <= float64(a.kind.PauseMS))
+func (a *sender) inTime() bool {
+	return a.FirstEventMS <= float64(a.kind.FirstEventTargetMS) && (a.kind.EventGapTargetMS == 0 || a.MaxPauseMS <= float64(a.kind.EventGapTargetMS))
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/rehearse/deployment.go
+++ b/rehearse/deployment.go
@@ -25,49 +25,49 @@
 	store     *process.Process
 	upstreams *process.Process
 	nodes     []*relayNode
-	all       []*process.Process
+	processes []*process.Process
 }
 
-// start starts the store, the upstreams and all nodes, these at once.
-func start(s *lab.Scenario, o options) (*Deployment, error) {
+// startDeployment starts the store, the upstreams and all nodes, these at once.
+func startDeployment(s *lab.Scenario, o options) (*Deployment, error) {
 	d := &Deployment{scenario: s, options: o}
 	template, err := os.ReadFile(o.template)
 	if err != nil {
 		return d, errors.Wrap(err, "rehearse: template of settings")
 	}
-	if err := os.MkdirAll(o.logs, 0o755); err != nil {
+	if err := os.MkdirAll(o.logDir, 0o755); err != nil {
 		return d, err
 	}
-	if d.store, err = d.outside("store", "store"); err != nil {
+	if d.store, err = d.startStandIn("store", "store"); err != nil {
 		return d, err
 	}
-	if d.upstreams, err = d.outside("upstreams", "upstreams", "--store", d.store.Address(), "--seed", fmt.Sprint(o.seed)); err != nil {
+	if d.upstreams, err = d.startStandIn("upstreams", "upstreams", "--store", d.store.Address(), "--seed", fmt.Sprint(o.seed)); err != nil {
 		return d, err
 	}
-	if err := d.newNodes(string(template)); err != nil {
+	if err := d.prepareNodes(string(template)); err != nil {
 		return d, err
 	}
 	return d, d.startNodes()
 }
 
-// process builds a process of a program, which Close ends.
-func (d *Deployment) process(name, program string, args ...string) (*process.Process, error) {
-	path := filepath.Join(d.options.bin, program)
+// newProcess builds a process of a program, which Close ends.
+func (d *Deployment) newProcess(name, program string, args ...string) (*process.Process, error) {
+	path := filepath.Join(d.options.binDir, program)
 	if _, err := os.Stat(path); err != nil {
 		return nil, errors.Wrapf(ErrNotStarted, "there is no %s; build the programs with make build, or name their folder with --bin", path)
 	}
-	log, err := os.Create(filepath.Join(d.options.logs, name+".log"))
+	log, err := os.Create(filepath.Join(d.options.logDir, name+".log"))
 	if err != nil {
 		return nil, err
 	}
 	p := process.New(name, log, append([]string{path}, args...))
-	d.all = append(d.all, p)
+	d.processes = append(d.processes, p)
 	return p, nil
 }
 
-// outside starts a part of the outside world.
-func (d *Deployment) outside(name string, args ...string) (*process.Process, error) {
-	p, err := d.process(name, "standin-deployment", append(args, "--scenario", d.options.scenario)...)
+// startStandIn starts a part of the outside world.
+func (d *Deployment) startStandIn(name string, args ...string) (*process.Process, error) {
+	p, err := d.newProcess(name, "standin-deployment", append(args, "--scenario", d.options.scenario)...)
 	if err != nil {
 		return nil, err
 	}
@@ -77,12 +77,12 @@
 	return p, nil
 }
 
-// newNodes gives each node its address and settings.
-func (d *Deployment) newNodes(template string) error {
-	var places []standin.NodePlace
-	for c, centre := range d.scenario.Fleet.Centres() {
-		for i := range d.scaled(d.scenario.Deployment.NodesIn[centre]) {
-			p, err := newPlace(fmt.Sprintf("node-%s-%d", centre, i+1), centre, c+1, i+1)
+// prepareNodes gives each node its address and settings.
+func (d *Deployment) prepareNodes(template string) error {
+	var places []standin.NodeAddresses
+	for c, centre := range d.scenario.Fleet.DataCentres() {
+		for i := range d.scaledNodes(d.scenario.Deployment.NodesByDataCentre[centre]) {
+			p, err := newNodePlace(fmt.Sprintf("node-%s-%d", centre, i+1), centre, c+1, i+1)
 			if err != nil {
 				return err
 			}
@@ -94,7 +94,7 @@
 	}
 	var seeds []string
 	for _, p := range places[:min(3, len(places))] {
-		seeds = append(seeds, p.At(p.Peers))
+		seeds = append(seeds, p.HostPort(p.Peers))
 	}
 	for _, p := range places {
 		n, err := newNode(d, p, template, seeds)
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// scaled is how many of a number of nodes the scale leaves: one at least of those that are there.
-func (d *Deployment) scaled(nodes int) int {
+// scaledNodes is how many of a number of nodes the scale leaves: one at least of those that are there.
+func (d *Deployment) scaledNodes(nodes int) int {
 	return min(nodes, max(1, int(math.Round(float64(nodes)*d.options.scale))))
 }
 
@@ -115,7 +115,7 @@
 	errs := make([]error, len(d.nodes))
 	var group sync.WaitGroup
 	for i, n := range d.nodes {
-		group.Go(func() { errs[i] = n.Start(nodeMark) })
+		group.Go(func() { errs[i] = n.Start(nodeReadyText) })
 	}
 	group.Wait()
 	return errors.Join(errs...)
@@ -123,7 +123,7 @@
 
 // close ends all that was started, the nodes first.
 func (d *Deployment) close() {
-	for _, p := range slices.Backward(d.all) {
+	for _, p := range slices.Backward(d.processes) {
 		p.Kill()
 		_ = p.Close()
 	}
--- a/rehearse/harm.go
+++ b/rehearse/harm.go
@@ -17,30 +17,30 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// harm does a scenario's troubles to the processes.
-type harm struct {
+// faultInjector does a scenario's troubles to the processes.
+type faultInjector struct {
 	deployment *Deployment
-	load       *load
+	load       *loadGenerator
 	random     *rand.Rand
 	client     *http.Client
 	mu         sync.Mutex
-	// failed are troubles that could not be done.
-	failed []error
+	// errs are troubles that could not be done.
+	errs []error
 }
 
-func newHarm(d *Deployment, l *load, seed uint64) *harm {
-	return &harm{deployment: d, load: l, random: rand.New(rand.NewPCG(seed, 31)), client: &http.Client{Timeout: 5 * time.Second}}
+func newFaultInjector(d *Deployment, l *loadGenerator, seed uint64) *faultInjector {
+	return &faultInjector{deployment: d, load: l, random: rand.New(rand.NewPCG(seed, 31)), client: &http.Client{Timeout: 5 * time.Second}}
 }
 
 // run does all troubles at their times, and returns when the last is over.
-func (h *harm) run(ctx context.Context, began time.Time) {
+func (h *faultInjector) run(ctx context.Context, began time.Time) {
 	var group sync.WaitGroup
 	for _, f := range h.deployment.scenario.Faults {
-		for _, at := range f.Begins() {
+		for _, at := range f.StartTimes() {
 			group.Go(func() {
 				sleep(ctx, time.Until(began.Add(at.Duration())))
 				if ctx.Err() == nil {
-					h.note(h.strike(ctx, f))
+					h.recordError(h.inject(ctx, f))
 				}
 			})
 		}
@@ -48,57 +48,57 @@
 	group.Wait()
 }
 
-func (h *harm) note(err error) {
+func (h *faultInjector) recordError(err error) {
 	if err == nil {
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.failed = append(h.failed, err)
+	h.errs = append(h.errs, err)
 }
 
-// strike does one trouble and undoes it.
-func (h *harm) strike(ctx context.Context, f lab.Fault) error {
-	lasts := f.For.Duration()
+// inject does one trouble and undoes it.
+func (h *faultInjector) inject(ctx context.Context, f lab.Fault) error {
+	lasts := f.Duration.Duration()
 	switch f.Kind {
-	case lab.Burst:
-		h.load.setBurst(f.X)
+	case lab.LoadBurst:
+		h.load.setBurst(f.Magnitude)
 		sleep(ctx, lasts)
 		h.load.setBurst(1)
 	case lab.NodeKill:
-		return h.eachNode(f, func(n *relayNode) error {
+		return h.onNodes(f, func(n *relayNode) error {
 			n.Kill()
 			sleep(ctx, lasts)
-			return n.Start(nodeMark)
+			return n.Start(nodeReadyText)
 		})
 	case lab.NodeFreeze:
-		return h.eachNode(f, func(n *relayNode) error {
+		return h.onNodes(f, func(n *relayNode) error {
 			n.Signal(syscall.SIGSTOP)
 			sleep(ctx, lasts)
 			n.Signal(syscall.SIGCONT)
 			return nil
 		})
-	case lab.NodeRoll:
-		for _, n := range h.some(f.Share) {
+	case lab.NodeRollingRestart:
+		for _, n := range h.pickNodes(f.Share) {
 			n.Stop()
-			if err := n.Start(nodeMark); err != nil {
+			if err := n.Start(nodeReadyText); err != nil {
 				return err
 			}
 			sleep(ctx, lasts)
 		}
-	case lab.ListAway:
-		return h.storeFor(ctx, standin.RowStoreFaults{Down: true}, lasts)
+	case lab.ListFrozen:
+		return h.injectStoreFault(ctx, standin.RowStoreFaults{Down: true}, lasts)
 	case lab.StoreSlow:
-		return h.storeFor(ctx, standin.RowStoreFaults{SlowMS: int64(f.X)}, lasts)
+		return h.injectStoreFault(ctx, standin.RowStoreFaults{ResponseDelayMS: int64(f.Magnitude)}, lasts)
 	default:
-		return h.post(h.deployment.upstreams, "/harm", standin.Harm{Kind: f.Kind, Share: f.Share, X: f.X, XMost: f.XMost, ForMS: int64(f.For)})
+		return h.post(h.deployment.upstreams, "/harm", standin.FaultInjection{Kind: f.Kind, Share: f.Share, Magnitude: f.Magnitude, MaxMagnitude: f.MaxMagnitude, ForMS: int64(f.Duration)})
 	}
 	return nil
 }
 
-// eachNode does something to a share of the nodes at once.
-func (h *harm) eachNode(f lab.Fault, do func(*relayNode) error) error {
-	nodes := h.some(f.Share)
+// onNodes does something to a share of the nodes at once.
+func (h *faultInjector) onNodes(f lab.Fault, do func(*relayNode) error) error {
+	nodes := h.pickNodes(f.Share)
 	errs := make([]error, len(nodes))
 	var group sync.WaitGroup
 	for i, n := range nodes {
@@ -108,8 +108,8 @@
 	return errors.Join(errs...)
 }
 
-// some draws a share of the nodes, one at least.
-func (h *harm) some(share float64) []*relayNode {
+// pickNodes draws a share of the nodes, one at least.
+func (h *faultInjector) pickNodes(share float64) []*relayNode {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	all := h.deployment.nodes
@@ -121,13 +121,13 @@
 	return nodes
 }
 
-func (h *harm) storeFor(ctx context.Context, f standin.RowStoreFaults, lasts time.Duration) error {
+func (h *faultInjector) injectStoreFault(ctx context.Context, f standin.RowStoreFaults, lasts time.Duration) error {
 	err := h.post(h.deployment.store, "/faults", f)
 	sleep(ctx, lasts)
 	return errors.CombineErrors(err, h.post(h.deployment.store, "/faults", standin.RowStoreFaults{}))
 }
 
-func (h *harm) post(to *process.Process, path string, v any) error {
+func (h *faultInjector) post(to *process.Process, path string, v any) error {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return err
--- a/rehearse/judge.go
+++ b/rehearse/judge.go
@@ -15,70 +15,70 @@
 
 // The bounds of the verdict. They are what was stated for the product, not what was measured.
 const (
-	// borneAtLeast is the part of what the emulator serves that is served in trouble.
-	borneAtLeast = 0.9
-	// starvedUnder is the part of the whole's share under which a kind of request, an account
+	// minShareOfEmulated is the part of what the emulator serves that is served in trouble.
+	minShareOfEmulated = 0.9
+	// starvedBelow is the part of the whole's share under which a kind of request, an account
 	// or a data centre is starved.
-	starvedUnder = 0.25
-	lateMostMS   = 20.0
-	latePart     = 0.99
-	windowSpan   = 2
-	largestPart  = 0.1
-	largePart    = 0.3
-	mostShown    = 12
-	worstWindows = 2
+	starvedBelow     = 0.25
+	maxLateMS        = 20.0
+	lateQuantile     = 0.99
+	windowSeconds    = 2
+	largestShare     = 0.1
+	largeShare       = 0.3
+	maxWrongAnswers  = 12
+	worstWindowCount = 2
 )
 
-// judge sums up what callers got.
-func judge(s *lab.Scenario, o options, l *load, open []standin.Openness) *Report {
+// evaluate sums up what callers got.
+func evaluate(s *lab.Scenario, o options, l *loadGenerator, open []standin.FreeCapacity) *Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := &Report{
-		Scenario: o.scenario, Seed: o.seed, Scale: o.scale, Requests: l.requests, LateMS: percentile(l.lateMS, latePart),
-		Refused: make(map[string]*Refused), latency: hdrhistogram.New(1, int64(longestLatency), latencyDigits),
+		Scenario: o.scenario, Seed: o.seed, Scale: o.scale, Requests: l.requests, LateMS: quantile(l.lateMS, lateQuantile),
+		Refusals: make(map[string]*RefusalCounts), latency: hdrhistogram.New(1, int64(maxLatencyMS), latencyDigits),
 	}
-	r.NotValid = r.LateMS > lateMostMS
-	r.count(s)
-	r.sumRefusals(s, open)
-	r.judgeEnough(s, o)
-	r.judgeStarved()
+	r.Invalid = r.LateMS > maxLateMS
+	r.countOutcomes(s)
+	r.countRefusals(s, open)
+	r.checkServed(s, o)
+	r.checkStarved()
 	return r
 }
 
-// longestLatency and latencyDigits are those of the histogram, in ms.
+// maxLatencyMS and latencyDigits are those of the histogram, in ms.
 const (
-	longestLatency = 60_000
-	latencyDigits  = 2
+	maxLatencyMS  = 60_000
+	latencyDigits = 2
 )
 
-// count sums up outcomes by all that they are judged by.
-func (r *Report) count(s *lab.Scenario) {
-	r.Seconds = make([]Share, int(s.Load.ForMS/msPerSecond)+1)
+// countOutcomes sums up outcomes by all that they are judged by.
+func (r *Report) countOutcomes(s *lab.Scenario) {
+	r.Seconds = make([]OutcomeCounts, int(s.Load.DurationMS/msPerSecond)+1)
 	sizes := sizeClasses(r.Requests)
-	r.By = map[string]map[string]*Share{"kind": {}, "data_centre": {}, "account": {}, "caller": {}, "subject": {}, "size": {}}
+	r.Breakdown = map[string]map[string]*OutcomeCounts{"kind": {}, "data_centre": {}, "account": {}, "caller": {}, "subject": {}, "size": {}}
 	for _, q := range r.Requests {
-		r.Whole.add(q)
-		r.Seconds[min(int(q.At), len(r.Seconds)-1)].add(q)
+		r.Total.add(q)
+		r.Seconds[min(int(q.StartS), len(r.Seconds)-1)].add(q)
 		for by, name := range map[string]string{
-			"kind": q.Kind, "data_centre": q.Centre, "account": fmt.Sprint(q.Account), "caller": q.Caller, "subject": q.Subject, "size": sizes(q),
+			"kind": q.Kind, "data_centre": q.DataCentre, "account": fmt.Sprint(q.Account), "caller": q.Caller, "subject": q.Subject, "size": sizes(q),
 		} {
-			share := r.By[by][name]
+			share := r.Breakdown[by][name]
 			if share == nil {
-				share = &Share{}
-				r.By[by][name] = share
+				share = &OutcomeCounts{}
+				r.Breakdown[by][name] = share
 			}
 			share.add(q)
 		}
 		if q.Outcome == lab.InTime || q.Outcome == lab.Late {
 			// What is longer than the histogram counts as its longest.
-			_ = r.latency.RecordValue(min(int64(q.FirstMS), int64(longestLatency)))
+			_ = r.latency.RecordValue(min(int64(q.FirstEventMS), int64(maxLatencyMS)))
 		}
-		if q.Wrong != "" && len(r.Wrong) < mostShown {
-			r.Wrong = append(r.Wrong, q.ID+": "+q.Wrong)
+		if q.WrongAnswer != "" && len(r.WrongAnswers) < maxWrongAnswers {
+			r.WrongAnswers = append(r.WrongAnswers, q.ID+": "+q.WrongAnswer)
 		}
 	}
-	r.P50, r.P99 = r.latency.ValueAtPercentile(50), r.latency.ValueAtPercentile(99)
-	r.Worst = r.worst()
+	r.P50MS, r.P99MS = r.latency.ValueAtPercentile(50), r.latency.ValueAtPercentile(99)
+	r.WorstWindows = r.worstWindows()
 }
 
 // sizeClasses tells the largest tenth of each kind of request, and the fifth below it.
@@ -96,9 +96,9 @@
 		switch above := 1 - float64(rank)/float64(len(list)); {
 		case list[0] == list[len(list)-1]:
 			return q.Kind + " alike"
-		case above <= largestPart:
+		case above <= largestShare:
 			return q.Kind + " largest tenth"
-		case above <= largePart:
+		case above <= largeShare:
 			return q.Kind + " fifth below"
 		default:
 			return q.Kind + " others"
@@ -106,58 +106,58 @@
 	}
 }
 
-// worst returns the worst windows that do not overlap.
-func (r *Report) worst() []Window {
+// worstWindows returns the worst windows that do not overlap.
+func (r *Report) worstWindows() []Window {
 	var windows []Window
-	for from := 0; from+windowSpan <= len(r.Seconds); from += windowSpan {
-		w := Window{From: from}
-		for _, s := range r.Seconds[from : from+windowSpan] {
-			w.Share.plus(s)
+	for from := 0; from+windowSeconds <= len(r.Seconds); from += windowSeconds {
+		w := Window{StartS: from}
+		for _, s := range r.Seconds[from : from+windowSeconds] {
+			w.Counts.addCounts(s)
 		}
-		if w.Share.Asked > 0 {
+		if w.Counts.Sent > 0 {
 			windows = append(windows, w)
 		}
 	}
-	slices.SortStableFunc(windows, func(a, b Window) int { return cmp.Compare(a.Share.Served(), b.Share.Served()) })
-	return windows[:min(worstWindows, len(windows))]
+	slices.SortStableFunc(windows, func(a, b Window) int { return cmp.Compare(a.Counts.ServedShare(), b.Counts.ServedShare()) })
+	return windows[:min(worstWindowCount, len(windows))]
 }
 
-// sumRefusals sums up what was refused for what, and how much of it could have been served: while
+// countRefusals sums up what was refused for what, and how much of it could have been served: while
 // its caller waited, upstreams had what it takes.
-func (r *Report) sumRefusals(s *lab.Scenario, open []standin.Openness) {
+func (r *Report) countRefusals(s *lab.Scenario, open []standin.FreeCapacity) {
 	for _, q := range r.Requests {
 		for _, refusal := range q.Refusals {
-			sum := r.Refused[refusal.Reason]
+			sum := r.Refusals[refusal.Reason]
 			if sum == nil {
-				sum = &Refused{}
-				r.Refused[refusal.Reason] = sum
+				sum = &RefusalCounts{}
+				r.Refusals[refusal.Reason] = sum
 			}
-			sum.Tries++
-			if float64(refusal.LeftMS) <= refusal.BackMS {
-				sum.BackTooLate++
+			sum.Attempts++
+			if float64(refusal.RemainingMS) <= refusal.RetryAfterMS {
+				sum.RetryTooLate++
 			}
 			if couldServe(s, q, refusal, open) {
 				sum.CouldServe++
 			}
 		}
 		if len(q.Refusals) > 1 {
-			r.RefusedAgain++
+			r.RefusedRepeatedly++
 		}
 	}
 }
 
 // couldServe tells whether upstreams had what a request takes in the time that its caller had left.
-func couldServe(s *lab.Scenario, q *Request, refusal Refusal, open []standin.Openness) bool {
-	needs := int64(s.Deployment.Plain.WorkMS)
-	from := slices.IndexFunc(open, func(o standin.Openness) bool { return o.AtMS >= refusal.AtMS })
+func couldServe(s *lab.Scenario, q *Request, refusal Refusal, open []standin.FreeCapacity) bool {
+	needs := int64(s.Deployment.PlainService.ServiceTimeMS)
+	from := slices.IndexFunc(open, func(o standin.FreeCapacity) bool { return o.AtMS >= refusal.AtMS })
 	if from < 0 {
 		return false
 	}
 	for _, o := range open[from:] {
-		if o.AtMS > refusal.AtMS+refusal.LeftMS-needs {
+		if o.AtMS > refusal.AtMS+refusal.RemainingMS-needs {
 			return false
 		}
-		if isStream(s, q) && o.Tokens >= q.Memory || !isStream(s, q) && o.Desks > 0 {
+		if isStream(s, q) && o.Tokens >= q.MemoryTokens || !isStream(s, q) && o.PlainServers > 0 {
 			return true
 		}
 	}
@@ -165,42 +165,42 @@
 }
 
 func isStream(s *lab.Scenario, q *Request) bool {
-	return slices.ContainsFunc(s.Deployment.Requests, func(k lab.RequestKind) bool { return k.Name == q.Kind && k.How == lab.HowStream })
+	return slices.ContainsFunc(s.Deployment.RequestKinds, func(k lab.RequestKind) bool { return k.Name == q.Kind && k.Mode == lab.ModeStream })
 }
 
-// judgeEnough compares what was served with what must be: calm, and in trouble.
-func (r *Report) judgeEnough(s *lab.Scenario, o options) {
-	borne := borneBy(s, o)
-	var calm, trouble Share
+// checkServed compares what was served with what must be: calm, and in trouble.
+func (r *Report) checkServed(s *lab.Scenario, o options) {
+	borne := emulatedServedShare(s, o)
+	var calm, trouble OutcomeCounts
 	wanted := 0.0
 	for _, q := range r.Requests {
-		if inTrouble(s, clock.Millis(q.At*msPerSecond), clock.Millis(q.EndS*msPerSecond)) {
+		if duringFault(s, clock.Millis(q.StartS*msPerSecond), clock.Millis(q.EndS*msPerSecond)) {
 			trouble.add(q)
-			wanted += borneAtLeast * borne(int(q.At))
+			wanted += minShareOfEmulated * borne(int(q.StartS))
 			continue
 		}
 		calm.add(q)
 	}
-	r.Calm, r.Trouble = calm, trouble
-	if calm.Asked > 0 && calm.Served() < starved.MinServedWithoutFaults {
-		r.broken("enough is served: %.3f of %d in calm, want %v", calm.Served(), calm.Asked, starved.MinServedWithoutFaults)
+	r.Calm, r.DuringFaults = calm, trouble
+	if calm.Sent > 0 && calm.ServedShare() < starved.MinServedWithoutFaults {
+		r.addViolation("enough is served: %.3f of %d in calm, want %v", calm.ServedShare(), calm.Sent, starved.MinServedWithoutFaults)
 	}
-	if trouble.Asked > 0 {
-		r.WantedInTrouble = wanted / float64(trouble.Asked)
-		if trouble.Served() < r.WantedInTrouble {
-			r.broken("enough is served: %.3f of %d in trouble, want %.3f", trouble.Served(), trouble.Asked, r.WantedInTrouble)
+	if trouble.Sent > 0 {
+		r.MinServedDuringFaults = wanted / float64(trouble.Sent)
+		if trouble.ServedShare() < r.MinServedDuringFaults {
+			r.addViolation("enough is served: %.3f of %d in trouble, want %.3f", trouble.ServedShare(), trouble.Sent, r.MinServedDuringFaults)
 		}
 	}
-	for _, wrong := range r.Wrong {
-		r.broken("answers are right: %s", wrong)
+	for _, wrong := range r.WrongAnswers {
+		r.addViolation("answers are right: %s", wrong)
 	}
 }
 
-// inTrouble tells whether a trouble lasts, or its recovery, while a request is under way.
-func inTrouble(s *lab.Scenario, from, to clock.Millis) bool {
+// duringFault tells whether a trouble lasts, or its recovery, while a request is under way.
+func duringFault(s *lab.Scenario, from, to clock.Millis) bool {
 	for _, f := range s.Faults {
-		for _, begins := range f.Begins() {
-			if to >= begins && from < begins.Add(f.For+s.Deployment.RecoveryMS) {
+		for _, begins := range f.StartTimes() {
+			if to >= begins && from < begins.Add(f.Duration+s.Deployment.RecoveryMS) {
 				return true
 			}
 		}
@@ -208,9 +208,9 @@
 	return false
 }
 
-// borneBy returns what the emulator serves by second. Where it does not play all of the troubles,
+// emulatedServedShare returns what the emulator serves by second. Where it does not play all of the troubles,
 // nothing is wanted: nobody knows what can be borne.
-func borneBy(s *lab.Scenario, o options) func(second int) float64 {
+func emulatedServedShare(s *lab.Scenario, o options) func(second int) float64 {
 	for _, f := range s.Faults {
 		if !f.Kind.Emulated() {
 			return func(int) float64 { return 0 }
@@ -221,46 +221,46 @@
 	}
 	result := lab.Run(s, lab.Variant{}, o.seed)
 	return func(second int) float64 {
-		if second >= len(result.Seconds) {
+		if second >= len(result.BySecond) {
 			return 1
 		}
-		c := result.Seconds[second]
+		c := result.BySecond[second]
 		all := c[lab.InTime] + c[lab.Late] + c[lab.Refused] + c[lab.Failed]
 		return float64(c[lab.InTime]+c[lab.Late]) / float64(max(all, 1))
 	}
 }
 
-// judgeStarved looks for those that are served far less often than all.
-func (r *Report) judgeStarved() {
+// checkStarved looks for those that are served far less often than all.
+func (r *Report) checkStarved() {
 	for _, by := range []string{"kind", "account", "data_centre"} {
-		for name, share := range r.By[by] {
-			if share.Served() < starvedUnder*r.Whole.Served() {
-				r.broken("nobody starves: %s %s is served %.3f of %d, all %.3f", by, name, share.Served(), share.Asked, r.Whole.Served())
+		for name, share := range r.Breakdown[by] {
+			if share.ServedShare() < starvedBelow*r.Total.ServedShare() {
+				r.addViolation("nobody starves: %s %s is served %.3f of %d, all %.3f", by, name, share.ServedShare(), share.Sent, r.Total.ServedShare())
 			}
 		}
 	}
 	for _, by := range []string{"caller", "subject"} {
-		r.judgeNever(by)
+		r.checkNeverServed(by)
 	}
-	slices.Sort(r.Broken)
+	slices.Sort(r.BrokenPromises)
 }
 
-// judgeNever looks for those that ask often and long enough, and are never served.
-func (r *Report) judgeNever(by string) {
+// checkNeverServed looks for those that ask often and long enough, and are never served.
+func (r *Report) checkNeverServed(by string) {
 	var list []starved.Demand
-	for _, share := range r.By[by] {
-		list = append(list, starved.Demand{Requests: share.Asked, Served: share.ServedInAll(), Span: share.last - share.first})
+	for _, share := range r.Breakdown[by] {
+		list = append(list, starved.Demand{Requests: share.Sent, Served: share.ServedCount(), Span: share.lastStartS - share.firstStartS})
 	}
-	if never, often, most := starved.CountNeverServed(list, r.Whole.Served()); float64(never) > most {
-		r.broken("nobody starves: %d of %d by %s are never served, want %.1f at most", never, often, by, most)
+	if never, often, most := starved.CountNeverServed(list, r.Total.ServedShare()); float64(never) > most {
+		r.addViolation("nobody starves: %d of %d by %s are never served, want %.1f at most", never, often, by, most)
 	}
 }
 
-func (r *Report) broken(format string, args ...any) {
-	r.Broken = append(r.Broken, fmt.Sprintf(format, args...))
+func (r *Report) addViolation(format string, args ...any) {
+	r.BrokenPromises = append(r.BrokenPromises, fmt.Sprintf(format, args...))
 }
 
-func percentile(values []float64, part float64) float64 {
+func quantile(values []float64, part float64) float64 {
 	if len(values) == 0 {
 		return 0
 	}
--- a/rehearse/judge_test.go
+++ b/rehearse/judge_test.go
@@ -13,13 +13,13 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// asked returns requests of a kind and a subject each tenth of a second, of which some are served.
-func asked(kind string, served func(i int) bool) []*Request {
+// requestsOfKind returns requests of a kind and a subject each tenth of a second, of which some are served.
+func requestsOfKind(kind string, served func(i int) bool) []*Request {
 	const lasts, perSecond = 20, 10
 	var list []*Request
 	for i := range lasts * perSecond {
 		at := float64(i) / perSecond
-		q := &Request{Kind: kind, Centre: "c", Subject: fmt.Sprint(kind, i%perSecond), Caller: fmt.Sprint(i % perSecond), At: at, EndS: at + 0.1, Outcome: lab.Failed}
+		q := &Request{Kind: kind, DataCentre: "c", Subject: fmt.Sprint(kind, i%perSecond), Caller: fmt.Sprint(i % perSecond), StartS: at, EndS: at + 0.1, Outcome: lab.Failed}
 		if served(i) {
 			q.Outcome = lab.InTime
 		}
@@ -28,40 +28,40 @@
 	return list
 }
 
-func judged(t *testing.T, faults []lab.Fault, requests ...[]*Request) *Report {
+func evaluated(t *testing.T, faults []lab.Fault, requests ...[]*Request) *Report {
 	s, err := lab.LoadScenario("../examples/rehearse/stalls.ini")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Load.ForMS, s.Faults = 20_000, faults
-	l := &load{}
+	s.Load.DurationMS, s.Faults = 20_000, faults
+	l := &loadGenerator{}
 	for _, list := range requests {
 		l.requests = append(l.requests, list...)
 	}
-	return judge(s, options{seed: 1}, l, nil)
+	return evaluate(s, options{seed: 1}, l, nil)
 }
 
-func all(int) bool  { return true }
-func none(int) bool { return false }
+func servedAlways(int) bool { return true }
+func servedNever(int) bool  { return false }
 
 func TestVerdict(t *testing.T) {
-	alone := lab.Fault{Kind: lab.NodeFreeze, At: 2000, For: 1000}
+	alone := lab.Fault{Kind: lab.NodeFreeze, At: 2000, Duration: 1000}
 	for _, tt := range []struct {
 		name   string
 		report *Report
 		want   []string
 	}{
-		{"all served", judged(t, nil, asked("a", all)), nil},
-		{"one in fifty not", judged(t, nil, asked("a", func(i int) bool { return i%50 != 7 })), []string{"enough"}},
-		{"not in trouble", judged(t, []lab.Fault{alone}, asked("a", func(i int) bool { return i < 20 || i > 40 })), nil},
-		{"too long after", judged(t, []lab.Fault{alone}, asked("a", func(i int) bool { return i < 15 || i > 160 })), []string{"enough"}},
-		{"a kind never", judged(t, nil, asked("a", all), asked("b", none)), []string{"enough", "kind b", "subject"}},
-		{"one subject never", judged(t, nil, asked("a", func(i int) bool { return i%10 != 3 })), []string{"enough"}},
-		{"four subjects never", judged(t, nil, asked("a", func(i int) bool { return i%10 > 3 })), []string{"enough", "caller", "subject"}},
+		{"all served", evaluated(t, nil, requestsOfKind("a", servedAlways)), nil},
+		{"one in fifty not", evaluated(t, nil, requestsOfKind("a", func(i int) bool { return i%50 != 7 })), []string{"enough"}},
+		{"not in trouble", evaluated(t, []lab.Fault{alone}, requestsOfKind("a", func(i int) bool { return i < 20 || i > 40 })), nil},
+		{"too long after", evaluated(t, []lab.Fault{alone}, requestsOfKind("a", func(i int) bool { return i < 15 || i > 160 })), []string{"enough"}},
+		{"a kind never", evaluated(t, nil, requestsOfKind("a", servedAlways), requestsOfKind("b", servedNever)), []string{"enough", "kind b", "subject"}},
+		{"one subject never", evaluated(t, nil, requestsOfKind("a", func(i int) bool { return i%10 != 3 })), []string{"enough"}},
+		{"four subjects never", evaluated(t, nil, requestsOfKind("a", func(i int) bool { return i%10 > 3 })), []string{"enough", "caller", "subject"}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			got := strings.Join(tt.report.Broken, "\n")
-			if len(tt.report.Broken) != len(tt.want) {
+			got := strings.Join(tt.report.BrokenPromises, "\n")
+			if len(tt.report.BrokenPromises) != len(tt.want) {
 				t.Errorf("got %q, want %v", got, tt.want)
 			}
 			for _, want := range tt.want {
@@ -69,7 +69,7 @@
 					t.Errorf("got %q, want %q in it", got, want)
 				}
 			}
-			if err := tt.report.Verdict(); errors.Is(err, ErrBroken) != (len(tt.want) > 0) {
+			if err := tt.report.Verdict(); errors.Is(err, ErrPromiseBroken) != (len(tt.want) > 0) {
 				t.Errorf("got verdict %v", err)
 			}
 		})
@@ -81,9 +81,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := judge(s, options{seed: 1}, &load{requests: asked("a", none), lateMS: []float64{1, 40}}, nil)
-	if err := r.Verdict(); !errors.Is(err, ErrNotValid) {
-		t.Errorf("got %v, want %v", err, ErrNotValid)
+	r := evaluate(s, options{seed: 1}, &loadGenerator{requests: requestsOfKind("a", servedNever), lateMS: []float64{1, 40}}, nil)
+	if err := r.Verdict(); !errors.Is(err, ErrInvalid) {
+		t.Errorf("got %v, want %v", err, ErrInvalid)
 	}
 }
 
@@ -94,16 +94,16 @@
 	}
 	plain := &Request{Kind: "pickup-confirm"}
 	for _, tt := range []struct {
-		open []standin.Openness
+		open []standin.FreeCapacity
 		left int64
 		want bool
 	}{
-		{[]standin.Openness{{AtMS: 90, Desks: 1}, {AtMS: 150}}, 500, false},
-		{[]standin.Openness{{AtMS: 110}, {AtMS: 400, Desks: 1}}, 500, true},
-		{[]standin.Openness{{AtMS: 110}, {AtMS: 400, Desks: 1}}, 200, false},
-		{[]standin.Openness{{AtMS: 110, Tokens: 5000}}, 500, false},
+		{[]standin.FreeCapacity{{AtMS: 90, PlainServers: 1}, {AtMS: 150}}, 500, false},
+		{[]standin.FreeCapacity{{AtMS: 110}, {AtMS: 400, PlainServers: 1}}, 500, true},
+		{[]standin.FreeCapacity{{AtMS: 110}, {AtMS: 400, PlainServers: 1}}, 200, false},
+		{[]standin.FreeCapacity{{AtMS: 110, Tokens: 5000}}, 500, false},
 	} {
-		if got := couldServe(s, plain, Refusal{AtMS: 100, LeftMS: tt.left}, tt.open); got != tt.want {
+		if got := couldServe(s, plain, Refusal{AtMS: 100, RemainingMS: tt.left}, tt.open); got != tt.want {
 			t.Errorf("%+v, %d ms left: got %v, want %v", tt.open, tt.left, got, tt.want)
 		}
 	}
@@ -115,13 +115,13 @@
 		opts           []Option
 		want           error
 	}{
-		{"no programs", "../examples/rehearse/stalls.ini", []Option{WithPrograms("nowhere")}, ErrNotStarted},
+		{"no programs", "../examples/rehearse/stalls.ini", []Option{WithBinDir("nowhere")}, ErrNotStarted},
 		{"nothing to play", "../examples/rehearse/stalls.ini", []Option{WithScale(0)}, ErrScale},
 		{"no such request", "testdata/bad_request.ini", nil, lab.ErrScenario},
 		{"nodes nowhere", "testdata/bad_nodes.ini", nil, lab.ErrScenario},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			opts := append([]Option{WithLogs(t.TempDir()), WithTemplate("../deploy/relay.ini.tmpl"), WithLength(clock.Millis(100))}, tt.opts...)
+			opts := append([]Option{WithLogDir(t.TempDir()), WithSettingsTemplate("../deploy/relay.ini.tmpl"), WithLoadDuration(clock.Millis(100))}, tt.opts...)
 			if _, err := Run(context.Background(), tt.scenario, opts...); !errors.Is(err, tt.want) {
 				t.Errorf("got %v, want %v", err, tt.want)
 			}
--- a/rehearse/options.go
+++ b/rehearse/options.go
@@ -13,14 +13,14 @@
 
 // options are how a rehearsal is played.
 type options struct {
-	seed      uint64
-	bin, logs string
-	template  string
-	scale     float64
-	scenario  string
-	lasts     clock.Millis
-	busy      int
-	progress  io.Writer
+	seed           uint64
+	binDir, logDir string
+	template       string
+	scale          float64
+	scenario       string
+	loadDuration   clock.Millis
+	busyProcessors int
+	progress       io.Writer
 }
 
 // Option sets up a rehearsal.
@@ -29,29 +29,31 @@
 // WithSeed sets what arrivals, sizes and harm are drawn from.
 func WithSeed(seed uint64) Option { return func(o *options) { o.seed = seed } }
 
-// WithPrograms sets the folder of the built programs.
-func WithPrograms(folder string) Option { return func(o *options) { o.bin = folder } }
+// WithBinDir sets the folder of the built programs.
+func WithBinDir(folder string) Option { return func(o *options) { o.binDir = folder } }
 
-// WithLogs sets the folder for the processes' logs and settings.
-func WithLogs(folder string) Option { return func(o *options) { o.logs = folder } }
+// WithLogDir sets the folder for the processes' logs and settings.
+func WithLogDir(folder string) Option { return func(o *options) { o.logDir = folder } }
 
-// WithTemplate sets the template of a node's settings.
-func WithTemplate(path string) Option { return func(o *options) { o.template = path } }
+// WithSettingsTemplate sets the template of a node's settings.
+func WithSettingsTemplate(path string) Option { return func(o *options) { o.template = path } }
 
 // WithScale has a part of the scenario's nodes and rates played; its engines all run.
 func WithScale(part float64) Option { return func(o *options) { o.scale = part } }
 
-// WithLength has callers ask for a time instead of the scenario's; zero for the scenario's.
-func WithLength(lasts clock.Millis) Option { return func(o *options) { o.lasts = lasts } }
+// WithLoadDuration has callers ask for a time instead of the scenario's; zero for the scenario's.
+func WithLoadDuration(lasts clock.Millis) Option { return func(o *options) { o.loadDuration = lasts } }
 
-// WithBusy has so many processors kept busy beside the rehearsal.
-func WithBusy(processors int) Option { return func(o *options) { o.busy = processors } }
+// WithBusyProcessors has so many processors kept busy beside the rehearsal.
+func WithBusyProcessors(processors int) Option {
+	return func(o *options) { o.busyProcessors = processors }
+}
 
 // WithProgress sets where a line a second goes while it runs.
 func WithProgress(out io.Writer) Option { return func(o *options) { o.progress = out } }
 
 func newOptions(opts []Option) options {
-	o := options{seed: 1, bin: "bin", logs: "rehearsal", template: "deploy/relay.ini.tmpl", scale: 1, progress: io.Discard}
+	o := options{seed: 1, binDir: "bin", logDir: "rehearsal", template: "deploy/relay.ini.tmpl", scale: 1, progress: io.Discard}
 	for _, opt := range opts {
 		opt(&o)
 	}
--- a/rehearse/run.go
+++ b/rehearse/run.go
@@ -25,49 +25,49 @@
 	if o.scale <= 0 {
 		return nil, ErrScale
 	}
-	if o.lasts > 0 {
-		s.Load.ForMS = o.lasts
+	if o.loadDuration > 0 {
+		s.Load.DurationMS = o.loadDuration
 	}
 	o.scenario = path
-	stopBusy := keepBusy(o.busy)
+	stopBusy := occupyProcessors(o.busyProcessors)
 	defer stopBusy()
-	d, err := start(s, o)
+	d, err := startDeployment(s, o)
 	defer d.close()
 	if err != nil {
 		return nil, err
 	}
-	return play(ctx, d)
+	return playScenario(ctx, d)
 }
 
-// play has callers ask while troubles are done, and judges what they got.
-func play(ctx context.Context, d *Deployment) (*Report, error) {
+// playScenario has callers ask while troubles are done, and judges what they got.
+func playScenario(ctx context.Context, d *Deployment) (*Report, error) {
 	s, o := d.scenario, d.options
 	watching, stop := context.WithCancel(ctx)
 	defer stop()
 	balancer := newBalancer(d.nodes)
 	go balancer.run(watching)
-	load := newLoad(s, balancer, o)
-	sleep(ctx, s.Load.SettleMS.Duration())
+	load := newLoadGenerator(s, balancer, o)
+	sleep(ctx, s.Load.WarmupMS.Duration())
 	began := time.Now()
-	watch := &watch{upstreams: d.upstreams.Address(), client: &http.Client{Timeout: time.Second}}
+	watch := &capacitySampler{upstreams: d.upstreams.Address(), client: &http.Client{Timeout: time.Second}}
 	go watch.run(watching)
-	go tellProgress(watching, o.progress, load, began)
-	harm := newHarm(d, load, o.seed)
+	go printProgress(watching, o.progress, load, began)
+	harm := newFaultInjector(d, load, o.seed)
 	var group sync.WaitGroup
 	group.Go(func() { harm.run(ctx, began) })
-	load.run(ctx, began, s.Load.ForMS.Duration())
+	load.run(ctx, began, s.Load.DurationMS.Duration())
 	group.Wait()
 	stop()
-	r := judge(s, o, load, watch.taken())
-	r.Nodes = measureNodes(d.nodes)
-	for _, err := range harm.failed {
-		r.NotDone = append(r.NotDone, err.Error())
+	r := evaluate(s, o, load, watch.recorded())
+	r.Nodes = measureUsage(d.nodes)
+	for _, err := range harm.errs {
+		r.FailedFaults = append(r.FailedFaults, err.Error())
 	}
 	return r, ctx.Err()
 }
 
-// keepBusy keeps so many processors busy until it is stopped.
-func keepBusy(processors int) (stop func()) {
+// occupyProcessors keeps so many processors busy until it is stopped.
+func occupyProcessors(processors int) (stop func()) {
 	over := make(chan struct{})
 	for range processors {
 		go func() {
@@ -86,8 +86,8 @@
 	return func() { close(over) }
 }
 
-// tellProgress writes a line a second: how many requests were asked for.
-func tellProgress(ctx context.Context, out io.Writer, l *load, began time.Time) {
+// printProgress writes a line a second: how many requests were asked for.
+func printProgress(ctx context.Context, out io.Writer, l *loadGenerator, began time.Time) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -104,19 +104,19 @@
 	}
 }
 
-// sampledEvery is how often it is noted what upstreams could take.
-const sampledEvery = 50 * time.Millisecond
+// sampleInterval is how often it is noted what upstreams could take.
+const sampleInterval = 50 * time.Millisecond
 
-// watch notes what upstreams could have taken, and when.
-type watch struct {
+// capacitySampler notes what upstreams could have taken, and when.
+type capacitySampler struct {
 	upstreams string
 	client    *http.Client
 	mu        sync.Mutex
-	samples   []standin.Openness
+	samples   []standin.FreeCapacity
 }
 
-func (w *watch) run(ctx context.Context) {
-	tick := time.NewTicker(sampledEvery)
+func (w *capacitySampler) run(ctx context.Context) {
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -132,8 +132,8 @@
 	}
 }
 
-func (w *watch) sample() (standin.Openness, bool) {
-	var o standin.Openness
+func (w *capacitySampler) sample() (standin.FreeCapacity, bool) {
+	var o standin.FreeCapacity
 	resp, err := w.client.Get("http://" + w.upstreams + "/open")
 	if err != nil {
 		return o, false
@@ -142,7 +142,7 @@
 	return o, json.NewDecoder(resp.Body).Decode(&o) == nil
 }
 
-func (w *watch) taken() []standin.Openness {
+func (w *capacitySampler) recorded() []standin.FreeCapacity {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.samples
--- a/rehearse/template_test.go
+++ b/rehearse/template_test.go
@@ -21,8 +21,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	place := standin.NodePlace{Name: "n", Centre: "c", IP: "127.1.1.1", Front: "1", Readiness: "2", Peers: "3", Metrics: "4"}
-	text, err := standin.Fill(string(template), standin.NodeFields(place, s, "127.0.0.1:5", []string{place.At(place.Peers)}))
+	place := standin.NodeAddresses{Name: "n", Centre: "c", IP: "127.1.1.1", Front: "1", Readiness: "2", Peers: "3", Metrics: "4"}
+	text, err := standin.FillTemplate(string(template), standin.NodeFields(place, s, "127.0.0.1:5", []string{place.HostPort(place.Peers)}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.MemoryMB != s.Deployment.NodeMB || got.RetrySlack != s.Nodes.RetrySlack || got.UsageListen != "127.1.1.1:0" {
+	if got.MemoryMB != s.Deployment.NodeMemoryMB || got.RetrySlack != s.Nodes.RetrySlack || got.UsageListen != "127.1.1.1:0" {
 		t.Errorf("got %+v, want the scenario's figures", got)
 	}
 }
--- a/rehearse/use.go
+++ b/rehearse/use.go
@@ -8,15 +8,15 @@
 	"strings"
 )
 
-// measureNodes reads what the nodes have used, by the kernel's word. One that is gone is left out.
-func measureNodes(nodes []*relayNode) []NodeUse {
-	var list []NodeUse
+// measureUsage reads what the nodes have used, by the kernel's word. One that is gone is left out.
+func measureUsage(nodes []*relayNode) []NodeUsage {
+	var list []NodeUsage
 	for _, n := range nodes {
 		pid, running := n.PID()
 		if !running {
 			continue
 		}
-		list = append(list, NodeUse{Name: n.name, PeakMB: peakMB(pid), Processors: processorSeconds(pid)})
+		list = append(list, NodeUsage{Name: n.name, PeakMB: peakMB(pid), ProcessorSeconds: processorSeconds(pid)})
 	}
 	return list
 }
@@ -42,9 +42,9 @@
 
 // Fields of /proc/PID/stat behind the program's name, and the kernel's clock ticks a second.
 const (
-	userTicks   = 11
-	systemTicks = 12
-	ticksInS    = 100
+	userTicks      = 11
+	systemTicks    = 12
+	ticksPerSecond = 100
 )
 
 // processorSeconds is for how long a process has had a processor; zero where the kernel does not
@@ -64,5 +64,5 @@
 	if userErr != nil || systemErr != nil {
 		return 0
 	}
-	return (user + system) / ticksInS
+	return (user + system) / ticksPerSecond
 }
--- a/relay/answer.go
+++ b/relay/answer.go
@@ -11,19 +11,19 @@
 	"github.com/hoistjunction/hoistjunction/clock"
 )
 
-// errBegun means that an answer cannot be given, since another one has begun.
-var errBegun = errors.New("relay: an answer has begun")
+// errAnswerStarted means that an answer cannot be given, since another one has begun.
+var errAnswerStarted = errors.New("relay: an answer has begun")
 
 // answerState is how far the answer to a caller is.
 type answerState uint8
 
 const (
-	// answerNone: nothing of it is out.
-	answerNone answerState = iota
-	// answerOpen: some of it is out, and more is to come.
-	answerOpen
-	// answerEnded: all of it is out.
-	answerEnded
+	// answerNotStarted: nothing of it is out.
+	answerNotStarted answerState = iota
+	// answerPartial: some of it is out, and more is to come.
+	answerPartial
+	// answerComplete: all of it is out.
+	answerComplete
 )
 
 // answerWriter writes one answer to a caller.
@@ -35,26 +35,26 @@
 type answerWriter struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
-	// closing tells that the node is stopping, so connections end with their
+	// stopping tells that the node is stopping, so connections end with their
 	// answers.
-	closing *atomic.Bool
-	state   answerState
+	stopping *atomic.Bool
+	state    answerState
 }
 
 func newAnswerWriter(w http.ResponseWriter, closing *atomic.Bool) *answerWriter {
-	return &answerWriter{w: w, control: http.NewResponseController(w), closing: closing}
+	return &answerWriter{w: w, control: http.NewResponseController(w), stopping: closing}
 }
 
-// begun tells whether some of the answer is out.
-func (a *answerWriter) begun() bool { return a.state != answerNone }
+// started tells whether some of the answer is out.
+func (a *answerWriter) started() bool { return a.state != answerNotStarted }
 
 // ended tells whether all of the answer is out.
-func (a *answerWriter) ended() bool { return a.state == answerEnded }
+func (a *answerWriter) ended() bool { return a.state == answerComplete }
 
-// begin writes the head of an upstream's answer.
-func (a *answerWriter) begin(head *http.Response) error {
-	if a.begun() {
-		return errBegun
+// writeHead writes the head of an upstream's answer.
+func (a *answerWriter) writeHead(head *http.Response) error {
+	if a.started() {
+		return errAnswerStarted
 	}
 	a.copyHead(head)
 	if isEvents(head) {
@@ -66,24 +66,24 @@
 }
 
 func (a *answerWriter) copyHead(head *http.Response) {
-	a.state = answerOpen
+	a.state = answerPartial
 	out := a.w.Header()
-	for name, values := range passedOn(head.Header) {
+	for name, values := range forwardedHeaders(head.Header) {
 		out[name] = values
 	}
-	a.markClosing()
+	a.setConnectionClose()
 }
 
-func (a *answerWriter) markClosing() {
-	if a.closing.Load() {
+func (a *answerWriter) setConnectionClose() {
+	if a.stopping.Load() {
 		a.w.Header().Set("Connection", "close")
 	}
 }
 
-// whole writes an upstream's answer at once, and ends it.
-func (a *answerWriter) whole(head *http.Response, body []byte) error {
-	if a.begun() {
-		return errBegun
+// complete writes an upstream's answer at once, and ends it.
+func (a *answerWriter) complete(head *http.Response, body []byte) error {
+	if a.started() {
+		return errAnswerStarted
 	}
 	a.copyHead(head)
 	if head.Request == nil || head.Request.Method != http.MethodHead {
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// piece writes some of the body and sends it off.
-func (a *answerWriter) piece(data []byte) error {
+// writeBody writes some of the body and sends it off.
+func (a *answerWriter) writeBody(data []byte) error {
 	if len(data) == 0 {
 		return nil
 	}
@@ -109,14 +109,14 @@
 }
 
 // end makes an open answer a whole one.
-func (a *answerWriter) end() { a.state = answerEnded }
+func (a *answerWriter) end() { a.state = answerComplete }
 
-// own writes an answer of the node's own, and ends it. Back tells when to come back.
-func (a *answerWriter) own(status int, reason string, back clock.Millis) error {
-	if a.begun() {
-		return errBegun
+// writeError writes an answer of the node's own, and ends it. Back tells when to come back.
+func (a *answerWriter) writeError(status int, reason string, back clock.Millis) error {
+	if a.started() {
+		return errAnswerStarted
 	}
-	a.state = answerOpen
+	a.state = answerPartial
 	h := a.w.Header()
 	h.Set("Content-Type", "application/json")
 	if back > 0 {
@@ -124,7 +124,7 @@
 	}
 	body := []byte(`{"error":` + strconv.Quote(reason) + "}\n")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
-	a.markClosing()
+	a.setConnectionClose()
 	a.w.WriteHeader(status)
 	if _, err := a.w.Write(body); err != nil {
 		return err
@@ -133,9 +133,9 @@
 	return nil
 }
 
-// reset closes the caller's connection so that its end is an error. An answer in
+// resetConnection closes the caller's connection so that its end is an error. An answer in
 // HTTP/1.0 ends with its connection, and one that is closed in good order looks whole.
-func (a *answerWriter) reset() error {
+func (a *answerWriter) resetConnection() error {
 	conn, _, err := a.control.Hijack()
 	if err != nil {
 		return err
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -20,27 +20,27 @@
 
 // Errors of an attempt.
 var (
-	errBarred      = errors.New("relay: the upstream rests or is leaving")
-	errGateShut    = errors.New("relay: the configuration is too old for a request with a key")
-	errSentTwice   = errors.New("relay: the request was written before")
-	errOtherAnswer = errors.New("relay: the answer belongs to another request")
-	errNotSealed   = errors.New("relay: the answer is not the upstream's own")
-	errEncoded     = errors.New("relay: the answer is encoded")
-	errNoStream    = errors.New("relay: an answer that has begun is not gone on with")
+	errUpstreamBlocked = errors.New("relay: the upstream rests or is leaving")
+	errConfigTooOld    = errors.New("relay: the configuration is too old for a request with a key")
+	errAlreadyWritten  = errors.New("relay: the request was written before")
+	errAnswerMismatch  = errors.New("relay: the answer belongs to another request")
+	errAnswerNotSealed = errors.New("relay: the answer is not the upstream's own")
+	errAnswerEncoded   = errors.New("relay: the answer is encoded")
+	errNotResumable    = errors.New("relay: an answer that has begun is not gone on with")
 )
 
 const (
-	// bufferedAnswer is how much of an answer is held back until it is known
+	// maxBufferedAnswer is how much of an answer is held back until it is known
 	// to be whole, in bytes. A larger one is passed on as it comes.
-	bufferedAnswer = 512 << 10
-	// pieceSize is the size of the pieces in which a large answer is passed on.
-	pieceSize = 32 << 10
-	// piecesWaiting bounds the pieces that wait for a slow caller.
-	piecesWaiting = 8
+	maxBufferedAnswer = 512 << 10
+	// chunkSize is the size of the pieces in which a large answer is passed on.
+	chunkSize = 32 << 10
+	// maxQueuedUpdates bounds the pieces that wait for a slow caller.
+	maxQueuedUpdates = 8
 )
 
-// piece is what an attempt tells its session.
-type piece struct {
+// attemptUpdate is what an attempt tells its session.
+type attemptUpdate struct {
 	// head is set on the first piece of an answer.
 	head *http.Response
 	// event is set for streams of events, data for all else.
@@ -49,41 +49,41 @@
 	// end tells that the answer is whole with this piece.
 	end bool
 	// failed tells that there is no answer, and why.
-	failed bool
-	cause  dispatch.Cause
-	at     string
-	word   Word
-	err    error
+	failed        bool
+	cause         dispatch.Cause
+	faultyAddress string
+	status        UpstreamStatus
+	err           error
 }
 
 // attempt is one sending of a request.
 type attempt struct {
 	protocol Protocol
 	conns    *upstreamConns
-	// barred tells whether the upstream may get no request now, and said is told what it
+	// blocked tells whether the upstream may get no request now, and said is told what it
 	// says of itself.
-	barred func() bool
-	said   func(upstream fleet.Incarnation, word Word)
-	// unlimited is told of an answer without a limit, and when its request was sent.
-	unlimited func(upstream fleet.Incarnation, sent clock.Millis)
-	begunAt   clock.Millis
-	// answeredBy is told who has answered in the upstream's place.
-	answeredBy func(upstream fleet.Incarnation, address string, presence fleet.Presence)
-	// alone tells that the attempt has a connection of its own.
-	alone    bool
-	gate     *gate
-	cmd      dispatch.SendCmd
-	callerID string
-	// resumes tells that the caller's answer has begun. Only a stream of events can
+	blocked      func() bool
+	handleStatus func(upstream fleet.Incarnation, word UpstreamStatus)
+	// handleNoLimit is told of an answer without a limit, and when its request was sent.
+	handleNoLimit func(upstream fleet.Incarnation, sent clock.Millis)
+	startedAt     clock.Millis
+	// handlePresence is told who has answered in the upstream's place.
+	handlePresence func(upstream fleet.Incarnation, address string, presence fleet.Presence)
+	// ownConnection tells that the attempt has a connection of its own.
+	ownConnection bool
+	gate          *configGate
+	cmd           dispatch.SendCmd
+	callerID      string
+	// resuming tells that the caller's answer has begun. Only a stream of events can
 	// go on with it; what else an upstream says is its failure to do so.
-	resumes bool
-	req     *http.Request
-	// word is what the upstream has said of itself in the head of its answer.
-	word   Word
-	pieces chan piece
-	cancel context.CancelCauseFunc
-	// wrote tells that bytes of the request have gone out, or are about to.
-	wrote atomic.Bool
+	resuming bool
+	req      *http.Request
+	// status is what the upstream has said of itself in the head of its answer.
+	status  UpstreamStatus
+	updates chan attemptUpdate
+	cancel  context.CancelCauseFunc
+	// written tells that bytes of the request have gone out, or are about to.
+	written atomic.Bool
 }
 
 // outgoing builds the request of an attempt from the caller's.
@@ -93,7 +93,7 @@
 		RawQuery: r.URL.RawQuery, ForceQuery: r.URL.ForceQuery,
 	}
 	out := (&http.Request{
-		Method: r.Method, URL: target, Host: r.Host, Header: passedOn(r.Header),
+		Method: r.Method, URL: target, Host: r.Host, Header: forwardedHeaders(r.Header),
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, ContentLength: int64(len(body)), Body: http.NoBody,
 	}).WithContext(ctx)
 	if len(body) > 0 {
@@ -113,105 +113,105 @@
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			if conn, ok := info.Conn.(*guardedConn); ok {
-				conn.arm(a)
+				conn.setGuard(a)
 			}
 		},
 	})
-	resp, err := a.conns.choose(a.alone).RoundTrip(a.req.WithContext(ctx))
+	resp, err := a.conns.roundTripper(a.ownConnection).RoundTrip(a.req.WithContext(ctx))
 	if err != nil {
-		a.fail(ctx, a.causeOf(ctx), "", err)
+		a.fail(ctx, a.failureCause(ctx), "", err)
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
-	a.read(ctx, resp)
+	a.readAnswer(ctx, resp)
 }
 
-// mayWrite implements sendGuard. An attempt is written once: whether it is
+// beforeWrite implements writeGuard. An attempt is written once: whether it is
 // repeated is the decider's to say.
-func (a *attempt) mayWrite() error {
-	if a.cmd.RequiresKey && !a.gate.open(a.cmd.Config) {
-		a.cancel(errGateShut)
-		return errGateShut
+func (a *attempt) beforeWrite() error {
+	if a.cmd.RequiresKey && !a.gate.allows(a.cmd.Config) {
+		a.cancel(errConfigTooOld)
+		return errConfigTooOld
 	}
-	if a.barred() {
-		a.cancel(errBarred)
-		return errBarred
+	if a.blocked() {
+		a.cancel(errUpstreamBlocked)
+		return errUpstreamBlocked
 	}
-	if a.wrote.Swap(true) {
-		a.cancel(errSentTwice)
-		return errSentTwice
+	if a.written.Swap(true) {
+		a.cancel(errAlreadyWritten)
+		return errAlreadyWritten
 	}
 	return nil
 }
 
-// notWritten implements sendGuard.
-func (a *attempt) notWritten() { a.wrote.Store(false) }
+// nothingWritten implements writeGuard.
+func (a *attempt) nothingWritten() { a.written.Store(false) }
 
-// causeOf says why there is no answer.
-func (a *attempt) causeOf(ctx context.Context) dispatch.Cause {
+// failureCause says why there is no answer.
+func (a *attempt) failureCause(ctx context.Context) dispatch.Cause {
 	switch {
-	case a.wrote.Load():
+	case a.written.Load():
 		return dispatch.CauseUnknown
-	case errors.IsAny(context.Cause(ctx), errGateShut, errBarred):
+	case errors.IsAny(context.Cause(ctx), errConfigTooOld, errUpstreamBlocked):
 		return dispatch.CauseStaleConfig
 	default:
 		return dispatch.CauseNotSent
 	}
 }
 
-// read judges the head of an answer, and passes the answer on.
-func (a *attempt) read(ctx context.Context, resp *http.Response) {
+// readAnswer judges the head of an answer, and passes the answer on.
+func (a *attempt) readAnswer(ctx context.Context, resp *http.Response) {
 	head := a.protocol.AnswerHead(resp.StatusCode, resp.Header)
-	a.hear(head)
+	a.recordStatus(head)
 	switch {
 	case head.ID != "" && head.ID != a.callerID:
-		a.fail(ctx, dispatch.CauseUnknown, "", errOtherAnswer)
+		a.fail(ctx, dispatch.CauseUnknown, "", errAnswerMismatch)
 		return
 	case head.Misdirected:
 		if head.At == "" || head.At == a.cmd.Address {
-			a.answeredBy(a.cmd.Upstream, a.cmd.Address, a.cmd.Upstream.Presence(head.Answerer))
+			a.handlePresence(a.cmd.Upstream, a.cmd.Address, a.cmd.Upstream.Presence(head.Responder))
 		}
 		a.fail(ctx, dispatch.CauseMisdirected, head.At, errors.Newf("status %d", resp.StatusCode))
 		return
-	case head.NotRun:
+	case head.NotExecuted:
 		a.fail(ctx, dispatch.CauseFull, head.At, errors.Newf("status %d", resp.StatusCode))
 		return
 	case !head.Sealed:
-		a.fail(ctx, dispatch.CauseUnknown, "", errNotSealed)
+		a.fail(ctx, dispatch.CauseUnknown, "", errAnswerNotSealed)
 		return
 	case resp.Header.Get("Content-Encoding") != "":
-		a.fail(ctx, dispatch.CauseUnknown, "", errEncoded)
+		a.fail(ctx, dispatch.CauseUnknown, "", errAnswerEncoded)
 		return
 	}
 	switch {
 	case isEvents(resp) && a.cmd.Route.Kind == catalog.Streaming:
 		a.readEvents(ctx, resp)
-	case a.resumes:
-		a.fail(ctx, dispatch.CauseUpstreamFailed, "", errors.Wrapf(errNoStream, "status %d", resp.StatusCode))
+	case a.resuming:
+		a.fail(ctx, dispatch.CauseUpstreamFailed, "", errors.Wrapf(errNotResumable, "status %d", resp.StatusCode))
 	default:
-		a.readWhole(ctx, resp)
+		a.readBuffered(ctx, resp)
 	}
 }
 
-// hear takes in what the upstream says of itself. In a late answer to another request only
+// recordStatus takes in what the upstream says of itself. In a late answer to another request only
 // its leaving is still so. Where it names another engine of the chain that could not take
 // the request, that one has asked through it.
-func (a *attempt) hear(head AnswerHead) {
-	word := head.Word
-	if head.ID == a.callerID && !head.Misdirected && !word.Limited {
-		a.unlimited(a.cmd.Upstream, a.begunAt)
+func (a *attempt) recordStatus(head AnswerHead) {
+	word := head.UpstreamStatus
+	if head.ID == a.callerID && !head.Misdirected && !word.HasLimit {
+		a.handleNoLimit(a.cmd.Upstream, a.startedAt)
 	}
 	if head.ID != "" && head.ID != a.callerID {
-		word.Rest = 0
+		word.BackOff = 0
 	}
 	if word.IsZero() {
 		return
 	}
-	a.word = word
-	a.said(a.cmd.Upstream, word)
+	a.status = word
+	a.handleStatus(a.cmd.Upstream, word)
 	for _, p := range a.cmd.Chain {
-		if p.Address == head.At && p.ID != a.cmd.Upstream && word.Rest > 0 {
-			a.said(p.ID, Word{Rest: word.Rest})
+		if p.Address == head.At && p.ID != a.cmd.Upstream && word.BackOff > 0 {
+			a.handleStatus(p.ID, UpstreamStatus{BackOff: word.BackOff})
 		}
 	}
 }
@@ -233,65 +233,65 @@
 	for {
 		ev, err := events.next()
 		if errors.Is(err, io.EOF) {
-			a.send(ctx, piece{head: head, end: true})
+			a.emit(ctx, attemptUpdate{head: head, end: true})
 			return
 		}
 		if err != nil {
 			a.fail(ctx, dispatch.CauseUnknown, "", err)
 			return
 		}
-		if !a.send(ctx, piece{head: head, event: ev}) {
+		if !a.emit(ctx, attemptUpdate{head: head, event: ev}) {
 			return
 		}
 		head = nil
 	}
 }
 
-// readWhole holds an answer back until it is whole, if it is not too large.
-func (a *attempt) readWhole(ctx context.Context, resp *http.Response) {
-	data, err := io.ReadAll(io.LimitReader(resp.Body, bufferedAnswer))
+// readBuffered holds an answer back until it is whole, if it is not too large.
+func (a *attempt) readBuffered(ctx context.Context, resp *http.Response) {
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer))
 	if err != nil {
 		a.fail(ctx, dispatch.CauseUnknown, "", err)
 		return
 	}
-	if len(data) < bufferedAnswer {
-		a.send(ctx, piece{head: resp, data: data, end: true})
+	if len(data) < maxBufferedAnswer {
+		a.emit(ctx, attemptUpdate{head: resp, data: data, end: true})
 		return
 	}
-	if a.send(ctx, piece{head: resp, data: data}) {
-		a.readRest(ctx, resp.Body)
+	if a.emit(ctx, attemptUpdate{head: resp, data: data}) {
+		a.readRemaining(ctx, resp.Body)
 	}
 }
 
-// readRest passes on the rest of an answer that is too large to hold back.
-func (a *attempt) readRest(ctx context.Context, body io.Reader) {
+// readRemaining passes on the rest of an answer that is too large to hold back.
+func (a *attempt) readRemaining(ctx context.Context, body io.Reader) {
 	for {
-		data := make([]byte, pieceSize)
+		data := make([]byte, chunkSize)
 		n, err := body.Read(data)
 		end := errors.Is(err, io.EOF)
 		if err != nil && !end {
 			a.fail(ctx, dispatch.CauseUnknown, "", err)
 			return
 		}
-		if !a.send(ctx, piece{data: data[:n], end: end}) || end {
+		if !a.emit(ctx, attemptUpdate{data: data[:n], end: end}) || end {
 			return
 		}
 	}
 }
 
 func (a *attempt) fail(ctx context.Context, cause dispatch.Cause, at string, err error) {
-	a.send(ctx, piece{failed: true, cause: cause, at: at, word: a.word, err: err})
+	a.emit(ctx, attemptUpdate{failed: true, cause: cause, faultyAddress: at, status: a.status, err: err})
 }
 
-// send hands a piece to the session, and reports whether it still listens.
-func (a *attempt) send(ctx context.Context, p piece) bool {
+// emit hands a piece to the session, and reports whether it still listens.
+func (a *attempt) emit(ctx context.Context, p attemptUpdate) bool {
 	select {
-	case a.pieces <- p:
+	case a.updates <- p:
 		return true
 	default:
 	}
 	select {
-	case a.pieces <- p:
+	case a.updates <- p:
 		return true
 	case <-ctx.Done():
 		return false
--- a/relay/attempt_test.go
+++ b/relay/attempt_test.go
@@ -27,26 +27,26 @@
 func (plainProtocol) SetAttempt(http.Header, AttemptHead)    {}
 func (plainProtocol) AnswerHead(int, http.Header) AnswerHead { return AnswerHead{Sealed: true} }
 
-// fickleUpstream answers the first request of each connection, reads the second
+// oneAnswerUpstream answers the first request of each connection, reads the second
 // one, and closes the connection without an answer to it.
-type fickleUpstream struct {
-	listener net.Listener
-	read     atomic.Int64
+type oneAnswerUpstream struct {
+	listener     net.Listener
+	requestsRead atomic.Int64
 }
 
-func newFickleUpstream(t *testing.T) *fickleUpstream {
+func newOneAnswerUpstream(t *testing.T) *oneAnswerUpstream {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	u := &fickleUpstream{listener: listener}
+	u := &oneAnswerUpstream{listener: listener}
 	go u.accept()
 	return u
 }
 
-func (u *fickleUpstream) accept() {
+func (u *oneAnswerUpstream) accept() {
 	for {
 		conn, err := u.listener.Accept()
 		if err != nil {
@@ -56,18 +56,18 @@
 	}
 }
 
-func (u *fickleUpstream) serve(conn net.Conn) {
+func (u *oneAnswerUpstream) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	requests := bufio.NewReader(conn)
 	if _, err := http.ReadRequest(requests); err != nil {
 		return
 	}
-	u.read.Add(1)
+	u.requestsRead.Add(1)
 	if _, err := conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")); err != nil {
 		return
 	}
 	if _, err := http.ReadRequest(requests); err == nil {
-		u.read.Add(1)
+		u.requestsRead.Add(1)
 	}
 }
 
@@ -75,11 +75,11 @@
 type testAttempt struct {
 	upstream fleet.Incarnation
 	pool     *upstreamPool
-	gate     *gate
+	gate     *configGate
 	kind     catalog.Kind
 }
 
-func (ta testAttempt) run(t *testing.T, method, address string) piece {
+func (ta testAttempt) run(t *testing.T, method, address string) attemptUpdate {
 	t.Helper()
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(context.Canceled)
@@ -88,13 +88,13 @@
 		t.Fatal(err)
 	}
 	a := &attempt{
-		protocol: plainProtocol{}, barred: func() bool { return ta.pool.barred(ta.pool.get(ta.upstream)) }, said: func(fleet.Incarnation, Word) {}, unlimited: func(fleet.Incarnation, clock.Millis) {}, answeredBy: func(fleet.Incarnation, string, fleet.Presence) {}, conns: ta.pool.get(ta.upstream), gate: ta.gate, cancel: cancel,
-		cmd:    dispatch.SendCmd{Route: &catalog.Route{Kind: ta.kind}, RequiresKey: true, Config: catalog.New(1).Edition()},
-		pieces: make(chan piece, piecesWaiting),
+		protocol: plainProtocol{}, blocked: func() bool { return ta.pool.blocked(ta.pool.get(ta.upstream)) }, handleStatus: func(fleet.Incarnation, UpstreamStatus) {}, handleNoLimit: func(fleet.Incarnation, clock.Millis) {}, handlePresence: func(fleet.Incarnation, string, fleet.Presence) {}, conns: ta.pool.get(ta.upstream), gate: ta.gate, cancel: cancel,
+		cmd:     dispatch.SendCmd{Route: &catalog.Route{Kind: ta.kind}, RequiresKey: true, Config: catalog.New(1).Edition()},
+		updates: make(chan attemptUpdate, maxQueuedUpdates),
 	}
 	a.req = outgoing(ctx, caller, address, nil)
 	a.run(ctx)
-	return <-a.pieces
+	return <-a.updates
 }
 
 // A request that may run only once must not be sent again by net/http, which
@@ -102,17 +102,17 @@
 func TestAttemptIsSentOnce(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		t.Run(method, func(t *testing.T) {
-			u := newFickleUpstream(t)
+			u := newOneAnswerUpstream(t)
 			address := u.listener.Addr().String()
 			pool := newUpstreamPool((&net.Dialer{}).DialContext, clocktest.NewClock())
 			t.Cleanup(pool.closeIdle)
-			ta := testAttempt{upstream: fleet.IncarnationByID("u1"), pool: pool, gate: newGate(clocktest.NewClock(), 0), kind: catalog.AtMostOnce}
+			ta := testAttempt{upstream: fleet.IncarnationByID("u1"), pool: pool, gate: newConfigGate(clocktest.NewClock(), 0), kind: catalog.AtMostOnce}
 
 			if first := ta.run(t, method, address); first.failed {
 				t.Fatalf("got %v at the first request, want an answer", first.err)
 			}
 			second := ta.run(t, method, address)
-			if got, want := u.read.Load(), int64(2); got != want {
+			if got, want := u.requestsRead.Load(), int64(2); got != want {
 				t.Errorf("got %d requests read, want %d", got, want)
 			}
 			if !second.failed || second.cause != dispatch.CauseUnknown {
@@ -124,13 +124,13 @@
 
 // The configuration may get too old while the connection is made.
 func TestAttemptStopsAtTheGate(t *testing.T) {
-	u := newFickleUpstream(t)
-	g := newGate(clocktest.NewClock(), 5000)
+	u := newOneAnswerUpstream(t)
+	g := newConfigGate(clocktest.NewClock(), 5000)
 	g.confirm(catalog.New(1).Edition(), 0)
 	pool := newUpstreamPool(func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 		g.mu.Lock()
-		g.confirmed = -10_000
+		g.confirmedAt = -10_000
 		g.mu.Unlock()
 		return conn, err
 	}, clocktest.NewClock())
@@ -140,7 +140,7 @@
 	if !got.failed || got.cause != dispatch.CauseStaleConfig {
 		t.Errorf("got failed=%v cause=%v, want it held back", got.failed, got.cause)
 	}
-	if got, want := u.read.Load(), int64(0); got != want {
+	if got, want := u.requestsRead.Load(), int64(0); got != want {
 		t.Errorf("got %d requests read, want %d", got, want)
 	}
 }
@@ -148,20 +148,20 @@
 // A request waits for its connection while the upstream turns another one away and asks for
 // rest, or says that it is leaving. It is not written, and decided anew.
 func TestAttemptIsHeldBackFromWhoRestsOrLeaves(t *testing.T) {
-	for _, word := range []Word{{Rest: 3000}, {Leaving: true}} {
-		u, id := newFickleUpstream(t), fleet.IncarnationByID("u1")
+	for _, word := range []UpstreamStatus{{BackOff: 3000}, {Leaving: true}} {
+		u, id := newOneAnswerUpstream(t), fleet.IncarnationByID("u1")
 		var pool *upstreamPool
 		pool = newUpstreamPool(func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
-			pool.bar(id, word)
+			pool.block(id, word)
 			return conn, err
 		}, clocktest.NewClock())
 		t.Cleanup(pool.closeIdle)
-		got := testAttempt{upstream: id, pool: pool, gate: newGate(clocktest.NewClock(), 0), kind: catalog.Repeatable}.run(t, http.MethodPost, u.listener.Addr().String())
+		got := testAttempt{upstream: id, pool: pool, gate: newConfigGate(clocktest.NewClock(), 0), kind: catalog.Repeatable}.run(t, http.MethodPost, u.listener.Addr().String())
 		if !got.failed || got.cause != dispatch.CauseStaleConfig {
 			t.Errorf("%+v: got failed=%v cause=%v, want it held back", word, got.failed, got.cause)
 		}
-		if got, want := u.read.Load(), int64(0); got != want {
+		if got, want := u.requestsRead.Load(), int64(0); got != want {
 			t.Errorf("%+v: got %d requests read, want %d", word, got, want)
 		}
 	}
@@ -172,17 +172,17 @@
 func TestLongestRestCounts(t *testing.T) {
 	vm := clocktest.NewVM()
 	pool, id := newUpstreamPool((&net.Dialer{}).DialContext, clock.New(clock.WithVM(vm))), fleet.IncarnationByID("u1")
-	pool.bar(id, Word{Rest: 3_600_000})
-	pool.bar(id, Word{Rest: 10})
+	pool.block(id, UpstreamStatus{BackOff: 3_600_000})
+	pool.block(id, UpstreamStatus{BackOff: 10})
 	vm.Suspend(time.Hour / 2)
-	if !pool.barred(pool.get(id)) {
+	if !pool.blocked(pool.get(id)) {
 		t.Error("got no rest after half an hour, want one of an hour")
 	}
-	if pool.barred(pool.get(fleet.IncarnationByID("u2"))) {
+	if pool.blocked(pool.get(fleet.IncarnationByID("u2"))) {
 		t.Error("got a rest of an upstream that has asked for none")
 	}
 	vm.Suspend(time.Hour / 2)
-	if pool.barred(pool.get(id)) {
+	if pool.blocked(pool.get(id)) {
 		t.Error("got a rest after an hour, want none")
 	}
 }
@@ -192,30 +192,30 @@
 func TestWhoseWordItIs(t *testing.T) {
 	first, second := fleet.IncarnationByID("e1"), fleet.IncarnationByID("e2")
 	parts := []chain.Stage{{ID: first, Address: "a1"}, {ID: second, Address: "a2"}}
-	rest := Word{Rest: 3000}
+	rest := UpstreamStatus{BackOff: 3000}
 	tests := []struct {
 		name string
 		head AnswerHead
-		want map[fleet.Incarnation]Word
+		want map[fleet.Incarnation]UpstreamStatus
 	}{
-		{"its own", AnswerHead{Word: rest}, map[fleet.Incarnation]Word{first: rest}},
-		{"its own, named", AnswerHead{Word: rest, At: "a1"}, map[fleet.Incarnation]Word{first: rest}},
-		{"of one further on", AnswerHead{Word: rest, At: "a2"}, map[fleet.Incarnation]Word{first: rest, second: rest}},
-		{"of one that is not on the way", AnswerHead{Word: rest, At: "a3"}, map[fleet.Incarnation]Word{first: rest}},
-		{"leaving", AnswerHead{Word: Word{Leaving: true}, At: "a2"}, map[fleet.Incarnation]Word{first: {Leaving: true}}},
-		{"late", AnswerHead{ID: "another", Word: Word{Rest: 3000, Leaving: true}}, map[fleet.Incarnation]Word{first: {Leaving: true}}},
-		{"late, and a rest alone", AnswerHead{ID: "another", Word: rest}, map[fleet.Incarnation]Word{}},
-		{"nothing", AnswerHead{At: "a2"}, map[fleet.Incarnation]Word{}},
+		{"its own", AnswerHead{UpstreamStatus: rest}, map[fleet.Incarnation]UpstreamStatus{first: rest}},
+		{"its own, named", AnswerHead{UpstreamStatus: rest, At: "a1"}, map[fleet.Incarnation]UpstreamStatus{first: rest}},
+		{"of one further on", AnswerHead{UpstreamStatus: rest, At: "a2"}, map[fleet.Incarnation]UpstreamStatus{first: rest, second: rest}},
+		{"of one that is not on the way", AnswerHead{UpstreamStatus: rest, At: "a3"}, map[fleet.Incarnation]UpstreamStatus{first: rest}},
+		{"leaving", AnswerHead{UpstreamStatus: UpstreamStatus{Leaving: true}, At: "a2"}, map[fleet.Incarnation]UpstreamStatus{first: {Leaving: true}}},
+		{"late", AnswerHead{ID: "another", UpstreamStatus: UpstreamStatus{BackOff: 3000, Leaving: true}}, map[fleet.Incarnation]UpstreamStatus{first: {Leaving: true}}},
+		{"late, and a rest alone", AnswerHead{ID: "another", UpstreamStatus: rest}, map[fleet.Incarnation]UpstreamStatus{}},
+		{"nothing", AnswerHead{At: "a2"}, map[fleet.Incarnation]UpstreamStatus{}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			got := make(map[fleet.Incarnation]Word)
+			got := make(map[fleet.Incarnation]UpstreamStatus)
 			a := &attempt{
 				callerID: "try", cmd: dispatch.SendCmd{Upstream: first, Chain: parts},
-				said:      func(id fleet.Incarnation, w Word) { got[id] = w },
-				unlimited: func(fleet.Incarnation, clock.Millis) {},
+				handleStatus:  func(id fleet.Incarnation, w UpstreamStatus) { got[id] = w },
+				handleNoLimit: func(fleet.Incarnation, clock.Millis) {},
 			}
-			a.hear(tt.head)
+			a.recordStatus(tt.head)
 			if !maps.Equal(got, tt.want) {
 				t.Errorf("got %v, want %v", got, tt.want)
 			}
--- a/relay/begun_test.go
+++ b/relay/begun_test.go
@@ -19,16 +19,16 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m, map[string]string{"rapid.checks": "300"}) }
 
-// answerSeen is what a caller has got.
-type answerSeen struct {
+// callerAnswer is what a caller has got.
+type callerAnswer struct {
 	status int
 	sealed bool
 	body   string
-	// whole tells that the answer looks complete.
-	whole bool
+	// complete tells that the answer looks complete.
+	complete bool
 }
 
-func call(t testing.TB, client *http.Client, address, path string) answerSeen {
+func call(t testing.TB, client *http.Client, address, path string) callerAnswer {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+path, strings.NewReader("question"))
 	if err != nil {
@@ -37,11 +37,11 @@
 	req.Host = "h"
 	resp, err := client.Do(req)
 	if err != nil {
-		return answerSeen{}
+		return callerAnswer{}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
-	return answerSeen{status: resp.StatusCode, sealed: resp.Header.Get(headerSeal) != "", body: string(body), whole: err == nil}
+	return callerAnswer{status: resp.StatusCode, sealed: resp.Header.Get(headerSeal) != "", body: string(body), complete: err == nil}
 }
 
 // A caller saw a stream end as complete that was not: it broke off, and the upstreams
@@ -49,15 +49,15 @@
 // written into the open answer, which then ended in good order. What is no stream
 // cannot take a stream up.
 func TestBegunStreamIsNotEndedByAnotherAnswer(t *testing.T) {
-	for _, o := range []outcome{failure, failedAtOnce, notFound, otherType, notRun, reset, large, largeBroken} {
+	for _, o := range []outcome{failure, gatewayTimeout, notFound, plainTextAnswer, notExecuted, connectionReset, largeAnswer, brokenLargeAnswer} {
 		t.Run(o.String(), func(t *testing.T) {
 			_, address := newTestRelay(t, &scriptedUpstreams{script: []outcome{brokenStream, o}})
 			got := call(t, http.DefaultClient, address, "/write/a")
-			if got.whole {
+			if got.complete {
 				t.Errorf("got a complete answer of %d bytes, want one that breaks off", len(got.body))
 			}
-			if want := eventsText(0, eventsEach); got.body != want {
-				t.Errorf("got %d bytes that end in %q, want the events so far", len(got.body), last(got.body, 40))
+			if want := eventsText(0, brokenStreamEvents); got.body != want {
+				t.Errorf("got %d bytes that end in %q, want the events so far", len(got.body), suffix(got.body, 40))
 			}
 		})
 	}
@@ -66,48 +66,48 @@
 // An upstream may name the length of its stream. Another one that takes it up need
 // not cut the rest into the same events.
 func TestResumedStreamHasNoLength(t *testing.T) {
-	_, address := newTestRelay(t, &scriptedUpstreams{script: []outcome{measuredStream, wholeStream}})
+	_, address := newTestRelay(t, &scriptedUpstreams{script: []outcome{streamWithLength, wholeStream}})
 	got := call(t, http.DefaultClient, address, "/write/a")
-	if want := eventsText(0, lastEvent); !got.whole || got.body != want {
-		t.Errorf("got whole=%v and %d bytes, want all %d", got.whole, len(got.body), len(want))
+	if want := eventsText(0, lastStreamEvent); !got.complete || got.body != want {
+		t.Errorf("got whole=%v and %d bytes, want all %d", got.complete, len(got.body), len(want))
 	}
 }
 
 // Nothing can go on after an event without an id: the next attempt would bring it again.
 func TestUnnamedEventIsNotResumed(t *testing.T) {
-	_, address := newTestRelay(t, &scriptedUpstreams{script: []outcome{unnamedEvent, wholeStream}})
-	if got := call(t, http.DefaultClient, address, "/write/a"); got.whole {
-		t.Errorf("got a complete answer that ends in %q, want one that breaks off", last(got.body, 60))
+	_, address := newTestRelay(t, &scriptedUpstreams{script: []outcome{eventWithoutID, wholeStream}})
+	if got := call(t, http.DefaultClient, address, "/write/a"); got.complete {
+		t.Errorf("got a complete answer that ends in %q, want one that breaks off", suffix(got.body, 60))
 	}
 }
 
-func last(text string, n int) string { return text[max(0, len(text)-n):] }
+func suffix(text string, n int) string { return text[max(0, len(text)-n):] }
 
 // Whatever upstreams answer, an answer that looks complete is exactly one of
 // theirs, all events of a stream, or the node's own refusal.
 func TestCompleteAnswersAreWhole(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		script := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) outcome {
-			return outcome(rapid.IntRange(0, outcomes-1).Draw(rt, "outcome"))
+			return outcome(rapid.IntRange(0, outcomeCount-1).Draw(rt, "outcome"))
 		}), 1, 6).Draw(rt, "script")
 		path := rapid.SampledFrom([]string{"/write/a", "/tell/a", "/read/a", "/once/a"}).Draw(rt, "path")
 		upstreams := &scriptedUpstreams{script: script}
 		t.Run("", func(t *testing.T) {
 			_, address := newTestRelay(t, upstreams)
 			got := call(t, &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, address, path)
-			if got.whole && !isWhole(got, upstreams) {
-				rt.Errorf("%s %v: got a complete answer %d of %d bytes that end in %q", path, script, got.status, len(got.body), last(got.body, 40))
+			if got.complete && !isValidComplete(got, upstreams) {
+				rt.Errorf("%s %v: got a complete answer %d of %d bytes that end in %q", path, script, got.status, len(got.body), suffix(got.body, 40))
 			}
 		})
 	})
 }
 
-// isWhole tells whether an answer is one that may look complete.
-func isWhole(got answerSeen, upstreams *scriptedUpstreams) bool {
+// isValidComplete tells whether an answer is one that may look complete.
+func isValidComplete(got callerAnswer, upstreams *scriptedUpstreams) bool {
 	if !got.sealed {
 		return got.status >= http.StatusBadRequest && strings.HasPrefix(got.body, `{"error":`)
 	}
-	if got.body == eventsText(0, lastEvent) && got.status == http.StatusOK {
+	if got.body == eventsText(0, lastStreamEvent) && got.status == http.StatusOK {
 		return true
 	}
 	upstreams.mu.Lock()
@@ -127,7 +127,7 @@
 	for _, tt := range []struct {
 		name   string
 		events int
-	}{{"before the answer", 0}, {"within a stream", eventsEach}} {
+	}{{"before the answer", 0}, {"within a stream", brokenStreamEvents}} {
 		t.Run(tt.name, func(t *testing.T) {
 			_, address := newTestRelay(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				w.Header().Set(headerSeal, "1")
@@ -172,15 +172,15 @@
 		name, method, path string
 		upstream           http.HandlerFunc
 	}{
-		{"stream", http.MethodPost, "/write/a", func(w http.ResponseWriter, _ *http.Request) { writeEvents(w, 0, lastEvent) }},
+		{"stream", http.MethodPost, "/write/a", func(w http.ResponseWriter, _ *http.Request) { writeEvents(w, 0, lastStreamEvent) }},
 		{"empty stream", http.MethodPost, "/write/a", func(w http.ResponseWriter, _ *http.Request) { writeEvents(w, 0, 0) }},
 		{"stream with a length", http.MethodPost, "/write/a", func(w http.ResponseWriter, _ *http.Request) {
-			w.Header().Set("Content-Length", strconv.Itoa(len(eventsText(0, lastEvent))))
-			writeEvents(w, 0, lastEvent)
+			w.Header().Set("Content-Length", strconv.Itoa(len(eventsText(0, lastStreamEvent))))
+			writeEvents(w, 0, lastStreamEvent)
 		}},
-		{"failure", http.MethodPost, "/once/a", func(w http.ResponseWriter, _ *http.Request) { answer(w, http.StatusInternalServerError, "no") }},
+		{"failure", http.MethodPost, "/once/a", func(w http.ResponseWriter, _ *http.Request) { writeAnswer(w, http.StatusInternalServerError, "no") }},
 		{"large", http.MethodPost, "/read/a", func(w http.ResponseWriter, _ *http.Request) {
-			answer(w, http.StatusOK, wholeBody(large, 1))
+			writeAnswer(w, http.StatusOK, wholeBody(largeAnswer, 1))
 		}},
 		{"head", http.MethodHead, "/read/a", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "12")
@@ -236,15 +236,15 @@
 		leave func(*answerWriter) error
 	}{
 		{"not begun", func(*answerWriter) error { return nil }},
-		{"head alone", func(a *answerWriter) error { return a.begin(head) }},
-		{"begun", func(a *answerWriter) error { return errors.Join(a.begin(head), a.piece([]byte("id: 1\n\n"))) }},
+		{"head alone", func(a *answerWriter) error { return a.writeHead(head) }},
+		{"begun", func(a *answerWriter) error { return errors.Join(a.writeHead(head), a.writeBody([]byte("id: 1\n\n"))) }},
 		{"another answer", func(a *answerWriter) error {
-			err := a.begin(head)
-			if got := a.own(http.StatusBadGateway, "late", 0); !errors.Is(got, errBegun) {
-				t.Errorf("got %v, want %v", got, errBegun)
+			err := a.writeHead(head)
+			if got := a.writeError(http.StatusBadGateway, "late", 0); !errors.Is(got, errAnswerStarted) {
+				t.Errorf("got %v, want %v", got, errAnswerStarted)
 			}
-			if got := a.whole(head, []byte("late")); !errors.Is(got, errBegun) {
-				t.Errorf("got %v, want %v", got, errBegun)
+			if got := a.complete(head, []byte("late")); !errors.Is(got, errAnswerStarted) {
+				t.Errorf("got %v, want %v", got, errAnswerStarted)
 			}
 			return err
 		}},
@@ -257,10 +257,10 @@
 				if err := tt.leave(answer); err != nil {
 					t.Error(err)
 				}
-				r.settle(answer, "id", false)
+				r.abortUnlessComplete(answer, "id", false)
 			}))
 			defer front.Close()
-			if got := call(t, http.DefaultClient, front.Listener.Addr().String(), "/"); got.whole {
+			if got := call(t, http.DefaultClient, front.Listener.Addr().String(), "/"); got.complete {
 				t.Errorf("got a complete answer %+v, want one that breaks off", got)
 			}
 			if got, want := r.stats.counters.Get("left_open"), "1"; got == nil || got.String() != want {
@@ -280,7 +280,7 @@
 			call(t, http.DefaultClient, address, "/few/a")
 			upstreams.mu.Lock()
 			defer upstreams.mu.Unlock()
-			if got := len(upstreams.asked); got > fewUpstreams {
+			if got := len(upstreams.addresses); got > fewUpstreams {
 				t.Errorf("got a request at %d upstreams, want at most %d", got, fewUpstreams)
 			}
 		})
--- a/relay/body.go
+++ b/relay/body.go
@@ -10,14 +10,14 @@
 	"github.com/hoistjunction/hoistjunction/logging"
 )
 
-// defaultBody bounds bodies before a configuration is known, in bytes.
-const defaultBody = 4 << 20
+// defaultMaxBody bounds bodies before a configuration is known, in bytes.
+const defaultMaxBody = 4 << 20
 
-// bodyTime bounds the reading of a body, and writeSlack the writing of an
+// bodyReadTimeout bounds the reading of a body, and writeDeadlineSlack the writing of an
 // answer beyond the caller's own deadline.
 const (
-	bodyTime   = 10 * time.Second
-	writeSlack = 2 * time.Second
+	bodyReadTimeout    = 10 * time.Second
+	writeDeadlineSlack = 2 * time.Second
 )
 
 // readBody reads a request whole, so that it can be sent more than once.
@@ -25,12 +25,12 @@
 	if req.Body == nil || req.Body == http.NoBody {
 		return nil, 0
 	}
-	most := int64(defaultBody)
+	most := int64(defaultMaxBody)
 	if limits := r.limits.Load(); limits != nil && limits.MaxBodyBytes > 0 {
 		most = limits.MaxBodyBytes
 	}
 	control := http.NewResponseController(w)
-	if err := control.SetReadDeadline(time.Now().Add(bodyTime)); err != nil {
+	if err := control.SetReadDeadline(time.Now().Add(bodyReadTimeout)); err != nil {
 		r.log.Info("no_read_deadline", logging.Err(err))
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, most))
@@ -47,11 +47,11 @@
 	return nil, http.StatusRequestTimeout
 }
 
-// boundWriting keeps a caller that does not read from holding the node up.
-func (r *Relay) boundWriting(w http.ResponseWriter, head CallerHead) {
+// setWriteDeadline keeps a caller that does not read from holding the node up.
+func (r *Relay) setWriteDeadline(w http.ResponseWriter, head CallerHead) {
 	var deadline time.Time
 	if head.Remaining > 0 {
-		deadline = time.Now().Add(head.Remaining.Duration() + writeSlack)
+		deadline = time.Now().Add(head.Remaining.Duration() + writeDeadlineSlack)
 	}
 	err := http.NewResponseController(w).SetWriteDeadline(deadline)
 	if err != nil {
--- a/relay/callers_test.go
+++ b/relay/callers_test.go
@@ -21,7 +21,7 @@
 	}{
 		{"stream that nobody takes up", "/write/a", []outcome{brokenStream, notFound}, false},
 		{"stream that may not be taken up", "/tell/a", []outcome{brokenStream}, false},
-		{"large answer", "/read/a", []outcome{largeBroken}, false},
+		{"large answer", "/read/a", []outcome{brokenLargeAnswer}, false},
 		{"resumed stream", "/write/a", []outcome{brokenStream, wholeStream}, true},
 		{"failure", "/once/a", []outcome{failure}, true},
 	} {
@@ -35,7 +35,7 @@
 			if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.0\r\nHost: h\r\n\r\n", tt.path); err != nil {
 				t.Fatal(err)
 			}
-			got, err := readOldAnswer(conn)
+			got, err := readHTTP10Answer(conn)
 			if (err == nil) != tt.whole {
 				t.Errorf("got %d bytes and the end %v, want whole=%v", got, err, tt.whole)
 			}
@@ -43,8 +43,8 @@
 	}
 }
 
-// readOldAnswer reads an answer to its end.
-func readOldAnswer(conn net.Conn) (size int, err error) {
+// readHTTP10Answer reads an answer to its end.
+func readHTTP10Answer(conn net.Conn) (size int, err error) {
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return 0, err
--- a/relay/decider.go
+++ b/relay/decider.go
@@ -16,82 +16,82 @@
 )
 
 const (
-	// decisionsWaiting bounds the messages that wait for a decision. A node
+	// maxQueuedMessages bounds the messages that wait for a decision. A node
 	// that is this far behind refuses new requests.
-	decisionsWaiting = 4096
+	maxQueuedMessages = 4096
 	// mailboxSize bounds the commands that wait for a session: its one answer
 	// and the moves of its stream.
 	mailboxSize = 8
-	// tickEvery is how often the model is told the time. Probes of suspected
+	// tickInterval is how often the model is told the time. Probes of suspected
 	// upstreams hang on it.
-	tickEvery = 100 * time.Millisecond
-	// limitLoggedEvery bounds the lines on one upstream's limit.
-	limitLoggedEvery clock.Millis = 1000
+	tickInterval = 100 * time.Millisecond
+	// limitLogInterval bounds the lines on one upstream's limit.
+	limitLogInterval clock.Millis = 1000
 )
 
 // envelope is a message together with where commands for its request go.
 type envelope struct {
-	msg  dispatch.Msg
-	mail chan dispatch.Cmd
+	msg      dispatch.Msg
+	commands chan dispatch.Cmd
 }
 
 // decider is the one goroutine that decides.
 type decider struct {
-	model *dispatch.Model
-	clock *clock.Clock
-	log   *zap.Logger
-	inbox *ring.Ring[envelope]
-	mail  map[dispatch.RequestID]chan dispatch.Cmd
-	probe func(dispatch.ProbeCmd)
+	model    *dispatch.Model
+	clock    *clock.Clock
+	log      *zap.Logger
+	inbox    *ring.Ring[envelope]
+	commands map[dispatch.RequestID]chan dispatch.Cmd
+	probe    func(dispatch.ProbeCmd)
 	// identify asks who is at an address.
 	identify func(dispatch.IdentifyCmd)
-	// silent tells the planner of layers of engines that do not answer.
-	silent func(dispatch.ResponsivenessCmd)
-	// share tells other nodes what this one has in use, and what all do that
+	// onResponsiveness tells the planner of layers of engines that do not answer.
+	onResponsiveness func(dispatch.ResponsivenessCmd)
+	// shareUsage tells other nodes what this one has in use, and what all do that
 	// tell each other.
-	share func(dispatch.ShareUsageCmd)
-	// ask sends other nodes questions for permits, and give answers theirs.
-	ask  func(limit.AskCmd)
-	give func(to string, grant limit.Grant)
-	// limited is told of upstreams whose limit has begun, changed or ended.
-	limited func(upstream fleet.Incarnation, limited bool)
-	// quarantine is told of requests that end upstreams.
-	quarantine func(quarantine.News)
-	ready      atomic.Bool
-	// limitLogged is when an upstream's limit was logged last, and limitsUnlogged counts the
+	shareUsage func(dispatch.ShareUsageCmd)
+	// requestPermits sends other nodes questions for permits, and give answers theirs.
+	requestPermits func(limit.PermitRequestCmd)
+	grantPermits   func(to string, grant limit.Grant)
+	// onLimitChanged is told of upstreams whose limit has begun, changed or ended.
+	onLimitChanged func(upstream fleet.Incarnation, limited bool)
+	// onQuarantine is told of requests that end upstreams.
+	onQuarantine func(quarantine.Event)
+	ready        atomic.Bool
+	// limitLoggedAt is when an upstream's limit was logged last, and unloggedLimits counts the
 	// changes since.
-	limitLogged    map[fleet.Incarnation]clock.Millis
-	limitsUnlogged int
+	limitLoggedAt  map[fleet.Incarnation]clock.Millis
+	unloggedLimits int
 	// limits are those that hold, as of the last tick.
 	limits atomic.Pointer[[]limit.Summary]
 }
 
 func newDecider(model *dispatch.Model, c *clock.Clock, log *zap.Logger, probe func(dispatch.ProbeCmd), identify func(dispatch.IdentifyCmd)) *decider {
 	return &decider{
-		model: model, clock: c, log: log, probe: probe, identify: identify, silent: func(dispatch.ResponsivenessCmd) {},
-		share:      func(dispatch.ShareUsageCmd) {},
-		ask:        func(limit.AskCmd) {},
-		give:       func(string, limit.Grant) {},
-		limited:    func(fleet.Incarnation, bool) {},
-		quarantine: func(quarantine.News) {},
-		inbox:      ring.New[envelope](decisionsWaiting), mail: make(map[dispatch.RequestID]chan dispatch.Cmd),
-		limitLogged: make(map[fleet.Incarnation]clock.Millis),
+		model: model, clock: c, log: log, probe: probe, identify: identify, onResponsiveness: func(dispatch.ResponsivenessCmd) {},
+		shareUsage:     func(dispatch.ShareUsageCmd) {},
+		requestPermits: func(limit.PermitRequestCmd) {},
+		grantPermits:   func(string, limit.Grant) {},
+		onLimitChanged: func(fleet.Incarnation, bool) {},
+		onQuarantine:   func(quarantine.Event) {},
+		inbox:          ring.New[envelope](maxQueuedMessages), commands: make(map[dispatch.RequestID]chan dispatch.Cmd),
+		limitLoggedAt: make(map[fleet.Incarnation]clock.Millis),
 	}
 }
 
-// arrive hands over a new request, or reports that the node is too far behind.
-func (d *decider) arrive(msg dispatch.ArriveMsg, mail chan dispatch.Cmd) bool {
-	return d.inbox.Offer(envelope{msg: msg, mail: mail})
+// offerArrival hands over a new request, or reports that the node is too far behind.
+func (d *decider) offerArrival(msg dispatch.ArriveMsg, mail chan dispatch.Cmd) bool {
+	return d.inbox.Offer(envelope{msg: msg, commands: mail})
 }
 
-// tell hands over what has happened, and waits for room until the context ends.
-func (d *decider) tell(ctx context.Context, msg dispatch.Msg) {
+// notify hands over what has happened, and waits for room until the context ends.
+func (d *decider) notify(ctx context.Context, msg dispatch.Msg) {
 	d.inbox.Put(envelope{msg: msg}, ctx.Done())
 }
 
 // run decides until the context ends.
 func (d *decider) run(ctx context.Context) error {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -110,51 +110,51 @@
 
 func (d *decider) decide(e envelope) {
 	if arrival, ok := e.msg.(dispatch.ArriveMsg); ok {
-		d.mail[arrival.Request] = e.mail
+		d.commands[arrival.Request] = e.commands
 	}
 	for _, cmd := range d.model.Update(d.clock.Now(), e.msg) {
-		d.carry(cmd)
+		d.execute(cmd)
 	}
 	if gone, ok := e.msg.(dispatch.RequestEndedMsg); ok {
-		delete(d.mail, gone.Request)
+		delete(d.commands, gone.Request)
 	}
 }
 
-// carry passes a command to whom it concerns.
-func (d *decider) carry(cmd dispatch.Cmd) {
+// execute passes a command to whom it concerns.
+func (d *decider) execute(cmd dispatch.Cmd) {
 	switch cmd := cmd.(type) {
 	case dispatch.SendCmd:
-		d.post(cmd.Request, cmd)
+		d.deliver(cmd.Request, cmd)
 	case dispatch.SlotWaitCmd:
-		d.post(cmd.Request, cmd)
+		d.deliver(cmd.Request, cmd)
 	case dispatch.RespondCmd:
-		d.post(cmd.Request, cmd)
+		d.deliver(cmd.Request, cmd)
 	case dispatch.RelayFailureCmd:
-		d.post(cmd.Request, cmd)
+		d.deliver(cmd.Request, cmd)
 	case dispatch.AbortResponseCmd:
-		d.post(cmd.Request, cmd)
+		d.deliver(cmd.Request, cmd)
 	case dispatch.MigrateCmd:
-		d.post(cmd.Request, cmd)
+		d.deliver(cmd.Request, cmd)
 	case dispatch.RecheckAttemptCmd:
-		d.post(cmd.Request, cmd)
+		d.deliver(cmd.Request, cmd)
 	case dispatch.RecheckDeadlineCmd:
-		d.post(cmd.Request, cmd)
+		d.deliver(cmd.Request, cmd)
 	case dispatch.ShareUsageCmd:
-		d.share(cmd)
+		d.shareUsage(cmd)
 	case dispatch.ResponsivenessCmd:
-		d.silent(cmd)
+		d.onResponsiveness(cmd)
 	case dispatch.ProbeCmd:
 		d.probe(cmd)
 	case dispatch.IdentifyCmd:
 		d.identify(cmd)
 	case dispatch.QuarantineCmd:
-		d.quarantine(cmd.News)
+		d.onQuarantine(cmd.News)
 	case dispatch.RequestPermitsCmd:
-		d.ask(cmd.AskCmd)
+		d.requestPermits(cmd.PermitRequestCmd)
 	case dispatch.GrantPermitsCmd:
-		d.give(cmd.To, cmd.Grant)
+		d.grantPermits(cmd.To, cmd.Grant)
 	case dispatch.LimitChangedCmd:
-		d.limited(cmd.Upstream, cmd.Rate > 0)
+		d.onLimitChanged(cmd.Upstream, cmd.Rate > 0)
 		d.logLimit(cmd)
 	case dispatch.BackOffCmd:
 		d.log.Info("rest", zap.Stringer("upstream", cmd.Upstream), zap.Int64("asked_ms", int64(cmd.Requested)),
@@ -169,21 +169,21 @@
 // in each answer has a line a second.
 func (d *decider) logLimit(cmd dispatch.LimitChangedCmd) {
 	now := d.clock.Now()
-	if last, known := d.limitLogged[cmd.Upstream]; known && now < last.Add(limitLoggedEvery) && cmd.Rate > 0 {
-		d.limitsUnlogged++
+	if last, known := d.limitLoggedAt[cmd.Upstream]; known && now < last.Add(limitLogInterval) && cmd.Rate > 0 {
+		d.unloggedLimits++
 		return
 	}
-	d.limitLogged[cmd.Upstream] = now
+	d.limitLoggedAt[cmd.Upstream] = now
 	if cmd.Rate == 0 {
-		delete(d.limitLogged, cmd.Upstream)
+		delete(d.limitLoggedAt, cmd.Upstream)
 	}
 	d.log.Info("limit", zap.Stringer("upstream", cmd.Upstream), zap.Float64("per_second", cmd.Rate),
-		zap.String("from", cmd.From), zap.Int64("age_ms", int64(cmd.Age)), zap.Int("unlogged", d.limitsUnlogged))
-	d.limitsUnlogged = 0
+		zap.String("from", cmd.From), zap.Int64("age_ms", int64(cmd.Age)), zap.Int("unlogged", d.unloggedLimits))
+	d.unloggedLimits = 0
 }
 
-func (d *decider) post(id dispatch.RequestID, cmd dispatch.Cmd) {
-	mail, ok := d.mail[id]
+func (d *decider) deliver(id dispatch.RequestID, cmd dispatch.Cmd) {
+	mail, ok := d.commands[id]
 	if !ok {
 		return
 	}
--- a/relay/events.go
+++ b/relay/events.go
@@ -9,9 +9,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxEvent bounds one event of a stream, in bytes. The sheets' events are
+// maxEventBytes bounds one event of a stream, in bytes. The sheets' events are
 // under 400; a larger one than this is no event.
-const maxEvent = 256 << 10
+const maxEventBytes = 256 << 10
 
 // Errors of reading a stream of events.
 var (
@@ -22,10 +22,10 @@
 // event is one whole event of a stream, with the empty line that ends it.
 type event struct {
 	raw []byte
-	// id is the event's id, and number its value; hasID tells that it has one.
-	id     string
-	number int64
-	hasID  bool
+	// id is the event's id, and number its value; hasEventNumber tells that it has one.
+	id        string
+	number    int64
+	hasNumber bool
 }
 
 // eventReader splits a stream into whole events.
@@ -42,7 +42,7 @@
 func (e *eventReader) next() (event, error) {
 	var ev event
 	for {
-		line, err := e.line(&ev)
+		line, err := e.readLine(&ev)
 		if err != nil {
 			if errors.Is(err, io.EOF) && len(ev.raw) > 0 {
 				return event{}, errPartialEvent
@@ -52,17 +52,17 @@
 		if len(line) == 0 {
 			return ev, nil
 		}
-		ev.note(line)
+		ev.parseLine(line)
 	}
 }
 
-// line reads one line into the event, and returns it without its end.
-func (e *eventReader) line(ev *event) ([]byte, error) {
+// readLine reads one line into the event, and returns it without its end.
+func (e *eventReader) readLine(ev *event) ([]byte, error) {
 	start := len(ev.raw)
 	for {
 		part, err := e.r.ReadSlice('\n')
 		ev.raw = append(ev.raw, part...)
-		if len(ev.raw) > maxEvent {
+		if len(ev.raw) > maxEventBytes {
 			return nil, errEventTooLong
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
@@ -75,13 +75,13 @@
 	}
 }
 
-// note takes the event's id from one of its lines.
-func (ev *event) note(line []byte) {
+// parseLine takes the event's id from one of its lines.
+func (ev *event) parseLine(line []byte) {
 	value, ok := bytes.CutPrefix(line, []byte("id:"))
 	if !ok {
 		return
 	}
 	ev.id = string(bytes.TrimPrefix(value, []byte(" ")))
 	n, err := strconv.ParseInt(ev.id, 10, 64)
-	ev.number, ev.hasID = n, err == nil
+	ev.number, ev.hasNumber = n, err == nil
 }
--- a/relay/events_test.go
+++ b/relay/events_test.go
@@ -21,7 +21,7 @@
 		{"a line before the id", "versions: 2\nid: 4\n\n", []string{"versions: 2\nid: 4\n\n"}, []string{"4"}, io.EOF},
 		{"cut inside an event", "id: 1\n\nid: 2\nda", []string{"id: 1\n\n"}, []string{"1"}, errPartialEvent},
 		{"a long line", "data: " + strings.Repeat("x", 3*readBuffer) + "\n\n", []string{"data: " + strings.Repeat("x", 3*readBuffer) + "\n\n"}, []string{""}, io.EOF},
-		{"too long", strings.Repeat("y", maxEvent+2), nil, nil, errEventTooLong},
+		{"too long", strings.Repeat("y", maxEventBytes+2), nil, nil, errEventTooLong},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/relay/fixture_test.go
+++ b/relay/fixture_test.go
@@ -35,37 +35,37 @@
 func (sealedProtocol) CallerHead(h http.Header) CallerHead { return CallerHead{ID: h.Get("Test-Id")} }
 
 func (sealedProtocol) SetAttempt(h http.Header, a AttemptHead) {
-	if a.LastEvent != "" {
-		h.Set(headerAfter, a.LastEvent)
+	if a.LastEventID != "" {
+		h.Set(headerAfter, a.LastEventID)
 	}
 }
 
 func (sealedProtocol) AnswerHead(_ int, h http.Header) AnswerHead {
 	sealed := h.Get(headerSeal) != ""
-	return AnswerHead{Sealed: sealed, NotRun: !sealed}
+	return AnswerHead{Sealed: sealed, NotExecuted: !sealed}
 }
 
-// noEngines stands for engines that answer no question.
-type noEngines struct{}
+// unresponsiveEngines stands for engines that answer no question.
+type unresponsiveEngines struct{}
 
-func (noEngines) Report(context.Context, string, fleet.Incarnation) (EngineReport, error) {
-	return EngineReport{}, errTakenBack
+func (unresponsiveEngines) Report(context.Context, string, fleet.Incarnation) (EngineReport, error) {
+	return EngineReport{}, errAttemptAbandoned
 }
 
-func (noEngines) Move(context.Context, string, string, []chain.Stage) (result dispatch.MigrationResult, at string) {
+func (unresponsiveEngines) Move(context.Context, string, string, []chain.Stage) (result dispatch.MigrationResult, at string) {
 	return dispatch.MigrationUnanswered, ""
 }
 
-func (noEngines) Identify(context.Context, string, string, fleet.Incarnation) (fleet.Presence, error) {
-	return fleet.PresenceUnknown, errTakenBack
+func (unresponsiveEngines) Identify(context.Context, string, string, fleet.Incarnation) (fleet.Presence, error) {
+	return fleet.PresenceUnknown, errAttemptAbandoned
 }
 
-func (noEngines) Probe(context.Context, string, fleet.Incarnation) error { return nil }
+func (unresponsiveEngines) Probe(context.Context, string, fleet.Incarnation) error { return nil }
 
 // outcome is how an upstream answers one attempt.
 type outcome uint8
 
-// The outcomes. A stream has lastEvent events; the broken ones end after some, and a
+// The outcomes. A stream has lastEventID events; the broken ones end after some, and a
 // measured one has named a length that is not that of the stream as others go on
 // with it, and one with an unnamed event ends with it.
 const (
@@ -73,38 +73,38 @@
 	brokenStream
 	partialEvent
 	partialFirst
-	measuredStream
-	unnamedEvent
+	streamWithLength
+	eventWithoutID
 	failure
-	failedAtOnce
-	otherType
+	gatewayTimeout
+	plainTextAnswer
 	notFound
-	notRun
-	reset
-	large
-	largeBroken
+	notExecuted
+	connectionReset
+	largeAnswer
+	brokenLargeAnswer
 )
 
-// outcomes is how many there are.
-const outcomes = int(largeBroken) + 1
+// outcomeCount is how many there are.
+const outcomeCount = int(brokenLargeAnswer) + 1
 
-var outcomeNames = [outcomes]string{
+var outcomeNames = [outcomeCount]string{
 	"whole stream", "broken stream", "partial event", "partial first event", "measured stream", "unnamed event", "500", "504", "other type", "404", "not run", "reset", "large", "large broken",
 }
 
 func (o outcome) String() string { return outcomeNames[o] }
 
 const (
-	// lastEvent is the id of the last event of each stream, and eventsEach how many
+	// lastEventID is the id of the last event of each stream, and brokenStreamEvents how many
 	// of them a broken one brings.
-	lastEvent  = 7
-	eventsEach = 2
-	// measuredLength is the length in bytes that a measured stream names.
-	measuredLength = 100
-	// largeAnswer is the size of a large answer in bytes, and largePart how much a
+	lastStreamEvent    = 7
+	brokenStreamEvents = 2
+	// declaredLength is the length in bytes that a measured stream names.
+	declaredLength = 100
+	// largeAnswerBytes is the size of a large answer in bytes, and brokenLargeBytes how much a
 	// broken one brings.
-	largeAnswer = bufferedAnswer + 3*pieceSize
-	largePart   = bufferedAnswer + pieceSize
+	largeAnswerBytes = maxBufferedAnswer + 3*chunkSize
+	brokenLargeBytes = maxBufferedAnswer + chunkSize
 )
 
 // scriptedUpstreams answer the attempts of one request in turn; those beyond the
@@ -114,18 +114,18 @@
 
 	mu       sync.Mutex
 	attempts int
-	// asked are the addresses of the upstreams that got the request.
-	asked map[string]bool
+	// addresses are the addresses of the upstreams that got the request.
+	addresses map[string]bool
 }
 
 func (u *scriptedUpstreams) next(r *http.Request) (attempt int, o outcome) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.attempts++
-	if u.asked == nil {
-		u.asked = make(map[string]bool)
+	if u.addresses == nil {
+		u.addresses = make(map[string]bool)
 	}
-	u.asked[fmt.Sprint(r.Context().Value(http.LocalAddrContextKey))] = true
+	u.addresses[fmt.Sprint(r.Context().Value(http.LocalAddrContextKey))] = true
 	return u.attempts, u.outcome(u.attempts)
 }
 
@@ -138,70 +138,70 @@
 func (u *scriptedUpstreams) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	attempt, o := u.next(r)
 	after, _ := strconv.Atoi(r.Header.Get(headerAfter))
-	if o != notRun {
+	if o != notExecuted {
 		w.Header().Set(headerSeal, strconv.Itoa(attempt))
 	}
 	switch o {
 	case wholeStream:
-		writeEvents(w, after, lastEvent)
+		writeEvents(w, after, lastStreamEvent)
 	case brokenStream:
-		writeEvents(w, after, min(after+eventsEach, lastEvent))
-		breakOff(w)
+		writeEvents(w, after, min(after+brokenStreamEvents, lastStreamEvent))
+		abortConnection(w)
 	case partialEvent:
-		writeEvents(w, after, min(after+eventsEach, lastEvent))
-		write(w, "id: 9")
-		breakOff(w)
+		writeEvents(w, after, min(after+brokenStreamEvents, lastStreamEvent))
+		writeText(w, "id: 9")
+		abortConnection(w)
 	case partialFirst:
 		writeEvents(w, 0, 0)
-		write(w, "id: 1")
-		breakOff(w)
-	case measuredStream:
-		w.Header().Set("Content-Length", strconv.Itoa(measuredLength))
-		writeEvents(w, after, min(after+eventsEach, lastEvent))
-		breakOff(w)
-	case unnamedEvent:
-		writeEvents(w, after, min(after+eventsEach, lastEvent))
-		write(w, "data: piece without an id\n\n")
-		breakOff(w)
+		writeText(w, "id: 1")
+		abortConnection(w)
+	case streamWithLength:
+		w.Header().Set("Content-Length", strconv.Itoa(declaredLength))
+		writeEvents(w, after, min(after+brokenStreamEvents, lastStreamEvent))
+		abortConnection(w)
+	case eventWithoutID:
+		writeEvents(w, after, min(after+brokenStreamEvents, lastStreamEvent))
+		writeText(w, "data: piece without an id\n\n")
+		abortConnection(w)
 	case failure:
-		answer(w, http.StatusInternalServerError, wholeBody(o, attempt))
-	case failedAtOnce:
-		answer(w, http.StatusGatewayTimeout, wholeBody(o, attempt))
-	case otherType:
-		answer(w, http.StatusOK, wholeBody(o, attempt))
+		writeAnswer(w, http.StatusInternalServerError, wholeBody(o, attempt))
+	case gatewayTimeout:
+		writeAnswer(w, http.StatusGatewayTimeout, wholeBody(o, attempt))
+	case plainTextAnswer:
+		writeAnswer(w, http.StatusOK, wholeBody(o, attempt))
 	case notFound:
-		answer(w, http.StatusNotFound, wholeBody(o, attempt))
-	case notRun:
-		answer(w, http.StatusServiceUnavailable, "not run")
-	case reset:
-		breakOff(w)
-	case large:
-		answer(w, http.StatusOK, wholeBody(o, attempt))
-	case largeBroken:
-		answer(w, http.StatusOK, wholeBody(o, attempt)[:largePart])
-		breakOff(w)
+		writeAnswer(w, http.StatusNotFound, wholeBody(o, attempt))
+	case notExecuted:
+		writeAnswer(w, http.StatusServiceUnavailable, "not run")
+	case connectionReset:
+		abortConnection(w)
+	case largeAnswer:
+		writeAnswer(w, http.StatusOK, wholeBody(o, attempt))
+	case brokenLargeAnswer:
+		writeAnswer(w, http.StatusOK, wholeBody(o, attempt)[:brokenLargeBytes])
+		abortConnection(w)
 	}
 }
 
 // wholeBody is the body of an answer that is no stream. It names the attempt, so
 // that those of two attempts differ throughout.
 func wholeBody(o outcome, attempt int) string {
-	if o == large || o == largeBroken {
-		return strings.Repeat(strconv.Itoa(attempt%10), largeAnswer)
+	if o == largeAnswer || o == brokenLargeAnswer {
+		return strings.Repeat(strconv.Itoa(attempt%10), largeAnswerBytes)
 	}
 	return fmt.Sprintf("%v of attempt %d", o, attempt)
 }
 
-func answer(w http.ResponseWriter, status int, body string) {
+func writeAnswer(w http.ResponseWriter, status int, body string) {
 	w.Header().Set("Content-Type", "text/plain")
 	w.WriteHeader(status)
-	write(w, body)
+	writeText(w, body)
 }
 
 func writeEvents(w http.ResponseWriter, after, last int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
-	write(w, eventsText(after, last))
+	writeText(w, eventsText(after, last))
 }
 
 // eventsText is the events after one up to another.
@@ -213,21 +213,21 @@
 	return text.String()
 }
 
-func write(w http.ResponseWriter, text string) {
+func writeText(w http.ResponseWriter, text string) {
 	// An upstream whose caller has left has nobody to tell.
 	_, _ = w.Write([]byte(text))
 	_ = http.NewResponseController(w).Flush()
 }
 
-func breakOff(w http.ResponseWriter) {
+func abortConnection(w http.ResponseWriter) {
 	_ = http.NewResponseController(w).Flush()
 	panic(http.ErrAbortHandler)
 }
 
 const (
-	// upstreamsOfTest is how many upstreams there are, and how many of them most routes
+	// testUpstreams is how many upstreams there are, and how many of them most routes
 	// let run a request.
-	upstreamsOfTest = 4
+	testUpstreams = 4
 	// fewUpstreams is how many of them the route of few lets do so.
 	fewUpstreams = 2
 )
@@ -239,7 +239,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	model := dispatch.New(dispatch.WithPolicy(dispatch.Policy{RetryWindow: 10_000, RetryShare: 1, RetrySlack: 1e9}))
 	r = New(ctx, sealedProtocol{}, model, clocktest.NewClock(), zap.NewNop(),
-		WithDialer((&net.Dialer{}).DialContext), WithEngines(noEngines{}))
+		WithDialer((&net.Dialer{}).DialContext), WithEngines(unresponsiveEngines{}))
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -253,11 +253,11 @@
 	})
 	r.SetCatalog(testCatalog(), r.clock.Now())
 	r.SetPeers(dispatch.PeersMsg{TotalNodes: 1, Members: []limit.Member{{}}})
-	for i := range upstreamsOfTest {
+	for i := range testUpstreams {
 		server := httptest.NewServer(upstreams)
 		t.Cleanup(server.Close)
 		id := fleet.IncarnationByID(fleet.ID("u" + strconv.Itoa(i)))
-		r.SetFleet([]fleet.Change{{ID: id, Upstream: fleet.Upstream{
+		r.UpdateFleet([]fleet.Change{{ID: id, Upstream: fleet.Upstream{
 			ID: id, Service: "desk", Address: server.Listener.Addr().String(),
 		}}})
 	}
@@ -271,7 +271,7 @@
 	route := func(name string, kind catalog.Kind, resumable bool) *catalog.Route {
 		return &catalog.Route{
 			Name: name, Host: "h", Prefix: "/" + name + "/", Kind: kind, Resumable: resumable, Anonymous: true,
-			Targets: []catalog.Target{{Service: "desk", Weight: 1}}, MaxAttempts: upstreamsOfTest,
+			Targets: []catalog.Target{{Service: "desk", Weight: 1}}, MaxAttempts: testUpstreams,
 			Timeout: 10_000, LatencyTarget: 10_000,
 		}
 	}
--- a/relay/gate_test.go
+++ b/relay/gate_test.go
@@ -26,17 +26,17 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := newGate(clocktest.NewClock(), within)
+			g := newConfigGate(clocktest.NewClock(), within)
 			g.confirm(catalog.New(tt.version).Edition(), tt.confirmed)
-			if got := g.open(catalog.New(tt.decided).Edition()); got != tt.want {
+			if got := g.allows(catalog.New(tt.decided).Edition()); got != tt.want {
 				t.Errorf("got open=%v, want %v", got, tt.want)
 			}
 		})
 	}
-	if got := newGate(clocktest.NewClock(), within).open(catalog.New(1).Edition()); got {
+	if got := newConfigGate(clocktest.NewClock(), within).allows(catalog.New(1).Edition()); got {
 		t.Error("got a gate that is open before anything is known, want it shut")
 	}
-	if got := newGate(clocktest.NewClock(), 0).open(catalog.New(1).Edition()); !got {
+	if got := newConfigGate(clocktest.NewClock(), 0).allows(catalog.New(1).Edition()); !got {
 		t.Error("got a shut gate without a bound, want it open")
 	}
 }
--- a/relay/guarded_conn.go
+++ b/relay/guarded_conn.go
@@ -6,12 +6,12 @@
 	"sync/atomic"
 )
 
-// sendGuard is asked right before the first bytes of a request go out.
-type sendGuard interface {
-	// mayWrite returns why the request must not be written; nil if it may.
-	mayWrite() error
-	// notWritten takes back that it was written: none of its bytes went out.
-	notWritten()
+// writeGuard is asked right before the first bytes of a request go out.
+type writeGuard interface {
+	// beforeWrite returns why the request must not be written; nil if it may.
+	beforeWrite() error
+	// nothingWritten takes back that it was written: none of its bytes went out.
+	nothingWritten()
 }
 
 // guardedConn is a connection to an upstream. net/http decides by itself which
@@ -20,19 +20,19 @@
 // connection breaks. So the request's guard is asked here, at the write.
 type guardedConn struct {
 	net.Conn
-	guard atomic.Pointer[sendGuard]
-	// heard is told of all that comes.
-	heard func()
+	guard atomic.Pointer[writeGuard]
+	// onRead is told of all that comes.
+	onRead func()
 }
 
-// arm sets the guard of the request that is written next.
-func (c *guardedConn) arm(g sendGuard) { c.guard.Store(&g) }
+// setGuard sets the guard of the request that is written next.
+func (c *guardedConn) setGuard(g writeGuard) { c.guard.Store(&g) }
 
 // Read implements net.Conn.
 func (c *guardedConn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	if n > 0 {
-		c.heard()
+		c.onRead()
 	}
 	return n, err
 }
@@ -43,24 +43,24 @@
 	if guard == nil {
 		return c.Conn.Write(data)
 	}
-	if err := (*guard).mayWrite(); err != nil {
+	if err := (*guard).beforeWrite(); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Write(data)
 	if n == 0 && err != nil {
-		(*guard).notWritten()
+		(*guard).nothingWritten()
 	}
 	return n, err
 }
 
-// guarded makes a dialer's connections guarded ones. Heard is told of all that comes
+// guardDialer makes a dialer's connections guarded ones. Heard is told of all that comes
 // on them.
-func guarded(dial dialFunc, heard func()) dialFunc {
+func guardDialer(dial dialFunc, heard func()) dialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return &guardedConn{Conn: conn, heard: heard}, nil
+		return &guardedConn{Conn: conn, onRead: heard}, nil
 	}
 }
--- a/relay/headers_test.go
+++ b/relay/headers_test.go
@@ -12,7 +12,7 @@
 		"Connection": {"keep-alive, X-Mine"}, "X-Mine": {"1"}, "Keep-Alive": {"5"}, "Te": {"trailers"},
 		"Transfer-Encoding": {"chunked"}, "Upgrade": {"h2c"}, "Expect": {"100-continue"}, "Accept": {"a", "b"}, "X-Kept": {"2"},
 	}
-	got := slices.Sorted(maps.Keys(passedOn(in)))
+	got := slices.Sorted(maps.Keys(forwardedHeaders(in)))
 	want := []string{"Accept", "X-Kept"}
 	if !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
--- a/relay/protocol.go
+++ b/relay/protocol.go
@@ -36,8 +36,8 @@
 	// Remaining is how long the upstream may work on it.
 	Remaining clock.Millis
 	Chain     []chain.Stage
-	// LastEvent is the last event that the caller has; empty for none.
-	LastEvent string
+	// LastEventID is the last event that the caller has; empty for none.
+	LastEventID string
 }
 
 // AnswerHead is what the head of an upstream's answer says.
@@ -46,18 +46,18 @@
 	ID string
 	// Sealed tells that the answer is the upstream's own word on the request.
 	Sealed bool
-	// NotRun tells that the upstream has not run the request and will not.
-	NotRun bool
+	// NotExecuted tells that the upstream has not run the request and will not.
+	NotExecuted bool
 	// Misdirected tells that the upstream is not the one meant, or does not
 	// hold what was asked of it.
 	Misdirected bool
 	// At is the address of the upstream at fault, if it is another.
 	At string
-	// Answerer is the upstream that answers, where it says so as it refuses what was meant
+	// Responder is the upstream that answers, where it says so as it refuses what was meant
 	// for another one; empty otherwise.
-	Answerer fleet.ID
-	// Word is what the upstream says of itself.
-	Word Word
+	Responder fleet.ID
+	// UpstreamStatus is what the upstream says of itself.
+	UpstreamStatus UpstreamStatus
 }
 
 // Protocol translates heads.
@@ -79,8 +79,8 @@
 type EngineReport struct {
 	// Stalled are the streams that began there and stand still.
 	Stalled []StalledStream
-	// Named tells that the report says that it is of the run that was asked.
-	Named bool
+	// Identified tells that the report says that it is of the run that was asked.
+	Identified bool
 	dispatch.Report
 }
 
--- a/relay/repeats_test.go
+++ b/relay/repeats_test.go
@@ -6,18 +6,18 @@
 	"testing"
 )
 
-// countingConns count how often each connection has brought a request.
-type countingConns struct {
+// requestCounter count how often each connection has brought a request.
+type requestCounter struct {
 	upstreams http.Handler
 
-	mu   sync.Mutex
-	seen map[string]int
+	mu           sync.Mutex
+	byConnection map[string]int
 }
 
 // ServeHTTP implements http.Handler.
-func (c *countingConns) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *requestCounter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.mu.Lock()
-	c.seen[r.RemoteAddr]++
+	c.byConnection[r.RemoteAddr]++
 	c.mu.Unlock()
 	c.upstreams.ServeHTTP(w, r)
 }
@@ -28,13 +28,13 @@
 // second had not run. So no connection brings a request twice. Found by reading what
 // attempts are told apart by, once repeats went to upstreams that had run the request.
 func TestRepeatsDoNotShareAConnection(t *testing.T) {
-	counting := &countingConns{seen: make(map[string]int), upstreams: &scriptedUpstreams{script: []outcome{failure}}}
+	counting := &requestCounter{byConnection: make(map[string]int), upstreams: &scriptedUpstreams{script: []outcome{failure}}}
 	_, address := newTestRelay(t, counting)
 	call(t, http.DefaultClient, address, "/few/a")
 	counting.mu.Lock()
 	defer counting.mu.Unlock()
 	requests := 0
-	for _, got := range counting.seen {
+	for _, got := range counting.byConnection {
 		requests += got
 		if got > 1 {
 			t.Errorf("got a request %d times on one connection, want once at most", got)
--- a/relay/reports.go
+++ b/relay/reports.go
@@ -10,57 +10,57 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// reportLasts is for how long a report is not asked for again. When an engine
+// reportTTL is for how long a report is not asked for again. When an engine
 // is lost, all streams that pass it ask for the same reports within the time
 // between two events; each question costs what a health check costs, and reports
 // are 200 ms old when they come.
-const reportLasts clock.Millis = 120
+const reportTTL clock.Millis = 120
 
-// reports asks engines for their reports, once for all who want to know.
-type reports struct {
+// reportCache asks engines for their reports, once for all who want to know.
+type reportCache struct {
 	engines Engines
 	clock   *clock.Clock
 	group   singleflight.Group
 	mu      sync.Mutex
-	recent  map[fleet.Incarnation]recentReport
+	entries map[fleet.Incarnation]cachedReport
 }
 
-// recentReport is what an engine has answered, or that it has not.
-type recentReport struct {
-	at     clock.Millis
-	report EngineReport
-	err    error
+// cachedReport is what an engine has answered, or that it has not.
+type cachedReport struct {
+	fetchedAt clock.Millis
+	report    EngineReport
+	err       error
 }
 
-func newReports(engines Engines, c *clock.Clock) *reports {
-	return &reports{engines: engines, clock: c, recent: make(map[fleet.Incarnation]recentReport)}
+func newReportCache(engines Engines, c *clock.Clock) *reportCache {
+	return &reportCache{engines: engines, clock: c, entries: make(map[fleet.Incarnation]cachedReport)}
 }
 
-// get returns an engine's report; it may be reportLasts old.
-func (r *reports) get(ctx context.Context, address string, upstream fleet.Incarnation) (EngineReport, error) {
+// get returns an engine's report; it may be reportTTL old.
+func (r *reportCache) get(ctx context.Context, address string, upstream fleet.Incarnation) (EngineReport, error) {
 	r.mu.Lock()
-	known, ok := r.recent[upstream]
+	known, ok := r.entries[upstream]
 	r.mu.Unlock()
-	if ok && r.clock.Now() < known.at.Add(reportLasts) {
+	if ok && r.clock.Now() < known.fetchedAt.Add(reportTTL) {
 		return known.report, known.err
 	}
 	answer, err, _ := r.group.Do(upstream.String(), func() (any, error) {
 		report, err := r.engines.Report(ctx, address, upstream)
-		r.keep(upstream, recentReport{at: r.clock.Now(), report: report, err: err})
+		r.store(upstream, cachedReport{fetchedAt: r.clock.Now(), report: report, err: err})
 		return report, err
 	})
 	return answer.(EngineReport), err
 }
 
-func (r *reports) keep(upstream fleet.Incarnation, report recentReport) {
+func (r *reportCache) store(upstream fleet.Incarnation, report cachedReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.recent[upstream] = report
+	r.entries[upstream] = report
 }
 
-// forget drops what is known of an upstream that is gone.
-func (r *reports) forget(upstream fleet.Incarnation) {
+// evict drops what is known of an upstream that is gone.
+func (r *reportCache) evict(upstream fleet.Incarnation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.recent, upstream)
+	delete(r.entries, upstream)
 }
--- a/relay/rhythm_test.go
+++ b/relay/rhythm_test.go
@@ -12,19 +12,19 @@
 		times []clock.Millis
 		want  clock.Millis
 	}{
-		{"no event yet", nil, gapStall},
-		{"a first event, however late", []clock.Millis{900}, gapStall},
-		{"a usual stream", []clock.Millis{900, 940, 980, 1020}, gapStall},
+		{"no event yet", nil, minStallPause},
+		{"a first event, however late", []clock.Millis{900}, minStallPause},
+		{"a usual stream", []clock.Millis{900, 940, 980, 1020}, minStallPause},
 		{"a slow stream", []clock.Millis{0, 200, 400, 600}, 500},
 		{"one pause in a usual stream", []clock.Millis{0, 40, 80, 120, 420}, 230},
-		{"two events at once", []clock.Millis{0, 0, 0}, gapStall},
+		{"two events at once", []clock.Millis{0, 0, 0}, minStallPause},
 	}
 	for _, tt := range tests {
-		var r rhythm
+		var r eventTiming
 		for _, at := range tt.times {
-			r.note(at)
+			r.record(at)
 		}
-		if got := r.stallAfter(); got != tt.want {
+		if got := r.stallThreshold(); got != tt.want {
 			t.Errorf("%s: got %d, want %d", tt.name, got, tt.want)
 		}
 	}
--- a/relay/runs_test.go
+++ b/relay/runs_test.go
@@ -11,22 +11,22 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// hangingOnce answers the first attempt with some events, or with nothing, and then hangs;
+// hangOnFirst answers the first attempt with some events, or with nothing, and then hangs;
 // further attempts get whole streams.
-type hangingOnce struct {
+type hangOnFirst struct {
 	events   int
 	attempts atomic.Int64
-	// begun gets the address that the first attempt came to.
-	begun chan string
+	// firstAddress gets the address that the first attempt came to.
+	firstAddress chan string
 }
 
-func (h *hangingOnce) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *hangOnFirst) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	// A server notices a closed connection once it has read the body.
 	_, _ = io.Copy(io.Discard, r.Body)
 	after, _ := strconv.Atoi(r.Header.Get(headerAfter))
 	if h.attempts.Add(1) > 1 {
 		w.Header().Set(headerSeal, "2")
-		writeEvents(w, after, lastEvent)
+		writeEvents(w, after, lastStreamEvent)
 		return
 	}
 	if h.events > 0 {
@@ -34,19 +34,19 @@
 		writeEvents(w, 0, h.events)
 		w.(http.Flusher).Flush()
 	}
-	h.begun <- fmt.Sprint(r.Context().Value(http.LocalAddrContextKey))
+	h.firstAddress <- fmt.Sprint(r.Context().Value(http.LocalAddrContextKey))
 	<-r.Context().Done()
 }
 
-// startAgain tells a relay that all upstreams have ended, and that one has started again
+// restartUpstream tells a relay that all upstreams have ended, and that one has started again
 // at an address.
-func startAgain(r *Relay, address string) {
+func restartUpstream(r *Relay, address string) {
 	var changes []fleet.Change
-	for i := range upstreamsOfTest {
+	for i := range testUpstreams {
 		changes = append(changes, fleet.Change{ID: fleet.IncarnationByID(fleet.ID("u" + strconv.Itoa(i))), Gone: true, Ended: true})
 	}
 	run := fleet.NewIncarnation("u0", 200)
-	r.SetFleet(append(changes, fleet.Change{ID: run, Upstream: fleet.Upstream{ID: run, Service: "desk", Address: address}}))
+	r.UpdateFleet(append(changes, fleet.Change{ID: run, Upstream: fleet.Upstream{ID: run, Service: "desk", Address: address}}))
 }
 
 // An upstream started again under its id while requests were under way there. They waited
@@ -58,22 +58,22 @@
 		wantStatus   int
 		wantAttempts int64
 	}{
-		{"/write/a", eventsEach, http.StatusOK, 2},
+		{"/write/a", brokenStreamEvents, http.StatusOK, 2},
 		{"/write/a", 0, http.StatusOK, 2},
 		{"/read/a", 0, http.StatusOK, 2},
 		{"/once/a", 0, http.StatusBadGateway, 1},
 	} {
 		t.Run(fmt.Sprint(tt.path, " after ", tt.events), func(t *testing.T) {
-			upstream := &hangingOnce{events: tt.events, begun: make(chan string, 1)}
+			upstream := &hangOnFirst{events: tt.events, firstAddress: make(chan string, 1)}
 			r, address := newTestRelay(t, upstream)
-			got := make(chan answerSeen)
+			got := make(chan callerAnswer)
 			go func() { got <- call(t, http.DefaultClient, address, tt.path) }()
-			startAgain(r, <-upstream.begun)
+			restartUpstream(r, <-upstream.firstAddress)
 			answer := <-got
-			if answer.status != tt.wantStatus || !answer.whole {
-				t.Errorf("got status %d, whole %v, want a whole answer with %d", answer.status, answer.whole, tt.wantStatus)
+			if answer.status != tt.wantStatus || !answer.complete {
+				t.Errorf("got status %d, whole %v, want a whole answer with %d", answer.status, answer.complete, tt.wantStatus)
 			}
-			if tt.wantStatus == http.StatusOK && answer.body != eventsText(0, lastEvent) {
+			if tt.wantStatus == http.StatusOK && answer.body != eventsText(0, lastStreamEvent) {
 				t.Errorf("got %q, want each event once", answer.body)
 			}
 			if got := upstream.attempts.Load(); got != tt.wantAttempts {
--- a/relay/session_attempt.go
+++ b/relay/session_attempt.go
@@ -10,52 +10,52 @@
 	"github.com/hoistjunction/hoistjunction/fleet"
 )
 
-// doubtAfter is after how long without a byte of an upstream its kept connections are
+// maxConnectionSilence is after how long without a byte of an upstream its kept connections are
 // doubted. First events come within 130 ms for 99 in 100, answers of plain upstreams
 // within 350 (docs/MEASUREMENTS.md).
-const doubtAfter clock.Millis = 300
+const maxConnectionSilence clock.Millis = 300
 
-// send begins an attempt.
-func (s *session) send(cmd dispatch.SendCmd) {
+// startAttempt begins an attempt.
+func (s *session) startAttempt(cmd dispatch.SendCmd) {
 	now := s.relay.clock.Now()
 	remaining := min(cmd.ClientDeadline, cmd.RouteDeadline).Sub(now)
 	s.attempts++
 	s.route = cmd.Route
 	s.logSend(cmd, remaining)
 	if s.attempts == 1 {
-		s.giveUp.Reset(max(remaining, 1).Duration())
+		s.deadlineTimer.Reset(max(remaining, 1).Duration())
 	}
 	if cmd.AttemptTimeout > 0 && cmd.AttemptTimeout < remaining {
-		s.try.Reset(cmd.AttemptTimeout.Duration())
+		s.attemptTimer.Reset(cmd.AttemptTimeout.Duration())
 	}
-	s.doubt.Reset(doubtAfter.Duration())
+	s.silenceTimer.Reset(maxConnectionSilence.Duration())
 	conns := s.relay.upstreams.get(cmd.Upstream)
-	ctx, cancel := context.WithCancelCause(s.r.Context())
+	ctx, cancel := context.WithCancelCause(s.request.Context())
 	a := &attempt{
-		protocol: s.relay.protocol, conns: conns, barred: func() bool { return s.relay.upstreams.barred(conns) }, said: s.relay.Said, unlimited: s.relay.unlimited, begunAt: now, answeredBy: s.relay.answeredBy, alone: s.needsOwnConnection(cmd.Upstream), gate: s.relay.gate, cmd: cmd,
-		callerID: s.head.ID, resumes: s.w.begun(), pieces: make(chan piece, piecesWaiting), cancel: cancel,
+		protocol: s.relay.protocol, conns: conns, blocked: func() bool { return s.relay.upstreams.blocked(conns) }, handleStatus: s.relay.HandleUpstreamStatus, handleNoLimit: s.relay.handleNoLimit, startedAt: now, handlePresence: s.relay.handlePresence, ownConnection: s.needsOwnConnection(cmd.Upstream), gate: s.relay.gate, cmd: cmd,
+		callerID: s.head.ID, resuming: s.answer.started(), updates: make(chan attemptUpdate, maxQueuedUpdates), cancel: cancel,
 	}
-	a.req = outgoing(ctx, s.r, cmd.Address, s.body)
+	a.req = outgoing(ctx, s.request, cmd.Address, s.body)
 	s.relay.protocol.SetAttempt(a.req.Header, AttemptHead{
-		Upstream: cmd.Upstream, Account: cmd.Account, Priority: cmd.Priority, Remaining: remaining, Chain: cmd.Chain, LastEvent: s.lastEvent,
+		Upstream: cmd.Upstream, Account: cmd.Account, Priority: cmd.Priority, Remaining: remaining, Chain: cmd.Chain, LastEventID: s.lastEventID,
 	})
-	s.attempt, s.sent, s.lastPiece, s.since = a, now, now, now
+	s.attempt, s.sentAt, s.lastUpdateAt, s.quietSince = a, now, now, now
 	if len(cmd.Chain) > 0 {
-		s.stall.Reset(firstStall.Duration())
+		s.stallTimer.Reset(firstEventStall.Duration())
 	}
 	go a.run(ctx)
 }
 
-// wake sets the timers anew after a suspension of the VM, for which they have stood still.
+// recheckDeadline sets the timers anew after a suspension of the VM, for which they have stood still.
 // A stream may have stood still too, and its kept connections may be dead.
-func (s *session) wake(cmd dispatch.RecheckDeadlineCmd) {
-	s.giveUp.Reset(max(cmd.Deadline.Sub(s.relay.clock.Now()), 0).Duration())
+func (s *session) recheckDeadline(cmd dispatch.RecheckDeadlineCmd) {
+	s.deadlineTimer.Reset(max(cmd.Deadline.Sub(s.relay.clock.Now()), 0).Duration())
 	if s.attempt == nil {
 		return
 	}
-	s.doubtConnections()
+	s.closeSilentConnections()
 	if len(s.attempt.cmd.Chain) > 0 {
-		s.stall.Reset(0)
+		s.stallTimer.Reset(0)
 	}
 }
 
@@ -67,53 +67,53 @@
 func (s *session) needsOwnConnection(upstream fleet.Incarnation) bool {
 	again := s.sentTo[upstream]
 	s.sentTo[upstream] = true
-	return s.inVain || again
+	return s.unanswered || again
 }
 
-// attemptFailed ends the attempt and asks what comes next.
-func (s *session) attemptFailed(cause dispatch.Cause, at string, word Word, err error) {
+// failAttempt ends the attempt and asks what comes next.
+func (s *session) failAttempt(cause dispatch.Cause, at string, word UpstreamStatus, err error) {
 	s.logFailure(cause, at, word, err)
 	msg := dispatch.AttemptFailedMsg{Request: s.id, Attempt: s.attempt.cmd.Attempt, Cause: cause, FaultyAddress: at, Events: s.events, Delivered: s.delivered()}
-	s.drop()
-	s.relay.decider.tell(s.relay.life, msg)
+	s.cancelAttempt()
+	s.relay.decider.notify(s.relay.lifetime, msg)
 }
 
 // abandon takes an attempt back for want of an answer. An answer that has begun and
 // that no further upstream may go on with is left as it is: it may still go on, and
 // taking it back would cut it for sure.
 func (s *session) abandon(at, why string) {
-	if s.attempt == nil || s.w.begun() && (s.attempt.cmd.LastUpstream || s.delivered() == dispatch.DeliveredPartial) {
+	if s.attempt == nil || s.answer.started() && (s.attempt.cmd.LastUpstream || s.delivered() == dispatch.DeliveredPartial) {
 		return
 	}
-	s.inVain = true
-	s.doubtConnections()
-	s.attemptFailed(dispatch.CauseNoProgress, at, Word{}, errors.Wrap(errTakenBack, why))
+	s.unanswered = true
+	s.closeSilentConnections()
+	s.failAttempt(dispatch.CauseNoProgress, at, UpstreamStatus{}, errors.Wrap(errAttemptAbandoned, why))
 }
 
-// doubtConnections keeps other requests off the connections that are kept from before
+// closeSilentConnections keeps other requests off the connections that are kept from before
 // the last piece of the attempt under way, if its upstream has brought nothing since.
-func (s *session) doubtConnections() {
+func (s *session) closeSilentConnections() {
 	if s.attempt != nil {
-		s.attempt.conns.renewUnheard(s.lastPiece)
+		s.attempt.conns.closeIdleIfSilent(s.lastUpdateAt)
 	}
 }
 
-// firstAddress is where the attempt under way was sent.
-func (s *session) firstAddress() string {
+// attemptAddress is where the attempt under way was sent.
+func (s *session) attemptAddress() string {
 	if s.attempt == nil {
 		return ""
 	}
 	return s.attempt.cmd.Address
 }
 
-// drop cancels the attempt under way, which closes its connection.
-func (s *session) drop() {
+// cancelAttempt cancels the attempt under way, which closes its connection.
+func (s *session) cancelAttempt() {
 	if s.attempt == nil {
 		return
 	}
 	s.attempt.cancel(context.Canceled)
 	s.attempt = nil
-	s.try.Stop()
-	s.doubt.Stop()
-	s.stall.Stop()
+	s.attemptTimer.Stop()
+	s.silenceTimer.Stop()
+	s.stallTimer.Stop()
 }
--- a/relay/session_pass.go
+++ b/relay/session_pass.go
@@ -6,99 +6,99 @@
 	"github.com/hoistjunction/hoistjunction/dispatch"
 )
 
-// take deals with what the attempt brings, and reports whether the request is
+// handleUpdate deals with what the attempt brings, and reports whether the request is
 // over.
-func (s *session) take(p piece) bool {
-	s.lastPiece = s.relay.clock.Now()
-	s.since = s.lastPiece
-	s.doubt.Stop()
+func (s *session) handleUpdate(p attemptUpdate) bool {
+	s.lastUpdateAt = s.relay.clock.Now()
+	s.quietSince = s.lastUpdateAt
+	s.silenceTimer.Stop()
 	switch {
 	case p.failed:
-		s.attemptFailed(p.cause, p.at, p.word, p.err)
+		s.failAttempt(p.cause, p.faultyAddress, p.status, p.err)
 		return false
 	case p.head != nil && p.head.StatusCode >= http.StatusInternalServerError && p.end:
-		return s.upstreamFailed(p)
+		return s.holdUpstreamFailure(p)
 	}
-	if err := s.pass(p); err != nil {
-		s.logLost(err)
+	if err := s.writeUpdate(p); err != nil {
+		s.logCallerLost(err)
 		return true
 	}
 	if p.end {
-		s.w.end()
-		s.done(p)
+		s.answer.end()
+		s.completeAttempt(p)
 		return true
 	}
 	if len(p.event.raw) > 0 {
-		s.rhythm.note(s.lastPiece)
+		s.timing.record(s.lastUpdateAt)
 	}
-	s.armStall()
+	s.resetStallTimer()
 	return false
 }
 
-// upstreamFailed keeps a failure that the upstream answered with, and asks
+// holdUpstreamFailure keeps a failure that the upstream answered with, and asks
 // whether another may try.
-func (s *session) upstreamFailed(p piece) bool {
-	s.held = &p
-	s.attemptFailed(dispatch.CauseUpstreamFailed, "", p.word, nil)
+func (s *session) holdUpstreamFailure(p attemptUpdate) bool {
+	s.upstreamFailure = &p
+	s.failAttempt(dispatch.CauseUpstreamFailed, "", p.status, nil)
 	return false
 }
 
-// pass writes a piece to the caller.
-func (s *session) pass(p piece) error {
-	if p.head != nil && !s.w.begun() {
+// writeUpdate writes a piece to the caller.
+func (s *session) writeUpdate(p attemptUpdate) error {
+	if p.head != nil && !s.answer.started() {
 		if p.end && len(p.event.raw) == 0 {
-			return s.w.whole(p.head, p.data)
+			return s.answer.complete(p.head, p.data)
 		}
-		if err := s.w.begin(p.head); err != nil {
+		if err := s.answer.writeHead(p.head); err != nil {
 			return err
 		}
 	}
 	if len(p.event.raw) == 0 {
-		return s.w.piece(p.data)
+		return s.answer.writeBody(p.data)
 	}
-	return s.passEvent(p.event)
+	return s.writeEvent(p.event)
 }
 
-// passEvent writes an event, once: a resumed stream may begin with what the
+// writeEvent writes an event, once: a resumed stream may begin with what the
 // caller has already.
-func (s *session) passEvent(ev event) error {
-	if ev.hasID && s.hasNumber {
-		if ev.number <= s.lastNumber {
+func (s *session) writeEvent(ev event) error {
+	if ev.hasNumber && s.hasEventNumber {
+		if ev.number <= s.lastEventNumber {
 			return nil
 		}
 	}
-	if err := s.w.piece(ev.raw); err != nil {
+	if err := s.answer.writeBody(ev.raw); err != nil {
 		return err
 	}
-	s.noteEvent()
-	s.unnamed = !ev.hasID
-	if ev.hasID {
-		s.lastEvent, s.lastNumber, s.hasNumber = ev.id, ev.number, true
+	s.recordEvent()
+	s.eventWithoutID = !ev.hasNumber
+	if ev.hasNumber {
+		s.lastEventID, s.lastEventNumber, s.hasEventNumber = ev.id, ev.number, true
 	}
 	return nil
 }
 
-// noteEvent takes in that the caller has one more event.
-func (s *session) noteEvent() {
+// recordEvent takes in that the caller has one more event.
+func (s *session) recordEvent() {
 	now := s.relay.clock.Now()
 	s.events++
 	if s.events == 1 {
-		s.first = s.age()
-		s.relay.stats.first(s.first)
+		s.firstEvent = s.age()
+		s.relay.stats.firstEvent(s.firstEvent)
 	} else {
-		s.pause = max(s.pause, now.Sub(s.lastEventAt))
+		s.longestPause = max(s.longestPause, now.Sub(s.lastEventAt))
 	}
 	s.lastEventAt = now
 }
 
-// done ends a request whose answer is out.
-func (s *session) done(p piece) {
+// completeAttempt ends a request whose answer is out.
+func (s *session) completeAttempt(p attemptUpdate) {
 	status := http.StatusOK
 	if p.head != nil {
 		status = p.head.StatusCode
 	}
-	s.relay.decider.tell(s.relay.life, dispatch.AttemptDoneMsg{
-		Request: s.id, Attempt: s.attempt.cmd.Attempt, Took: s.relay.clock.Now().Sub(s.sent),
+	s.relay.decider.notify(s.relay.lifetime, dispatch.AttemptDoneMsg{
+		Request: s.id, Attempt: s.attempt.cmd.Attempt, Took: s.relay.clock.Now().Sub(s.sentAt),
 		UpstreamFailed: status >= http.StatusInternalServerError,
 	})
 	s.logAnswer(status)
--- a/relay/silent_connections_test.go
+++ b/relay/silent_connections_test.go
@@ -25,26 +25,26 @@
 )
 
 const (
-	// deskWork is how long a desk takes for a request.
-	deskWork = 20 * time.Millisecond
-	// warmEach is how many requests at a time leave kept connections to a desk behind.
-	warmEach = 4
+	// deskLatency is how long a desk takes for a request.
+	deskLatency = 20 * time.Millisecond
+	// warmRequests is how many requests at a time leave kept connections to a desk behind.
+	warmRequests = 4
 )
 
-// silentSite is a relay and its plain upstreams in a network of their own.
-type silentSite struct {
-	t       *testing.T
-	network *pipenet.Network
-	relay   *relay.Relay
-	desks   int
-	asked   int
-	vm      *clocktest.VM
+// blackholeSite is a relay and its plain upstreams in a network of their own.
+type blackholeSite struct {
+	t        *testing.T
+	network  *pipenet.Network
+	relay    *relay.Relay
+	desks    int
+	requests int
+	vm       *clocktest.VM
 }
 
-// newSilentSite starts a relay and desks, in virtual time.
-func newSilentSite(t *testing.T, desks int) *silentSite {
+// newBlackholeSite starts a relay and desks, in virtual time.
+func newBlackholeSite(t *testing.T, desks int) *blackholeSite {
 	t.Helper()
-	s := &silentSite{t: t, network: pipenet.New(), desks: desks, vm: clocktest.NewVM()}
+	s := &blackholeSite{t: t, network: pipenet.New(), desks: desks, vm: clocktest.NewVM()}
 	life, end := context.WithCancel(context.Background())
 	engines := platform.NewEngines(platform.WithEngineDialer(s.network.DialContext))
 	model := dispatch.New(dispatch.WithSeed(1), dispatch.WithPolicy(dispatch.Policy{RetryWindow: 10_000, RetryShare: 0.2, RetrySlack: 200}))
@@ -74,21 +74,21 @@
 	return s
 }
 
-func (s *silentSite) startDesk(id string) {
+func (s *blackholeSite) startDesk(id string) {
 	address := id + ":80"
-	server := &http.Server{Handler: standin.NewDesk(id, address, deskWork).Handler()}
+	server := &http.Server{Handler: standin.NewPlainServer(id, address, deskLatency).Handler()}
 	listener := s.network.Listen(address)
 	go func() { _ = server.Serve(listener) }()
 	s.t.Cleanup(func() { _ = server.Close() })
-	s.relay.SetFleet([]fleet.Change{{ID: fleet.IncarnationByID(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.IncarnationByID(fleet.ID(id)), Service: standin.SiteDesk, Address: address, Slots: 6}}})
+	s.relay.UpdateFleet([]fleet.Change{{ID: fleet.IncarnationByID(fleet.ID(id)), Upstream: fleet.Upstream{ID: fleet.IncarnationByID(fleet.ID(id)), Service: standin.SitePlainService, Address: address, Slots: 6}}})
 }
 
-// ask asks for a path in the background, and hands over the status.
-func (s *silentSite) ask(method, path string) <-chan int {
-	s.asked++
+// request asks for a path in the background, and hands over the status.
+func (s *blackholeSite) request(method, path string) <-chan int {
+	s.requests++
 	req := httptest.NewRequest(method, path, nil)
 	req.Host = standin.SiteHost
-	req.Header.Set("Attempt-Id", fmt.Sprintf("a%d", s.asked))
+	req.Header.Set("Attempt-Id", fmt.Sprintf("a%d", s.requests))
 	req.Header.Set("Deadline-Remaining-Ms", "3000")
 	req.Header.Set("Authorization", "Bearer k1")
 	status := make(chan int, 1)
@@ -101,11 +101,11 @@
 }
 
 // warm leaves kept connections to the desks behind.
-func (s *silentSite) warm() {
+func (s *blackholeSite) warm() {
 	s.t.Helper()
 	var answers []<-chan int
-	for range warmEach * s.desks {
-		answers = append(answers, s.ask(http.MethodPost, "/once/a"))
+	for range warmRequests * s.desks {
+		answers = append(answers, s.request(http.MethodPost, "/once/a"))
 	}
 	for _, answer := range answers {
 		if got := <-answer; got != http.StatusOK {
@@ -119,11 +119,11 @@
 // up its upstreams or its time, although each of them would have answered on a new one.
 func TestRepeatAfterASilentConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSilentSite(t, 3)
+		s := newBlackholeSite(t, 3)
 		s.warm()
 		s.network.Blackhole()
 		began := time.Now()
-		if got := <-s.ask(http.MethodGet, "/read/a"); got != http.StatusOK {
+		if got := <-s.request(http.MethodGet, "/read/a"); got != http.StatusOK {
 			t.Errorf("got status %d, want 200", got)
 		}
 		// Four times the first guess of an answer's time, and the second upstream's.
@@ -138,13 +138,13 @@
 // that followed went out on the other silent connections and were lost as well.
 func TestOnceOnlyAfterASilentConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSilentSite(t, 1)
+		s := newBlackholeSite(t, 1)
 		s.warm()
 		s.network.Blackhole()
-		lost := s.ask(http.MethodPost, "/once/a")
+		lost := s.request(http.MethodPost, "/once/a")
 		time.Sleep(time.Second / 2)
 		for range 3 {
-			if got := <-s.ask(http.MethodPost, "/once/b"); got != http.StatusOK {
+			if got := <-s.request(http.MethodPost, "/once/b"); got != http.StatusOK {
 				t.Errorf("got status %d half a second after a request without an answer, want 200", got)
 			}
 		}
@@ -157,11 +157,11 @@
 // An upstream that is only slow keeps its connections: new ones are dear.
 func TestConnectionsOfASlowUpstreamAreKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSilentSite(t, 1)
+		s := newBlackholeSite(t, 1)
 		s.warm()
 		before := s.network.DialCount("d1:80")
 		for range 10 {
-			if got := <-s.ask(http.MethodPost, "/once/a"); got != http.StatusOK {
+			if got := <-s.request(http.MethodPost, "/once/a"); got != http.StatusOK {
 				t.Errorf("got status %d, want 200", got)
 			}
 			time.Sleep(time.Second)
--- a/relay/stats.go
+++ b/relay/stats.go
@@ -13,41 +13,41 @@
 
 // Bounds of the histograms, in ms, and their precision in digits.
 const (
-	shortest  = 1
-	longest   = 60_000
-	precision = 2
+	minRecordedMS     = 1
+	maxRecordedMS     = 60_000
+	significantDigits = 2
 )
 
 // stats are the node's counters and histograms. They are safe for concurrent
 // use.
 type stats struct {
-	counters *expvar.Map
-	mu       sync.Mutex
-	firstMS  *hdrhistogram.Histogram
-	wholeMS  *hdrhistogram.Histogram
+	counters      *expvar.Map
+	mu            sync.Mutex
+	firstEventMS  *hdrhistogram.Histogram
+	wholeAnswerMS *hdrhistogram.Histogram
 }
 
 func newStats() *stats {
 	return &stats{
-		counters: new(expvar.Map).Init(),
-		firstMS:  hdrhistogram.New(shortest, longest, precision),
-		wholeMS:  hdrhistogram.New(shortest, longest, precision),
+		counters:      new(expvar.Map).Init(),
+		firstEventMS:  hdrhistogram.New(minRecordedMS, maxRecordedMS, significantDigits),
+		wholeAnswerMS: hdrhistogram.New(minRecordedMS, maxRecordedMS, significantDigits),
 	}
 }
 
 func (s *stats) count(name string) { s.counters.Add(name, 1) }
 
-// first notes the time to a stream's first event.
-func (s *stats) first(d clock.Millis) { s.record(s.firstMS, d) }
+// firstEvent notes the time to a stream's first event.
+func (s *stats) firstEvent(d clock.Millis) { s.record(s.firstEventMS, d) }
 
-// whole notes the time to the end of an answer.
-func (s *stats) whole(d clock.Millis) { s.record(s.wholeMS, d) }
+// wholeAnswer notes the time to the end of an answer.
+func (s *stats) wholeAnswer(d clock.Millis) { s.record(s.wholeAnswerMS, d) }
 
 func (s *stats) record(h *hdrhistogram.Histogram, d clock.Millis) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	// Values are clamped into the range, so recording cannot fail.
-	_ = h.RecordValue(min(max(int64(d), shortest), longest))
+	_ = h.RecordValue(min(max(int64(d), minRecordedMS), maxRecordedMS))
 }
 
 // write prints everything as one JSON object.
@@ -64,8 +64,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all.Set("first_event_ms", quantilesOf(s.firstMS))
-	all.Set("whole_answer_ms", quantilesOf(s.wholeMS))
+	all.Set("first_event_ms", quantilesOf(s.firstEventMS))
+	all.Set("whole_answer_ms", quantilesOf(s.wholeAnswerMS))
 	_, err := fmt.Fprintf(w, "{\"hoistrelay\": %s, \"memstats\": %s}\n", all, expvar.Get("memstats"))
 	return err
 }
--- a/relay/suspended_test.go
+++ b/relay/suspended_test.go
@@ -12,15 +12,15 @@
 // suspension went out on connections that had ended without a word.
 func TestRequestsAfterASuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSilentSite(t, 1)
+		s := newBlackholeSite(t, 1)
 		s.warm()
 		s.network.Blackhole()
-		held := s.ask(http.MethodPost, "/once/a")
+		held := s.request(http.MethodPost, "/once/a")
 		time.Sleep(100 * time.Millisecond)
 		s.vm.Suspend(10 * time.Second)
-		s.relay.Wake()
+		s.relay.HandleVMResumed()
 		began := time.Now()
-		if got := <-s.ask(http.MethodPost, "/once/b"); got != http.StatusOK {
+		if got := <-s.request(http.MethodPost, "/once/b"); got != http.StatusOK {
 			t.Errorf("got status %d after the suspension, want 200", got)
 		}
 		if got := <-held; got != http.StatusGatewayTimeout {
--- a/relay/upstreams.go
+++ b/relay/upstreams.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// idleUpstream is how long a connection to an upstream is kept without
+	// idleTimeout is how long a connection to an upstream is kept without
 	// use. Upstreams close idle connections after a time of their own.
-	idleUpstream = 4 * time.Second
-	// idleEach bounds the idle connections to one upstream, which takes a
+	idleTimeout = 4 * time.Second
+	// maxIdlePerUpstream bounds the idle connections to one upstream, which takes a
 	// bounded number from all nodes together.
-	idleEach = 24
+	maxIdlePerUpstream = 24
 	// readBuffer and writeBuffer are the bytes that a connection to an
 	// upstream buffers; events are under 1 KB.
 	readBuffer  = 4 << 10
@@ -40,18 +40,18 @@
 // upstreamConns are the connections to one upstream.
 type upstreamConns struct {
 	*http.Transport
-	// single makes a connection for each attempt.
-	single *http.Transport
-	// restUntil is until when the upstream wants no request, in ms of the pool's clock, and
+	// singleUse makes a connection for each attempt.
+	singleUse *http.Transport
+	// backOffUntil is until when the upstream wants no request, in ms of the pool's clock, and
 	// leaving tells that it gets none any more.
-	restUntil atomic.Int64
-	leaving   atomic.Bool
-	// limitedAt is when a limit of the upstream has become known or has changed; zero for none.
-	limitedAt atomic.Int64
-	// unread is what it has said last that cannot be read.
-	unread atomic.Pointer[string]
-	// heard is when the last byte came on any of them, in ms of the pool's clock.
-	heard atomic.Int64
+	backOffUntil atomic.Int64
+	leaving      atomic.Bool
+	// limitChangedAt is when a limit of the upstream has become known or has changed; zero for none.
+	limitChangedAt atomic.Int64
+	// lastMalformed is what it has said last that cannot be read.
+	lastMalformed atomic.Pointer[string]
+	// lastReadAt is when the last byte came on any of them, in ms of the pool's clock.
+	lastReadAt atomic.Int64
 }
 
 func newUpstreamPool(dial dialFunc, c *clock.Clock) *upstreamPool {
@@ -66,80 +66,80 @@
 	if !ok {
 		conns = &upstreamConns{}
 		conns.Transport = &http.Transport{
-			DialContext:        guarded(p.dial, func() { conns.heard.Store(int64(p.clock.Now())) }),
-			DisableCompression: true, MaxIdleConnsPerHost: idleEach, IdleConnTimeout: idleUpstream,
+			DialContext:        guardDialer(p.dial, func() { conns.lastReadAt.Store(int64(p.clock.Now())) }),
+			DisableCompression: true, MaxIdleConnsPerHost: maxIdlePerUpstream, IdleConnTimeout: idleTimeout,
 			ReadBufferSize: readBuffer, WriteBufferSize: writeBuffer,
 		}
-		conns.single = conns.Clone()
-		conns.single.DisableKeepAlives = true
+		conns.singleUse = conns.Clone()
+		conns.singleUse.DisableKeepAlives = true
 		p.conns[id] = conns
 	}
 	return conns
 }
 
-// bar keeps requests from being written to an upstream that rests or is leaving: they may
+// block keeps requests from being written to an upstream that rests or is leaving: they may
 // have been decided before that was known, and wait for a connection.
-func (p *upstreamPool) bar(id fleet.Incarnation, word Word) {
-	if word.Rest == 0 && !word.Leaving {
+func (p *upstreamPool) block(id fleet.Incarnation, word UpstreamStatus) {
+	if word.BackOff == 0 && !word.Leaving {
 		return
 	}
 	conns := p.get(id)
 	if word.Leaving {
 		conns.leaving.Store(true)
 	}
-	until := int64(p.clock.Now().Add(word.Rest))
-	for known := conns.restUntil.Load(); known < until && !conns.restUntil.CompareAndSwap(known, until); known = conns.restUntil.Load() {
+	until := int64(p.clock.Now().Add(word.BackOff))
+	for known := conns.backOffUntil.Load(); known < until && !conns.backOffUntil.CompareAndSwap(known, until); known = conns.backOffUntil.Load() {
 	}
 }
 
-// barred tells whether no request may be written to an upstream now.
-func (p *upstreamPool) barred(conns *upstreamConns) bool {
-	return conns.leaving.Load() || int64(p.clock.Now()) < conns.restUntil.Load()
+// blocked tells whether no request may be written to an upstream now.
+func (p *upstreamPool) blocked(conns *upstreamConns) bool {
+	return conns.leaving.Load() || int64(p.clock.Now()) < conns.backOffUntil.Load()
 }
 
-// noteLimit notes that a limit of an upstream has become known, or that it has ended.
-func (p *upstreamPool) noteLimit(id fleet.Incarnation, limited bool) {
+// recordLimit notes that a limit of an upstream has become known, or that it has ended.
+func (p *upstreamPool) recordLimit(id fleet.Incarnation, limited bool) {
 	at := int64(0)
 	if limited {
 		at = max(1, int64(p.clock.Now()))
 	}
-	p.get(id).limitedAt.Store(at)
+	p.get(id).limitChangedAt.Store(at)
 }
 
-// limitEnds tells whether an answer without a limit, to a request that was sent at a time,
+// endsLimit tells whether an answer without a limit, to a request that was sent at a time,
 // may end the one that is known.
-func (u *upstreamConns) limitEnds(sent clock.Millis) bool {
-	at := u.limitedAt.Load()
+func (u *upstreamConns) endsLimit(sent clock.Millis) bool {
+	at := u.limitChangedAt.Load()
 	return at != 0 && int64(sent) > at
 }
 
-// unreadIsNews notes what cannot be read, and tells whether the upstream has not said the
+// isNewMalformed notes what cannot be read, and tells whether the upstream has not said the
 // same last.
-func (u *upstreamConns) unreadIsNews(text string) bool {
-	last := u.unread.Swap(&text)
+func (u *upstreamConns) isNewMalformed(text string) bool {
+	last := u.lastMalformed.Swap(&text)
 	return last == nil || *last != text
 }
 
-// choose returns what an attempt goes out with: a connection of its own, or one that may
+// roundTripper returns what an attempt goes out with: a connection of its own, or one that may
 // have been kept.
-func (u *upstreamConns) choose(own bool) http.RoundTripper {
+func (u *upstreamConns) roundTripper(own bool) http.RoundTripper {
 	if own {
-		return u.single
+		return u.singleUse
 	}
 	return u.Transport
 }
 
-// renewUnheard closes the idle connections to an upstream that has brought nothing
+// closeIdleIfSilent closes the idle connections to an upstream that has brought nothing
 // since a time, on any connection. Connections may go silent for good: those that are
 // kept may be as silent as the one on which an answer is missing.
-func (u *upstreamConns) renewUnheard(since clock.Millis) {
-	if clock.Millis(u.heard.Load()) <= since {
+func (u *upstreamConns) closeIdleIfSilent(since clock.Millis) {
+	if clock.Millis(u.lastReadAt.Load()) <= since {
 		u.CloseIdleConnections()
 	}
 }
 
-// drop closes the idle connections to an upstream that is gone.
-func (p *upstreamPool) drop(id fleet.Incarnation) {
+// remove closes the idle connections to an upstream that is gone.
+func (p *upstreamPool) remove(id fleet.Incarnation) {
 	p.mu.Lock()
 	conns, ok := p.conns[id]
 	delete(p.conns, id)
--- a/settings/field.go
+++ b/settings/field.go
@@ -36,14 +36,14 @@
 // Secret keeps the value out of what Print shows.
 func Secret() Option { return func(f *field) { f.secret = true } }
 
-func (f *field) shown() string {
+func (f *field) displayValue() string {
 	if f.secret && f.value != "" {
 		return "(set)"
 	}
 	return f.value
 }
 
-func (s *Set) add(section, key string, set func(string) error, opts []Option) {
+func (s *Set) addField(section, key string, set func(string) error, opts []Option) {
 	f := &field{section: section, key: key, set: set}
 	for _, opt := range opts {
 		opt(f)
@@ -53,7 +53,7 @@
 
 // String declares a text.
 func (s *Set) String(section, key string, into *string, opts ...Option) {
-	s.add(section, key, func(v string) error {
+	s.addField(section, key, func(v string) error {
 		*into = v
 		return nil
 	}, opts)
@@ -61,7 +61,7 @@
 
 // Bool declares a yes or no.
 func (s *Set) Bool(section, key string, into *bool, opts ...Option) {
-	s.add(section, key, func(v string) error {
+	s.addField(section, key, func(v string) error {
 		b, err := strconv.ParseBool(v)
 		if err != nil {
 			return errors.Newf("%q is not true or false", v)
@@ -73,7 +73,7 @@
 
 // Int declares a whole number in a range.
 func (s *Set) Int(section, key string, into *int, least, most int, opts ...Option) {
-	s.add(section, key, func(v string) error {
+	s.addField(section, key, func(v string) error {
 		n, err := strconv.Atoi(v)
 		if err != nil || n < least || n > most {
 			return errors.Newf("%q is not a whole number from %d to %d", v, least, most)
@@ -85,7 +85,7 @@
 
 // Millis declares a span of time in milliseconds.
 func (s *Set) Millis(section, key string, into *clock.Millis, opts ...Option) {
-	s.add(section, key, func(v string) error {
+	s.addField(section, key, func(v string) error {
 		n, err := strconv.ParseInt(v, 10, 64)
 		if err != nil || n < 0 {
 			return errors.Newf("%q is not a number of milliseconds", v)
@@ -98,7 +98,7 @@
 // Address declares an IP number and port, such as 127.0.0.1:8080. Port 0 asks
 // the kernel for one.
 func (s *Set) Address(section, key string, into *string, opts ...Option) {
-	s.add(section, key, func(v string) error {
+	s.addField(section, key, func(v string) error {
 		if v == "" {
 			*into = ""
 			return nil
@@ -113,7 +113,7 @@
 
 // Addresses declares a list of addresses, separated by commas.
 func (s *Set) Addresses(section, key string, into *[]string, opts ...Option) {
-	s.add(section, key, func(v string) error {
+	s.addField(section, key, func(v string) error {
 		*into = nil
 		for _, part := range strings.FieldsFunc(v, func(r rune) bool { return r == ',' || r == ' ' }) {
 			if _, err := netip.ParseAddrPort(part); err != nil {
@@ -127,7 +127,7 @@
 
 // File declares the path of a file that must be there, or nothing.
 func (s *Set) File(section, key string, into *string, opts ...Option) {
-	s.add(section, key, func(v string) error {
+	s.addField(section, key, func(v string) error {
 		if v != "" {
 			if _, err := os.Stat(v); err != nil {
 				return errors.Newf("there is no file %q; write the file first or correct the path", v)
@@ -140,7 +140,7 @@
 
 // OneOf declares a word out of a few.
 func (s *Set) OneOf(section, key string, into *string, words []string, opts ...Option) {
-	s.add(section, key, func(v string) error {
+	s.addField(section, key, func(v string) error {
 		for _, w := range words {
 			if v == w {
 				*into = v
@@ -153,7 +153,7 @@
 
 // Float declares a number in a range.
 func (s *Set) Float(section, key string, into *float64, least, most float64, opts ...Option) {
-	s.add(section, key, func(v string) error {
+	s.addField(section, key, func(v string) error {
 		n, err := strconv.ParseFloat(v, 64)
 		if err != nil || n < least || n > most {
 			return errors.Newf("%q is not a number from %g to %g", v, least, most)
--- a/settings/loader.go
+++ b/settings/loader.go
@@ -18,37 +18,37 @@
 	faults []string
 }
 
-// unknown notes sections and keys that the set does not know.
-func (l *loader) unknown(file *ini.File) {
+// checkUnknown notes sections and keys that the set does not know.
+func (l *loader) checkUnknown(file *ini.File) {
 	for _, section := range file.Sections() {
 		name := section.Name()
 		if name == ini.DefaultSection {
-			l.outside(section)
+			l.checkOutsideSections(section)
 			continue
 		}
 		if !l.set.hasSection(name) {
-			l.fault(name, "", "there is no such section; remove it or correct its name")
+			l.addFault(name, "", "there is no such section; remove it or correct its name")
 			continue
 		}
-		l.unknownKeys(section)
+		l.checkUnknownKeys(section)
 	}
 }
 
-func (l *loader) outside(section *ini.Section) {
+func (l *loader) checkOutsideSections(section *ini.Section) {
 	for _, key := range section.Keys() {
-		l.fault("", key.Name(), "stands before the first section; move it into one")
+		l.addFault("", key.Name(), "stands before the first section; move it into one")
 	}
 }
 
-func (l *loader) unknownKeys(section *ini.Section) {
+func (l *loader) checkUnknownKeys(section *ini.Section) {
 	free, isFree := l.set.maps[section.Name()]
 	for _, key := range section.Keys() {
 		if isFree {
 			free[key.Name()] = key.String()
 			continue
 		}
-		if l.set.find(section.Name(), key.Name()) == nil {
-			l.fault(section.Name(), key.Name(), "there is no such key; remove it or correct its name")
+		if l.set.findField(section.Name(), key.Name()) == nil {
+			l.addFault(section.Name(), key.Name(), "there is no such key; remove it or correct its name")
 		}
 	}
 }
@@ -60,18 +60,18 @@
 		f.value, f.origin = section.Key(f.key).String(), "file"
 	}
 	if f.value == "" && f.required {
-		l.fault(f.section, f.key, "is missing; add it")
+		l.addFault(f.section, f.key, "is missing; add it")
 		return
 	}
 	if f.value == "" && f.origin == "default" {
 		return
 	}
 	if err := f.set(f.value); err != nil {
-		l.fault(f.section, f.key, err.Error())
+		l.addFault(f.section, f.key, err.Error())
 	}
 }
 
-func (l *loader) fault(section, key, remedy string) {
+func (l *loader) addFault(section, key, remedy string) {
 	where := "[" + section + "]"
 	if key != "" {
 		where += " " + key
@@ -100,7 +100,7 @@
 	return at
 }
 
-func (l *loader) err() error {
+func (l *loader) result() error {
 	if len(l.faults) == 0 {
 		return nil
 	}
--- a/settings/set.go
+++ b/settings/set.go
@@ -43,17 +43,17 @@
 		return errors.Wrapf(ErrSettings, "%s is not INI: %v", path, err)
 	}
 	l := &loader{set: s, path: path, lines: strings.Split(string(text), "\n")}
-	l.unknown(file)
+	l.checkUnknown(file)
 	for _, f := range s.fields {
 		l.field(file, f)
 	}
-	return l.err()
+	return l.result()
 }
 
 // Print writes the settings in force, one a line, and where each came from.
 func (s *Set) Print(w io.Writer) error {
 	for _, f := range s.fields {
-		if _, err := fmt.Fprintf(w, "%s.%s = %s  (%s)\n", f.section, f.key, f.shown(), f.origin); err != nil {
+		if _, err := fmt.Fprintf(w, "%s.%s = %s  (%s)\n", f.section, f.key, f.displayValue(), f.origin); err != nil {
 			return err
 		}
 	}
@@ -76,7 +76,7 @@
 	return keys
 }
 
-func (s *Set) find(section, key string) *field {
+func (s *Set) findField(section, key string) *field {
 	for _, f := range s.fields {
 		if f.section == section && f.key == key {
 			return f
--- a/sizing/fleet.go
+++ b/sizing/fleet.go
@@ -21,20 +21,20 @@
 
 // Bounds of what a fleet file may say.
 const (
-	mostLayers  = 10_000
-	mostNumber  = 1e12
-	mostEngines = 100_000
+	maxLayers  = 10_000
+	maxNumber  = 1e12
+	maxEngines = 100_000
 )
 
 // Fleet is a model and the engines that are to hold it.
 type Fleet struct {
 	pipeline catalog.Pipeline
-	// engines counts them by data centre and kind of accelerator.
-	engines map[string]map[string]int
+	// engineCounts counts them by data centre and kind of accelerator.
+	engineCounts map[string]map[string]int
 }
 
 // New returns a fleet without engines, for Declare.
-func New() *Fleet { return &Fleet{engines: make(map[string]map[string]int)} }
+func New() *Fleet { return &Fleet{engineCounts: make(map[string]map[string]int)} }
 
 // Load reads a fleet file.
 func Load(path string) (*Fleet, error) {
@@ -53,19 +53,19 @@
 // Pipeline returns the model.
 func (f *Fleet) Pipeline() *catalog.Pipeline { return &f.pipeline }
 
-// Centres returns the names of the data centres, sorted.
-func (f *Fleet) Centres() []string { return f.centres() }
+// DataCentres returns the names of the data centres, sorted.
+func (f *Fleet) DataCentres() []string { return f.dataCentres() }
 
-// Count returns how many engines of a kind a data centre has.
-func (f *Fleet) Count(centre, kind string) int { return f.engines[centre][kind] }
+// EngineCount returns how many engines of a kind a data centre has.
+func (f *Fleet) EngineCount(centre, kind string) int { return f.engineCounts[centre][kind] }
 
 // Scaled returns a fleet with so many times as many engines of each kind in each data centre.
 func (f *Fleet) Scaled(times float64) *Fleet {
-	scaled := &Fleet{pipeline: f.pipeline, engines: make(map[string]map[string]int)}
-	for centre, kinds := range f.engines {
-		scaled.engines[centre] = make(map[string]int)
+	scaled := &Fleet{pipeline: f.pipeline, engineCounts: make(map[string]map[string]int)}
+	for centre, kinds := range f.engineCounts {
+		scaled.engineCounts[centre] = make(map[string]int)
 		for kind, n := range kinds {
-			scaled.engines[centre][kind] = int(math.Ceil(float64(n) * times))
+			scaled.engineCounts[centre][kind] = int(math.Ceil(float64(n) * times))
 		}
 	}
 	return scaled
@@ -76,26 +76,26 @@
 func (f *Fleet) Declare(set *settings.Set) (finish func() error) {
 	kinds, centres := make(map[string]string), make(map[string]string)
 	p := &f.pipeline
-	set.Int("model", "layers", &p.Layers, 1, mostLayers, settings.Required())
-	set.Float("model", "layer_mb", &p.LayerMB, 0, mostNumber, settings.Required())
-	set.Float("model", "token_bytes", &p.TokenBytes, 0, mostNumber, settings.Required())
-	set.Float("model", "step_ms", &p.StepMS, 0, mostNumber, settings.Required())
-	set.Float("model", "sequence_ms", &p.SequenceMS, 0, mostNumber, settings.WithDefault("0"))
-	set.Float("model", "context_ms", &p.ContextMS, 0, mostNumber, settings.WithDefault("0"))
-	set.Float("model", "read_tokens_in_ms", &p.ReadRate, 0, mostNumber, settings.Required())
-	set.Float("model", "read_in_pass", &p.PromptTokensPerPass, 0, mostNumber, settings.WithDefault("0"))
-	set.Float("model", "steps_in_pass", &p.StepsPerPass, 1, mostNumber, settings.WithDefault("1"))
-	set.Float("model", "load_ms", &p.LoadMS, 0, mostNumber, settings.Required())
-	set.Float("model", "prompt_tokens", &p.MeanPromptTokens, 0, mostNumber, settings.Required())
-	set.Float("model", "answer_tokens", &p.MeanAnswerTokens, 0, mostNumber, settings.Required())
+	set.Int("model", "layers", &p.Layers, 1, maxLayers, settings.Required())
+	set.Float("model", "layer_mb", &p.LayerMB, 0, maxNumber, settings.Required())
+	set.Float("model", "token_bytes", &p.TokenBytes, 0, maxNumber, settings.Required())
+	set.Float("model", "step_ms", &p.StepMS, 0, maxNumber, settings.Required())
+	set.Float("model", "sequence_ms", &p.SequenceMS, 0, maxNumber, settings.WithDefault("0"))
+	set.Float("model", "context_ms", &p.ContextMS, 0, maxNumber, settings.WithDefault("0"))
+	set.Float("model", "read_tokens_in_ms", &p.ReadRate, 0, maxNumber, settings.Required())
+	set.Float("model", "read_in_pass", &p.PromptTokensPerPass, 0, maxNumber, settings.WithDefault("0"))
+	set.Float("model", "steps_in_pass", &p.StepsPerPass, 1, maxNumber, settings.WithDefault("1"))
+	set.Float("model", "load_ms", &p.LoadMS, 0, maxNumber, settings.Required())
+	set.Float("model", "prompt_tokens", &p.MeanPromptTokens, 0, maxNumber, settings.Required())
+	set.Float("model", "answer_tokens", &p.MeanAnswerTokens, 0, maxNumber, settings.Required())
 	set.Map("accelerators", kinds)
 	set.Map("engines", centres)
-	return func() error { return errors.CombineErrors(f.readKinds(kinds), f.readEngines(centres)) }
+	return func() error { return errors.CombineErrors(f.parseAccelerators(kinds), f.parseEngines(centres)) }
 }
 
-// readKinds reads lines like "large = 72000 2.4 3.2": the memory in MB, and the
+// parseAccelerators reads lines like "large = 72000 2.4 3.2": the memory in MB, and the
 // factors on the time of a step and of reading.
-func (f *Fleet) readKinds(kinds map[string]string) error {
+func (f *Fleet) parseAccelerators(kinds map[string]string) error {
 	f.pipeline.Accelerators = make(map[string]catalog.Accelerator)
 	for name, text := range kinds {
 		a := catalog.Accelerator{Name: name}
@@ -107,31 +107,31 @@
 	return nil
 }
 
-// readEngines reads lines like "north = large:2 small:4".
-func (f *Fleet) readEngines(centres map[string]string) error {
+// parseEngines reads lines like "north = large:2 small:4".
+func (f *Fleet) parseEngines(centres map[string]string) error {
 	for centre, text := range centres {
-		f.engines[centre] = make(map[string]int)
+		f.engineCounts[centre] = make(map[string]int)
 		for _, word := range strings.Fields(text) {
 			kind, number, _ := strings.Cut(word, ":")
 			n, err := strconv.Atoi(number)
-			if _, known := f.pipeline.Accelerators[kind]; !known || err != nil || n < 0 || n > mostEngines {
+			if _, known := f.pipeline.Accelerators[kind]; !known || err != nil || n < 0 || n > maxEngines {
 				return errors.Wrapf(ErrFleet, "[engines] %s: %q: write a kind from [accelerators] and a number, as in large:2", centre, word)
 			}
-			f.engines[centre][kind] += n
+			f.engineCounts[centre][kind] += n
 		}
 	}
-	if len(f.engines) == 0 {
+	if len(f.engineCounts) == 0 {
 		return errors.Wrap(ErrFleet, "[engines] names no data centre; add one, as in north = large:2")
 	}
 	return nil
 }
 
-// list returns the engines of a data centre, with some more of a kind; extra may be
+// engineList returns the engines of a data centre, with some more of a kind; extra may be
 // empty.
-func (f *Fleet) list(centre, extra string) []placement.Engine {
+func (f *Fleet) engineList(centre, extra string) []placement.Engine {
 	var list []placement.Engine
-	for _, kind := range f.kinds() {
-		n := f.engines[centre][kind]
+	for _, kind := range f.acceleratorKinds() {
+		n := f.engineCounts[centre][kind]
 		if kind == extra {
 			n++
 		}
@@ -139,7 +139,7 @@
 		for i := range n {
 			list = append(list, placement.Engine{
 				ID: fleet.IncarnationByID(fleet.ID(fmt.Sprintf("%s-%s-%d", centre, kind, i+1))), DataCentre: centre,
-				MaxLayers: f.pipeline.MaxLayers(a), MemoryLayers: f.pipeline.MemoryInLayers(a),
+				LayerCapacity: f.pipeline.MaxLayers(a), MemoryLayers: f.pipeline.MemoryInLayers(a),
 				LayerTime: f.pipeline.StepTime(a, 1), ReadTime: f.pipeline.ReadTime(a, 1),
 			})
 		}
@@ -147,13 +147,13 @@
 	return list
 }
 
-// kinds returns the names of the accelerators, sorted.
-func (f *Fleet) kinds() []string { return sorted(f.pipeline.Accelerators) }
+// acceleratorKinds returns the names of the accelerators, sorted.
+func (f *Fleet) acceleratorKinds() []string { return sortedKeys(f.pipeline.Accelerators) }
 
-// centres returns the names of the data centres, sorted.
-func (f *Fleet) centres() []string { return sorted(f.engines) }
+// dataCentres returns the names of the data centres, sorted.
+func (f *Fleet) dataCentres() []string { return sortedKeys(f.engineCounts) }
 
-func sorted[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	names := make([]string, 0, len(m))
 	for name := range m {
 		names = append(names, name)
