--- a/sizing/report.go
+++ b/sizing/report.go
@@ -11,32 +11,32 @@
 // Report prints what the fleet bears, what the worst loss costs, and what one more
 // engine of each kind brings.
 func (f *Fleet) Report(out io.Writer) error {
-	if err := f.reportBorne(out); err != nil {
+	if err := f.reportCapacity(out); err != nil {
 		return err
 	}
-	if err := f.reportLoss(out); err != nil {
+	if err := f.reportWorstCrash(out); err != nil {
 		return err
 	}
-	return f.reportMore(out)
+	return f.reportExtraEngine(out)
 }
 
-// outlook returns a data centre's outlook, with one more engine of a kind; extra may
+// forecast returns a data centre's outlook, with one more engine of a kind; extra may
 // be empty.
-func (f *Fleet) outlook(centre, extra string) placement.Forecast {
-	list := placement.Forecasts(placement.ShapeOf(&f.pipeline), f.list(centre, extra))
+func (f *Fleet) forecast(centre, extra string) placement.Forecast {
+	list := placement.Forecasts(placement.ShapeOf(&f.pipeline), f.engineList(centre, extra))
 	if len(list) == 0 {
 		return placement.Forecast{DataCentre: centre, Missing: f.pipeline.Layers}
 	}
 	return list[0]
 }
 
-func (f *Fleet) reportBorne(out io.Writer) error {
+func (f *Fleet) reportCapacity(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if _, err := fmt.Fprintln(w, "data centre\tengines\trequests/s\tat once\tlasting"); err != nil {
 		return err
 	}
-	for _, centre := range f.centres() {
-		o := f.outlook(centre, "")
+	for _, centre := range f.dataCentres() {
+		o := f.forecast(centre, "")
 		var err error
 		if o.Missing > 0 {
 			_, err = fmt.Fprintf(w, "%s\t%d\tnone: %d layers fit nowhere\t\t\n", centre, o.Engines, o.Missing)
@@ -50,13 +50,13 @@
 	return w.Flush()
 }
 
-func (f *Fleet) reportLoss(out io.Writer) error {
+func (f *Fleet) reportWorstCrash(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if _, err := fmt.Fprintln(w, "\nworst loss in\tengine\tlayers that nobody else holds\tleft meanwhile\treplaced in"); err != nil {
 		return err
 	}
-	for _, centre := range f.centres() {
-		o := f.outlook(centre, "")
+	for _, centre := range f.dataCentres() {
+		o := f.forecast(centre, "")
 		if o.WorstCrash.IsZero() {
 			continue
 		}
@@ -69,13 +69,13 @@
 
 const percent = 100
 
-func (f *Fleet) reportMore(out io.Writer) error {
+func (f *Fleet) reportExtraEngine(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if _, err := fmt.Fprintln(w, "\none more\tdata centre\trequests/s\tgain"); err != nil {
 		return err
 	}
-	for _, kind := range f.kinds() {
-		centre, before, after := f.bestPlace(kind)
+	for _, kind := range f.acceleratorKinds() {
+		centre, before, after := f.bestDataCentre(kind)
 		if _, err := fmt.Fprintf(w, "%s\t%s\t%.1f\t%+.1f\n", kind, centre, after, after-before); err != nil {
 			return err
 		}
@@ -83,11 +83,11 @@
 	return w.Flush()
 }
 
-// bestPlace returns the data centre that gains most by one more engine of a kind, and
+// bestDataCentre returns the data centre that gains most by one more engine of a kind, and
 // what it bears without and with it.
-func (f *Fleet) bestPlace(kind string) (centre string, before, after float64) {
-	for _, c := range f.centres() {
-		without, with := f.outlook(c, "").Rate, f.outlook(c, kind).Rate
+func (f *Fleet) bestDataCentre(kind string) (centre string, before, after float64) {
+	for _, c := range f.dataCentres() {
+		without, with := f.forecast(c, "").Rate, f.forecast(c, kind).Rate
 		if centre == "" || with-without > after-before {
 			centre, before, after = c, without, with
 		}
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -14,82 +14,82 @@
 	"github.com/hoistjunction/hoistjunction/standin"
 )
 
-// try is what a caller knows of one of its requests.
-type try struct {
+// attempt is what a caller knows of one of its requests.
+type attempt struct {
 	id     string
 	method string
 	path   string
 	key    string
-	sent   time.Time
+	sentAt time.Time
 	status int
-	// whole tells that the answer ended as a whole one does.
-	whole bool
-	body  string
-	// back is when a refused caller was told to come back.
-	back time.Duration
+	// complete tells that the answer ended as a whole one does.
+	complete bool
+	body     string
+	// retryAfter is when a refused caller was told to come back.
+	retryAfter time.Duration
 }
 
-// patience is how long a caller waits for an answer, in ms.
-const patience = 8000
+// callerTimeoutMS is how long a caller waits for an answer, in ms.
+const callerTimeoutMS = 8000
 
 // callers send requests to the nodes and write down what they get.
 type callers struct {
-	world *world
-	mu    sync.Mutex
-	tries []try
-	// nodes are those that tries were sent to, by the names of the tries.
-	nodes map[string]string
-	// second is the key that comes and goes.
-	second string
+	cluster  *cluster
+	mu       sync.Mutex
+	attempts []attempt
+	// nodeByAttempt are those that tries were sent to, by the names of the tries.
+	nodeByAttempt map[string]string
+	// revocableKey is the key that comes and goes.
+	revocableKey string
 }
 
-// run sends requests as one caller, over a connection that it keeps until it
+// sendUntilDone sends requests as one caller, over a connection that it keeps until it
 // breaks, until the context ends.
-func (c *callers) run(ctx context.Context, number int, random *rand.Rand) {
+func (c *callers) sendUntilDone(ctx context.Context, number int, random *rand.Rand) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 1}
 	defer transport.CloseIdleConnections()
-	node := random.IntN(len(c.world.nodes))
+	node := random.IntN(len(c.cluster.nodes))
 	for i := 0; ctx.Err() == nil; i++ {
-		t := c.ask(ctx, transport, node, fmt.Sprintf("c%d-%d", number, i), random)
+		t := c.sendRandom(ctx, transport, node, fmt.Sprintf("c%d-%d", number, i), random)
 		c.mu.Lock()
-		c.tries = append(c.tries, t)
+		c.attempts = append(c.attempts, t)
 		c.mu.Unlock()
 		if t.status == 0 {
-			node = random.IntN(len(c.world.nodes))
+			node = random.IntN(len(c.cluster.nodes))
 		}
-		sleep(ctx, t.back+time.Duration(5+random.IntN(40))*time.Millisecond)
+		sleep(ctx, t.retryAfter+time.Duration(5+random.IntN(40))*time.Millisecond)
 	}
 }
 
-func (c *callers) ask(ctx context.Context, transport http.RoundTripper, node int, id string, random *rand.Rand) try {
-	t := try{id: id, key: keptKey, method: http.MethodPost, path: pathFor(id, random)}
+func (c *callers) sendRandom(ctx context.Context, transport http.RoundTripper, node int, id string, random *rand.Rand) attempt {
+	t := attempt{id: id, key: permanentKey, method: http.MethodPost, path: randomPath(id, random)}
 	if random.IntN(2) == 0 && !strings.HasPrefix(t.path, "/write/") {
 		// Without a body: HTTP libraries repeat such requests by themselves.
 		t.method = http.MethodGet
 	}
 	if random.IntN(3) == 0 {
-		t.key = c.second
+		t.key = c.revocableKey
 	}
-	return c.askPath(ctx, transport, node, t)
+	return c.send(ctx, transport, node, t)
 }
 
-// askPath sends one request and writes down what comes back.
-func (c *callers) askPath(ctx context.Context, transport http.RoundTripper, node int, t try) try {
-	ctx, cancel := context.WithTimeout(ctx, patience*time.Millisecond)
+// send sends one request and writes down what comes back.
+func (c *callers) send(ctx context.Context, transport http.RoundTripper, node int, t attempt) attempt {
+	ctx, cancel := context.WithTimeout(ctx, callerTimeoutMS*time.Millisecond)
 	defer cancel()
 	var body io.Reader
 	if t.method == http.MethodPost {
 		body = strings.NewReader("x")
 	}
-	req, err := http.NewRequestWithContext(ctx, t.method, "http://"+c.world.nodes[node].Address()+t.path, body)
+	req, err := http.NewRequestWithContext(ctx, t.method, "http://"+c.cluster.nodes[node].Address()+t.path, body)
 	if err != nil {
 		return t
 	}
 	req.GetBody = nil
 	req.Host = standin.SiteHost
-	req.Header = standin.CallerHeader(t.id, t.key, patience)
-	c.noteNode(t.id, node)
-	t.sent = time.Now()
+	req.Header = standin.ClientHeader(t.id, t.key, callerTimeoutMS)
+	c.recordNode(t.id, node)
+	t.sentAt = time.Now()
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
 		return t
@@ -97,30 +97,30 @@
 	defer func() { _ = resp.Body.Close() }()
 	t.status = resp.StatusCode
 	answer, err := io.ReadAll(resp.Body)
-	t.body, t.whole = string(answer), err == nil
+	t.body, t.complete = string(answer), err == nil
 	if seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
-		t.back = min(time.Duration(seconds*float64(time.Second)), patience*time.Millisecond)
+		t.retryAfter = min(time.Duration(seconds*float64(time.Second)), callerTimeoutMS*time.Millisecond)
 	}
 	return t
 }
 
-func (c *callers) noteNode(id string, node int) {
+func (c *callers) recordNode(id string, node int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.nodes == nil {
-		c.nodes = make(map[string]string)
+	if c.nodeByAttempt == nil {
+		c.nodeByAttempt = make(map[string]string)
 	}
-	c.nodes[id] = c.world.nodes[node].Name()
+	c.nodeByAttempt[id] = c.cluster.nodes[node].Name()
 }
 
 // nodeOf names the node that a try was sent to; empty for none.
 func (c *callers) nodeOf(id string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.nodes[id]
+	return c.nodeByAttempt[id]
 }
 
-func pathFor(id string, random *rand.Rand) string {
+func randomPath(id string, random *rand.Rand) string {
 	switch random.IntN(3) {
 	case 0:
 		return "/once/" + id
@@ -131,9 +131,9 @@
 	}
 }
 
-// taken returns what the callers have written down.
-func (c *callers) taken() []try {
+// recorded returns what the callers have written down.
+func (c *callers) recorded() []attempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]try(nil), c.tries...)
+	return append([]attempt(nil), c.attempts...)
 }
--- a/soak/deadly.go
+++ b/soak/deadly.go
@@ -11,59 +11,59 @@
 )
 
 const (
-	// deadlyLasts is for how long a deadly request comes again and again, deadlyPause
-	// bounds the pause between two of its tries, and betweenDeadly that between two such
+	// deadlyDuration is for how long a deadly request comes again and again, maxDeadlyRetryPause
+	// bounds the pause between two of its tries, and maxDeadlyPause that between two such
 	// requests.
-	deadlyLasts   = 8 * time.Second
-	deadlyPause   = 300 * time.Millisecond
-	betweenDeadly = 2 * time.Second
-	// lookForCrashed is how often upstreams are looked for that have ended, and downFor
+	deadlyDuration      = 8 * time.Second
+	maxDeadlyRetryPause = 300 * time.Millisecond
+	maxDeadlyPause      = 2 * time.Second
+	// crashCheckInterval is how often upstreams are looked for that have ended, and crashDowntime
 	// how long they stay down.
-	lookForCrashed = 300 * time.Millisecond
-	downFor        = time.Second
+	crashCheckInterval = 300 * time.Millisecond
+	crashDowntime      = time.Second
 )
 
 // deadlySeries sends requests that end each upstream which begins to run them, the same one
 // again and again at any node, as its caller's repeats come.
-func (s *soak) deadlySeries(ctx context.Context, random *rand.Rand) {
+func (s *runner) deadlySeries(ctx context.Context, random *rand.Rand) {
 	for n := 0; ctx.Err() == nil; n++ {
-		sleep(ctx, time.Duration(random.Int64N(int64(betweenDeadly))))
-		path := fmt.Sprintf("/write/%s-%d", standin.DeadlyPath, n)
-		until := time.Now().Add(deadlyLasts)
+		sleep(ctx, time.Duration(random.Int64N(int64(maxDeadlyPause))))
+		path := fmt.Sprintf("/write/%s-%d", standin.CrashPath, n)
+		until := time.Now().Add(deadlyDuration)
 		for i := 0; ctx.Err() == nil && time.Now().Before(until); i++ {
-			node, id := random.IntN(len(s.world.nodes)), fmt.Sprintf("deadly-%d-%d", n, i)
-			go s.tryDeadly(ctx, node, try{id: id, key: keptKey, method: http.MethodPost, path: path})
-			sleep(ctx, time.Duration(random.Int64N(int64(deadlyPause))))
+			node, id := random.IntN(len(s.cluster.nodes)), fmt.Sprintf("deadly-%d-%d", n, i)
+			go s.sendDeadly(ctx, node, attempt{id: id, key: permanentKey, method: http.MethodPost, path: path})
+			sleep(ctx, time.Duration(random.Int64N(int64(maxDeadlyRetryPause))))
 		}
-		s.note(fmt.Sprintf("%s, upstreams ended so far %d", path, s.world.ends.count()), deadlyLasts, nil)
+		s.logFault(fmt.Sprintf("%s, upstreams ended so far %d", path, s.cluster.crashes.count()), deadlyDuration, nil)
 	}
 }
 
-func (s *soak) tryDeadly(ctx context.Context, node int, t try) {
+func (s *runner) sendDeadly(ctx context.Context, node int, t attempt) {
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	// What becomes of it is nothing that its caller is promised.
-	_ = s.callers.askPath(ctx, transport, node, t)
+	_ = s.callers.send(ctx, transport, node, t)
 }
 
-// restartCrashed starts engines again that a request has ended.
-func (s *soak) restartCrashed(ctx context.Context) {
+// restartCrashedLoop starts engines again that a request has ended.
+func (s *runner) restartCrashedLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		sleep(ctx, lookForCrashed)
+		sleep(ctx, crashCheckInterval)
 		if s.anyCrashed() {
-			sleep(ctx, downFor)
-			s.startCrashed()
+			sleep(ctx, crashDowntime)
+			s.restartCrashed()
 		}
 	}
 }
 
-func (s *soak) anyCrashed() bool {
-	for i := range s.world.engines {
-		if !s.world.engineBusy[i].TryLock() {
+func (s *runner) anyCrashed() bool {
+	for i := range s.cluster.engines {
+		if !s.cluster.engineMu[i].TryLock() {
 			continue
 		}
-		crashed := s.world.engines[i].Crashed()
-		s.world.engineBusy[i].Unlock()
+		crashed := s.cluster.engines[i].Crashed()
+		s.cluster.engineMu[i].Unlock()
 		if crashed {
 			return true
 		}
@@ -71,13 +71,13 @@
 	return false
 }
 
-func (s *soak) startCrashed() {
-	for i := range s.world.engines {
-		s.world.engineBusy[i].Lock()
-		if s.world.engines[i].Crashed() {
-			s.note(fmt.Sprintf("engine-%d again", i), 0, s.world.startEngine(i))
+func (s *runner) restartCrashed() {
+	for i := range s.cluster.engines {
+		s.cluster.engineMu[i].Lock()
+		if s.cluster.engines[i].Crashed() {
+			s.logFault(fmt.Sprintf("engine-%d again", i), 0, s.cluster.startEngine(i))
 		}
-		s.world.engineBusy[i].Unlock()
+		s.cluster.engineMu[i].Unlock()
 	}
 }
 
--- a/soak/ends.go
+++ b/soak/ends.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// firstEnds is how many upstreams a request may end before the promise counts, and
-	// inTouch how long after that nodes may need to know of it.
-	firstEnds = 3
-	inTouch   = 3 * time.Second
-	// moreEnds is how many it may end after that.
-	moreEnds = 3
+	// crashesBeforeBound is how many upstreams a request may end before the promise counts, and
+	// propagationTime how long after that nodes may need to know of it.
+	crashesBeforeBound = 3
+	propagationTime    = 3 * time.Second
+	// maxLateCrashes is how many it may end after that.
+	maxLateCrashes = 3
 )
 
-// ends are the upstreams that requests have ended. They are safe for concurrent use.
-type ends struct {
+// crashes are the upstreams that requests have ended. They are safe for concurrent use.
+type crashes struct {
 	mu     sync.Mutex
 	byPath map[string][]time.Time
 }
 
-// note notes that a request has ended an upstream.
-func (e *ends) note(path string) {
+// record notes that a request has ended an upstream.
+func (e *crashes) record(path string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.byPath == nil {
@@ -35,18 +35,18 @@
 
 // check returns the requests that have ended too many. A node that was paused, suspended or
 // killed may not know of one yet, and send it once more.
-func (e *ends) check(nodes int) []string {
+func (e *crashes) check(nodes int) []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var broken []string
 	for _, path := range slices.Sorted(maps.Keys(e.byPath)) {
 		late := 0
 		for i, at := range e.byPath[path] {
-			if i >= firstEnds && at.After(e.byPath[path][firstEnds-1].Add(inTouch)) {
+			if i >= crashesBeforeBound && at.After(e.byPath[path][crashesBeforeBound-1].Add(propagationTime)) {
 				late++
 			}
 		}
-		if late > moreEnds+nodes {
+		if late > maxLateCrashes+nodes {
 			broken = append(broken, fmt.Sprintf("%s has ended %d upstreams, %d of them late", path, len(e.byPath[path]), late))
 		}
 	}
@@ -54,7 +54,7 @@
 }
 
 // count is how many upstreams requests have ended.
-func (e *ends) count() int {
+func (e *crashes) count() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n := 0
--- a/soak/leave.go
+++ b/soak/leave.go
@@ -22,76 +22,76 @@
 // Times of the stage in which upstreams leave after the connections to the store have
 // gone silent.
 const (
-	// leavingWithin is how long after the store has taken that an upstream leaves it
+	// leavingBound is how long after the store has taken that an upstream leaves it
 	// may still get requests; the nodes' settings say the same.
-	leavingWithin = 2 * time.Second
-	// settledAfter is how long after the last disturbance the promise holds again.
-	settledAfter = 3 * time.Second
-	// lateSlack is what a busy machine may add. A wait that outlasts the promise does
+	leavingBound = 2 * time.Second
+	// settleTime is how long after the last disturbance the promise holds again.
+	settleTime = 3 * time.Second
+	// schedulingSlack is what a busy machine may add. A wait that outlasts the promise does
 	// so by several seconds.
-	lateSlack = 1500 * time.Millisecond
-	// watched is how long after the promise holds requests that come too late are
+	schedulingSlack = 1500 * time.Millisecond
+	// lateWatchTime is how long after the promise holds requests that come too late are
 	// looked for.
-	watched = 3 * time.Second
-	// longestMutePause bounds the time between two silences, and between the last one
+	lateWatchTime = 3 * time.Second
+	// maxMutePause bounds the time between two silences, and between the last one
 	// and the leaving.
-	longestMutePause = 1500 * time.Millisecond
-	// lookAtStore is how often the store is asked whether it has taken an entry.
-	lookAtStore = 20 * time.Millisecond
+	maxMutePause = 1500 * time.Millisecond
+	// storePollInterval is how often the store is asked whether it has taken an entry.
+	storePollInterval = 20 * time.Millisecond
 )
 
-// leaver is an upstream that leaves.
-type leaver struct {
-	name    string
-	process *process.Process
-	// bound is when the last request may have reached it.
-	bound time.Time
+// leavingUpstream is an upstream that leaves.
+type leavingUpstream struct {
+	idPrefix string
+	process  *process.Process
+	// deadline is when the last request may have reached it.
+	deadline time.Time
 }
 
-// leave has the open connections between the nodes and the store go silent for good,
+// testLeaving has the open connections between the nodes and the store go silent for good,
 // once or twice, and upstreams leave soon after. What a node knows of the list must not
 // stand still for longer than the promise allows.
-func (s *soak) leave(random *rand.Rand) error {
+func (s *runner) testLeaving(random *rand.Rand) error {
 	var silent time.Time
 	for range 1 + random.IntN(2) {
-		for _, link := range s.world.storeLink {
+		for _, link := range s.cluster.storeProxies {
 			link.mute()
 		}
 		silent = time.Now()
-		time.Sleep(time.Duration(random.Int64N(int64(longestMutePause))))
+		time.Sleep(time.Duration(random.Int64N(int64(maxMutePause))))
 	}
-	s.note("connections to the store silent for good", 0, nil)
-	leavers, err := s.leavers(random)
+	s.logFault("connections to the store silent for good", 0, nil)
+	leavers, err := s.pickLeaving(random)
 	if err != nil {
 		return err
 	}
 	for i := range leavers {
-		if err := s.depart(&leavers[i], silent); err != nil {
+		if err := s.announceLeaving(&leavers[i], silent); err != nil {
 			return err
 		}
 	}
-	time.Sleep(time.Until(leavers[len(leavers)-1].bound.Add(watched)))
-	return s.checkLeavers(leavers)
+	time.Sleep(time.Until(leavers[len(leavers)-1].deadline.Add(lateWatchTime)))
+	return s.checkLateRequests(leavers)
 }
 
-// leavers are the desk and an engine. Another desk takes the place of the first.
-func (s *soak) leavers(random *rand.Rand) ([]leaver, error) {
-	desk := s.world.desks[len(s.world.desks)-1]
-	if err := s.world.startDesk("desk-2"); err != nil {
+// pickLeaving are the desk and an engine. Another desk takes the place of the first.
+func (s *runner) pickLeaving(random *rand.Rand) ([]leavingUpstream, error) {
+	desk := s.cluster.plainServices[len(s.cluster.plainServices)-1]
+	if err := s.cluster.startPlainService("desk-2"); err != nil {
 		return nil, err
 	}
-	engine := random.IntN(len(s.world.engines))
+	engine := random.IntN(len(s.cluster.engines))
 	id := fmt.Sprintf("engine-%d-", engine)
-	return []leaver{{name: "desk-1", process: desk}, {name: id, process: s.world.engines[engine]}}, nil
+	return []leavingUpstream{{idPrefix: "desk-1", process: desk}, {idPrefix: id, process: s.cluster.engines[engine]}}, nil
 }
 
-// depart has an upstream leave, and waits until the store has taken that.
-func (s *soak) depart(l *leaver, silent time.Time) error {
-	if err := post("http://"+l.process.Address()+"/leave", nil); err != nil {
+// announceLeaving has an upstream leave, and waits until the store has taken that.
+func (s *runner) announceLeaving(l *leavingUpstream, silent time.Time) error {
+	if err := postJSON("http://"+l.process.Address()+"/leave", nil); err != nil {
 		return err
 	}
-	for until := time.Now().Add(recovery); ; time.Sleep(lookAtStore) {
-		taken, err := s.world.listedLeaving(l.name)
+	for until := time.Now().Add(recoveryTime); ; time.Sleep(storePollInterval) {
+		taken, err := s.cluster.listedLeaving(l.idPrefix)
 		if err != nil {
 			return err
 		}
@@ -99,26 +99,26 @@
 			break
 		}
 		if time.Now().After(until) {
-			return errors.Newf("soak: the store does not show that %s leaves", l.name)
+			return errors.Newf("soak: the store does not show that %s leaves", l.idPrefix)
 		}
 	}
-	bound := time.Now().Add(leavingWithin)
-	if settled := silent.Add(settledAfter); settled.After(bound) {
+	bound := time.Now().Add(leavingBound)
+	if settled := silent.Add(settleTime); settled.After(bound) {
 		bound = settled
 	}
-	l.bound = bound.Add(lateSlack)
-	s.note(l.name+" leaves", 0, nil)
+	l.deadline = bound.Add(schedulingSlack)
+	s.logFault(l.idPrefix+" leaves", 0, nil)
 	return nil
 }
 
-func (s *soak) checkLeavers(leavers []leaver) error {
+func (s *runner) checkLateRequests(leavers []leavingUpstream) error {
 	for _, l := range leavers {
 		last, err := lastArrival(l.process)
 		if err != nil {
 			return err
 		}
-		if last.After(l.bound) {
-			return errors.Wrapf(ErrBroken, "a request reached %s %v after it may have", l.name, last.Sub(l.bound))
+		if last.After(l.deadline) {
+			return errors.Wrapf(ErrPromiseBroken, "a request reached %s %v after it may have", l.idPrefix, last.Sub(l.deadline))
 		}
 	}
 	return nil
@@ -126,21 +126,21 @@
 
 // lastArrival asks a stand-in when a request has reached it last.
 func lastArrival(p *process.Process) (time.Time, error) {
-	resp, err := calls.Get("http://" + p.Address() + "/arrival")
+	resp, err := httpClient.Get("http://" + p.Address() + "/arrival")
 	if err != nil {
 		return time.Time{}, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	var arrival standin.Arrival
+	var arrival standin.LastRequest
 	if err := json.NewDecoder(resp.Body).Decode(&arrival); err != nil {
 		return time.Time{}, err
 	}
-	return time.UnixMilli(arrival.LastMS), nil
+	return time.UnixMilli(arrival.AtMS), nil
 }
 
 // listedLeaving tells whether the store shows that a server leaves whose id begins with
 // a text.
-func (w *world) listedLeaving(id string) (bool, error) {
+func (w *cluster) listedLeaving(id string) (bool, error) {
 	store := platform.NewStore(w.store.Address(), zap.NewNop())
 	defer store.Close()
 	reading, err := store.ReadUpstreams(context.Background())
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -32,11 +32,11 @@
 // String names the mode for the log.
 func (m Mode) String() string { return modeNames[m] }
 
-// delayBy is how late a Delay passes bytes on.
-const delayBy = 120 * time.Millisecond
+// proxyDelay is how late a Delay passes bytes on.
+const proxyDelay = 120 * time.Millisecond
 
-// holdCheck is how often held bytes look whether they may pass.
-const holdCheck = 10 * time.Millisecond
+// holdPollInterval is how often held bytes look whether they may pass.
+const holdPollInterval = 10 * time.Millisecond
 
 // proxy stands between two processes on loopback.
 type proxy struct {
@@ -44,7 +44,7 @@
 	mode     atomic.Int32
 	mu       sync.Mutex
 	target   string
-	open     map[net.Conn]bool
+	conns    map[net.Conn]bool
 	// muted is closed when the connections that are open now go silent for good.
 	muted chan struct{}
 }
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: l, open: make(map[net.Conn]bool), muted: make(chan struct{})}
+	p := &proxy{listener: l, conns: make(map[net.Conn]bool), muted: make(chan struct{})}
 	go p.accept()
 	return p, nil
 }
@@ -76,7 +76,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.open {
+	for c := range p.conns {
 		reset(c)
 	}
 }
@@ -123,9 +123,9 @@
 	p.track(server, true)
 	// Each pump says when it has ended, and whether it is the one back to the caller.
 	ended := make(chan bool, 2)
-	go func() { p.pump(server, caller, false, muted); ended <- false }()
-	go func() { p.pump(caller, server, true, muted); ended <- true }()
-	for back := <-ended; back && closed(muted); back = <-ended {
+	go func() { p.forward(server, caller, false, muted); ended <- false }()
+	go func() { p.forward(caller, server, true, muted); ended <- true }()
+	for back := <-ended; back && isClosed(muted); back = <-ended {
 		// The caller of a muted connection is not told that the server has ended it.
 	}
 	p.track(caller, false)
@@ -134,7 +134,7 @@
 	_ = server.Close()
 }
 
-func closed(c <-chan struct{}) bool {
+func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
 		return true
@@ -147,32 +147,32 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if open {
-		p.open[c] = true
+		p.conns[c] = true
 		return
 	}
-	delete(p.open, c)
+	delete(p.conns, c)
 }
 
-// pump passes bytes one way, until the connection is muted. Back tells that they go to
+// forward passes bytes one way, until the connection is muted. Back tells that they go to
 // the caller.
-func (p *proxy) pump(to, from net.Conn, back bool, muted <-chan struct{}) {
+func (p *proxy) forward(to, from net.Conn, back bool, muted <-chan struct{}) {
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
-		if closed(muted) {
+		if isClosed(muted) {
 			if err != nil {
 				return
 			}
 			continue
 		}
 		if n > 0 {
-			p.hold(back)
+			p.awaitPass(back)
 			if _, werr := to.Write(buffer[:n]); werr != nil {
 				return
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			p.hold(back)
+			p.awaitPass(back)
 			if tcp, ok := to.(*net.TCPConn); ok {
 				_ = tcp.CloseWrite()
 			}
@@ -185,14 +185,14 @@
 	}
 }
 
-// hold waits until bytes may pass.
-func (p *proxy) hold(back bool) {
+// awaitPass waits until bytes may pass.
+func (p *proxy) awaitPass(back bool) {
 	for {
 		switch Mode(p.mode.Load()) {
 		case Pass, Reset:
 			return
 		case Delay:
-			time.Sleep(delayBy)
+			time.Sleep(proxyDelay)
 			return
 		case OneWay:
 			if !back {
@@ -200,7 +200,7 @@
 			}
 		case Silence:
 		}
-		time.Sleep(holdCheck)
+		time.Sleep(holdPollInterval)
 	}
 }
 
--- a/soak/served.go
+++ b/soak/served.go
@@ -10,73 +10,73 @@
 )
 
 const (
-	// calmAfter is after how long without harm all must be well again: the recovery time of the
-	// users' deployments. calmFor is for how long that is looked at.
-	calmAfter = 12 * time.Second
-	calmFor   = 3 * time.Second
+	// calmDelay is after how long without harm all must be well again: the recovery time of the
+	// users' deployments. calmDuration is for how long that is looked at.
+	calmDelay    = 12 * time.Second
+	calmDuration = 3 * time.Second
 )
 
-// share counts tries, and when the first and the last were sent.
-type share struct {
-	asked, served int
-	first, last   time.Time
+// tally counts tries, and when the first and the last were sent.
+type tally struct {
+	sent, served        int
+	firstSent, lastSent time.Time
 }
 
-func (s *share) add(t try) {
-	if s.asked == 0 || t.sent.Before(s.first) {
-		s.first = t.sent
+func (s *tally) add(t attempt) {
+	if s.sent == 0 || t.sentAt.Before(s.firstSent) {
+		s.firstSent = t.sentAt
 	}
-	if t.sent.After(s.last) {
-		s.last = t.sent
+	if t.sentAt.After(s.lastSent) {
+		s.lastSent = t.sentAt
 	}
-	s.asked++
-	if t.status == http.StatusOK && t.whole {
+	s.sent++
+	if t.status == http.StatusOK && t.complete {
 		s.served++
 	}
 }
 
-func (s *share) part() float64 {
-	if s.asked == 0 {
+func (s *tally) servedShare() float64 {
+	if s.sent == 0 {
 		return 1
 	}
-	return float64(s.served) / float64(s.asked)
+	return float64(s.served) / float64(s.sent)
 }
 
-// served tells what callers with the key that is never taken away got: all of it, by kind of
+// checkServed tells what callers with the key that is never taken away got: all of it, by kind of
 // request, and what was too little.
-func (s *soak) served(tries []try) (told string, broken []string) {
-	var whole, calm share
-	kinds, callers := make(map[string]*share), make(map[string]*share)
+func (s *runner) checkServed(tries []attempt) (told string, broken []string) {
+	var whole, calm tally
+	kinds, callers := make(map[string]*tally), make(map[string]*tally)
 	for _, t := range tries {
 		caller, _, asks := strings.Cut(t.id, "-")
-		if t.key != keptKey || !asks || t.sent.IsZero() {
+		if t.key != permanentKey || !asks || t.sentAt.IsZero() {
 			continue
 		}
 		whole.add(t)
-		of(kinds, strings.Split(t.path, "/")[1]).add(t)
-		of(callers, caller).add(t)
-		if t.sent.After(s.calmFrom) && t.sent.Before(s.calmTo) {
+		tallyFor(kinds, strings.Split(t.path, "/")[1]).add(t)
+		tallyFor(callers, caller).add(t)
+		if t.sentAt.After(s.calmStart) && t.sentAt.Before(s.calmEnd) {
 			calm.add(t)
 		}
 	}
-	if calm.part() < starved.MinServedWithoutFaults {
-		broken = append(broken, fmt.Sprintf("%.3f of %d requests served in calm, want %v", calm.part(), calm.asked, starved.MinServedWithoutFaults))
+	if calm.servedShare() < starved.MinServedWithoutFaults {
+		broken = append(broken, fmt.Sprintf("%.3f of %d requests served in calm, want %v", calm.servedShare(), calm.sent, starved.MinServedWithoutFaults))
 	}
-	if why := neverServed(callers, whole.part()); why != "" {
+	if why := checkNeverServed(callers, whole.servedShare()); why != "" {
 		broken = append(broken, why)
 	}
-	told = fmt.Sprintf("served=%.3f of=%d calm=%.3f of=%d", whole.part(), whole.asked, calm.part(), calm.asked)
+	told = fmt.Sprintf("served=%.3f of=%d calm=%.3f of=%d", whole.servedShare(), whole.sent, calm.servedShare(), calm.sent)
 	for _, kind := range []string{"once", "read", "write"} {
-		told += fmt.Sprintf(" %s=%.3f", kind, of(kinds, kind).part())
+		told += fmt.Sprintf(" %s=%.3f", kind, tallyFor(kinds, kind).servedShare())
 	}
 	return told, broken
 }
 
-// neverServed tells of callers that were never served, where they are more than chance explains.
-func neverServed(callers map[string]*share, part float64) string {
+// checkNeverServed tells of callers that were never served, where they are more than chance explains.
+func checkNeverServed(callers map[string]*tally, part float64) string {
 	var list []starved.Demand
 	for _, c := range callers {
-		list = append(list, starved.Demand{Requests: c.asked, Served: c.served, Span: c.last.Sub(c.first).Seconds()})
+		list = append(list, starved.Demand{Requests: c.sent, Served: c.served, Span: c.lastSent.Sub(c.firstSent).Seconds()})
 	}
 	if never, often, most := starved.CountNeverServed(list, part); float64(never) > most {
 		return fmt.Sprintf("%d of %d callers were never served, want %.1f at most", never, often, most)
@@ -84,9 +84,9 @@
 	return ""
 }
 
-func of(shares map[string]*share, name string) *share {
+func tallyFor(shares map[string]*tally, name string) *tally {
 	if shares[name] == nil {
-		shares[name] = &share{}
+		shares[name] = &tally{}
 	}
 	return shares[name]
 }
--- a/soak/suspend.go
+++ b/soak/suspend.go
@@ -12,41 +12,41 @@
 )
 
 const (
-	// suspendedFile is the variable that names the file with the time for which a node's
+	// suspendedFileEnv is the variable that names the file with the time for which a node's
 	// VM was suspended, as the node's build for the soak reads it.
-	suspendedFile = "HOIST_SUSPENDED_FILE"
-	// longestSuspension bounds a suspension: keys must not be trusted after five seconds.
-	longestSuspension = 6500 * time.Millisecond
-	// betweenSuspensions bounds the pause between two.
-	betweenSuspensions = 3 * time.Second
+	suspendedFileEnv = "HOIST_SUSPENDED_FILE"
+	// maxSuspension bounds a suspension: keys must not be trusted after five seconds.
+	maxSuspension = 6500 * time.Millisecond
+	// maxSuspensionPause bounds the pause between two.
+	maxSuspensionPause = 3 * time.Second
 )
 
 // suspendSeries suspends the VMs of nodes: they stand still, and their steady clocks do not
 // count that time.
-func (s *soak) suspendSeries(ctx context.Context, random *rand.Rand) {
+func (s *runner) suspendSeries(ctx context.Context, random *rand.Rand) {
 	for ctx.Err() == nil {
-		sleep(ctx, time.Duration(random.Int64N(int64(betweenSuspensions))))
-		which, lasts := random.IntN(len(s.world.nodes)), time.Duration(random.Int64N(int64(longestSuspension)))
+		sleep(ctx, time.Duration(random.Int64N(int64(maxSuspensionPause))))
+		which, lasts := random.IntN(len(s.cluster.nodes)), time.Duration(random.Int64N(int64(maxSuspension)))
 		if ctx.Err() == nil {
-			s.note("suspend "+s.world.nodes[which].Name(), lasts, s.suspend(which, lasts))
+			s.logFault("suspend "+s.cluster.nodes[which].Name(), lasts, s.suspend(which, lasts))
 		}
 	}
 }
 
-func (s *soak) suspend(which int, lasts time.Duration) error {
-	s.world.nodeBusy[which].Lock()
-	defer s.world.nodeBusy[which].Unlock()
-	node := s.world.nodes[which]
-	defer s.disturbed.note(node.Name(), time.Now())
+func (s *runner) suspend(which int, lasts time.Duration) error {
+	s.cluster.nodeMu[which].Lock()
+	defer s.cluster.nodeMu[which].Unlock()
+	node := s.cluster.nodes[which]
+	defer s.disturbed.record(node.Name(), time.Now())
 	node.Signal(syscall.SIGSTOP)
 	time.Sleep(lasts)
-	err := addSuspended(s.world.suspendedPath(node.Name()), lasts)
+	err := addSuspendedTime(s.cluster.suspendedTimePath(node.Name()), lasts)
 	node.Signal(syscall.SIGCONT)
 	return err
 }
 
-// addSuspended adds to the time that a file tells.
-func addSuspended(path string, d time.Duration) error {
+// addSuspendedTime adds to the time that a file tells.
+func addSuspendedTime(path string, d time.Duration) error {
 	before := int64(0)
 	text, err := os.ReadFile(path)
 	switch {
--- a/soak/world.go
+++ b/soak/world.go
@@ -31,42 +31,42 @@
 	Callers int
 }
 
-// world is everything that a run has started.
-type world struct {
-	bin, dir  string
-	size      Size
-	store     *process.Process
-	storeLink []*proxy
-	nodes     []*process.Process
-	engines   []*process.Process
-	links     []*proxy
-	// desks are all that have been started, the last one in use.
-	desks     []*process.Process
-	deskLinks []*proxy
+// cluster is everything that a run has started.
+type cluster struct {
+	binDir, logDir string
+	size           Size
+	store          *process.Process
+	storeProxies   []*proxy
+	nodes          []*process.Process
+	engines        []*process.Process
+	engineProxies  []*proxy
+	// plainServices are all that have been started, the last one in use.
+	plainServices []*process.Process
+	plainProxies  []*proxy
 	// generation counts the starts of engines, and engineIDs are their ids.
-	engineIDs  []string
-	generation atomic.Int64
-	version    uint64
-	// ends are the upstreams that requests have ended.
-	ends ends
-	// nodeBusy and engineBusy keep two series from restarting the same process.
-	nodeBusy, engineBusy []sync.Mutex
+	engineIDs     []string
+	engineStarts  atomic.Int64
+	configVersion uint64
+	// crashes are the upstreams that requests have ended.
+	crashes crashes
+	// nodeMu and engineMu keep two series from restarting the same process.
+	nodeMu, engineMu []sync.Mutex
 }
 
-// keptKey is never taken away.
-const keptKey = "kept"
+// permanentKey is never taken away.
+const permanentKey = "kept"
 
-// newWorld starts the processes.
-func newWorld(bin, dir string, size Size) (*world, error) {
-	w := &world{
-		bin: bin, dir: dir, size: size, version: 1,
-		nodeBusy: make([]sync.Mutex, size.Nodes), engineBusy: make([]sync.Mutex, size.Engines),
+// newCluster starts the processes.
+func newCluster(bin, dir string, size Size) (*cluster, error) {
+	w := &cluster{
+		binDir: bin, logDir: dir, size: size, configVersion: 1,
+		nodeMu: make([]sync.Mutex, size.Nodes), engineMu: make([]sync.Mutex, size.Engines),
 	}
 	var err error
-	if w.store, err = w.launch("store", "listening ", "standin-site", "store", "--key", keptKey, "--key", "key-2"); err != nil {
+	if w.store, err = w.launch("store", "listening ", "standin-site", "store", "--key", permanentKey, "--key", "key-2"); err != nil {
 		return w, err
 	}
-	if err := w.startDesk("desk-1"); err != nil {
+	if err := w.startPlainService("desk-1"); err != nil {
 		return w, err
 	}
 	for i := range size.Engines {
@@ -74,7 +74,7 @@
 		if err != nil {
 			return w, err
 		}
-		w.links, w.engines, w.engineIDs = append(w.links, link), append(w.engines, nil), append(w.engineIDs, "")
+		w.engineProxies, w.engines, w.engineIDs = append(w.engineProxies, link), append(w.engines, nil), append(w.engineIDs, "")
 		if err := w.startEngine(i); err != nil {
 			return w, err
 		}
@@ -87,18 +87,18 @@
 	return w, nil
 }
 
-func (w *world) launch(name, mark, program string, args ...string) (*process.Process, error) {
-	log, err := os.OpenFile(filepath.Join(w.dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+func (w *cluster) launch(name, mark, program string, args ...string) (*process.Process, error) {
+	log, err := os.OpenFile(filepath.Join(w.logDir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
 	}
-	p := process.New(name, log, append([]string{filepath.Join(w.bin, program)}, args...),
-		process.WithEnv(suspendedFile+"="+w.suspendedPath(name)), process.WithCrashHandler(w.ends.note))
+	p := process.New(name, log, append([]string{filepath.Join(w.binDir, program)}, args...),
+		process.WithEnv(suspendedFileEnv+"="+w.suspendedTimePath(name)), process.WithCrashHandler(w.crashes.record))
 	return p, p.Start(mark)
 }
 
-// startDesk starts another desk, behind a link of its own, in the place of the last.
-func (w *world) startDesk(id string) error {
+// startPlainService starts another desk, behind a link of its own, in the place of the last.
+func (w *cluster) startPlainService(id string) error {
 	link, err := newProxy()
 	if err != nil {
 		return err
@@ -108,41 +108,41 @@
 		return err
 	}
 	link.setTarget(desk.Address())
-	w.desks, w.deskLinks = append(w.desks, desk), append(w.deskLinks, link)
+	w.plainServices, w.plainProxies = append(w.plainServices, desk), append(w.plainProxies, link)
 	return nil
 }
 
-// newID is at which of all starts of engines an engine gets an id of its own; at the others
+// newIDEvery is at which of all starts of engines an engine gets an id of its own; at the others
 // it starts again under the one that it had.
-const newID = 3
+const newIDEvery = 3
 
 // engineName is what the process of an engine is called.
-func (w *world) engineName(i int) string { return fmt.Sprintf("engine-%d", i) }
+func (w *cluster) engineName(i int) string { return fmt.Sprintf("engine-%d", i) }
 
 // startEngine starts an engine behind its old address.
-func (w *world) startEngine(i int) error {
-	if w.generation.Add(1)%newID == 0 || w.engineIDs[i] == "" {
-		w.engineIDs[i] = fmt.Sprintf("engine-%d-%d", i, w.generation.Load())
+func (w *cluster) startEngine(i int) error {
+	if w.engineStarts.Add(1)%newIDEvery == 0 || w.engineIDs[i] == "" {
+		w.engineIDs[i] = fmt.Sprintf("engine-%d-%d", i, w.engineStarts.Load())
 	}
 	centre := fmt.Sprintf("dc-%d", i%2+1)
 	p, err := w.launch(w.engineName(i), "listening ", "standin-site", "engine",
-		"--id", w.engineIDs[i], "--centre", centre, "--store", w.store.Address(), "--through", w.links[i].address())
+		"--id", w.engineIDs[i], "--centre", centre, "--store", w.store.Address(), "--through", w.engineProxies[i].address())
 	if err != nil {
 		return err
 	}
 	w.engines[i] = p
-	w.links[i].setTarget(p.Address())
+	w.engineProxies[i].setTarget(p.Address())
 	return nil
 }
 
-func (w *world) startNode(i int) error {
+func (w *cluster) startNode(i int) error {
 	link, err := newProxy()
 	if err != nil {
 		return err
 	}
 	link.setTarget(w.store.Address())
-	w.storeLink = append(w.storeLink, link)
-	path := filepath.Join(w.dir, fmt.Sprintf("node-%d.ini", i))
+	w.storeProxies = append(w.storeProxies, link)
+	path := filepath.Join(w.logDir, fmt.Sprintf("node-%d.ini", i))
 	text := fmt.Sprintf("[node]\nname = node-%d\ndata_centre = dc-%d\n[caller]\nlisten = 127.0.0.1:0\n[readiness]\nlisten = 127.0.0.1:0\n"+
 		"[peer]\nlisten = 127.0.0.1:0\n[metrics]\nlisten = 127.0.0.1:0\n[platform]\naddress = %s\n", i, i%2+1, link.address())
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
@@ -157,52 +157,52 @@
 }
 
 // restart starts a node's program again.
-func (w *world) restart(p *process.Process) error { return p.Start(" caller=") }
+func (w *cluster) restart(p *process.Process) error { return p.Start(" caller=") }
 
-// suspendedPath is the file with the time for which a process's VM was suspended.
-func (w *world) suspendedPath(name string) string {
-	return filepath.Join(w.dir, name+".suspended")
+// suspendedTimePath is the file with the time for which a process's VM was suspended.
+func (w *cluster) suspendedTimePath(name string) string {
+	return filepath.Join(w.logDir, name+".suspended")
 }
 
-func (w *world) close() {
-	for _, p := range slices.Concat([]*process.Process{w.store}, w.desks, w.nodes, w.engines) {
+func (w *cluster) close() {
+	for _, p := range slices.Concat([]*process.Process{w.store}, w.plainServices, w.nodes, w.engines) {
 		if p != nil {
 			p.Kill()
 			_ = p.Close()
 		}
 	}
-	for _, l := range slices.Concat(w.deskLinks, w.links, w.storeLink) {
+	for _, l := range slices.Concat(w.plainProxies, w.engineProxies, w.storeProxies) {
 		if l != nil {
 			l.close()
 		}
 	}
 }
 
-// calls bounds the soak's own calls to the stand-ins.
-var calls = &http.Client{Timeout: 5 * time.Second}
+// httpClient bounds the soak's own calls to the stand-ins.
+var httpClient = &http.Client{Timeout: 5 * time.Second}
 
-// setKeys has the operator write a configuration with other keys, and returns
+// writeKeys has the operator write a configuration with other keys, and returns
 // when the store had acknowledged it.
-func (w *world) setKeys(keys ...string) (time.Time, error) {
-	w.version++
-	url := fmt.Sprintf("http://%s/operator/%d?", w.store.Address(), w.version)
+func (w *cluster) writeKeys(keys ...string) (time.Time, error) {
+	w.configVersion++
+	url := fmt.Sprintf("http://%s/operator/%d?", w.store.Address(), w.configVersion)
 	for _, key := range keys {
 		url += "key=" + key + "&"
 	}
-	err := post(url, nil)
+	err := postJSON(url, nil)
 	return time.Now(), err
 }
 
-func (w *world) storeFaults(f standin.RowStoreFaults) error {
-	return post("http://"+w.store.Address()+"/faults", f)
+func (w *cluster) setStoreFaults(f standin.RowStoreFaults) error {
+	return postJSON("http://"+w.store.Address()+"/faults", f)
 }
 
-func post(url string, v any) error {
+func postJSON(url string, v any) error {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return err
 	}
-	resp, err := calls.Post(url, "application/json", bytes.NewReader(body))
+	resp, err := httpClient.Post(url, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -213,29 +213,29 @@
 	return nil
 }
 
-// runs asks the desks what they have run. A request that two of them have run counts
+// executions asks the desks what they have run. A request that two of them have run counts
 // twice.
-func (w *world) runs() (map[string]standin.DeskRun, error) {
-	all := make(map[string]standin.DeskRun)
-	for _, desk := range w.desks {
-		runs, err := runsOf(desk)
+func (w *cluster) executions() (map[string]standin.ExecutionRecord, error) {
+	all := make(map[string]standin.ExecutionRecord)
+	for _, desk := range w.plainServices {
+		runs, err := fetchExecutions(desk)
 		if err != nil {
 			return nil, err
 		}
 		for id, run := range runs {
-			run.Runs += all[id].Runs
+			run.Executions += all[id].Executions
 			all[id] = run
 		}
 	}
 	return all, nil
 }
 
-func runsOf(desk *process.Process) (map[string]standin.DeskRun, error) {
-	resp, err := calls.Get("http://" + desk.Address() + "/runs")
+func fetchExecutions(desk *process.Process) (map[string]standin.ExecutionRecord, error) {
+	resp, err := httpClient.Get("http://" + desk.Address() + "/runs")
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	runs := make(map[string]standin.DeskRun)
+	runs := make(map[string]standin.ExecutionRecord)
 	return runs, json.NewDecoder(resp.Body).Decode(&runs)
 }
--- a/standin/admit.go
+++ b/standin/admit.go
@@ -12,8 +12,8 @@
 	request uint64
 }
 
-// take queues a step, or refuses it before anything has begun.
-func (e *Engine) take(step *wire.StepRequest, answer func(*wire.StepReply)) {
+// enqueue queues a step, or refuses it before anything has begun.
+func (e *Engine) enqueue(step *wire.StepRequest, answer func(*wire.StepReply)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	id := sessionID{node: step.GetNode(), request: step.GetRequest()}
@@ -23,18 +23,18 @@
 		}
 		return
 	}
-	if status := e.refusal(id, step); status != wire.StepStatus_STEP_STATUS_OK {
-		answer(e.reply(step, status))
+	if status := e.admissionStatus(id, step); status != wire.StepStatus_STEP_STATUS_OK {
+		answer(e.newReply(step, status))
 		return
 	}
-	e.waiting.add(&queuedStep{step: step, answer: answer})
+	e.waiting.add(&queuedStep{step: step, sendReply: answer})
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (e *Engine) refusal(id sessionID, step *wire.StepRequest) wire.StepStatus {
+func (e *Engine) admissionStatus(id sessionID, step *wire.StepRequest) wire.StepStatus {
 	s := e.sessions[id]
 	if s != nil && s.generation > step.GetGeneration() {
 		e.counts.Fenced++
@@ -57,30 +57,30 @@
 	return wire.StepStatus_STEP_STATUS_OK
 }
 
-// run runs a step's layers.
-func (e *Engine) run(step *wire.StepRequest) *wire.StepReply {
+// executeStep runs a step's layers.
+func (e *Engine) executeStep(step *wire.StepRequest) *wire.StepReply {
 	s := e.sessions[sessionID{node: step.GetNode(), request: step.GetRequest()}]
 	if s == nil || s.generation != step.GetGeneration() {
 		e.counts.Fenced++
-		return e.reply(step, wire.StepStatus_STEP_STATUS_FENCED)
+		return e.newReply(step, wire.StepStatus_STEP_STATUS_FENCED)
 	}
-	if s.last != nil && s.last.GetPosition() == step.GetPosition() {
+	if s.lastReply != nil && s.lastReply.GetPosition() == step.GetPosition() {
 		e.counts.Duplicates++
-		return s.last
+		return s.lastReply
 	}
-	if s.next != step.GetPosition() {
+	if s.nextPosition != step.GetPosition() {
 		e.counts.Gaps++
-		return e.reply(step, wire.StepStatus_STEP_STATUS_GAP)
+		return e.newReply(step, wire.StepStatus_STEP_STATUS_GAP)
 	}
-	reply := e.reply(step, wire.StepStatus_STEP_STATUS_OK)
-	s.run(step, e.config, reply)
+	reply := e.newReply(step, wire.StepStatus_STEP_STATUS_OK)
+	s.execute(step, e.config, reply)
 	e.counts.Steps++
 	e.counts.Positions += uint64(reply.GetPositions())
 	return reply
 }
 
-func (e *Engine) reply(step *wire.StepRequest, status wire.StepStatus) *wire.StepReply {
-	load, age := e.load.at(time.Now(), len(e.sessions), e.config.LoadLag)
+func (e *Engine) newReply(step *wire.StepRequest, status wire.StepStatus) *wire.StepReply {
+	load, age := e.sampledLoad.read(time.Now(), len(e.sessions), e.config.LoadSampleInterval)
 	return &wire.StepReply{
 		Node: step.GetNode(), Request: step.GetRequest(), Generation: step.GetGeneration(), Position: step.GetPosition(),
 		Status: status, Load: load, LoadAgeMs: age, Leaving: e.faults.Leaving,
--- a/standin/batch.go
+++ b/standin/batch.go
@@ -16,26 +16,26 @@
 // runBatch takes the time that the batch costs, and then answers its steps.
 func (e *Engine) runBatch(ctx context.Context, batch []*queuedStep) {
 	e.mu.Lock()
-	cost := e.config.Base + e.faults.Slow()
+	cost := e.config.Base + e.faults.BatchDelay()
 	for _, q := range batch {
-		cost += e.config.PerStep + e.config.PerPosition*time.Duration(e.uncached(q))
+		cost += e.config.PerStep + e.config.PerPosition*time.Duration(e.uncachedPositions(q))
 	}
 	e.mu.Unlock()
 	if !sleep(ctx, cost) {
 		return
 	}
-	for e.frozen() {
-		if !sleep(ctx, frozenPoll) {
+	for e.isFrozen() {
+		if !sleep(ctx, frozenPollInterval) {
 			return
 		}
 	}
 	for _, q := range batch {
-		e.answer(q)
+		e.sendReply(q)
 	}
 }
 
-// frozenPoll is how often a frozen engine looks whether it still is.
-const frozenPoll = 2 * time.Millisecond
+// frozenPollInterval is how often a frozen engine looks whether it still is.
+const frozenPollInterval = 2 * time.Millisecond
 
 // sleep waits, and returns false when the context has ended.
 func sleep(ctx context.Context, d time.Duration) bool {
@@ -47,38 +47,38 @@
 	}
 }
 
-func (e *Engine) frozen() bool {
+func (e *Engine) isFrozen() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.faults.Frozen
 }
 
-// answer runs a step and sends its reply, over a slow link or twice where a
+// sendReply runs a step and sends its reply, over a slow link or twice where a
 // fault says so.
-func (e *Engine) answer(q *queuedStep) {
+func (e *Engine) sendReply(q *queuedStep) {
 	e.mu.Lock()
-	reply := e.run(q.step)
+	reply := e.executeStep(q.step)
 	faults := e.faults
 	e.mu.Unlock()
-	for range 1 + faults.Doubled {
-		if faults.LinkMS == 0 {
-			q.answer(reply)
+	for range 1 + faults.ExtraReplies {
+		if faults.LinkDelayMS == 0 {
+			q.sendReply(reply)
 			continue
 		}
-		time.AfterFunc(time.Duration(faults.LinkMS)*time.Millisecond, func() { q.answer(reply) })
+		time.AfterFunc(time.Duration(faults.LinkDelayMS)*time.Millisecond, func() { q.sendReply(reply) })
 	}
 }
 
-// uncached returns how many positions of a step have to be worked out.
-func (e *Engine) uncached(q *queuedStep) int {
-	n := positionsOf(q.step)
+// uncachedPositions returns how many positions of a step have to be worked out.
+func (e *Engine) uncachedPositions(q *queuedStep) int {
+	n := positionCount(q.step)
 	if q.step.GetPosition() == 0 {
-		q.cached = e.prefixes.lookup(q.step)
-		e.counts.Cached += uint64(q.cached)
+		q.cachedPositions = e.prefixes.lookup(q.step)
+		e.counts.CachedPositions += uint64(q.cachedPositions)
 	}
-	return n - q.cached
+	return n - q.cachedPositions
 }
 
-func positionsOf(s *wire.StepRequest) int {
+func positionCount(s *wire.StepRequest) int {
 	return len(tokenize(s.GetPrompt())) + len(s.GetTokens()) + len(s.GetInputs())
 }
--- a/standin/chain_engine.go
+++ b/standin/chain_engine.go
@@ -18,60 +18,60 @@
 
 // Times of the stand-in engine.
 const (
-	// eventEvery is the time between two events, and loadTime that of a load.
-	eventEvery = 15 * time.Millisecond
-	loadTime   = 150 * time.Millisecond
-	// stallTime is how long a stream waits for a part that is lost before it is
-	// cut, and askPart bounds one question to a part.
-	stallTime = 2500 * time.Millisecond
-	askPart   = 80 * time.Millisecond
+	// eventInterval is the time between two events, and loadTime that of a load.
+	eventInterval = 15 * time.Millisecond
+	loadTime      = 150 * time.Millisecond
+	// stallTimeout is how long a stream waits for a part that is lost before it is
+	// cut, and stageCheckTimeout bounds one question to a part.
+	stallTimeout      = 2500 * time.Millisecond
+	stageCheckTimeout = 80 * time.Millisecond
 	// engineMemory is the memory for requests, and streamMemory what one takes, in tokens
 	// times layers.
 	engineMemory = 100_000
 	streamMemory = 500
-	// cutAfter is how many events a stream has that is broken off.
-	cutAfter = 3
+	// abortAfterEvents is how many events a stream has that is broken off.
+	abortAfterEvents = 3
 )
 
 // ChainEngine is a stand-in for an engine that runs pipelines by itself: it
 // holds a range of layers, and the first of a chain asks the others for every
 // event of its streams.
 type ChainEngine struct {
-	*life
-	// advertised is the address by which callers and other engines know it.
-	advertised string
+	*serverBase
+	// ownAddress is the address by which callers and other engines know it.
+	ownAddress string
 	client     *http.Client
 
 	model engineModel
-	// yard holds the engines of the same process; nil for an engine alone.
-	yard *Yard
-
-	mu      sync.Mutex
-	held    fleet.LayerRange
-	loading bool
-	orders  uint64
-	streams map[string]*engineStream
-	// used is the memory that streams of the yard take, in tokens times layers, and passing
+	// registry holds the engines of the same process; nil for an engine alone.
+	registry *EngineRegistry
+
+	mu          sync.Mutex
+	heldLayers  fleet.LayerRange
+	loading     bool
+	ordersTaken uint64
+	streams     map[string]*engineStream
+	// usedMemory is the memory that streams of the yard take, in tokens times layers, and passing
 	// how many of them pass this engine.
-	used    float64
-	passing int
-	// slow is how many times as long as usual it takes; zero for as long.
-	slow   float64
-	faults ChainFaults
-	// taken counts the streams that were taken since the faults were set.
-	taken int
+	usedMemory     float64
+	passingStreams int
+	// slowdown is how many times as long as usual it takes; zero for as long.
+	slowdown float64
+	faults   ChainFaults
+	// acceptedStreams counts the streams that were taken since the faults were set.
+	acceptedStreams int
 }
 
 // engineStream is a stream that began at this engine.
 type engineStream struct {
-	parts     []enginePart
+	stages    []chainStage
 	stalledAt string
-	// cut tells that it is broken off after cutAfter events.
-	cut bool
+	// abort tells that it is broken off after abortAfterEvents events.
+	abort bool
 }
 
-// enginePart is a stage as the chain's header names it.
-type enginePart struct {
+// chainStage is a stage as the chain's header names it.
+type chainStage struct {
 	address string
 	layers  fleet.LayerRange
 }
@@ -79,7 +79,7 @@
 // NewChainEngine returns an empty engine.
 func NewChainEngine(id, advertised string, opts ...ServerOption) *ChainEngine {
 	return &ChainEngine{
-		life: newLife(id, opts), advertised: advertised, client: &http.Client{Timeout: askPart}, streams: make(map[string]*engineStream),
+		serverBase: newServerBase(id, opts), ownAddress: advertised, client: &http.Client{Timeout: stageCheckTimeout}, streams: make(map[string]*engineStream),
 		model: siteModel{},
 	}
 }
@@ -89,35 +89,35 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return &platformpb.Server{
-		Service: SiteWriter, Address: e.advertised, Zone: centre, State: e.state(), Slots: float64(e.model.slots()), Kind: e.model.kind(),
-		Layers: e.layers(), Born: e.born, Software: standinSoftware, OrdersTaken: float64(e.orders),
+		Service: SiteStreamService, Address: e.ownAddress, Zone: centre, State: e.entryState(), Slots: float64(e.model.slots()), Kind: e.model.accelerator(),
+		Layers: e.reportedLayers(), Born: e.startMS, Software: standinSoftware, OrdersTaken: float64(e.ordersTaken),
 	}
 }
 
-func (e *ChainEngine) layers() *platformpb.Layers {
-	if e.held.Empty() {
+func (e *ChainEngine) reportedLayers() *platformpb.Layers {
+	if e.heldLayers.Empty() {
 		return nil
 	}
-	return &platformpb.Layers{From: float64(e.held.From), To: float64(e.held.To)}
+	return &platformpb.Layers{From: float64(e.heldLayers.From), To: float64(e.heldLayers.To)}
 }
 
 // Handler serves orders, reports, questions of other engines, and streams; its faults
 // at /faults, and its leaving at /leave.
 func (e *ChainEngine) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /report", e.report)
-	mux.HandleFunc("POST /order", e.order)
-	mux.HandleFunc("GET /part", e.part)
-	mux.Handle("POST /faults", faultHandler(e.SetFaults))
-	e.serve(mux)
-	mux.HandleFunc("/", e.generate)
+	mux.HandleFunc("GET /report", e.handleReport)
+	mux.HandleFunc("POST /order", e.handleOrder)
+	mux.HandleFunc("GET /part", e.handleStageCheck)
+	mux.Handle("POST /faults", jsonSetHandler(e.SetFaults))
+	e.registerHandlers(mux)
+	mux.HandleFunc("/", e.handleStream)
 	return mux
 }
 
-func (e *ChainEngine) report(w http.ResponseWriter, _ *http.Request) {
+func (e *ChainEngine) handleReport(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	report := &platformpb.Report{Busy: e.loading, OrdersTaken: float64(e.orders), Layers: e.layers(), Kind: e.model.kind(), Born: e.born,
-		Active: float64(len(e.streams)), KvUsed: e.memoryUsed(), KvTotal: e.model.room(e.held.Len()), Pace: max(e.slow, 1)}
+	report := &platformpb.Report{Busy: e.loading, OrdersTaken: float64(e.ordersTaken), Layers: e.reportedLayers(), Kind: e.model.accelerator(), Born: e.startMS,
+		Active: float64(len(e.streams)), KvUsed: e.memoryUsed(), KvTotal: e.model.streamCapacity(e.heldLayers.Len()), Pace: max(e.slowdown, 1)}
 	for id, s := range e.streams {
 		if s.stalledAt != "" {
 			report.Stalled = append(report.Stalled, &platformpb.Stalled{Id: id, Address: s.stalledAt})
@@ -127,9 +127,9 @@
 	writeProto(w, http.StatusOK, report)
 }
 
-// part answers another engine whether this one holds a range.
-func (e *ChainEngine) part(w http.ResponseWriter, r *http.Request) {
-	if !e.holds(parseRange(r.URL.Query().Get("layers"))) {
+// handleStageCheck answers another engine whether this one holds a range.
+func (e *ChainEngine) handleStageCheck(w http.ResponseWriter, r *http.Request) {
+	if !e.holds(parseLayerRange(r.URL.Query().Get("layers"))) {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -139,19 +139,19 @@
 func (e *ChainEngine) holds(r fleet.LayerRange) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return !r.Empty() && e.held.Covers(r)
+	return !r.Empty() && e.heldLayers.Covers(r)
 }
 
-// generate runs a stream, or refuses it.
-func (e *ChainEngine) generate(w http.ResponseWriter, r *http.Request) {
-	if !e.meant(w, r) {
+// handleStream runs a stream, or refuses it.
+func (e *ChainEngine) handleStream(w http.ResponseWriter, r *http.Request) {
+	if !e.acceptInstance(w, r) {
 		return
 	}
-	if _, err := io.Copy(io.Discard, r.Body); err != nil || !e.admit(w, r) {
+	if _, err := io.Copy(io.Discard, r.Body); err != nil || !e.admitRequest(w, r) {
 		return
 	}
-	parts := parseParts(r.Header.Get("Path"))
-	bad := e.unfit(r.Context(), parts)
+	parts := parseChain(r.Header.Get("Path"))
+	bad := e.unavailableStage(r.Context(), parts)
 	if bad == "" {
 		bad = e.reserve(r, parts)
 	}
@@ -162,27 +162,27 @@
 		return
 	}
 	defer e.release(r, parts)
-	if e.crash.begin(r.URL.Path) {
+	if e.crash.trigger(r.URL.Path) {
 		panic(http.ErrAbortHandler)
 	}
 	id := r.Header.Get("Attempt-Id")
 	w.Header().Set("Attempt-Id", id)
 	w.Header().Set("Response-Seal", e.id)
-	fate := e.take()
-	if fate == fateFailed {
+	fate := e.nextOutcome()
+	if fate == outcomeFailed {
 		http.Error(w, "the engine fails", http.StatusInternalServerError)
 		return
 	}
-	stream := &engineStream{parts: parts, cut: fate == fateCut}
+	stream := &engineStream{stages: parts, abort: fate == outcomeAborted}
 	e.mu.Lock()
 	e.streams[id] = stream
 	e.mu.Unlock()
-	defer e.end(id, stream)
+	defer e.removeStream(id, stream)
 	w.Header().Set("Content-Type", "text/event-stream")
-	e.stream(w, r, stream)
+	e.writeEvents(w, r, stream)
 }
 
-func (e *ChainEngine) end(id string, stream *engineStream) {
+func (e *ChainEngine) removeStream(id string, stream *engineStream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.streams[id] == stream {
@@ -190,25 +190,25 @@
 	}
 }
 
-// unfit returns the address of the first part that cannot run, if any.
-func (e *ChainEngine) unfit(ctx context.Context, parts []enginePart) string {
+// unavailableStage returns the address of the first part that cannot run, if any.
+func (e *ChainEngine) unavailableStage(ctx context.Context, parts []chainStage) string {
 	next := 0
 	for i, p := range parts {
-		if p.layers.From != next || i == 0 && !e.holds(p.layers) || i > 0 && !e.ask(ctx, p) {
+		if p.layers.From != next || i == 0 && !e.holds(p.layers) || i > 0 && !e.stageAvailable(ctx, p) {
 			return p.address
 		}
 		next = p.layers.To
 	}
 	if next != e.model.layers() {
-		return e.advertised
+		return e.ownAddress
 	}
 	return ""
 }
 
-// ask asks another engine whether it holds its part.
-func (e *ChainEngine) ask(ctx context.Context, p enginePart) bool {
-	if e.yard != nil {
-		other := e.yard.at(p.address)
+// stageAvailable asks another engine whether it holds its part.
+func (e *ChainEngine) stageAvailable(ctx context.Context, p chainStage) bool {
+	if e.registry != nil {
+		other := e.registry.engineAt(p.address)
 		return other != nil && other.holds(p.layers)
 	}
 	url := fmt.Sprintf("http://%s/part?layers=%d-%d", p.address, p.layers.From, p.layers.To)
@@ -224,16 +224,16 @@
 	return resp.StatusCode == http.StatusNoContent
 }
 
-func parseParts(text string) []enginePart {
-	var parts []enginePart
+func parseChain(text string) []chainStage {
+	var parts []chainStage
 	for word := range strings.SplitSeq(text, ",") {
 		address, layers, _ := strings.Cut(word, "=")
-		parts = append(parts, enginePart{address: address, layers: parseRange(layers)})
+		parts = append(parts, chainStage{address: address, layers: parseLayerRange(layers)})
 	}
 	return parts
 }
 
-func parseRange(text string) fleet.LayerRange {
+func parseLayerRange(text string) fleet.LayerRange {
 	from, to, _ := strings.Cut(text, "-")
 	var r fleet.LayerRange
 	// What is no number leaves an empty range, which no engine holds.
--- a/standin/chain_engine_faults.go
+++ b/standin/chain_engine_faults.go
@@ -2,39 +2,39 @@
 
 // ChainFaults are what goes wrong with an engine that runs pipelines.
 type ChainFaults struct {
-	// FailEach makes the engine run each so manieth stream and answer it with a
+	// FailEvery makes the engine run each so manieth stream and answer it with a
 	// failure of its own; zero for none.
-	FailEach int `json:"fail_each"`
-	// CutEach makes it break each so manieth stream off partway; zero for none.
-	CutEach int `json:"cut_each"`
+	FailEvery int `json:"fail_each"`
+	// AbortEvery makes it break each so manieth stream off partway; zero for none.
+	AbortEvery int `json:"cut_each"`
 }
 
 // SetFaults changes what goes wrong.
 func (e *ChainEngine) SetFaults(f ChainFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.faults, e.taken = f, 0
+	e.faults, e.acceptedStreams = f, 0
 }
 
-// fate is what becomes of a stream that the engine takes.
-type fate int
+// streamOutcome is what becomes of a stream that the engine takes.
+type streamOutcome int
 
 const (
-	fateWhole fate = iota
-	fateFailed
-	fateCut
+	outcomeComplete streamOutcome = iota
+	outcomeFailed
+	outcomeAborted
 )
 
-// take says what becomes of the stream that is taken now.
-func (e *ChainEngine) take() fate {
+// nextOutcome says what becomes of the stream that is taken now.
+func (e *ChainEngine) nextOutcome() streamOutcome {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.taken++
+	e.acceptedStreams++
 	switch {
-	case e.faults.FailEach > 0 && e.taken%e.faults.FailEach == 0:
-		return fateFailed
-	case e.faults.CutEach > 0 && e.taken%e.faults.CutEach == 0:
-		return fateCut
+	case e.faults.FailEvery > 0 && e.acceptedStreams%e.faults.FailEvery == 0:
+		return outcomeFailed
+	case e.faults.AbortEvery > 0 && e.acceptedStreams%e.faults.AbortEvery == 0:
+		return outcomeAborted
 	}
-	return fateWhole
+	return outcomeComplete
 }
--- a/standin/chain_engine_order.go
+++ b/standin/chain_engine_order.go
@@ -17,10 +17,10 @@
 	Op    string   `json:"op"`
 	From  *float64 `json:"from"`
 	To    *float64 `json:"targetVersion"`
-	How   string   `json:"how"`
+	Mode  string   `json:"how"`
 	Fence *float64 `json:"fence"`
 	ID    string   `json:"id"`
-	Path  string   `json:"path"`
+	Chain string   `json:"path"`
 	// Expected is how many orders the engine must have taken; nil for any number.
 	Expected *float64 `json:"expectedRevision"`
 }
@@ -31,12 +31,12 @@
 	decoder := json.NewDecoder(body)
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&o); err != nil {
-		return o, errors.Mark(err, ErrRefused)
+		return o, errors.Mark(err, ErrInvalidRequest)
 	}
-	place := o.Op == "place" && o.From != nil && o.To != nil && (o.How == "wait" || o.How == "cut") && o.ID == "" && o.Path == ""
-	repath := o.Op == "repath" && o.ID != "" && o.Path != "" && o.From == nil && o.To == nil && o.How == ""
+	place := o.Op == "place" && o.From != nil && o.To != nil && (o.Mode == "wait" || o.Mode == "cut") && o.ID == "" && o.Chain == ""
+	repath := o.Op == "repath" && o.ID != "" && o.Chain != "" && o.From == nil && o.To == nil && o.Mode == ""
 	if !place && !repath {
-		return o, errors.Wrapf(ErrRefused, "order %q", o.Op)
+		return o, errors.Wrapf(ErrInvalidRequest, "order %q", o.Op)
 	}
 	return o, nil
 }
@@ -47,8 +47,8 @@
 	return err
 }
 
-func (e *ChainEngine) order(w http.ResponseWriter, r *http.Request) {
-	if !e.meant(w, r) {
+func (e *ChainEngine) handleOrder(w http.ResponseWriter, r *http.Request) {
+	if !e.acceptInstance(w, r) {
 		return
 	}
 	o, err := readOrder(r.Body)
@@ -60,30 +60,30 @@
 	defer e.mu.Unlock()
 	switch {
 	case o.Op == "repath":
-		e.repath(w, o)
-	case e.loading || o.Expected != nil && *o.Expected != float64(e.orders):
+		e.migrateStream(w, o)
+	case e.loading || o.Expected != nil && *o.Expected != float64(e.ordersTaken):
 		w.WriteHeader(http.StatusConflict)
 	default:
-		e.orders++
+		e.ordersTaken++
 		e.loading = true
-		e.held = fleet.LayerRange{}
-		time.AfterFunc(e.model.load(int(*o.To)-int(*o.From)), func() { e.loaded(fleet.LayerRange{From: int(*o.From), To: int(*o.To)}) })
+		e.heldLayers = fleet.LayerRange{}
+		time.AfterFunc(e.model.loadDuration(int(*o.To)-int(*o.From)), func() { e.finishLoad(fleet.LayerRange{From: int(*o.From), To: int(*o.To)}) })
 		w.WriteHeader(http.StatusAccepted)
 	}
 }
 
-func (e *ChainEngine) loaded(r fleet.LayerRange) {
+func (e *ChainEngine) finishLoad(r fleet.LayerRange) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.held, e.loading = r, false
+	e.heldLayers, e.loading = r, false
 }
 
-func (e *ChainEngine) repath(w http.ResponseWriter, o engineOrder) {
+func (e *ChainEngine) migrateStream(w http.ResponseWriter, o engineOrder) {
 	s, ok := e.streams[o.ID]
 	if !ok {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	s.parts, s.stalledAt = parseParts(o.Path), ""
+	s.stages, s.stalledAt = parseChain(o.Chain), ""
 	w.WriteHeader(http.StatusAccepted)
 }
--- a/standin/check_test.go
+++ b/standin/check_test.go
@@ -9,8 +9,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// manyRows are n removals, in parts of their own if they have different ones.
-func manyRows(n int, apart bool) string {
+// removeRows are n removals, in parts of their own if they have different ones.
+func removeRows(n int, apart bool) string {
 	rows := make([]string, n)
 	for i := range rows {
 		part := "p"
@@ -23,7 +23,7 @@
 }
 
 func TestTransactionsAreChecked(t *testing.T) {
-	long := strings.Repeat("x", mostNameBytes+1)
+	long := strings.Repeat("x", maxNameBytes+1)
 	tests := []struct {
 		name, body string
 		refused    bool
@@ -43,7 +43,7 @@
 		{"no value", `{"put":[{"table":"own","privateKey":"k"}]}`, true},
 		{"a value that is no text", `{"put":[{"table":"own","privateKey":"k","value":7}]}`, true},
 		{"a value that is not encoded", `{"put":[{"table":"own","privateKey":"k","value":"a b"}]}`, true},
-		{"a value that is too long", `{"put":[{"table":"own","privateKey":"k","value":"` + strings.Repeat("AAAA", mostValueBytes/3+1) + `"}]}`, true},
+		{"a value that is too long", `{"put":[{"table":"own","privateKey":"k","value":"` + strings.Repeat("AAAA", maxValueBytes/3+1) + `"}]}`, true},
 		{"a key that is too long", `{"remove":[{"table":"own","privateKey":"` + long + `"}]}`, true},
 		{"a table that is too long", `{"remove":[{"table":"` + long + `","privateKey":"k"}]}`, true},
 		{"a part that is too long", `{"remove":[{"table":"own","part":"` + long + `","privateKey":"k"}]}`, true},
@@ -52,15 +52,15 @@
 		{"an unknown field", `{"puts":[]}`, true},
 		{"no list", `{"put":{}}`, true},
 		{"no object", `[]`, true},
-		{"as many as it takes", `{"remove":[` + manyRows(mostEntries, false) + `]}`, false},
-		{"one more", `{"remove":[` + manyRows(mostEntries+1, false) + `]}`, true},
-		{"two parts", `{"remove":[` + manyRows(2, true) + `]}`, true},
-		{"two parts, as it says", `{"across":true,"remove":[` + manyRows(2, true) + `]}`, false},
-		{"too much", `{"remove":[],"across":` + strings.Repeat(" ", mostTransaction) + `true}`, true},
+		{"as many as it takes", `{"remove":[` + removeRows(maxTransactionEntries, false) + `]}`, false},
+		{"one more", `{"remove":[` + removeRows(maxTransactionEntries+1, false) + `]}`, true},
+		{"two parts", `{"remove":[` + removeRows(2, true) + `]}`, true},
+		{"two parts, as it says", `{"across":true,"remove":[` + removeRows(2, true) + `]}`, false},
+		{"too much", `{"remove":[],"across":` + strings.Repeat(" ", maxTransactionBytes) + `true}`, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := errors.Is(CheckTransaction([]byte(tt.body)), ErrRefused); got != tt.refused {
+			if got := errors.Is(CheckTransaction([]byte(tt.body)), ErrInvalidRequest); got != tt.refused {
 				t.Errorf("got refused %v, want %v", got, tt.refused)
 			}
 		})
@@ -85,7 +85,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := errors.Is(CheckOrder([]byte(tt.body)), ErrRefused); got != tt.refused {
+			if got := errors.Is(CheckOrder([]byte(tt.body)), ErrInvalidRequest); got != tt.refused {
 				t.Errorf("got refused %v, want %v", got, tt.refused)
 			}
 		})
@@ -98,12 +98,12 @@
 		rules   map[string]queryRule
 		refused bool
 	}{
-		{"table=own&part=&from=a&targetVersion=b&limit=500", readingRules, false},
-		{"table=own", readingRules, false},
-		{"part=", readingRules, true},
-		{"table=", readingRules, true},
-		{"table=own&limit=501", readingRules, true},
-		{"table=own&to=b", readingRules, true},
+		{"table=own&part=&from=a&targetVersion=b&limit=500", readRules, false},
+		{"table=own", readRules, false},
+		{"part=", readRules, true},
+		{"table=", readRules, true},
+		{"table=own&limit=501", readRules, true},
+		{"table=own&to=b", readRules, true},
 		{"table=own&after=7&waitMs=30000", feedRules, false},
 		{"table=own&after=7&waitMs=30001", feedRules, true},
 		{"table=own&after=-1", feedRules, true},
@@ -114,7 +114,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := errors.Is(checkQuery(query, tt.rules), ErrRefused); got != tt.refused {
+		if got := errors.Is(checkQuery(query, tt.rules), ErrInvalidRequest); got != tt.refused {
 			t.Errorf("%s: got refused %v, want %v", tt.query, got, tt.refused)
 		}
 	}
--- a/standin/departure.go
+++ b/standin/departure.go
@@ -6,48 +6,48 @@
 	"time"
 )
 
-// departure is a server's leaving, and what still reaches it.
-type departure struct {
+// shutdownState is a server's leaving, and what still reaches it.
+type shutdownState struct {
 	leaving atomic.Bool
-	// saysSo tells that its answers say that it leaves, whatever its entry says.
-	saysSo atomic.Bool
-	// last is the wall time of the last request, in ms since 1970.
-	last atomic.Int64
+	// announced tells that its answers say that it leaves, whatever its entry says.
+	announced atomic.Bool
+	// lastRequestMS is the wall time of the last request, in ms since 1970.
+	lastRequestMS atomic.Int64
 }
 
-// Arrival is when a request has reached a server last.
-type Arrival struct {
-	// LastMS is a wall time in ms since 1970; zero for never.
-	LastMS int64 `json:"last_ms"`
+// LastRequest is when a request has reached a server last.
+type LastRequest struct {
+	// AtMS is a wall time in ms since 1970; zero for never.
+	AtMS int64 `json:"last_ms"`
 }
 
-// arrived notes a request that was meant for this server.
-func (d *departure) arrived(now time.Time) { d.last.Store(now.UnixMilli()) }
+// recordRequestTime notes a request that was meant for this server.
+func (d *shutdownState) recordRequestTime(now time.Time) { d.lastRequestMS.Store(now.UnixMilli()) }
 
-// state is what the server says of itself in the list.
-func (d *departure) state() string {
+// entryState is what the server says of itself in the list.
+func (d *shutdownState) entryState() string {
 	if d.leaving.Load() {
 		return "draining"
 	}
 	return "ready"
 }
 
-// mark has an answer say that the server leaves, where it does, and reports that.
-func (d *departure) mark(h http.Header) bool {
-	leaving := d.leaving.Load() || d.saysSo.Load()
+// setLeavingHeader has an answer say that the server leaves, where it does, and reports that.
+func (d *shutdownState) setLeavingHeader(h http.Header) bool {
+	leaving := d.leaving.Load() || d.announced.Load()
 	if leaving {
 		h.Set("Server-Leaving", "1")
 	}
 	return leaving
 }
 
-// SayLeaving has the server's answers say that it leaves, and not its entry.
-func (d *departure) SayLeaving() { d.saysSo.Store(true) }
+// AnnounceLeaving has the server's answers say that it leaves, and not its entry.
+func (d *shutdownState) AnnounceLeaving() { d.announced.Store(true) }
 
-// serve adds the calls that make a server say that it leaves, and that tell when a
+// registerHandlers adds the calls that make a server say that it leaves, and that tell when a
 // request has reached it last.
-func (d *departure) serve(mux *http.ServeMux) {
+func (d *shutdownState) registerHandlers(mux *http.ServeMux) {
 	mux.HandleFunc("POST /leave", func(http.ResponseWriter, *http.Request) { d.leaving.Store(true) })
-	mux.HandleFunc("POST /say-leaving", func(http.ResponseWriter, *http.Request) { d.SayLeaving() })
-	mux.Handle("GET /arrival", jsonHandler(func() any { return Arrival{LastMS: d.last.Load()} }))
+	mux.HandleFunc("POST /say-leaving", func(http.ResponseWriter, *http.Request) { d.AnnounceLeaving() })
+	mux.Handle("GET /arrival", jsonGetHandler(func() any { return LastRequest{AtMS: d.lastRequestMS.Load()} }))
 }
--- a/standin/deployment.go
+++ b/standin/deployment.go
@@ -21,59 +21,59 @@
 type Deployment struct {
 	scenario *lab.Scenario
 	store    string
-	yard     *Yard
+	registry *EngineRegistry
 
-	mu      sync.Mutex
-	engines []*deployedEngine
-	desks   []*Desk
-	random  *rand.Rand
+	mu           sync.Mutex
+	engines      []*deployedEngine
+	plainServers []*PlainServer
+	random       *rand.Rand
 }
 
 // deployedEngine is an engine at its address, and what ends its present run.
 type deployedEngine struct {
-	place, kind string
-	address     string
-	runs        int
-	engine      *ChainEngine
-	end         func()
+	centre, accelerator string
+	address             string
+	starts              int
+	engine              *ChainEngine
+	stop                func()
 }
 
-// Harm is what a rehearsal does to some upstreams.
-type Harm struct {
-	Kind  lab.Kind `json:"kind"`
-	Share float64  `json:"share"`
-	X     float64  `json:"x"`
-	XMost float64  `json:"x_most"`
-	ForMS int64    `json:"for_ms"`
+// FaultInjection is what a rehearsal does to some upstreams.
+type FaultInjection struct {
+	Kind         lab.FaultKind `json:"kind"`
+	Share        float64       `json:"share"`
+	Magnitude    float64       `json:"x"`
+	MaxMagnitude float64       `json:"x_most"`
+	ForMS        int64         `json:"for_ms"`
 }
 
-// Openness is what upstreams could have taken at a time.
-type Openness struct {
+// FreeCapacity is what upstreams could have taken at a time.
+type FreeCapacity struct {
 	AtMS int64 `json:"at_ms"`
-	// Desks have a place for another request. A stream of so many Tokens has memory at some
+	// PlainServers have a place for another request. A stream of so many Tokens has memory at some
 	// holder of each layer.
-	Desks  int     `json:"desks"`
-	Tokens float64 `json:"tokens"`
+	PlainServers int     `json:"desks"`
+	Tokens       float64 `json:"tokens"`
 }
 
 // NewDeployment starts the upstreams of a scenario, which tell the store of themselves until the
 // context ends.
 func NewDeployment(ctx context.Context, s *lab.Scenario, store string, seed uint64) (*Deployment, error) {
-	d := &Deployment{scenario: s, store: store, yard: NewYard(), random: rand.New(rand.NewPCG(seed, 21))}
-	for c, centre := range s.Fleet.Centres() {
+	d := &Deployment{scenario: s, store: store, registry: NewEngineRegistry(), random: rand.New(rand.NewPCG(seed, 21))}
+	for c, centre := range s.Fleet.DataCentres() {
 		n := 0
 		for _, kind := range slices.Sorted(maps.Keys(s.Fleet.Pipeline().Accelerators)) {
-			for range s.Fleet.Count(centre, kind) {
+			for range s.Fleet.EngineCount(centre, kind) {
 				n++
-				e := &deployedEngine{place: centre, kind: kind}
-				if err := d.start(ctx, e, fmt.Sprintf("127.2.%d.%d:0", c+1, n)); err != nil {
+				e := &deployedEngine{centre: centre, accelerator: kind}
+				if err := d.startEngine(ctx, e, fmt.Sprintf("127.2.%d.%d:0", c+1, n)); err != nil {
 					return nil, err
 				}
 				d.engines = append(d.engines, e)
 			}
 		}
-		for i := range s.Deployment.Plain.EachCentre {
-			if err := d.startDesk(ctx, centre, fmt.Sprintf("127.3.%d.%d:0", c+1, i+1)); err != nil {
+		for i := range s.Deployment.PlainService.PerDataCentre {
+			if err := d.startPlainServer(ctx, centre, fmt.Sprintf("127.3.%d.%d:0", c+1, i+1)); err != nil {
 				return nil, err
 			}
 		}
@@ -81,8 +81,8 @@
 	return d, nil
 }
 
-// start starts an engine: the first time anywhere at an address, later at the one that it had.
-func (d *Deployment) start(ctx context.Context, e *deployedEngine, listen string) error {
+// startEngine starts an engine: the first time anywhere at an address, later at the one that it had.
+func (d *Deployment) startEngine(ctx context.Context, e *deployedEngine, listen string) error {
 	if e.address != "" {
 		listen = e.address
 	}
@@ -91,40 +91,42 @@
 		return err
 	}
 	e.address = listener.Addr().String()
-	e.runs++
-	id := fmt.Sprintf("%s-%s-%d", e.place, e.address, e.runs)
+	e.starts++
+	id := fmt.Sprintf("%s-%s-%d", e.centre, e.address, e.starts)
 	p := d.scenario.Fleet.Pipeline()
-	e.engine = d.yard.NewEngine(id, e.address, &PipelineModel{
-		Pipeline: p, Accelerator: p.Accelerators[e.kind], Slots: d.scenario.Slots, EventTokens: d.scenario.Load.EventTokens,
+	e.engine = d.registry.NewEngine(id, e.address, &PipelineModel{
+		Pipeline: p, Accelerator: p.Accelerators[e.accelerator], Slots: d.scenario.Slots, EventTokens: d.scenario.Load.TokensPerEvent,
 	})
 	server := NewServer(e.engine.Handler())
 	life, end := context.WithCancel(ctx)
 	engine := e.engine
-	e.end = func() {
+	e.stop = func() {
 		end()
-		d.yard.Remove(engine)
+		d.registry.Remove(engine)
 		// Whatever is open is broken off, as when a process is killed.
 		_ = server.Close()
 	}
 	go func() { _ = server.Serve(listener) }()
-	go BeatEvery(life, d.heartbeat(), d.store, id, func() *platformpb.Server { return engine.Entry(e.place) })
+	go SendHeartbeatsEvery(life, d.heartbeatInterval(), d.store, id, func() *platformpb.Server { return engine.Entry(e.centre) })
 	return nil
 }
 
-func (d *Deployment) heartbeat() time.Duration { return d.scenario.Deployment.HeartbeatMS.Duration() }
+func (d *Deployment) heartbeatInterval() time.Duration {
+	return d.scenario.Deployment.HeartbeatIntervalMS.Duration()
+}
 
-func (d *Deployment) startDesk(ctx context.Context, centre, listen string) error {
+func (d *Deployment) startPlainServer(ctx context.Context, centre, listen string) error {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return err
 	}
 	address := listener.Addr().String()
-	plain := d.scenario.Deployment.Plain
-	desk := NewDesk("desk-"+address, address, millis(plain.WorkMS))
-	desk.SetPlaces(plain.Slots, plain.Queue)
-	d.desks = append(d.desks, desk)
+	plain := d.scenario.Deployment.PlainService
+	desk := NewPlainServer("desk-"+address, address, millis(plain.ServiceTimeMS))
+	desk.SetSlots(plain.Slots, plain.QueueLength)
+	d.plainServers = append(d.plainServers, desk)
 	go func() { _ = NewServer(desk.Handler()).Serve(listener) }()
-	go BeatEvery(ctx, d.heartbeat(), d.store, "desk-"+address, func() *platformpb.Server { return desk.Entry(centre) })
+	go SendHeartbeatsEvery(ctx, d.heartbeatInterval(), d.store, "desk-"+address, func() *platformpb.Server { return desk.Entry(centre) })
 	return nil
 }
 
@@ -132,30 +134,30 @@
 func (d *Deployment) Handler(ctx context.Context) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /harm", func(w http.ResponseWriter, r *http.Request) {
-		var h Harm
+		var h FaultInjection
 		if err := json.NewDecoder(r.Body).Decode(&h); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		d.harm(ctx, h)
+		d.injectFault(ctx, h)
 	})
-	mux.Handle("GET /open", jsonHandler(func() any { return d.Open() }))
+	mux.Handle("GET /open", jsonGetHandler(func() any { return d.Available() }))
 	return mux
 }
 
-// Open tells what upstreams could take now.
-func (d *Deployment) Open() Openness {
+// Available tells what upstreams could take now.
+func (d *Deployment) Available() FreeCapacity {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	o := Openness{AtMS: time.Now().UnixMilli()}
-	for _, desk := range d.desks {
-		if desk.Open() {
-			o.Desks++
+	o := FreeCapacity{AtMS: time.Now().UnixMilli()}
+	for _, desk := range d.plainServers {
+		if desk.Available() {
+			o.PlainServers++
 		}
 	}
 	left := make([]float64, d.scenario.Fleet.Pipeline().Layers)
 	for _, e := range d.engines {
-		from, to, tokens := e.engine.Serving()
+		from, to, tokens := e.engine.FreeMemory()
 		for layer := from; layer < to; layer++ {
 			left[layer] = max(left[layer], tokens)
 		}
--- a/standin/deployment_config.go
+++ b/standin/deployment_config.go
@@ -11,9 +11,9 @@
 
 // The names of a deployment's services and host.
 const (
-	DeploymentHost   = "deployment.example"
-	DeploymentStream = "writer"
-	DeploymentPlain  = "desk"
+	DeploymentHost          = "deployment.example"
+	DeploymentStreamService = "writer"
+	DeploymentPlainService  = "desk"
 )
 
 // DeploymentKey is the key of a client account, by its number.
@@ -26,11 +26,11 @@
 	config := &platformpb.Config{
 		Version: version, Limits: &platformpb.Limits{MaxBodyBytes: bodyBytes},
 		Services: []*platformpb.Service{
-			{Name: DeploymentStream, HealthPath: "/health", Engine: deploymentEngine(s)},
-			{Name: DeploymentPlain, HealthPath: "/health"},
+			{Name: DeploymentStreamService, HealthPath: "/health", Engine: deploymentEngine(s)},
+			{Name: DeploymentPlainService, HealthPath: "/health"},
 		},
 	}
-	for _, k := range s.Deployment.Requests {
+	for _, k := range s.Deployment.RequestKinds {
 		config.Routes = append(config.Routes, deploymentRoute(s, k))
 	}
 	for i := range s.Deployment.Accounts {
@@ -41,18 +41,18 @@
 
 func deploymentRoute(s *lab.Scenario, k lab.RequestKind) *platformpb.Route {
 	route := &platformpb.Route{
-		Name: k.Name, Host: DeploymentHost, PathPrefix: "/" + k.Name + "/", TimeoutMs: float64(k.RouteMS), TargetLatencyMs: float64(k.AimMS),
-		GapAimMs: float64(k.PauseMS), Priority: float64(k.Rank), MaxAttempts: float64(s.Nodes.MostAttempts), Service: DeploymentPlain,
+		Name: k.Name, Host: DeploymentHost, PathPrefix: "/" + k.Name + "/", TimeoutMs: float64(k.RouteTimeoutMS), TargetLatencyMs: float64(k.FirstEventTargetMS),
+		GapAimMs: float64(k.EventGapTargetMS), Priority: float64(k.Priority), MaxAttempts: float64(s.Nodes.MaxAttempts), Service: DeploymentPlainService,
 	}
-	if k.RouteMS == 0 {
+	if k.RouteTimeoutMS == 0 {
 		route.TimeoutMs = float64(k.DeadlineMS)
 	}
-	switch k.How {
-	case lab.HowStream:
-		route.Kind, route.Service, route.StreamResume, route.Affinity = "streaming", DeploymentStream, true, true
-	case lab.HowOnce:
+	switch k.Mode {
+	case lab.ModeStream:
+		route.Kind, route.Service, route.StreamResume, route.Affinity = "streaming", DeploymentStreamService, true, true
+	case lab.ModeOnce:
 		route.Kind, route.MaxAttempts = "unsafe", 1
-	case lab.HowRead:
+	case lab.ModeRead:
 		route.Kind = "safe"
 	}
 	return route
@@ -63,7 +63,7 @@
 	p := s.Fleet.Pipeline()
 	e := &platformpb.Engine{
 		Slots: float64(s.Slots), KvTokenBytes: p.TokenBytes, StepMs: p.StepMS, PerSequenceMs: p.SequenceMS, ContextMsPerK: p.ContextMS,
-		ReadPerSecond: p.ReadRate * perSecond, LoadsAtOnce: float64(s.LoadsAtOnce), Layers: float64(p.Layers), LayerMb: p.LayerMB,
+		ReadPerSecond: p.ReadRate * perSecond, LoadsAtOnce: float64(s.FullSpeedLoads), Layers: float64(p.Layers), LayerMb: p.LayerMB,
 		Stride: p.StepsPerPass, Chunk: p.PromptTokensPerPass, Usual: &platformpb.Usual{Prompt: p.MeanPromptTokens, Answer: p.MeanAnswerTokens},
 		Models: []*platformpb.ModelOption{{Name: "m", LoadSeconds: p.LoadMS / perSecond}},
 	}
--- a/standin/deployment_harm.go
+++ b/standin/deployment_harm.go
@@ -8,56 +8,56 @@
 	"github.com/hoistjunction/hoistjunction/lab"
 )
 
-// harm does a harm to a part of the upstreams, and undoes it after its time.
-func (d *Deployment) harm(ctx context.Context, h Harm) {
+// injectFault does a harm to a part of the upstreams, and undoes it after its time.
+func (d *Deployment) injectFault(ctx context.Context, h FaultInjection) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	lasts := time.Duration(h.ForMS) * time.Millisecond
-	if h.Kind == lab.PlainFull {
-		for _, desk := range d.desks {
-			desk.SetShut(true)
-			time.AfterFunc(lasts, func() { desk.SetShut(false) })
+	if h.Kind == lab.PlainServiceFull {
+		for _, desk := range d.plainServers {
+			desk.SetRejectAll(true)
+			time.AfterFunc(lasts, func() { desk.SetRejectAll(false) })
 		}
 		return
 	}
-	for _, i := range d.random.Perm(len(d.engines))[:d.part(h.Share)] {
-		d.harmEngine(ctx, d.engines[i], h, lasts)
+	for _, i := range d.random.Perm(len(d.engines))[:d.engineCount(h.Share)] {
+		d.injectEngineFault(ctx, d.engines[i], h, lasts)
 	}
 }
 
-// part is how many engines a share of them is: one at least.
-func (d *Deployment) part(share float64) int {
+// engineCount is how many engines a share of them is: one at least.
+func (d *Deployment) engineCount(share float64) int {
 	return min(max(int(share*float64(len(d.engines))+1.0/2), 1), len(d.engines))
 }
 
-// harmEngine does a harm to one engine. The caller holds the lock.
-func (d *Deployment) harmEngine(ctx context.Context, e *deployedEngine, h Harm, lasts time.Duration) {
+// injectEngineFault does a harm to one engine. The caller holds the lock.
+func (d *Deployment) injectEngineFault(ctx context.Context, e *deployedEngine, h FaultInjection, lasts time.Duration) {
 	engine := e.engine
 	switch h.Kind {
-	case lab.Crash:
-		e.end()
+	case lab.EngineCrash:
+		e.stop()
 		time.AfterFunc(lasts, func() {
 			d.mu.Lock()
 			defer d.mu.Unlock()
 			if e.engine == engine {
 				// Its address is its own; should it be taken the engine stays away.
-				_ = d.start(ctx, e, e.address)
+				_ = d.startEngine(ctx, e, e.address)
 			}
 		})
-	case lab.Slow:
-		engine.SetSlow(h.X)
-		time.AfterFunc(lasts, func() { engine.SetSlow(1) })
-	case lab.Rest:
-		engine.SetRest(RestFaults{ForMS: int(h.ForMS), Ask: strconv.FormatFloat(h.X, 'f', -1, 64)})
-	case lab.Refuse:
-		engine.SetRest(RestFaults{ForMS: int(h.ForMS)})
-	case lab.Limit:
-		x := h.X
-		if h.XMost > h.X {
-			x += d.random.Float64() * (h.XMost - h.X)
+	case lab.EngineSlow:
+		engine.SetSlowdown(h.Magnitude)
+		time.AfterFunc(lasts, func() { engine.SetSlowdown(1) })
+	case lab.EngineBackOff:
+		engine.SetBackOff(BackOffFaults{ForMS: int(h.ForMS), RetryAfter: strconv.FormatFloat(h.Magnitude, 'f', -1, 64)})
+	case lab.EngineRefuse:
+		engine.SetBackOff(BackOffFaults{ForMS: int(h.ForMS)})
+	case lab.EngineLimit:
+		x := h.Magnitude
+		if h.MaxMagnitude > h.Magnitude {
+			x += d.random.Float64() * (h.MaxMagnitude - h.Magnitude)
 		}
-		engine.SetLimit(LimitFaults{Name: strconv.FormatFloat(x, 'f', 2, 64)})
-		time.AfterFunc(lasts, func() { engine.SetLimit(LimitFaults{}) })
+		engine.SetAdvertisedLimit(LimitFaults{Advertised: strconv.FormatFloat(x, 'f', 2, 64)})
+		time.AfterFunc(lasts, func() { engine.SetAdvertisedLimit(LimitFaults{}) })
 	default:
 		// The others are done to nodes, callers or the store.
 	}
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -27,18 +27,18 @@
 	MaxBatch int
 	// MaxGenerations bounds the generations held.
 	MaxGenerations int
-	// CachedPrefixes bounds the prompt prefixes whose cost is remembered.
-	CachedPrefixes int
-	// LoadLag is how old the reported load is.
-	LoadLag time.Duration
+	// MaxCachedPrefixes bounds the prompt prefixes whose cost is remembered.
+	MaxCachedPrefixes int
+	// LoadSampleInterval is how old the reported load is.
+	LoadSampleInterval time.Duration
 }
 
 // DefaultEngineConfig returns a small, fast engine.
 func DefaultEngineConfig() EngineConfig {
 	return EngineConfig{
 		LastLayer: 3, Final: true, Base: time.Millisecond, PerStep: 50 * time.Microsecond,
-		PerPosition: 5 * time.Microsecond, MaxBatch: 64, MaxGenerations: 512, CachedPrefixes: 64,
-		LoadLag: 200 * time.Millisecond,
+		PerPosition: 5 * time.Microsecond, MaxBatch: 64, MaxGenerations: 512, MaxCachedPrefixes: 64,
+		LoadSampleInterval: 200 * time.Millisecond,
 	}
 }
 
@@ -48,24 +48,24 @@
 	config EngineConfig
 	faults EngineFaults
 
-	mu       sync.Mutex
-	sessions map[sessionID]*session
-	waiting  stepQueue
-	wake     chan struct{}
-	prefixes prefixCache
-	load     laggingLoad
-	counts   EngineCounts
+	mu          sync.Mutex
+	sessions    map[sessionID]*session
+	waiting     stepQueue
+	wake        chan struct{}
+	prefixes    prefixCache
+	sampledLoad loadSample
+	counts      EngineCounts
 }
 
 // EngineCounts is what an engine has seen.
 type EngineCounts struct {
-	Steps      uint64 `json:"steps"`
-	Positions  uint64 `json:"positions"`
-	Cached     uint64 `json:"cached"`
-	Gaps       uint64 `json:"gaps"`
-	Fenced     uint64 `json:"fenced"`
-	Duplicates uint64 `json:"duplicates"`
-	Admitted   uint64 `json:"admitted"`
+	Steps           uint64 `json:"steps"`
+	Positions       uint64 `json:"positions"`
+	CachedPositions uint64 `json:"cached"`
+	Gaps            uint64 `json:"gaps"`
+	Fenced          uint64 `json:"fenced"`
+	Duplicates      uint64 `json:"duplicates"`
+	Admitted        uint64 `json:"admitted"`
 }
 
 // NewEngine returns an engine. Run makes it work.
@@ -74,7 +74,7 @@
 		config:   c,
 		sessions: make(map[sessionID]*session),
 		wake:     make(chan struct{}, 1),
-		prefixes: newPrefixCache(c.CachedPrefixes),
+		prefixes: newPrefixCache(c.MaxCachedPrefixes),
 	}
 }
 
@@ -97,8 +97,8 @@
 	mux := http.NewServeMux()
 	path, handler := wireconnect.NewEngineHandler(e)
 	mux.Handle(path, handler)
-	mux.Handle("POST /faults", faultHandler(e.SetFaults))
-	mux.Handle("GET /counts", jsonHandler(func() any { return e.Counts() }))
+	mux.Handle("POST /faults", jsonSetHandler(e.SetFaults))
+	mux.Handle("GET /counts", jsonGetHandler(func() any { return e.Counts() }))
 	return mux
 }
 
@@ -126,7 +126,7 @@
 	// The stream must not be used once this function has returned.
 	defer wg.Wait()
 	defer cancel()
-	wg.Go(func() { send(ctx, cancel, s, replies) })
+	wg.Go(func() { sendReplies(ctx, cancel, s, replies) })
 	answer := func(r *wire.StepReply) {
 		select {
 		case replies <- r:
@@ -138,11 +138,11 @@
 		if err != nil {
 			return nil
 		}
-		e.take(step, answer)
+		e.enqueue(step, answer)
 	}
 }
 
-func send(ctx context.Context, cancel func(), s *connect.BidiStream[wire.StepRequest, wire.StepReply], replies <-chan *wire.StepReply) {
+func sendReplies(ctx context.Context, cancel func(), s *connect.BidiStream[wire.StepRequest, wire.StepReply], replies <-chan *wire.StepReply) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/standin/lagging_list.go
+++ b/standin/lagging_list.go
@@ -7,26 +7,26 @@
 	"github.com/hoistjunction/hoistjunction/tablestore"
 )
 
-// laggingList is a list of VMs whose changes show late.
-type laggingList struct {
-	shown   tablestore.VMList
-	pending []pendingList
+// delayedList is a list of VMs whose changes show late.
+type delayedList struct {
+	visible   tablestore.VMList
+	scheduled []scheduledList
 }
 
-type pendingList struct {
-	due time.Time
-	vms []pool.Listing
+type scheduledList struct {
+	visibleFrom time.Time
+	vms         []pool.Listing
 }
 
-func (l *laggingList) set(due time.Time, vms []pool.Listing) {
-	l.pending = append(l.pending, pendingList{due: due, vms: vms})
+func (l *delayedList) publish(due time.Time, vms []pool.Listing) {
+	l.scheduled = append(l.scheduled, scheduledList{visibleFrom: due, vms: vms})
 }
 
-// at returns the list as it shows at a time.
-func (l *laggingList) at(now time.Time) tablestore.VMList {
-	for len(l.pending) > 0 && !l.pending[0].due.After(now) {
-		l.shown = tablestore.VMList{Version: l.shown.Version + 1, VMs: l.pending[0].vms}
-		l.pending = l.pending[1:]
+// visibleAt returns the list as it shows at a time.
+func (l *delayedList) visibleAt(now time.Time) tablestore.VMList {
+	for len(l.scheduled) > 0 && !l.scheduled[0].visibleFrom.After(now) {
+		l.visible = tablestore.VMList{Version: l.visible.Version + 1, VMs: l.scheduled[0].vms}
+		l.scheduled = l.scheduled[1:]
 	}
-	return l.shown
+	return l.visible
 }
--- a/standin/lagging_load.go
+++ b/standin/lagging_load.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// laggingLoad is a load that is only measured now and then.
-type laggingLoad struct {
-	value    int
+// loadSample is a load that is only measured now and then.
+type loadSample struct {
+	load     int
 	measured time.Time
 }
 
-// at returns the load as of the last measurement, and that one's age in
+// read returns the load as of the last measurement, and that one's age in
 // milliseconds.
-func (l *laggingLoad) at(now time.Time, load int, lag time.Duration) (uint32, uint32) {
+func (l *loadSample) read(now time.Time, load int, lag time.Duration) (uint32, uint32) {
 	if now.Sub(l.measured) >= lag {
-		l.value = load
+		l.load = load
 		l.measured = now
 	}
-	return uint32(l.value), uint32(now.Sub(l.measured).Milliseconds())
+	return uint32(l.load), uint32(now.Sub(l.measured).Milliseconds())
 }
--- a/standin/life.go
+++ b/standin/life.go
@@ -6,47 +6,49 @@
 )
 
 // ServerOption sets up a stand-in for a server.
-type ServerOption func(*life)
+type ServerOption func(*serverBase)
 
-// WithEnd has deadly requests end a server. End must break its connections off.
-func WithEnd(end func(path string)) ServerOption { return func(l *life) { l.crash.end = end } }
+// WithCrash has deadly requests end a server. End must break its connections off.
+func WithCrash(end func(path string)) ServerOption {
+	return func(l *serverBase) { l.crash.terminate = end }
+}
 
-// WithoutStart has a server tell nobody when it started: only its id names its run.
-func WithoutStart() ServerOption { return func(l *life) { l.born = nil } }
+// WithoutStartTime has a server tell nobody when it started: only its id names its run.
+func WithoutStartTime() ServerOption { return func(l *serverBase) { l.startMS = nil } }
 
-// life is one run of a server's process: its name, its end, and what it says of itself.
-type life struct {
+// serverBase is one run of a server's process: its name, its end, and what it says of itself.
+type serverBase struct {
 	id string
-	// born is when it started, in ms since 1970; nil where it does not tell.
-	born *float64
-	departure
-	rest
-	limit
-	visits
-	crash crash
+	// startMS is when it started, in ms since 1970; nil where it does not tell.
+	startMS *float64
+	shutdownState
+	backOffFault
+	advertisedLimit
+	requestLog
+	crash crashFault
 }
 
-func newLife(id string, opts []ServerOption) *life {
+func newServerBase(id string, opts []ServerOption) *serverBase {
 	now := float64(time.Now().UnixMilli())
-	l := &life{id: id, born: &now}
+	l := &serverBase{id: id, startMS: &now}
 	for _, opt := range opts {
 		opt(l)
 	}
 	return l
 }
 
-// serve adds the calls that are the same for all servers: its leaving, its rest, its
+// registerHandlers adds the calls that are the same for all servers: its leaving, its rest, its
 // limit, and its health.
-func (l *life) serve(mux *http.ServeMux) {
-	l.departure.serve(mux)
-	l.rest.serve(mux)
-	l.limit.serve(mux)
-	l.visits.serve(mux)
-	mux.HandleFunc("GET /health", l.health)
+func (l *serverBase) registerHandlers(mux *http.ServeMux) {
+	l.shutdownState.registerHandlers(mux)
+	l.backOffFault.registerHandlers(mux)
+	l.advertisedLimit.registerHandlers(mux)
+	l.requestLog.registerHandlers(mux)
+	mux.HandleFunc("GET /health", l.handleHealth)
 }
 
-// meant refuses what is meant for another server, and says which one this is.
-func (l *life) meant(w http.ResponseWriter, r *http.Request) bool {
+// acceptInstance refuses what is meant for another server, and says which one this is.
+func (l *serverBase) acceptInstance(w http.ResponseWriter, r *http.Request) bool {
 	if want := r.Header.Get("Expect-Instance"); want != "" && want != l.id {
 		w.Header().Set("Instance-Id", l.id)
 		w.WriteHeader(http.StatusMisdirectedRequest)
@@ -55,18 +57,18 @@
 	return true
 }
 
-// admit takes a request in that has been read whole, and reports whether the server goes on
+// admitRequest takes a request in that has been read whole, and reports whether the server goes on
 // with it. Where it turns the request away, that is its answer.
-func (l *life) admit(w http.ResponseWriter, r *http.Request) bool {
+func (l *serverBase) admitRequest(w http.ResponseWriter, r *http.Request) bool {
 	now := time.Now()
-	l.arrived(now)
-	leaving := l.mark(w.Header())
-	visit := Visit{ID: r.Header.Get("Attempt-Id"), AtMS: now.UnixMilli(), Leaving: leaving, Limit: l.markLimit(w.Header())}
-	ask, away := l.turnsAway(now)
+	l.recordRequestTime(now)
+	leaving := l.setLeavingHeader(w.Header())
+	visit := ReceivedRequest{ID: r.Header.Get("Attempt-Id"), AtMS: now.UnixMilli(), Leaving: leaving, Limit: l.setLimitHeader(w.Header())}
+	ask, away := l.rejection(now)
 	if away {
-		visit.AskedMS = askedMS(ask)
+		visit.BackOffMS = retryAfterMS(ask)
 	}
-	l.note(visit)
+	l.recordReceived(visit)
 	if !away {
 		return true
 	}
@@ -79,8 +81,8 @@
 	return false
 }
 
-func (l *life) health(w http.ResponseWriter, r *http.Request) {
-	if !l.meant(w, r) {
+func (l *serverBase) handleHealth(w http.ResponseWriter, r *http.Request) {
+	if !l.acceptInstance(w, r) {
 		return
 	}
 	w.Header().Set("Instance-Id", l.id)
--- a/standin/limit.go
+++ b/standin/limit.go
@@ -10,51 +10,53 @@
 // LimitFaults are how a server in need names the requests a second that it takes from all
 // nodes together.
 type LimitFaults struct {
-	// Name is what stands in Server-Limit from now on; empty for nothing.
-	Name string `json:"name"`
+	// Advertised is what stands in Server-Limit from now on; empty for nothing.
+	Advertised string `json:"name"`
 }
 
-// limit is what a server in need names. It is safe for concurrent use.
-type limit struct {
-	mu   sync.Mutex
-	name string
+// advertisedLimit is what a server in need names. It is safe for concurrent use.
+type advertisedLimit struct {
+	mu    sync.Mutex
+	value string
 }
 
-// SetLimit changes the limit that the server names.
-func (l *limit) SetLimit(f LimitFaults) {
+// SetAdvertisedLimit changes the limit that the server names.
+func (l *advertisedLimit) SetAdvertisedLimit(f LimitFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.name = f.Name
+	l.value = f.Advertised
 }
 
-// markLimit has an answer name the limit, where there is one, and returns it; zero for none
+// setLimitHeader has an answer name the limit, where there is one, and returns it; zero for none
 // and for what is no number of requests.
-func (l *limit) markLimit(h http.Header) float64 {
+func (l *advertisedLimit) setLimitHeader(h http.Header) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.name == "" {
+	if l.value == "" {
 		return 0
 	}
-	h.Set("Server-Limit", l.name)
-	named, err := strconv.ParseFloat(l.name, 64)
+	h.Set("Server-Limit", l.value)
+	named, err := strconv.ParseFloat(l.value, 64)
 	if err != nil {
 		return 0
 	}
 	return max(named, 0)
 }
 
-// serve adds the call that makes a server name a limit.
-func (l *limit) serve(mux *http.ServeMux) { mux.Handle("POST /limit", faultHandler(l.SetLimit)) }
+// registerHandlers adds the call that makes a server name a limit.
+func (l *advertisedLimit) registerHandlers(mux *http.ServeMux) {
+	mux.Handle("POST /limit", jsonSetHandler(l.SetAdvertisedLimit))
+}
 
 const (
 	// limitWindow is the time over which requests are counted against a limit.
 	limitWindow = 4 * time.Second
-	// toldAfter is how long after a node has passed on an answer that names a limit what it
+	// limitGrace is how long after a node has passed on an answer that names a limit what it
 	// sends counts.
-	toldAfter = 500 * time.Millisecond
-	// limitLeeway and limitSpare are how much more than it allows may come in a window.
-	limitLeeway = 1.5
-	limitSpare  = 5
+	limitGrace = 500 * time.Millisecond
+	// limitSlackFactor and limitSlackRequests are how much more than it allows may come in a window.
+	limitSlackFactor   = 1.5
+	limitSlackRequests = 5
 )
 
 // LimitBreach is a span in which a server got more requests than its limit allows.
@@ -65,15 +67,15 @@
 	// may.
 	Count, Allowed int
 	AtMS           int64
-	// Nodes are those that had been told, by whom the requests were sent.
-	Nodes map[string]int
+	// RequestsByNode are those that had been told, by whom the requests were sent.
+	RequestsByNode map[string]int
 }
 
 // LimitBreaches returns the first span of each time with a limit in which a server got more
 // requests than that allows, from nodes that had been told, later than contact after it had
 // named the limit first. NodeOf names the node that a try was sent to, and excused tells
 // whether what a node has sent in a time counts for nothing.
-func LimitBreaches(list []Visit, nodeOf func(id string) string, contact time.Duration, excused func(node string, fromMS, toMS int64) bool) []LimitBreach {
+func LimitBreaches(list []ReceivedRequest, nodeOf func(id string) string, contact time.Duration, excused func(node string, fromMS, toMS int64) bool) []LimitBreach {
 	var breaches []LimitBreach
 	told := make(map[string]int64)
 	first, broken := int64(0), false
@@ -92,8 +94,8 @@
 		if broken || v.AtMS < first+contact.Milliseconds() {
 			continue
 		}
-		b := countWindow(list[:i+1], nodeOf, told)
-		for node, n := range b.Nodes {
+		b := countInWindow(list[:i+1], nodeOf, told)
+		for node, n := range b.RequestsByNode {
 			if excused(node, v.AtMS-limitWindow.Milliseconds(), v.AtMS) {
 				b.Count -= n
 			}
@@ -106,16 +108,16 @@
 	return breaches
 }
 
-// countWindow counts the requests of the window that ends with the last of some visits.
-func countWindow(list []Visit, nodeOf func(id string) string, told map[string]int64) LimitBreach {
+// countInWindow counts the requests of the window that ends with the last of some visits.
+func countInWindow(list []ReceivedRequest, nodeOf func(id string) string, told map[string]int64) LimitBreach {
 	last := list[len(list)-1]
-	b := LimitBreach{Limit: last.Limit, AtMS: last.AtMS, Nodes: make(map[string]int)}
-	b.Allowed = int(limitLeeway*last.Limit*limitWindow.Seconds() + limitSpare)
+	b := LimitBreach{Limit: last.Limit, AtMS: last.AtMS, RequestsByNode: make(map[string]int)}
+	b.Allowed = int(limitSlackFactor*last.Limit*limitWindow.Seconds() + limitSlackRequests)
 	for i := len(list) - 1; i >= 0 && list[i].AtMS > last.AtMS-limitWindow.Milliseconds(); i-- {
 		node := nodeOf(list[i].ID)
-		if at := told[node]; node != "" && at != 0 && at <= last.AtMS-toldAfter.Milliseconds() {
+		if at := told[node]; node != "" && at != 0 && at <= last.AtMS-limitGrace.Milliseconds() {
 			b.Count++
-			b.Nodes[node]++
+			b.RequestsByNode[node]++
 		}
 	}
 	return b
--- a/standin/limiter.go
+++ b/standin/limiter.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// limiter lets so many calls through a second, with a second's worth saved up
+// rateLimiter lets so many calls through a second, with a second's worth saved up
 // at the most.
-type limiter struct {
-	rate  float64
-	saved float64
-	last  time.Time
+type rateLimiter struct {
+	callsPerSecond float64
+	tokens         float64
+	updatedAt      time.Time
 }
 
-func newLimiter(rate float64) limiter { return limiter{rate: rate, saved: rate} }
+func newRateLimiter(rate float64) rateLimiter { return rateLimiter{callsPerSecond: rate, tokens: rate} }
 
-func (l *limiter) allow(now time.Time) bool {
-	if !l.last.IsZero() {
-		l.saved = min(l.saved+now.Sub(l.last).Seconds()*l.rate, l.rate)
+func (l *rateLimiter) allow(now time.Time) bool {
+	if !l.updatedAt.IsZero() {
+		l.tokens = min(l.tokens+now.Sub(l.updatedAt).Seconds()*l.callsPerSecond, l.callsPerSecond)
 	}
-	l.last = now
-	if l.saved < 1 {
+	l.updatedAt = now
+	if l.tokens < 1 {
 		return false
 	}
-	l.saved--
+	l.tokens--
 	return true
 }
--- a/standin/model.go
+++ b/standin/model.go
@@ -1,13 +1,13 @@
 package standin
 
-// seed keeps the digests of the stand-in's model apart from other uses of the
+// digestSeed keeps the digests of the stand-in's model apart from other uses of the
 // same mixing function.
-const seed = 0x9e3779b97f4a7c15
+const digestSeed = 0x9e3779b97f4a7c15
 
 // mix folds two numbers into one (the finisher of splitmix64, Steele and
 // others, 2014).
 func mix(a, b uint64) uint64 {
-	x := a*seed + b
+	x := a*digestSeed + b
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
@@ -15,8 +15,8 @@
 	return x ^ x>>31
 }
 
-// embed turns a token at a position into the first layer's input.
-func embed(token uint32, position uint32) uint64 {
+// embedToken turns a token at a position into the first layer's input.
+func embedToken(token uint32, position uint32) uint64 {
 	return mix(uint64(token)+1, uint64(position)+1)
 }
 
@@ -33,14 +33,14 @@
 	"배추 ", "무 ", "가격 ", "주문 ", "확인 ", "오늘 ", "정오 ", "상자 ", "원 ", "감사 ", "수령 ", "재고 ", "판매 ", "시장 ", "아침 ",
 }
 
-// choose makes a token of the last layer's output. About one answer in a
+// chooseToken makes a token of the last layer's output. About one answer in a
 // hundred tokens ends by itself.
-func choose(output uint64) (token uint32, last bool) {
+func chooseToken(output uint64) (token uint32, last bool) {
 	return uint32(output % uint64(len(syllables))), (output>>32)%100 == 0
 }
 
-// text returns a token as text.
-func text(token uint32) string { return syllables[token%uint32(len(syllables))] }
+// tokenText returns a token as text.
+func tokenText(token uint32) string { return syllables[token%uint32(len(syllables))] }
 
 // tokenize splits a prompt into tokens, one for each character.
 func tokenize(prompt string) []uint32 {
@@ -51,9 +51,9 @@
 	return tokens
 }
 
-// Reference returns the answer that a model of so many layers gives to a
+// ReferenceAnswer returns the answer that a model of so many layers gives to a
 // prompt, worked out in one piece.
-func Reference(prompt string, layers uint32, maxTokens int) []string {
+func ReferenceAnswer(prompt string, layers uint32, maxTokens int) []string {
 	caches := make([]uint64, layers)
 	var texts []string
 	position := uint32(0)
@@ -61,14 +61,14 @@
 	for len(texts) < maxTokens {
 		var output uint64
 		for _, token := range next {
-			output = embed(token, position)
+			output = embedToken(token, position)
 			for layer := range layers {
 				output = runLayer(layer, position, &caches[layer], output)
 			}
 			position++
 		}
-		token, last := choose(output)
-		texts = append(texts, text(token))
+		token, last := chooseToken(output)
+		texts = append(texts, tokenText(token))
 		if last {
 			break
 		}
--- a/standin/node_fields.go
+++ b/standin/node_fields.go
@@ -6,41 +6,41 @@
 	"github.com/hoistjunction/hoistjunction/lab"
 )
 
-// NodePlace is where a node of a deployment stands. Its ports are at its address.
-type NodePlace struct {
+// NodeAddresses is where a node of a deployment stands. Its ports are at its address.
+type NodeAddresses struct {
 	Name, Centre, IP                 string
 	Front, Readiness, Peers, Metrics string
 }
 
-// At is an address of the node by its port.
-func (p NodePlace) At(port string) string { return net.JoinHostPort(p.IP, port) }
+// HostPort is an address of the node by its port.
+func (p NodeAddresses) HostPort(port string) string { return net.JoinHostPort(p.IP, port) }
 
 // What the platform sets for all nodes of the deployments.
 const (
-	graceSeconds  = 8
-	keysMS        = 5000
-	configMS      = 2000
-	leavingMS     = 2000
-	msInSecond    = 1000
-	anyPort       = "0"
-	coresOfANode  = 1
-	shareOfACore  = 0.4
-	linkMbps      = 1000.0
-	keysMustAgree = true
+	shutdownGraceSeconds = 8
+	keyRevocationMS      = 5000
+	configApplyMS        = 2000
+	drainMS              = 2000
+	msPerSecond          = 1000
+	anyPort              = "0"
+	nodeCores            = 1
+	cpuShare             = 0.4
+	linkMbps             = 1000.0
+	revokeFailClosed     = true
 )
 
 // NodeFields are what the platform fills a node's settings from, under the names that its pages
 // have for them.
-func NodeFields(p NodePlace, s *lab.Scenario, store string, seeds []string) Fields {
-	return Fields{
+func NodeFields(p NodeAddresses, s *lab.Scenario, store string, seeds []string) TemplateFields {
+	return TemplateFields{
 		"nodeName": p.Name, "zone": p.Centre, "ip": p.IP, "bootstrap": true, "seeds": seeds,
 		"portRange": []string{p.Metrics, anyPort},
-		"listen":    Fields{"front": p.At(p.Front), "readiness": p.At(p.Readiness), "control": p.At(p.Peers)},
-		"limits":    Fields{"cores": coresOfANode, "cpuShare": shareOfACore, "linkMbps": linkMbps, "memoryMb": s.Deployment.NodeMB},
-		"platform":  Fields{"address": store},
-		"bounds": Fields{
-			"graceS": graceSeconds, "revokeFailClosed": keysMustAgree, "revokeMs": keysMS, "configApplyMs": configMS, "drainMs": leavingMS,
-			"budgetWindowS": float64(s.Nodes.WindowMS) / msInSecond, "retryBudgetRatio": s.Nodes.RetryShare, "budgetSlack": s.Nodes.RetrySlack,
+		"listen":    TemplateFields{"front": p.HostPort(p.Front), "readiness": p.HostPort(p.Readiness), "control": p.HostPort(p.Peers)},
+		"limits":    TemplateFields{"cores": nodeCores, "cpuShare": cpuShare, "linkMbps": linkMbps, "memoryMb": s.Deployment.NodeMemoryMB},
+		"platform":  TemplateFields{"address": store},
+		"bounds": TemplateFields{
+			"graceS": shutdownGraceSeconds, "revokeFailClosed": revokeFailClosed, "revokeMs": keyRevocationMS, "configApplyMs": configApplyMS, "drainMs": drainMS,
+			"budgetWindowS": float64(s.Nodes.RetryWindowMS) / msPerSecond, "retryBudgetRatio": s.Nodes.RetryShare, "budgetSlack": s.Nodes.RetrySlack,
 		},
 	}
 }
--- a/standin/object.go
+++ b/standin/object.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-func (p *Platform) object(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleGetObject(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	data, ok := p.objects[r.PathValue("name")]
 	p.mu.Unlock()
@@ -16,7 +16,7 @@
 	_, _ = w.Write(data)
 }
 
-func (p *Platform) putObject(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handlePutObject(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(r.Body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -24,18 +24,18 @@
 	faults  PlatformFaults
 	table   table
 	objects map[string][]byte
-	vms     laggingList
-	writes  limiter
-	reads   limiter
+	vms     delayedList
+	writes  rateLimiter
+	reads   rateLimiter
 	counts  PlatformCounts
 }
 
 // PlatformCounts is what the platform has been asked.
 type PlatformCounts struct {
-	Writes   uint64 `json:"writes"`
-	Reads    uint64 `json:"reads"`
-	Refused  uint64 `json:"refused"`
-	ListGets uint64 `json:"list_gets"`
+	Writes       uint64 `json:"writes"`
+	Reads        uint64 `json:"reads"`
+	Refused      uint64 `json:"refused"`
+	ListRequests uint64 `json:"list_gets"`
 }
 
 // NewPlatform returns an empty platform.
@@ -43,8 +43,8 @@
 	return &Platform{
 		table:   newTable(),
 		objects: make(map[string][]byte),
-		writes:  newLimiter(writesPerSecond),
-		reads:   newLimiter(readsPerSecond),
+		writes:  newRateLimiter(writesPerSecond),
+		reads:   newRateLimiter(readsPerSecond),
 	}
 }
 
@@ -60,7 +60,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	lag := time.Duration(p.faults.ListLagMS) * time.Millisecond
-	p.vms.set(time.Now().Add(lag), vms)
+	p.vms.publish(time.Now().Add(lag), vms)
 }
 
 // Counts returns what the platform has been asked.
@@ -74,38 +74,38 @@
 // list of VMs to be set at /vms.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /table/row", p.store(p.row))
-	mux.HandleFunc("GET /table/scan", p.store(p.scan))
-	mux.HandleFunc("POST /table/txn", p.store(p.txn))
-	mux.HandleFunc("GET /objects/{name}", p.store(p.object))
-	mux.HandleFunc("PUT /objects/{name}", p.store(p.putObject))
-	mux.HandleFunc("GET /vms", p.list)
-	mux.Handle("PUT /vms", faultHandler(p.SetVMs))
-	mux.Handle("POST /faults", faultHandler(p.SetFaults))
-	mux.Handle("GET /counts", jsonHandler(func() any { return p.Counts() }))
+	mux.HandleFunc("GET /table/row", p.withStoreFaults(p.handleRow))
+	mux.HandleFunc("GET /table/scan", p.withStoreFaults(p.handleScan))
+	mux.HandleFunc("POST /table/txn", p.withStoreFaults(p.handleTransaction))
+	mux.HandleFunc("GET /objects/{name}", p.withStoreFaults(p.handleGetObject))
+	mux.HandleFunc("PUT /objects/{name}", p.withStoreFaults(p.handlePutObject))
+	mux.HandleFunc("GET /vms", p.handleVMs)
+	mux.Handle("PUT /vms", jsonSetHandler(p.SetVMs))
+	mux.Handle("POST /faults", jsonSetHandler(p.SetFaults))
+	mux.Handle("GET /counts", jsonGetHandler(func() any { return p.Counts() }))
 	return mux
 }
 
-// store wraps a call of the store in its faults and its limits.
-func (p *Platform) store(call func(http.ResponseWriter, *http.Request)) http.HandlerFunc {
+// withStoreFaults wraps a call of the store in its faults and its limits.
+func (p *Platform) withStoreFaults(call func(http.ResponseWriter, *http.Request)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
 		faults := p.faults
 		p.mu.Unlock()
-		time.Sleep(time.Duration(faults.SlowMS) * time.Millisecond)
-		if faults.Down || !p.allow(r.Method != http.MethodGet) {
+		time.Sleep(time.Duration(faults.StoreDelayMS) * time.Millisecond)
+		if faults.Down || !p.allowCall(r.Method != http.MethodGet) {
 			http.Error(w, "not now", http.StatusServiceUnavailable)
 			return
 		}
-		if faults.LoseAnswers && r.Method != http.MethodGet {
-			call(discard{}, r)
+		if faults.LoseResponses && r.Method != http.MethodGet {
+			call(discardResponse{}, r)
 			panic(http.ErrAbortHandler)
 		}
 		call(w, r)
 	}
 }
 
-func (p *Platform) allow(write bool) bool {
+func (p *Platform) allowCall(write bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	limit, count := &p.reads, &p.counts.Reads
@@ -120,7 +120,7 @@
 	return true
 }
 
-func (p *Platform) row(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleRow(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	value, ok := p.table.get(r.URL.Query().Get("key"))
 	p.mu.Unlock()
@@ -131,14 +131,14 @@
 	writeJSON(w, tablestore.Row{Key: r.URL.Query().Get("key"), Value: value})
 }
 
-func (p *Platform) scan(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleScan(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	rows := p.table.scan(r.URL.Query().Get("after"), r.URL.Query().Get("to"))
 	p.mu.Unlock()
 	writeJSON(w, rows)
 }
 
-func (p *Platform) txn(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleTransaction(w http.ResponseWriter, r *http.Request) {
 	var txn tablestore.Txn
 	if err := json.NewDecoder(r.Body).Decode(&txn); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -150,11 +150,11 @@
 	writeJSON(w, result)
 }
 
-func (p *Platform) list(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleVMs(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	down := p.faults.ListDown
-	p.counts.ListGets++
-	list := p.vms.at(time.Now())
+	p.counts.ListRequests++
+	list := p.vms.visibleAt(time.Now())
 	p.mu.Unlock()
 	if down {
 		http.Error(w, "not now", http.StatusServiceUnavailable)
@@ -172,9 +172,9 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// discard is where an answer that gets lost is written.
-type discard struct{}
+// discardResponse is where an answer that gets lost is written.
+type discardResponse struct{}
 
-func (discard) Header() http.Header         { return http.Header{} }
-func (discard) Write(b []byte) (int, error) { return len(b), nil }
-func (discard) WriteHeader(int)             {}
+func (discardResponse) Header() http.Header         { return http.Header{} }
+func (discardResponse) Write(b []byte) (int, error) { return len(b), nil }
+func (discardResponse) WriteHeader(int)             {}
--- a/standin/prefix_cache.go
+++ b/standin/prefix_cache.go
@@ -4,19 +4,19 @@
 	"github.com/hoistjunction/hoistjunction/wire"
 )
 
-// prefixChunk is how many positions are cached as one.
-const prefixChunk = 16
+// prefixBlock is how many positions are cached as one.
+const prefixBlock = 16
 
 // prefixCache remembers, in limited memory, which beginnings of prompts have
 // been worked out lately. It saves time only: answers do not depend on it.
 type prefixCache struct {
-	most  int
-	order []uint64
-	known map[uint64]bool
+	capacity int
+	order    []uint64
+	digests  map[uint64]bool
 }
 
 func newPrefixCache(most int) prefixCache {
-	return prefixCache{most: most, known: make(map[uint64]bool)}
+	return prefixCache{capacity: most, digests: make(map[uint64]bool)}
 }
 
 // lookup returns how many positions of a first step are cached, and caches
@@ -24,30 +24,30 @@
 func (c *prefixCache) lookup(step *wire.StepRequest) int {
 	inputs := step.GetInputs()
 	if len(inputs) == 0 {
-		inputs = embedAll(step, 0)
+		inputs = embedTokens(step, 0)
 	}
 	digest, cached, hit := uint64(0), 0, true
-	for i := 0; i+prefixChunk <= len(inputs); i += prefixChunk {
-		for _, input := range inputs[i : i+prefixChunk] {
+	for i := 0; i+prefixBlock <= len(inputs); i += prefixBlock {
+		for _, input := range inputs[i : i+prefixBlock] {
 			digest = mix(digest, input)
 		}
-		hit = hit && c.known[digest]
+		hit = hit && c.digests[digest]
 		if hit {
-			cached += prefixChunk
+			cached += prefixBlock
 		}
-		c.put(digest)
+		c.add(digest)
 	}
 	return min(cached, len(inputs)-1)
 }
 
-func (c *prefixCache) put(digest uint64) {
-	if c.known[digest] || c.most == 0 {
+func (c *prefixCache) add(digest uint64) {
+	if c.digests[digest] || c.capacity == 0 {
 		return
 	}
-	if len(c.order) >= c.most {
-		delete(c.known, c.order[0])
+	if len(c.order) >= c.capacity {
+		delete(c.digests, c.order[0])
 		c.order = c.order[1:]
 	}
 	c.order = append(c.order, digest)
-	c.known[digest] = true
+	c.digests[digest] = true
 }
--- a/standin/rowstore.go
+++ b/standin/rowstore.go
@@ -17,89 +17,89 @@
 	"github.com/hoistjunction/hoistjunction/platform/platformpb"
 )
 
-// beatsLife is after how many missed heartbeats an entry lapses.
-const beatsLife = 3
+// maxMissedHeartbeats is after how many missed heartbeats an entry lapses.
+const maxMissedHeartbeats = 3
 
 // RowStore is a stand-in for the users' platform's store: rows in tables with
 // conditional writes and feeds, and the list of servers that lapses.
 type RowStore struct {
-	mu       sync.Mutex
-	rows     map[string]*platformpb.Row
-	log      []*platformpb.Row
-	revision uint64
-	floor    uint64
-	beats    map[string]beat
-	changed  chan struct{}
-	faults   RowStoreFaults
-	started  time.Time
-	pace     *storePace
+	mu           sync.Mutex
+	rows         map[string]*platformpb.Row
+	log          []*platformpb.Row
+	revision     uint64
+	historyStart uint64
+	heartbeats   map[string]heartbeatRecord
+	changed      chan struct{}
+	faults       RowStoreFaults
+	started      time.Time
+	capacity     *storeCapacity
 	// era counts the returns from a copy, and unnamed tells that answers do not name it.
 	era     uint64
-	unnamed bool
-	// copied is the state that the store returns to.
-	copied storeCopy
+	omitEra bool
+	// backup is the state that the store returns to.
+	backup storeBackup
 }
 
-// storePace is how long the store takes for an answer, and how many calls it takes a second.
-type storePace struct {
-	answer time.Duration
-	reads  limiter
-	writes limiter
+// storeCapacity is how long the store takes for an answer, and how many calls it takes a second.
+type storeCapacity struct {
+	latency time.Duration
+	reads   rateLimiter
+	writes  rateLimiter
 }
 
-// SetPace has each answer take a time, and calls over so many reads and writes a second be
+// SetCapacity has each answer take a time, and calls over so many reads and writes a second be
 // refused. Servers' heartbeats are not counted.
-func (s *RowStore) SetPace(answer time.Duration, reads, writes float64) {
+func (s *RowStore) SetCapacity(answer time.Duration, reads, writes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pace = &storePace{answer: answer, reads: newLimiter(reads), writes: newLimiter(writes)}
+	s.capacity = &storeCapacity{latency: answer, reads: newRateLimiter(reads), writes: newRateLimiter(writes)}
 }
 
-// admit takes a call, and returns how long it takes; ok is false where it is one too many. The
+// admitCall takes a call, and returns how long it takes; ok is false where it is one too many. The
 // caller holds the lock.
-func (s *RowStore) admit(r *http.Request, now time.Time) (takes time.Duration, ok bool) {
-	if s.pace == nil || strings.HasPrefix(r.URL.Path, "/beat/") {
+func (s *RowStore) admitCall(r *http.Request, now time.Time) (takes time.Duration, ok bool) {
+	if s.capacity == nil || strings.HasPrefix(r.URL.Path, "/beat/") {
 		return 0, true
 	}
 	if r.Method == http.MethodGet {
-		return s.pace.answer, s.pace.reads.allow(now)
+		return s.capacity.latency, s.capacity.reads.allow(now)
 	}
-	return s.pace.answer, s.pace.writes.allow(now)
+	return s.capacity.latency, s.capacity.writes.allow(now)
 }
 
 // RowStoreFaults are what goes wrong with a store.
 type RowStoreFaults struct {
 	// Down answers 503 to everything, Silent answers nothing.
-	Down   bool `json:"down"`
-	Silent bool `json:"silent"`
-	// SlowMS delays each answer.
-	SlowMS int64 `json:"slow_ms"`
-	// LoseWrites does writes and breaks their connection.
-	LoseWrites bool `json:"lose_writes"`
-	// Forget drops the history of changes at once.
-	Forget bool `json:"forget"`
+	Down         bool `json:"down"`
+	Unresponsive bool `json:"silent"`
+	// BatchDelayMS delays each answer.
+	ResponseDelayMS int64 `json:"slow_ms"`
+	// LoseWriteResponses does writes and breaks their connection.
+	LoseWriteResponses bool `json:"lose_writes"`
+	// DropHistory drops the history of changes at once.
+	DropHistory bool `json:"forget"`
 }
 
-// beat is when an entry was last renewed, and for how long that holds.
-type beat struct {
-	at    time.Time
-	every time.Duration
+// heartbeatRecord is when an entry was last renewed, and for how long that holds.
+type heartbeatRecord struct {
+	receivedAt time.Time
+	interval   time.Duration
 }
 
 // NewRowStore returns an empty store.
 func NewRowStore() *RowStore {
-	return &RowStore{rows: make(map[string]*platformpb.Row), beats: make(map[string]beat), changed: make(chan struct{}), started: time.Now(), era: 1}
+	return &RowStore{rows: make(map[string]*platformpb.Row), heartbeats: make(map[string]heartbeatRecord), changed: make(chan struct{}), started: time.Now(), era: 1}
 }
 
 // Handler serves the platform's calls, the servers' heartbeats at /beat/ID,
 // and the store's faults at /faults.
 func (s *RowStore) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /rows-get", s.faulty(checked(readingRules, s.get)))
-	mux.HandleFunc("GET /rows-feed", s.faulty(checked(feedRules, s.feed)))
-	mux.HandleFunc("POST /rows-tx", s.faulty(s.transact))
-	mux.HandleFunc("POST /beat/{id}", s.faulty(s.heartbeat))
-	mux.Handle("POST /faults", faultHandler(s.SetFaults))
+	mux.HandleFunc("GET /rows-get", s.withFaults(withQueryCheck(readRules, s.handleGet)))
+	mux.HandleFunc("GET /rows-feed", s.withFaults(withQueryCheck(feedRules, s.handleFeed)))
+	mux.HandleFunc("POST /rows-tx", s.withFaults(s.handleTransaction))
+	mux.HandleFunc("POST /beat/{id}", s.withFaults(s.handleHeartbeat))
+	mux.Handle("POST /faults", jsonSetHandler(s.SetFaults))
 	return mux
 }
 
@@ -108,49 +108,49 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	if f.Forget {
-		s.log, s.floor = nil, s.revision
-		s.wake()
+	if f.DropHistory {
+		s.log, s.historyStart = nil, s.revision
+		s.notifyFeeds()
 	}
 }
 
-func (s *RowStore) faulty(call http.HandlerFunc) http.HandlerFunc {
+func (s *RowStore) withFaults(call http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
-		s.nameEra(w)
+		s.setEraHeader(w)
 		f := s.faults
-		s.lapse(time.Now())
-		takes, admitted := s.admit(r, time.Now())
+		s.removeExpired(time.Now())
+		takes, admitted := s.admitCall(r, time.Now())
 		s.mu.Unlock()
 		switch {
 		case !admitted:
 			w.WriteHeader(http.StatusTooManyRequests)
 			return
-		case f.Silent:
-			hang(r)
+		case f.Unresponsive:
+			leaveUnanswered(r)
 			return
 		case f.Down:
 			http.Error(w, "not now", http.StatusServiceUnavailable)
 			return
-		case f.LoseWrites && r.Method == http.MethodPost:
-			call(discard{}, r)
+		case f.LoseWriteResponses && r.Method == http.MethodPost:
+			call(discardResponse{}, r)
 			panic(http.ErrAbortHandler)
 		}
-		time.Sleep(takes + time.Duration(f.SlowMS)*time.Millisecond)
+		time.Sleep(takes + time.Duration(f.ResponseDelayMS)*time.Millisecond)
 		call(w, r)
 	}
 }
 
-// longestHang bounds for how long a call is left without an answer.
-const longestHang = 10 * time.Second
+// maxUnanswered bounds for how long a call is left without an answer.
+const maxUnanswered = 10 * time.Second
 
-// hang leaves a call without an answer until its caller gives up. The body must
+// leaveUnanswered leaves a call without an answer until its caller gives up. The body must
 // be read first: net/http sees a caller leave only then.
-func hang(r *http.Request) {
+func leaveUnanswered(r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	select {
 	case <-r.Context().Done():
-	case <-time.After(longestHang):
+	case <-time.After(maxUnanswered):
 	}
 	panic(http.ErrAbortHandler)
 }
@@ -167,7 +167,7 @@
 	row := &platformpb.Row{Table: table, Key: key, Value: value, Revision: float64(s.revision)}
 	s.rows[table+"/"+key] = row
 	s.log = append(s.log, row)
-	s.wake()
+	s.notifyFeeds()
 }
 
 // Remove removes a row.
@@ -184,26 +184,26 @@
 	s.revision++
 	delete(s.rows, table+"/"+key)
 	s.log = append(s.log, &platformpb.Row{Table: table, Key: key, Revision: float64(s.revision), Gone: true})
-	s.wake()
+	s.notifyFeeds()
 }
 
-func (s *RowStore) wake() {
+func (s *RowStore) notifyFeeds() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// lapse removes the entries whose servers have been silent.
-func (s *RowStore) lapse(now time.Time) {
-	for id, b := range s.beats {
-		if now.Sub(b.at) > beatsLife*b.every {
-			delete(s.beats, id)
+// removeExpired removes the entries whose servers have been silent.
+func (s *RowStore) removeExpired(now time.Time) {
+	for id, b := range s.heartbeats {
+		if now.Sub(b.receivedAt) > maxMissedHeartbeats*b.interval {
+			delete(s.heartbeats, id)
 			s.remove("servers", id)
 		}
 	}
 }
 
-// heartbeat takes a server's entry. It counts as a change only if it differs.
-func (s *RowStore) heartbeat(w http.ResponseWriter, r *http.Request) {
+// handleHeartbeat takes a server's entry. It counts as a change only if it differs.
+func (s *RowStore) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
 	value, err := io.ReadAll(r.Body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -216,18 +216,18 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.nameEra(w)
+	s.setEraHeader(w)
 	id := r.PathValue("id")
-	s.beats[id] = beat{at: time.Now(), every: time.Duration(every) * time.Millisecond}
+	s.heartbeats[id] = heartbeatRecord{receivedAt: time.Now(), interval: time.Duration(every) * time.Millisecond}
 	if known := s.rows["servers/"+id]; known == nil || string(known.GetValue()) != string(value) {
 		s.put("servers", id, value)
 	}
 }
 
-func (s *RowStore) get(w http.ResponseWriter, r *http.Request) {
+func (s *RowStore) handleGet(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	s.mu.Lock()
-	s.nameEra(w)
+	s.setEraHeader(w)
 	answer := &platformpb.Rows{Revision: float64(s.revision), ClockMs: float64(time.Since(s.started).Milliseconds())}
 	for _, row := range s.rows {
 		to := query.Get("targetVersion")
@@ -240,7 +240,7 @@
 	writeProto(w, http.StatusOK, answer)
 }
 
-func (s *RowStore) feed(w http.ResponseWriter, r *http.Request) {
+func (s *RowStore) handleFeed(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
 	wait, _ := strconv.Atoi(query.Get("waitMs"))
@@ -248,8 +248,8 @@
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		s.nameEra(w)
-		answer, gone, changed := s.since(query.Get("table"), after), after < s.floor || after > s.revision, s.changed
+		s.setEraHeader(w)
+		answer, gone, changed := s.changesSince(query.Get("table"), after), after < s.historyStart || after > s.revision, s.changed
 		s.mu.Unlock()
 		if gone {
 			http.Error(w, "forgotten", http.StatusGone)
@@ -264,8 +264,8 @@
 				return
 			}
 		}
-		if s.silent() {
-			hang(r)
+		if s.unresponsive() {
+			leaveUnanswered(r)
 			return
 		}
 		writeProto(w, http.StatusOK, answer)
@@ -273,14 +273,14 @@
 	}
 }
 
-func (s *RowStore) silent() bool {
+func (s *RowStore) unresponsive() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.faults.Silent
+	return s.faults.Unresponsive
 }
 
-// since returns the newest state of each row of a table that has changed.
-func (s *RowStore) since(table string, after uint64) *platformpb.Rows {
+// changesSince returns the newest state of each row of a table that has changed.
+func (s *RowStore) changesSince(table string, after uint64) *platformpb.Rows {
 	answer := &platformpb.Rows{Revision: float64(s.revision)}
 	newest := make(map[string]*platformpb.Row)
 	for _, row := range s.log {
@@ -295,7 +295,7 @@
 	return answer
 }
 
-func (s *RowStore) transact(w http.ResponseWriter, r *http.Request) {
+func (s *RowStore) handleTransaction(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	var txn platformpb.Transaction
 	err = errors.CombineErrors(err, CheckTransaction(body))
@@ -305,7 +305,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.nameEra(w)
+	s.setEraHeader(w)
 	for _, c := range txn.GetConditions() {
 		if s.rows[c.GetTable()+"/"+c.GetKey()].GetRevision() != c.GetRevision() {
 			writeProto(w, http.StatusPreconditionFailed, &platformpb.Rows{Revision: float64(s.revision)})
--- a/standin/rowstore_copy.go
+++ b/standin/rowstore_copy.go
@@ -9,33 +9,33 @@
 	"github.com/hoistjunction/hoistjunction/platform/platformpb"
 )
 
-// storeCopy is a state of a store that it can return to.
-type storeCopy struct {
-	rows     map[string]*platformpb.Row
-	log      []*platformpb.Row
-	revision uint64
-	floor    uint64
+// storeBackup is a state of a store that it can return to.
+type storeBackup struct {
+	rows         map[string]*platformpb.Row
+	log          []*platformpb.Row
+	revision     uint64
+	historyStart uint64
 }
 
-// Copy keeps the state that Return goes back to.
-func (s *RowStore) Copy() {
+// Backup keeps the state that Return goes back to.
+func (s *RowStore) Backup() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.copied = storeCopy{rows: maps.Clone(s.rows), log: slices.Clone(s.log), revision: s.revision, floor: s.floor}
+	s.backup = storeBackup{rows: maps.Clone(s.rows), log: slices.Clone(s.log), revision: s.revision, historyStart: s.historyStart}
 }
 
-// Return has the store come back from its copy, or from nothing: what was written since is
+// Restore has the store come back from its copy, or from nothing: what was written since is
 // gone, and its revisions are given out again.
-func (s *RowStore) Return() {
+func (s *RowStore) Restore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.copied
-	s.rows, s.log, s.revision, s.floor = maps.Clone(c.rows), slices.Clone(c.log), c.revision, c.floor
+	c := s.backup
+	s.rows, s.log, s.revision, s.historyStart = maps.Clone(c.rows), slices.Clone(c.log), c.revision, c.historyStart
 	if s.rows == nil {
 		s.rows = make(map[string]*platformpb.Row)
 	}
 	s.era++
-	s.wake()
+	s.notifyFeeds()
 }
 
 // Value returns what a row holds, nil for none.
@@ -45,17 +45,17 @@
 	return s.rows[table+"/"+key].GetValue()
 }
 
-// LeaveEraOut has answers not name the store's era, as a store does that knows none.
-func (s *RowStore) LeaveEraOut() {
+// OmitEra has answers not name the store's era, as a store does that knows none.
+func (s *RowStore) OmitEra() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unnamed = true
+	s.omitEra = true
 }
 
-// nameEra names the store's era in the head of an answer that tells what the store holds now.
+// setEraHeader names the store's era in the head of an answer that tells what the store holds now.
 // The caller holds the lock.
-func (s *RowStore) nameEra(w http.ResponseWriter) {
-	if !s.unnamed {
+func (s *RowStore) setEraHeader(w http.ResponseWriter) {
+	if !s.omitEra {
 		w.Header().Set("Store-Era", strconv.FormatUint(s.era, 10))
 	}
 }
--- a/standin/service.go
+++ b/standin/service.go
@@ -12,18 +12,18 @@
 // Service is a stand-in for a plain service whose calls have effects: it
 // counts how often each key has run.
 type Service struct {
-	name string
-	work time.Duration
+	name     string
+	workTime time.Duration
 
-	mu     sync.Mutex
-	faults ServiceFaults
-	runs   map[string]int
-	total  int
+	mu         sync.Mutex
+	faults     ServiceFaults
+	executions map[string]int
+	total      int
 }
 
 // NewService returns a service whose calls take a time.
 func NewService(name string, work time.Duration) *Service {
-	return &Service{name: name, work: work, runs: make(map[string]int)}
+	return &Service{name: name, workTime: work, executions: make(map[string]int)}
 }
 
 // SetFaults changes the service's faults.
@@ -33,19 +33,19 @@
 	s.faults = f
 }
 
-// Runs returns how often each key has run.
-func (s *Service) Runs() map[string]int {
+// Executions returns how often each key has run.
+func (s *Service) Executions() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	runs := make(map[string]int, len(s.runs))
-	for k, n := range s.runs {
+	runs := make(map[string]int, len(s.executions))
+	for k, n := range s.executions {
 		runs[k] = n
 	}
 	return runs
 }
 
-// Total returns how many calls have run.
-func (s *Service) Total() int {
+// TotalExecutions returns how many calls have run.
+func (s *Service) TotalExecutions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.total
@@ -55,13 +55,13 @@
 // at /runs.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("POST /faults", faultHandler(s.SetFaults))
-	mux.Handle("GET /runs", jsonHandler(func() any { return s.Runs() }))
-	mux.HandleFunc("POST /", s.serve)
+	mux.Handle("POST /faults", jsonSetHandler(s.SetFaults))
+	mux.Handle("GET /runs", jsonGetHandler(func() any { return s.Executions() }))
+	mux.HandleFunc("POST /", s.handleCall)
 	return mux
 }
 
-func (s *Service) serve(w http.ResponseWriter, r *http.Request) {
+func (s *Service) handleCall(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -69,11 +69,11 @@
 	}
 	s.mu.Lock()
 	faults := s.faults
-	s.runs[r.Header.Get(callkey.Header)]++
+	s.executions[r.Header.Get(callkey.Header)]++
 	s.total++
 	s.mu.Unlock()
-	time.Sleep(s.work + time.Duration(faults.SlowMS)*time.Millisecond)
-	if faults.CutAfterRun {
+	time.Sleep(s.workTime + time.Duration(faults.CallDelayMS)*time.Millisecond)
+	if faults.DropAfterExecution {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/standin/site_config.go
+++ b/standin/site_config.go
@@ -8,13 +8,13 @@
 
 // The services, routes and sizes of the stand-in site.
 const (
-	SiteHost    = "site.example"
-	SiteWriter  = "writer"
-	SiteDesk    = "desk"
-	SiteLayers  = 12
-	SiteAccount = "clinic"
-	// SiteKind is the only kind of accelerator; eight layers fit on it.
-	SiteKind = "small"
+	SiteHost          = "site.example"
+	SiteStreamService = "writer"
+	SitePlainService  = "desk"
+	SiteLayers        = 12
+	SiteAccount       = "clinic"
+	// SiteAccelerator is the only kind of accelerator; eight layers fit on it.
+	SiteAccelerator = "small"
 )
 
 // SiteConfig returns the operator's configuration of the stand-in site: a
@@ -31,18 +31,18 @@
 		Routes: []*platformpb.Route{
 			{
 				Name: "write", Host: SiteHost, PathPrefix: "/write/", Kind: "streaming", TimeoutMs: streamTimeout,
-				TargetLatencyMs: 500, Service: SiteWriter, MaxAttempts: 3, StreamResume: true, Affinity: true,
+				TargetLatencyMs: 500, Service: SiteStreamService, MaxAttempts: 3, StreamResume: true, Affinity: true,
 			},
 			{
 				Name: "once", Host: SiteHost, PathPrefix: "/once/", Kind: "unsafe", TimeoutMs: plainTimeout,
-				TargetLatencyMs: 100, Service: SiteDesk, MaxAttempts: 1,
+				TargetLatencyMs: 100, Service: SitePlainService, MaxAttempts: 1,
 			},
 			{
 				Name: "read", Host: SiteHost, PathPrefix: "/read/", Kind: "safe", TimeoutMs: plainTimeout,
-				TargetLatencyMs: 100, Service: SiteDesk, MaxAttempts: 2,
+				TargetLatencyMs: 100, Service: SitePlainService, MaxAttempts: 2,
 			},
 		},
-		Services: []*platformpb.Service{{Name: SiteWriter, HealthPath: "/health", Engine: siteEngine()}, {Name: SiteDesk, HealthPath: "/health"}},
+		Services: []*platformpb.Service{{Name: SiteStreamService, HealthPath: "/health", Engine: siteEngine()}, {Name: SitePlainService, HealthPath: "/health"}},
 		Limits:   &platformpb.Limits{MaxBodyBytes: bodyBytes},
 		Tenants:  []*platformpb.Tenant{{Name: SiteAccount, ApiKeys: keys}},
 	}
@@ -58,6 +58,6 @@
 	return &platformpb.Engine{
 		Slots: 64, KvTokenBytes: 12_000, StepMs: 1, ReadPerSecond: 250_000, Layers: SiteLayers, LayerMb: 100,
 		Models: []*platformpb.ModelOption{{Name: "m", LoadSeconds: 1}},
-		Kinds:  []*platformpb.Kind{{Name: SiteKind, Mb: 800, StepFactor: 1, ReadFactor: 1}},
+		Kinds:  []*platformpb.Kind{{Name: SiteAccelerator, Mb: 800, StepFactor: 1, ReadFactor: 1}},
 	}
 }
--- a/standin/step_queue.go
+++ b/standin/step_queue.go
@@ -8,9 +8,9 @@
 
 // queuedStep is a step that waits for a batch.
 type queuedStep struct {
-	step   *wire.StepRequest
-	answer func(*wire.StepReply)
-	cached int
+	step            *wire.StepRequest
+	sendReply       func(*wire.StepReply)
+	cachedPositions int
 }
 
 // stepQueue orders steps by priority, then by arrival.
--- a/standin/template_test.go
+++ b/standin/template_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestFill(t *testing.T) {
-	fields := Fields{"a": 1, "list": []string{"x", "y"}, "in": Fields{"b": true}}
+	fields := TemplateFields{"a": 1, "list": []string{"x", "y"}, "in": TemplateFields{"b": true}}
 	for _, tt := range []struct {
 		template, want string
 		bad            bool
@@ -19,7 +19,7 @@
 		{"{{in}}", "", true},
 		{"{{a.b}}", "", true},
 	} {
-		got, err := Fill(tt.template, fields)
+		got, err := FillTemplate(tt.template, fields)
 		if errors.Is(err, ErrTemplate) != tt.bad || got != tt.want {
 			t.Errorf("%q: got %q, %v, want %q", tt.template, got, err, tt.want)
 		}
--- a/standin/transaction_check.go
+++ b/standin/transaction_check.go
@@ -9,23 +9,23 @@
 
 // What the platform's store takes in one transaction, by its pages.
 const (
-	mostEntries      = 100
-	mostTransaction  = 1 << 20
-	mostNameBytes    = 200
-	mostValueBytes   = 65_536
-	fieldTable       = "table"
-	fieldPart        = "part"
-	fieldKey         = "privateKey"
-	fieldValue       = "value"
-	fieldRevision    = "ver"
-	fieldConditions  = "expectedRevision"
-	fieldPuts        = "put"
-	fieldRemoves     = "remove"
-	fieldAcrossParts = "across"
+	maxTransactionEntries = 100
+	maxTransactionBytes   = 1 << 20
+	maxNameBytes          = 200
+	maxValueBytes         = 65_536
+	fieldTable            = "table"
+	fieldPart             = "part"
+	fieldKey              = "privateKey"
+	fieldValue            = "value"
+	fieldRevision         = "ver"
+	fieldConditions       = "expectedRevision"
+	fieldPuts             = "put"
+	fieldRemoves          = "remove"
+	fieldAcrossParts      = "across"
 )
 
-// ErrRefused means that a call is not one that the pages describe.
-var ErrRefused = errors.New("standin: refused")
+// ErrInvalidRequest means that a call is not one that the pages describe.
+var ErrInvalidRequest = errors.New("standin: refused")
 
 // rawRow is a row as it stands in a call.
 type rawRow map[string]json.RawMessage
@@ -35,28 +35,28 @@
 // word on that. It reads the text itself: a decoder that is generous, as the product's is,
 // would take a number in quotes.
 func CheckTransaction(body []byte) error {
-	if len(body) > mostTransaction {
-		return errors.Wrapf(ErrRefused, "%d bytes", len(body))
+	if len(body) > maxTransactionBytes {
+		return errors.Wrapf(ErrInvalidRequest, "%d bytes", len(body))
 	}
 	var call map[string]json.RawMessage
 	if err := json.Unmarshal(body, &call); err != nil {
-		return errors.Mark(err, ErrRefused)
+		return errors.Mark(err, ErrInvalidRequest)
 	}
 	lists := map[string][]rawRow{fieldConditions: nil, fieldPuts: nil, fieldRemoves: nil}
 	across := false
 	for name, raw := range call {
 		if name == fieldAcrossParts {
 			if err := json.Unmarshal(raw, &across); err != nil {
-				return errors.Mark(err, ErrRefused)
+				return errors.Mark(err, ErrInvalidRequest)
 			}
 			continue
 		}
 		if _, known := lists[name]; !known {
-			return errors.Wrapf(ErrRefused, "unknown field %q", name)
+			return errors.Wrapf(ErrInvalidRequest, "unknown field %q", name)
 		}
 		var rows []rawRow
 		if err := json.Unmarshal(raw, &rows); err != nil {
-			return errors.Mark(err, ErrRefused)
+			return errors.Mark(err, ErrInvalidRequest)
 		}
 		lists[name] = rows
 	}
@@ -79,8 +79,8 @@
 			parts[part] = true
 		}
 	}
-	if entries > mostEntries || !across && len(parts) > 1 {
-		return errors.Wrapf(ErrRefused, "%d entries in %d parts", entries, len(parts))
+	if entries > maxTransactionEntries || !across && len(parts) > 1 {
+		return errors.Wrapf(ErrInvalidRequest, "%d entries in %d parts", entries, len(parts))
 	}
 	return nil
 }
@@ -90,7 +90,7 @@
 func checkRow(row rawRow, wanted []string) (part string, err error) {
 	for _, name := range wanted {
 		if _, ok := row[name]; !ok {
-			return "", errors.Wrapf(ErrRefused, "no %s", name)
+			return "", errors.Wrapf(ErrInvalidRequest, "no %s", name)
 		}
 	}
 	if raw, ok := row[fieldPart]; ok {
@@ -103,7 +103,7 @@
 		case fieldTable, fieldKey:
 			text, err := checkText(name, raw)
 			if err != nil || text == "" {
-				return "", errors.Wrapf(ErrRefused, "%s %s", name, raw)
+				return "", errors.Wrapf(ErrInvalidRequest, "%s %s", name, raw)
 			}
 		case fieldPart:
 		case fieldValue:
@@ -113,10 +113,10 @@
 		case fieldRevision:
 			var revision uint64
 			if err := json.Unmarshal(raw, &revision); err != nil {
-				return "", errors.Wrapf(ErrRefused, "%s %s", name, raw)
+				return "", errors.Wrapf(ErrInvalidRequest, "%s %s", name, raw)
 			}
 		default:
-			return "", errors.Wrapf(ErrRefused, "unknown field %q", name)
+			return "", errors.Wrapf(ErrInvalidRequest, "unknown field %q", name)
 		}
 	}
 	return part, nil
@@ -124,8 +124,8 @@
 
 func checkText(name string, raw json.RawMessage) (string, error) {
 	var text string
-	if err := json.Unmarshal(raw, &text); err != nil || len(text) > mostNameBytes {
-		return "", errors.Wrapf(ErrRefused, "%s of %d bytes", name, len(raw))
+	if err := json.Unmarshal(raw, &text); err != nil || len(text) > maxNameBytes {
+		return "", errors.Wrapf(ErrInvalidRequest, "%s of %d bytes", name, len(raw))
 	}
 	return text, nil
 }
@@ -133,11 +133,11 @@
 func checkValue(raw json.RawMessage) error {
 	var text string
 	if err := json.Unmarshal(raw, &text); err != nil {
-		return errors.Mark(err, ErrRefused)
+		return errors.Mark(err, ErrInvalidRequest)
 	}
 	value, err := base64.StdEncoding.DecodeString(text)
-	if err != nil || len(value) > mostValueBytes {
-		return errors.Wrapf(ErrRefused, "value of %d bytes", len(text))
+	if err != nil || len(value) > maxValueBytes {
+		return errors.Wrapf(ErrInvalidRequest, "value of %d bytes", len(text))
 	}
 	return nil
 }
--- a/standin/visits.go
+++ b/standin/visits.go
@@ -6,56 +6,56 @@
 	"time"
 )
 
-// Visit is a request that reached the server that it was meant for.
-type Visit struct {
+// ReceivedRequest is a request that reached the server that it was meant for.
+type ReceivedRequest struct {
 	// ID is the caller's name of the try.
 	ID string `json:"id"`
 	// AtMS is the wall time at which it came, in ms since 1970.
 	AtMS int64 `json:"at_ms"`
-	// AskedMS is the rest that was asked for in its answer, in ms; zero for none.
-	AskedMS int64 `json:"asked_ms"`
+	// BackOffMS is the rest that was asked for in its answer, in ms; zero for none.
+	BackOffMS int64 `json:"asked_ms"`
 	// Leaving tells that its answer says that the server is leaving.
 	Leaving bool `json:"leaving"`
 	// Limit is the number of requests a second that its answer names; zero for none.
 	Limit float64 `json:"limit"`
 }
 
-// mostVisits bounds the visits that are kept for the judge.
-const mostVisits = 1 << 14
+// maxReceivedRequests bounds the visits that are kept for the judge.
+const maxReceivedRequests = 1 << 14
 
-// visits are the requests that have reached a server. They are safe for concurrent use.
-type visits struct {
+// requestLog are the requests that have reached a server. They are safe for concurrent use.
+type requestLog struct {
 	mu   sync.Mutex
-	list []Visit
+	list []ReceivedRequest
 }
 
-func (v *visits) note(visit Visit) {
+func (v *requestLog) recordReceived(visit ReceivedRequest) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if len(v.list) == mostVisits {
+	if len(v.list) == maxReceivedRequests {
 		v.list = v.list[1:]
 	}
 	v.list = append(v.list, visit)
 }
 
-// Visits returns the requests that have reached the server, in their order.
-func (v *visits) Visits() []Visit {
+// ReceivedRequests returns the requests that have reached the server, in their order.
+func (v *requestLog) ReceivedRequests() []ReceivedRequest {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return append([]Visit{}, v.list...)
+	return append([]ReceivedRequest{}, v.list...)
 }
 
-// serve adds the call that tells what has reached a server.
-func (v *visits) serve(mux *http.ServeMux) {
-	mux.Handle("GET /visits", jsonHandler(func() any { return v.Visits() }))
+// registerHandlers adds the call that tells what has reached a server.
+func (v *requestLog) registerHandlers(mux *http.ServeMux) {
+	mux.Handle("GET /visits", jsonGetHandler(func() any { return v.ReceivedRequests() }))
 }
 
-// restGrace is how long after an answer with a rest requests may still come that were on
+// backOffGrace is how long after an answer with a rest requests may still come that were on
 // their way: the platform's promise counts from then.
-const restGrace = 500 * time.Millisecond
+const backOffGrace = 500 * time.Millisecond
 
-// Breach is that a node went on sending to a server that had asked it not to.
-type Breach struct {
+// SendBreach is that a node went on sending to a server that had asked it not to.
+type SendBreach struct {
 	Node string
 	// FromMS and ToMS bound the time in which that counts, in ms since 1970; ToMS is zero
 	// for one that goes on for ever.
@@ -64,15 +64,15 @@
 	Count int
 }
 
-// RestBreaches returns the rests that a server had asked nodes for in which they sent it
+// BackOffBreaches returns the rests that a server had asked nodes for in which they sent it
 // requests. NodeOf names the node that a try was sent to.
-func RestBreaches(list []Visit, nodeOf func(id string) string) []Breach {
-	var breaches []Breach
+func BackOffBreaches(list []ReceivedRequest, nodeOf func(id string) string) []SendBreach {
+	var breaches []SendBreach
 	for i, asked := range list {
-		if asked.AskedMS == 0 {
+		if asked.BackOffMS == 0 {
 			continue
 		}
-		b := Breach{Node: nodeOf(asked.ID), FromMS: asked.AtMS + restGrace.Milliseconds(), ToMS: asked.AtMS + asked.AskedMS}
+		b := SendBreach{Node: nodeOf(asked.ID), FromMS: asked.AtMS + backOffGrace.Milliseconds(), ToMS: asked.AtMS + asked.BackOffMS}
 		for _, v := range list[i+1:] {
 			if v.AtMS > b.FromMS && v.AtMS < b.ToMS && nodeOf(v.ID) == b.Node {
 				b.Count++
@@ -87,18 +87,18 @@
 
 // LeavingBreaches returns the nodes that sent a server requests later than a time after an
 // answer of it had told them that it is leaving.
-func LeavingBreaches(list []Visit, nodeOf func(id string) string, within time.Duration) []Breach {
-	told := make(map[string]*Breach)
+func LeavingBreaches(list []ReceivedRequest, nodeOf func(id string) string, within time.Duration) []SendBreach {
+	told := make(map[string]*SendBreach)
 	for _, v := range list {
 		node := nodeOf(v.ID)
 		if b := told[node]; b != nil && v.AtMS > b.FromMS {
 			b.Count++
 		}
 		if v.Leaving && told[node] == nil {
-			told[node] = &Breach{Node: node, FromMS: v.AtMS + within.Milliseconds()}
+			told[node] = &SendBreach{Node: node, FromMS: v.AtMS + within.Milliseconds()}
 		}
 	}
-	var breaches []Breach
+	var breaches []SendBreach
 	for _, b := range told {
 		if b.Count > 0 {
 			breaches = append(breaches, *b)
--- a/tablestore/claims.go
+++ b/tablestore/claims.go
@@ -25,14 +25,14 @@
 			break
 		}
 		if len(result.Conflicts) == 0 {
-			return nil, errors.Wrap(ErrNoAnswer, "a refused transaction names no conflict")
+			return nil, errors.Wrap(ErrNoResponse, "a refused transaction names no conflict")
 		}
-		if err := noteConflicts(standing, result.Conflicts); err != nil {
+		if err := addExistingClaims(standing, result.Conflicts); err != nil {
 			return nil, err
 		}
-		pending = without(pending, standing)
+		pending = withoutExisting(pending, standing)
 	}
-	return merge(claims, standing), nil
+	return mergeClaims(claims, standing), nil
 }
 
 func claimTxn(claims []core.KeyClaim) Txn {
@@ -46,18 +46,18 @@
 	return txn
 }
 
-func noteConflicts(standing map[string]once.Claim, rows []Row) error {
+func addExistingClaims(standing map[string]once.Claim, rows []Row) error {
 	for _, row := range rows {
 		var c once.Claim
 		if err := json.Unmarshal(row.Value, &c); err != nil {
-			return errors.Wrapf(ErrNoAnswer, "row %q: %v", row.Key, err)
+			return errors.Wrapf(ErrNoResponse, "row %q: %v", row.Key, err)
 		}
 		standing[row.Key[len(claimPrefix):]] = c
 	}
 	return nil
 }
 
-func without(claims []core.KeyClaim, standing map[string]once.Claim) []core.KeyClaim {
+func withoutExisting(claims []core.KeyClaim, standing map[string]once.Claim) []core.KeyClaim {
 	var rest []core.KeyClaim
 	for _, c := range claims {
 		if _, taken := standing[c.Key]; !taken {
@@ -67,7 +67,7 @@
 	return rest
 }
 
-func merge(claims []core.KeyClaim, standing map[string]once.Claim) []core.KeyClaim {
+func mergeClaims(claims []core.KeyClaim, standing map[string]once.Claim) []core.KeyClaim {
 	merged := make([]core.KeyClaim, 0, len(claims))
 	for _, c := range claims {
 		if taken, ok := standing[c.Key]; ok {
--- a/tablestore/client.go
+++ b/tablestore/client.go
@@ -19,9 +19,9 @@
 
 // Errors that callers test for with errors.Is.
 var (
-	// ErrNoAnswer means that a call brought no answer. A write may have taken
+	// ErrNoResponse means that a call brought no answer. A write may have taken
 	// effect, or may yet.
-	ErrNoAnswer = errors.New("tablestore: no answer")
+	ErrNoResponse = errors.New("tablestore: no answer")
 	// ErrNotFound means that there is no such row or object.
 	ErrNotFound = errors.New("tablestore: not found")
 	// ErrUnchanged means that the list of VMs is still the one known.
@@ -31,11 +31,11 @@
 // DefaultTimeout bounds each call.
 const DefaultTimeout = 2 * time.Second
 
-// idleMost is how many connections are kept that are not in use.
-const idleMost = 8
+// maxIdleConnections is how many connections are kept that are not in use.
+const maxIdleConnections = 8
 
-// maxAnswer bounds what is read of an answer, in bytes.
-const maxAnswer = 64 << 20
+// maxResponseBytes bounds what is read of an answer, in bytes.
+const maxResponseBytes = 64 << 20
 
 // Client calls the platform. It is safe for concurrent use.
 type Client struct {
@@ -61,7 +61,7 @@
 func NewClient(address string, opts ...Option) *Client {
 	c := &Client{
 		base: "http://" + address, timeout: DefaultTimeout,
-		transport: &http.Transport{MaxIdleConnsPerHost: idleMost},
+		transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections},
 	}
 	for _, opt := range opts {
 		opt(c)
@@ -80,14 +80,14 @@
 	if err != nil {
 		return result, errors.Wrap(err, "tablestore: transaction")
 	}
-	err = c.do(ctx, http.MethodPost, "/table/txn", body, &result)
+	err = c.call(ctx, http.MethodPost, "/table/txn", body, &result)
 	return result, err
 }
 
 // Row reads one row.
 func (c *Client) Row(ctx context.Context, key string) (Row, error) {
 	var row Row
-	err := c.do(ctx, http.MethodGet, "/table/row?key="+url.QueryEscape(key), nil, &row)
+	err := c.call(ctx, http.MethodGet, "/table/row?key="+url.QueryEscape(key), nil, &row)
 	return row, err
 }
 
@@ -95,32 +95,32 @@
 func (c *Client) Scan(ctx context.Context, after, to string) ([]Row, error) {
 	var rows []Row
 	query := url.Values{"after": {after}, "to": {to}}
-	err := c.do(ctx, http.MethodGet, "/table/scan?"+query.Encode(), nil, &rows)
+	err := c.call(ctx, http.MethodGet, "/table/scan?"+query.Encode(), nil, &rows)
 	return rows, err
 }
 
 // Object reads an object.
 func (c *Client) Object(ctx context.Context, name string) ([]byte, error) {
 	var data []byte
-	err := c.do(ctx, http.MethodGet, "/objects/"+url.PathEscape(name), nil, &data)
+	err := c.call(ctx, http.MethodGet, "/objects/"+url.PathEscape(name), nil, &data)
 	return data, err
 }
 
 // PutObject writes an object.
 func (c *Client) PutObject(ctx context.Context, name string, data []byte) error {
-	return c.do(ctx, http.MethodPut, "/objects/"+url.PathEscape(name), data, nil)
+	return c.call(ctx, http.MethodPut, "/objects/"+url.PathEscape(name), data, nil)
 }
 
 // VMs reads the list of VMs, if it has changed since a version.
 func (c *Client) VMs(ctx context.Context, since uint64) (VMList, error) {
 	var list VMList
-	err := c.do(ctx, http.MethodGet, "/vms?since="+strconv.FormatUint(since, 10), nil, &list)
+	err := c.call(ctx, http.MethodGet, "/vms?since="+strconv.FormatUint(since, 10), nil, &list)
 	return list, err
 }
 
-// do makes one call. Into is filled from JSON, or with the bytes as they are
+// call makes one call. Into is filled from JSON, or with the bytes as they are
 // where it is a *[]byte.
-func (c *Client) do(ctx context.Context, method, path string, body []byte, into any) error {
+func (c *Client) call(ctx context.Context, method, path string, body []byte, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
@@ -132,24 +132,24 @@
 		// Connections may go silent for good, all at once: the next call must not be
 		// lost on another one that was kept.
 		c.http.CloseIdleConnections()
-		return errors.Mark(errors.Wrap(err, "tablestore"), ErrNoAnswer)
+		return errors.Mark(errors.Wrap(err, "tablestore"), ErrNoResponse)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return errors.Mark(errors.Wrap(err, "tablestore"), ErrNoAnswer)
+		return errors.Mark(errors.Wrap(err, "tablestore"), ErrNoResponse)
 	}
-	return read(resp.StatusCode, data, into)
+	return decodeResponse(resp.StatusCode, data, into)
 }
 
-func read(status int, data []byte, into any) error {
+func decodeResponse(status int, data []byte, into any) error {
 	switch {
 	case status == http.StatusNotFound:
 		return ErrNotFound
 	case status == http.StatusNotModified:
 		return ErrUnchanged
 	case status >= http.StatusMultipleChoices:
-		return errors.Wrapf(ErrNoAnswer, "status %d", status)
+		return errors.Wrapf(ErrNoResponse, "status %d", status)
 	case into == nil:
 		return nil
 	}
@@ -158,7 +158,7 @@
 		return nil
 	}
 	if err := json.Unmarshal(data, into); err != nil {
-		return errors.Mark(errors.Wrap(err, "tablestore: answer"), ErrNoAnswer)
+		return errors.Mark(errors.Wrap(err, "tablestore: answer"), ErrNoResponse)
 	}
 	return nil
 }
--- a/tablestore/config.go
+++ b/tablestore/config.go
@@ -26,7 +26,7 @@
 func parseVersion(value []byte) (uint64, error) {
 	n, err := strconv.ParseUint(string(value), 10, 64)
 	if err != nil {
-		return 0, errors.Mark(err, ErrNoAnswer)
+		return 0, errors.Mark(err, ErrNoResponse)
 	}
 	return n, nil
 }
@@ -50,7 +50,7 @@
 		msg.Version = r.GetVersion()
 		return msg
 	}
-	return s.conflict(ctx, msg, r, result.Conflicts)
+	return s.conflictResult(ctx, msg, r, result.Conflicts)
 }
 
 func commitTxn(r *wire.ChangeRecord, value []byte) Txn {
@@ -69,9 +69,9 @@
 	}
 }
 
-// conflict finds out why a commit was refused: its change id has been
+// conflictResult finds out why a commit was refused: its change id has been
 // committed before, or another change has its version.
-func (s *Store) conflict(ctx context.Context, msg core.CommitMsg, r *wire.ChangeRecord, rows []Row) core.CommitMsg {
+func (s *Store) conflictResult(ctx context.Context, msg core.CommitMsg, r *wire.ChangeRecord, rows []Row) core.CommitMsg {
 	for _, row := range rows {
 		n, err := parseVersion(row.Value)
 		if err != nil {
@@ -108,20 +108,20 @@
 	if err != nil {
 		return msg, err
 	}
-	if head > after+pageOfRecords {
+	if head > after+maxRecordsPerRead {
 		if snapshot, err := s.snapshot(ctx); err == nil && snapshot.GetVersion() > after {
 			msg.Snapshot = snapshot
 			after = snapshot.GetVersion()
 		}
 	}
-	rows, err := s.client.Scan(ctx, recordKey(after), recordKey(after+pageOfRecords+1))
+	rows, err := s.client.Scan(ctx, recordKey(after), recordKey(after+maxRecordsPerRead+1))
 	if err != nil {
 		return msg, err
 	}
 	for _, row := range rows {
 		r := &wire.ChangeRecord{}
 		if err := proto.Unmarshal(row.Value, r); err != nil {
-			return msg, errors.Mark(err, ErrNoAnswer)
+			return msg, errors.Mark(err, ErrNoResponse)
 		}
 		msg.Records = append(msg.Records, r)
 	}
--- a/tablestore/nodes.go
+++ b/tablestore/nodes.go
@@ -29,7 +29,7 @@
 	for _, row := range rows {
 		n := &wire.NodeRecord{}
 		if err := proto.Unmarshal(row.Value, n); err != nil {
-			return nil, errors.Mark(err, ErrNoAnswer)
+			return nil, errors.Mark(err, ErrNoResponse)
 		}
 		nodes = append(nodes, n)
 	}
--- a/tablestore/silent_test.go
+++ b/tablestore/silent_test.go
@@ -43,7 +43,7 @@
 			}
 		}
 		network.Blackhole()
-		if err := scan(); !errors.Is(err, tablestore.ErrNoAnswer) {
+		if err := scan(); !errors.Is(err, tablestore.ErrNoResponse) {
 			t.Errorf("got %v on a silent connection, want no answer", err)
 		}
 		if err := scan(); err != nil {
--- a/tablestore/store.go
+++ b/tablestore/store.go
@@ -15,8 +15,8 @@
 	snapshotObject = "config-"
 )
 
-// pageOfRecords bounds how many change records are read at once.
-const pageOfRecords = 256
+// maxRecordsPerRead bounds how many change records are read at once.
+const maxRecordsPerRead = 256
 
 func recordKey(version uint64) string { return fmt.Sprintf("%s%016x", recordPrefix, version) }
 
--- a/testbed/bed.go
+++ b/testbed/bed.go
@@ -111,18 +111,18 @@
 	c := entry.NewConfig()
 	c.Name = fmt.Sprintf("entry-%d", b.startedNodes)
 	c.DataCentre = fmt.Sprintf("dc-%d", b.startedNodes%3)
-	c.Platform = b.platform.address
+	c.PlatformAddress = b.platform.address
 	c.PeerSecret = peerSecret
 	c.Grace = b.options.grace
 	c.Policy = b.options.policy
 	c.Chooser = b.options.chooser
-	c.Recording = b.options.recording
+	c.RecordingCapacity = b.options.recording
 	c.TLSCert, c.TLSKey, c.TLSCA = b.options.tls[0], b.options.tls[1], b.options.tls[2]
 	for _, n := range b.Nodes {
 		c.PeerSeeds = append(c.PeerSeeds, n.PeerAddress())
 	}
 	sum := sha256.Sum256([]byte(OperatorToken))
-	c.Operators["tester"] = hex.EncodeToString(sum[:])
+	c.OperatorHashes["tester"] = hex.EncodeToString(sum[:])
 	inner, err := entry.NewNode(c, logging.Nop())
 	if err != nil {
 		return nil, errors.Mark(err, ErrTestbed)
--- a/usage/outcomes.go
+++ b/usage/outcomes.go
@@ -81,14 +81,14 @@
 func (x *Exchange) receiveOutcomes(msg *wire.Usage) {
 	for _, l := range msg.GetLost() {
 		if id, ok := work.FromBytes(l.GetWork()); ok {
-			x.listener.HearLost(id, fleetwire.IncarnationOf(l))
+			x.listener.ReceiveCrash(id, fleetwire.IncarnationOf(l))
 			continue
 		}
 		x.log.Debug("usage_unreadable", logging.Err(errMissingWorkID))
 	}
 	for _, raw := range msg.GetAnswered() {
 		if id, ok := work.FromBytes(raw); ok {
-			x.listener.HearAnswered(id)
+			x.listener.ReceiveAnswered(id)
 			continue
 		}
 		x.log.Debug("usage_unreadable", logging.Err(errMissingWorkID))
--- a/usage/permits.go
+++ b/usage/permits.go
@@ -27,12 +27,12 @@
 	x.addresses.Store(&resolved)
 }
 
-// Ask sends a node a request for permits.
-func (x *Exchange) Ask(cmd limit.AskCmd) {
-	id, born := fleetwire.IncarnationFields(cmd.Ask.Upstream)
+// SendPermitRequest sends a node a request for permits.
+func (x *Exchange) SendPermitRequest(cmd limit.PermitRequestCmd) {
+	id, born := fleetwire.IncarnationFields(cmd.PermitRequest.Upstream)
 	x.sendTo(cmd.To, &wire.Usage{From: x.self, PermitAsk: &wire.PermitAsk{
-		Id: id, Born: born, Life: cmd.Ask.Life, Number: cmd.Ask.Number, Want: uint32(cmd.Ask.Want),
-		Named: x.encodeLimit(cmd.Ask.Named), Sent: cmd.Ask.Sent,
+		Id: id, Born: born, Life: cmd.PermitRequest.BootID, Number: cmd.PermitRequest.Seq, Want: uint32(cmd.PermitRequest.Permits),
+		Named: x.encodeLimit(cmd.PermitRequest.Advertised), Sent: cmd.PermitRequest.Unpermitted,
 	}})
 }
 
@@ -40,8 +40,8 @@
 func (x *Exchange) SendPermitGrant(to string, grant limit.Grant) {
 	id, born := fleetwire.IncarnationFields(grant.Upstream)
 	x.sendTo(to, &wire.Usage{From: x.self, PermitGrant: &wire.PermitGrant{
-		Id: id, Born: born, Life: grant.Life, Number: grant.Number, Permits: uint32(grant.Permits),
-		NextMs: int64(grant.NextIn), Queue: uint32(grant.Queue), Named: x.encodeLimit(grant.Named),
+		Id: id, Born: born, Life: grant.BootID, Number: grant.Seq, Permits: uint32(grant.Permits),
+		NextMs: int64(grant.NextIn), Queue: uint32(grant.Denied), Named: x.encodeLimit(grant.Advertised),
 	}})
 }
 
@@ -86,22 +86,22 @@
 func (x *Exchange) receivePermits(msg *wire.Usage) bool {
 	if ask := msg.GetPermitAsk(); ask != nil {
 		x.recordPermitRequester(msg.GetFrom())
-		x.listener.HearAsk(msg.GetFrom(), limit.Ask{
-			Upstream: fleetwire.IncarnationOf(ask), Life: ask.GetLife(), Number: ask.GetNumber(), Want: int(ask.GetWant()),
-			Named: x.decodeLimit(ask.GetNamed()), Sent: ask.GetSent(),
+		x.listener.ReceivePermitRequest(msg.GetFrom(), limit.PermitRequest{
+			Upstream: fleetwire.IncarnationOf(ask), BootID: ask.GetLife(), Seq: ask.GetNumber(), Permits: int(ask.GetWant()),
+			Advertised: x.decodeLimit(ask.GetNamed()), Unpermitted: ask.GetSent(),
 		})
 	}
 	if grant := msg.GetPermitGrant(); grant != nil {
-		x.listener.HearGrant(msg.GetFrom(), limit.Grant{
-			Upstream: fleetwire.IncarnationOf(grant), Life: grant.GetLife(), Number: grant.GetNumber(), Permits: int(grant.GetPermits()),
-			NextIn: clock.Millis(grant.GetNextMs()), Queue: int(grant.GetQueue()), Named: x.decodeLimit(grant.GetNamed()),
+		x.listener.ReceivePermitGrant(msg.GetFrom(), limit.Grant{
+			Upstream: fleetwire.IncarnationOf(grant), BootID: grant.GetLife(), Seq: grant.GetNumber(), Permits: int(grant.GetPermits()),
+			NextIn: clock.Millis(grant.GetNextMs()), Denied: int(grant.GetQueue()), Advertised: x.decodeLimit(grant.GetNamed()),
 		})
 	}
 	return msg.GetPermitAsk() != nil || msg.GetPermitGrant() != nil
 }
 
 // encodeLimits encodes rate limits by upstream.
-func (x *Exchange) encodeLimits(limits map[fleet.Incarnation]limit.Named) []*wire.UpstreamLimit {
+func (x *Exchange) encodeLimits(limits map[fleet.Incarnation]limit.Advertised) []*wire.UpstreamLimit {
 	var list []*wire.UpstreamLimit
 	for upstream, advertised := range limits {
 		id, born := fleetwire.IncarnationFields(upstream)
@@ -111,11 +111,11 @@
 }
 
 // decodeLimits is the reverse of encodeLimits.
-func (x *Exchange) decodeLimits(list []*wire.UpstreamLimit) map[fleet.Incarnation]limit.Named {
+func (x *Exchange) decodeLimits(list []*wire.UpstreamLimit) map[fleet.Incarnation]limit.Advertised {
 	if len(list) == 0 {
 		return nil
 	}
-	limits := make(map[fleet.Incarnation]limit.Named, len(list))
+	limits := make(map[fleet.Incarnation]limit.Advertised, len(list))
 	for _, l := range list {
 		limits[fleetwire.IncarnationOf(l)] = x.decodeLimit(l.GetNamed())
 	}
@@ -123,14 +123,14 @@
 }
 
 // encodeLimit encodes an advertised limit with its age, since the clocks of nodes differ.
-func (x *Exchange) encodeLimit(advertised limit.Named) *wire.NamedLimit {
+func (x *Exchange) encodeLimit(advertised limit.Advertised) *wire.NamedLimit {
 	return &wire.NamedLimit{Rate: advertised.Rate, AgeMs: int64(clock.AgeOf(advertised.ReceivedAt, x.clock.Now()))}
 }
 
 // decodeLimit is the reverse of encodeLimit.
-func (x *Exchange) decodeLimit(advertised *wire.NamedLimit) limit.Named {
+func (x *Exchange) decodeLimit(advertised *wire.NamedLimit) limit.Advertised {
 	if advertised.GetAgeMs() < 0 {
-		return limit.Named{ReceivedAt: clock.Never}
+		return limit.Advertised{ReceivedAt: clock.Never}
 	}
-	return limit.Named{Rate: advertised.GetRate(), ReceivedAt: x.clock.Now().Sub(clock.Millis(advertised.GetAgeMs()))}
+	return limit.Advertised{Rate: advertised.GetRate(), ReceivedAt: x.clock.Now().Sub(clock.Millis(advertised.GetAgeMs()))}
 }
--- a/usage/recipients.go
+++ b/usage/recipients.go
@@ -16,7 +16,7 @@
 	// Leaves, the nodes that this node is a hub of, the usage of all nodes. Absent are hubs
 	// that have not responded recently; they receive this node's usage less often.
 	Usage           []string
-	Absent          []string
+	MissingHubs     []string
 	DataCentreTotal []string
 	Leaves          []string
 	// Hubs is the list of hubs that is sent to leaves. Leaves do not register, and
@@ -64,7 +64,7 @@
 // SetRecipients sets the recipients of all messages, and sends recent crashes to them.
 func (x *Exchange) SetRecipients(r Recipients) {
 	x.recipients.Store(&recipients{
-		usage: x.resolve(r.Usage), infrequentUsage: x.resolve(r.Absent), dataCentreTotal: x.resolve(r.DataCentreTotal), leaves: x.resolve(r.Leaves), placements: x.resolve(r.Placements),
+		usage: x.resolve(r.Usage), infrequentUsage: x.resolve(r.MissingHubs), dataCentreTotal: x.resolve(r.DataCentreTotal), leaves: x.resolve(r.Leaves), placements: x.resolve(r.Placements),
 		unresponsive: x.resolve(r.Unresponsive), outcomes: x.resolve(r.Outcomes), forward: x.resolve(r.Forward),
 		hubs: r.Hubs,
 	})
--- a/usage/unresponsive.go
+++ b/usage/unresponsive.go
@@ -13,8 +13,8 @@
 // later.
 const unresponsiveResendDelay = 50 * time.Millisecond
 
-// Silent reports to peers, in the next batch, that this node found an engine unresponsive.
-func (x *Exchange) Silent(upstream fleet.Incarnation) { x.unresponsive.add(upstream) }
+// Unresponsive reports to peers, in the next batch, that this node found an engine unresponsive.
+func (x *Exchange) Unresponsive(upstream fleet.Incarnation) { x.unresponsive.add(upstream) }
 
 func (x *Exchange) sendUnresponsive(upstreams []fleet.Incarnation) {
 	msg := &wire.Usage{From: x.self}
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -65,22 +65,22 @@
 
 // Listener handles messages from other nodes.
 type Listener interface {
-	// HearUse handles a usage report.
-	HearUse(from *wire.Member, msg Report)
-	// HearPlaced handles a placement order that an engine accepted; holds is set once the
+	// ReceiveUsage handles a usage report.
+	ReceiveUsage(from *wire.Member, msg Report)
+	// ReceivePlacement handles a placement order that an engine accepted; holds is set once the
 	// engine has loaded the layers.
-	HearPlaced(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool)
-	// HearSilent handles the report that an engine is unresponsive.
-	HearSilent(from *wire.Member, upstream fleet.Incarnation)
-	// HearLost handles the report that an upstream crashed while executing a request.
-	HearLost(id work.ID, upstream fleet.Incarnation)
-	// HearAsk handles a request for permits, and HearGrant the grant for a request of this
+	ReceivePlacement(upstream fleet.Incarnation, layers fleet.LayerRange, holds bool)
+	// ReceiveUnresponsive handles the report that an engine is unresponsive.
+	ReceiveUnresponsive(from *wire.Member, upstream fleet.Incarnation)
+	// ReceiveCrash handles the report that an upstream crashed while executing a request.
+	ReceiveCrash(id work.ID, upstream fleet.Incarnation)
+	// ReceivePermitRequest handles a request for permits, and ReceivePermitGrant the grant for a request of this
 	// node.
-	HearAsk(from *wire.Member, ask limit.Ask)
-	HearGrant(from *wire.Member, grant limit.Grant)
-	// HearAnswered handles the report that an upstream answered a request which was lost in a
+	ReceivePermitRequest(from *wire.Member, ask limit.PermitRequest)
+	ReceivePermitGrant(from *wire.Member, grant limit.Grant)
+	// ReceiveAnswered handles the report that an upstream answered a request which was lost in a
 	// crash before.
-	HearAnswered(id work.ID)
+	ReceiveAnswered(id work.ID)
 }
 
 // Report is a usage report of a node.
@@ -88,13 +88,13 @@
 	// Used is the usage by engine.
 	Used map[fleet.Incarnation]fleet.EngineUsage
 	// Limits are the rate limits by upstream that are known to the sender.
-	Limits map[fleet.Incarnation]limit.Named
-	// Total is set if the usage is that of all nodes in the sender's data centre, and Whole if
-	// it is that of all nodes known to the sender. HeardOf then lists the other data centres
+	Limits map[fleet.Incarnation]limit.Advertised
+	// WholeDataCentre is set if the usage is that of all nodes in the sender's data centre, and Whole if
+	// it is that of all nodes known to the sender. IncludedDataCentres then lists the other data centres
 	// whose nodes are included.
-	Total   bool
-	Whole   bool
-	HeardOf []string
+	WholeDataCentre     bool
+	AllNodes            bool
+	IncludedDataCentres []string
 	// Nodes is the number of nodes whose usage is included; 0 if unknown.
 	Nodes int
 	// Hubs are the hubs of the sender's data centre; empty if this report does not list them.
@@ -142,19 +142,19 @@
 
 // SendUsage sends peers this node's usage and the limits known to it. Calls must not be
 // concurrent.
-func (x *Exchange) SendUsage(used map[fleet.Incarnation]fleet.EngineUsage, limits map[fleet.Incarnation]limit.Named) {
+func (x *Exchange) SendUsage(used map[fleet.Incarnation]fleet.EngineUsage, limits map[fleet.Incarnation]limit.Advertised) {
 	x.send(&wire.Usage{From: x.self, Followable: x.followable(), Engines: encodeEngines(used), Quarantine: x.quarantine(), Limits: x.encodeLimits(limits)}, x.usageRecipients())
 }
 
 // SendDataCentreTotal sends peers in other data centres the usage of all nodes in this data
 // centre.
-func (x *Exchange) SendDataCentreTotal(used map[fleet.Incarnation]fleet.EngineUsage, nodes int, limits map[fleet.Incarnation]limit.Named) {
+func (x *Exchange) SendDataCentreTotal(used map[fleet.Incarnation]fleet.EngineUsage, nodes int, limits map[fleet.Incarnation]limit.Advertised) {
 	x.send(&wire.Usage{From: x.self, Total: true, Nodes: uint32(nodes), Engines: encodeEngines(used), Quarantine: x.quarantine(), Limits: x.encodeLimits(limits)}, x.recipients.Load().dataCentreTotal)
 }
 
 // SendAllNodes sends the leaves of this hub the usage of all known nodes, including
 // those of the given other data centres.
-func (x *Exchange) SendAllNodes(used map[fleet.Incarnation]fleet.EngineUsage, dataCentres []string, nodes int, limits map[fleet.Incarnation]limit.Named) {
+func (x *Exchange) SendAllNodes(used map[fleet.Incarnation]fleet.EngineUsage, dataCentres []string, nodes int, limits map[fleet.Incarnation]limit.Advertised) {
 	x.sendToLeaves(&wire.Usage{Whole: true, Nodes: uint32(nodes), HeardOf: dataCentres, Engines: encodeEngines(used), Limits: x.encodeLimits(limits)})
 }
 
@@ -226,10 +226,10 @@
 	}
 	x.forward(&msg)
 	for _, p := range msg.GetPlaced() {
-		x.listener.HearPlaced(fleetwire.IncarnationOf(p), fleet.LayerRange{From: int(p.GetFrom()), To: int(p.GetTo())}, p.GetHolds())
+		x.listener.ReceivePlacement(fleetwire.IncarnationOf(p), fleet.LayerRange{From: int(p.GetFrom()), To: int(p.GetTo())}, p.GetHolds())
 	}
 	for _, u := range msg.GetSilent() {
-		x.listener.HearSilent(msg.GetFrom(), fleetwire.IncarnationOf(u))
+		x.listener.ReceiveUnresponsive(msg.GetFrom(), fleetwire.IncarnationOf(u))
 	}
 	x.receiveOutcomes(&msg)
 	if x.receivePermits(&msg) {
@@ -242,5 +242,5 @@
 	for _, e := range msg.GetEngines() {
 		used[fleetwire.IncarnationOf(e)] = fleet.EngineUsage{Memory: e.GetAmount(), Streams: int(e.GetStreams())}
 	}
-	x.listener.HearUse(msg.GetFrom(), Report{Used: used, Limits: x.decodeLimits(msg.GetLimits()), Total: msg.GetTotal(), Whole: msg.GetWhole(), HeardOf: msg.GetHeardOf(), Nodes: int(msg.GetNodes()), Hubs: msg.GetHubs(), Followable: msg.GetFollowable(), QuarantineDigest: msg.GetQuarantine()})
+	x.listener.ReceiveUsage(msg.GetFrom(), Report{Used: used, Limits: x.decodeLimits(msg.GetLimits()), WholeDataCentre: msg.GetTotal(), AllNodes: msg.GetWhole(), IncludedDataCentres: msg.GetHeardOf(), Nodes: int(msg.GetNodes()), Hubs: msg.GetHubs(), Followable: msg.GetFollowable(), QuarantineDigest: msg.GetQuarantine()})
 }
--- a/usage/usage_test.go
+++ b/usage/usage_test.go
@@ -27,38 +27,38 @@
 	// crashed and answered are the requests of reported outcomes.
 	crashed  work.ID
 	answered work.ID
-	ask      limit.Ask
+	ask      limit.PermitRequest
 	grant    limit.Grant
 }
 
 // inbox is a usage.Listener that queues the messages it receives.
 type inbox chan received
 
-func (i inbox) HearUse(from *wire.Member, msg usage.Report) {
+func (i inbox) ReceiveUsage(from *wire.Member, msg usage.Report) {
 	i <- received{from: from.GetName(), msg: msg}
 }
 
-func (i inbox) HearPlaced(upstream fleet.Incarnation, layers fleet.LayerRange, _ bool) {
+func (i inbox) ReceivePlacement(upstream fleet.Incarnation, layers fleet.LayerRange, _ bool) {
 	i <- received{placement: upstream.String(), layers: layers}
 }
 
-func (i inbox) HearSilent(from *wire.Member, upstream fleet.Incarnation) {
+func (i inbox) ReceiveUnresponsive(from *wire.Member, upstream fleet.Incarnation) {
 	i <- received{from: from.GetName(), unresponsive: upstream.String()}
 }
 
-func (i inbox) HearLost(id work.ID, upstream fleet.Incarnation) {
+func (i inbox) ReceiveCrash(id work.ID, upstream fleet.Incarnation) {
 	i <- received{crashed: id, from: upstream.String()}
 }
 
-func (i inbox) HearAsk(from *wire.Member, ask limit.Ask) {
+func (i inbox) ReceivePermitRequest(from *wire.Member, ask limit.PermitRequest) {
 	i <- received{from: from.GetName(), ask: ask}
 }
 
-func (i inbox) HearGrant(from *wire.Member, grant limit.Grant) {
+func (i inbox) ReceivePermitGrant(from *wire.Member, grant limit.Grant) {
 	i <- received{from: from.GetName(), grant: grant}
 }
 
-func (i inbox) HearAnswered(id work.ID) { i <- received{answered: id} }
+func (i inbox) ReceiveAnswered(id work.ID) { i <- received{answered: id} }
 
 func newNode(t *testing.T, name string) (*usage.Exchange, inbox) {
 	t.Helper()
@@ -79,9 +79,9 @@
 	far, farInbox := newNode(t, "c")
 	sender.SetPeers([]string{near.Address()}, []string{far.Address()})
 
-	sender.SendUsage(map[fleet.Incarnation]fleet.EngineUsage{fleet.IncarnationByID("e1"): {Memory: 5, Streams: 2}}, map[fleet.Incarnation]limit.Named{fleet.IncarnationByID("e1"): {Rate: 4.5}})
+	sender.SendUsage(map[fleet.Incarnation]fleet.EngineUsage{fleet.IncarnationByID("e1"): {Memory: 5, Streams: 2}}, map[fleet.Incarnation]limit.Advertised{fleet.IncarnationByID("e1"): {Rate: 4.5}})
 	got := <-nearInbox
-	if got.from != "a" || !got.msg.Followable || got.msg.Total || got.msg.Used[fleet.IncarnationByID("e1")] != (fleet.EngineUsage{Memory: 5, Streams: 2}) {
+	if got.from != "a" || !got.msg.Followable || got.msg.WholeDataCentre || got.msg.Used[fleet.IncarnationByID("e1")] != (fleet.EngineUsage{Memory: 5, Streams: 2}) {
 		t.Errorf("got %+v, want the usage of a", got)
 	}
 	if advertised := got.msg.Limits[fleet.IncarnationByID("e1")]; advertised.Rate != 4.5 || advertised.ReceivedAt == clock.Never {
@@ -90,7 +90,7 @@
 
 	sender.SendDataCentreTotal(map[fleet.Incarnation]fleet.EngineUsage{fleet.IncarnationByID("e1"): {Memory: 50, Streams: 2}}, 3, nil)
 	got = <-farInbox
-	if !got.msg.Total || got.msg.Nodes != 3 || !maps.Equal(got.msg.Used, map[fleet.Incarnation]fleet.EngineUsage{fleet.IncarnationByID("e1"): {Memory: 50, Streams: 2}}) {
+	if !got.msg.WholeDataCentre || got.msg.Nodes != 3 || !maps.Equal(got.msg.Used, map[fleet.Incarnation]fleet.EngineUsage{fleet.IncarnationByID("e1"): {Memory: 50, Streams: 2}}) {
 		t.Errorf("got %+v, want a data centre total of 50", got)
 	}
 
@@ -101,7 +101,7 @@
 		}
 	}
 
-	sender.Silent(fleet.IncarnationByID("e4"))
+	sender.Unresponsive(fleet.IncarnationByID("e4"))
 	for {
 		got := <-nearInbox
 		if got.placement != "" {
@@ -121,19 +121,19 @@
 	requester.SetAddresses(map[string]string{"b": granter.Address()})
 	granter.SetAddresses(map[string]string{"a": requester.Address()})
 
-	requester.Ask(limit.AskCmd{To: "nobody", Ask: limit.Ask{Number: 6}})
-	want := limit.Ask{Upstream: fleet.IncarnationByID("e1"), Life: 9, Number: 7, Want: 3, Named: limit.Named{Rate: 4.5, ReceivedAt: clock.Never}, Sent: []uint32{0, 2}}
-	requester.Ask(limit.AskCmd{To: "b", Ask: want})
+	requester.SendPermitRequest(limit.PermitRequestCmd{To: "nobody", PermitRequest: limit.PermitRequest{Seq: 6}})
+	want := limit.PermitRequest{Upstream: fleet.IncarnationByID("e1"), BootID: 9, Seq: 7, Permits: 3, Advertised: limit.Advertised{Rate: 4.5, ReceivedAt: clock.Never}, Unpermitted: []uint32{0, 2}}
+	requester.SendPermitRequest(limit.PermitRequestCmd{To: "b", PermitRequest: want})
 	got := <-granterInbox
-	if got.from != "a" || !reflect.DeepEqual(got.ask.Sent, want.Sent) || got.ask.Upstream != want.Upstream || got.ask.Number != want.Number ||
-		got.ask.Life != want.Life || got.ask.Want != want.Want || got.ask.Named.ReceivedAt != clock.Never {
+	if got.from != "a" || !reflect.DeepEqual(got.ask.Unpermitted, want.Unpermitted) || got.ask.Upstream != want.Upstream || got.ask.Seq != want.Seq ||
+		got.ask.BootID != want.BootID || got.ask.Permits != want.Permits || got.ask.Advertised.ReceivedAt != clock.Never {
 		t.Errorf("got %+v from %s, want %+v", got.ask, got.from, want)
 	}
 
-	grant := limit.Grant{Upstream: fleet.IncarnationByID("e1"), Life: 9, Number: 7, Permits: 2, NextIn: 40, Queue: 5}
+	grant := limit.Grant{Upstream: fleet.IncarnationByID("e1"), BootID: 9, Seq: 7, Permits: 2, NextIn: 40, Denied: 5}
 	granter.SendPermitGrant("a", grant)
 	back := <-requesterInbox
-	back.grant.Named = limit.Named{}
+	back.grant.Advertised = limit.Advertised{}
 	if back.from != "b" || back.grant != grant {
 		t.Errorf("got %+v from %s, want %+v", back.grant, back.from, grant)
 	}
