--- a/dispatch/cmd.go
+++ b/dispatch/cmd.go
@@ -177,7 +177,7 @@
 }
 
 // QuarantineCmd reports a change in the quarantine of requests that crash upstreams.
-type QuarantineCmd struct{ News quarantine.Event }
+type QuarantineCmd struct{ Event quarantine.Event }
 
 // RecheckDeadlineCmd resets the timers of a request after a suspension of the VM, during which
 // they did not run.
--- a/dispatch/loss.go
+++ b/dispatch/loss.go
@@ -169,7 +169,7 @@
 func (m *Model) quarantineCmds(news []quarantine.Event) []Cmd {
 	var cmds []Cmd
 	for _, n := range news {
-		cmds = append(cmds, QuarantineCmd{News: n})
+		cmds = append(cmds, QuarantineCmd{Event: n})
 	}
 	return cmds
 }
--- a/dispatch/script_test.go
+++ b/dispatch/script_test.go
@@ -299,7 +299,7 @@
 	case dispatch.IdentifyCmd:
 		return "identify " + c.Upstream.String()
 	case dispatch.QuarantineCmd:
-		return showNews(c.News)
+		return showEvent(c.Event)
 	case dispatch.RecheckDeadlineCmd:
 		return fmt.Sprintf("wake %d give_up=%d", c.Request, c.Deadline)
 	case dispatch.BackOffCmd:
@@ -316,7 +316,7 @@
 	return fmt.Sprintf("%T", cmd)
 }
 
-func showNews(news quarantine.Event) string {
+func showEvent(news quarantine.Event) string {
 	switch n := news.(type) {
 	case quarantine.LossEvent:
 		return "lost at " + n.Upstream.String()
--- a/lab/node.go
+++ b/lab/node.go
@@ -183,7 +183,7 @@
 	case dispatch.IdentifyCmd:
 		n.identify(cmd)
 	case dispatch.QuarantineCmd:
-		n.shareQuarantineNews(cmd.News)
+		n.shareQuarantineEvent(cmd.Event)
 	case dispatch.RequestPermitsCmd:
 		n.requestPermits(cmd.PermitRequestCmd)
 	case dispatch.GrantPermitsCmd:
--- a/lab/node_tell.go
+++ b/lab/node_tell.go
@@ -87,8 +87,8 @@
 // entry.
 const maxQuarantineSyncMS = 700
 
-// shareQuarantineNews sends others the news about requests that crash engines.
-func (n *node) shareQuarantineNews(news quarantine.Event) {
+// shareQuarantineEvent sends others the news about requests that crash engines.
+func (n *node) shareQuarantineEvent(news quarantine.Event) {
 	w := n.world
 	if w.variant.NoQuarantineSharing {
 		return
--- a/node/node.go
+++ b/node/node.go
@@ -136,7 +136,7 @@
 		relay.WithCounters("quarantine_refused", n.keeper.Refused()), relay.WithCounters("orders", n.orderResults),
 		relay.WithCounters("quarantined", expvar.Func(n.quarantined.count)),
 		relay.WithCounters("peers", expvar.Func(func() any { return n.PeerCount() })),
-		relay.WithListAge(listAge), relay.WithResponsivenessHandler(n.reportUnresponsive), relay.WithUsageSharing(n.sendUsage), relay.WithLeavingHandler(n.markLeaving), relay.WithReplacedHandler(n.markReplaced), relay.WithQuarantine(n.handleQuarantineNews),
+		relay.WithListAge(listAge), relay.WithResponsivenessHandler(n.reportUnresponsive), relay.WithUsageSharing(n.sendUsage), relay.WithLeavingHandler(n.markLeaving), relay.WithReplacedHandler(n.markReplaced), relay.WithQuarantine(n.handleQuarantineEvent),
 		relay.WithPermitExchange(n.usage.SendPermitRequest, n.usage.SendPermitGrant))
 	planner := placement.New(placement.WithDelay(plannerDelay(int(hash(s.Name)%provisionalRanks))), placement.WithStart(n.clock.Now()))
 	n.placer = placer.New(planner, n.engines, n.clock, n.log, n.publishPlacement, placer.WithSeed(hash(s.Name)), placer.WithListAge(listAge),
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -161,9 +161,9 @@
 	return true
 }
 
-// handleQuarantineNews shares, stores or removes requests after the relay has decided about
+// handleQuarantineEvent shares, stores or removes requests after the relay has decided about
 // them.
-func (n *Node) handleQuarantineNews(news quarantine.Event) {
+func (n *Node) handleQuarantineEvent(news quarantine.Event) {
 	switch news := news.(type) {
 	case quarantine.LossEvent:
 		n.log.Info("lost", zap.Stringer("work", news.Work), zap.Stringer("upstream", news.Upstream))
--- a/relay/decider.go
+++ b/relay/decider.go
@@ -152,7 +152,7 @@
 	case dispatch.IdentifyCmd:
 		d.identify(cmd)
 	case dispatch.QuarantineCmd:
-		d.onQuarantine(cmd.News)
+		d.onQuarantine(cmd.Event)
 	case dispatch.RequestPermitsCmd:
 		d.requestPermits(cmd.PermitRequestCmd)
 	case dispatch.GrantPermitsCmd:
