--- a/follow/reader_test.go
+++ b/follow/reader_test.go
@@ -240,7 +240,7 @@
 	checkCalls(t, published.calls, []string{"set", "set u1 u2 u3"})
 }
 
-// Checks that a node without a reader makes no store calls while Waits reports true, except for
+// Checks that a node without a reader makes no store calls while ShouldWait reports true, except for
 // its initial reading.
 func TestShouldWaitDelaysStoreCalls(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
--- a/limit/msg.go
+++ b/limit/msg.go
@@ -18,7 +18,7 @@
 // PermitRequest requests permits for an upstream from the node that grants them.
 type PermitRequest struct {
 	Upstream fleet.Incarnation
-	// BootID is a random number that the node draws at each start. Number counts its requests. A
+	// BootID is a random number that the node draws at each start. Seq counts its requests. A
 	// request that is resent keeps its number and gets the same grant.
 	BootID uint64
 	Seq    uint64
@@ -32,7 +32,7 @@
 	Unpermitted []uint32
 }
 
-// Grant answers an Ask.
+// Grant answers a PermitRequest.
 type Grant struct {
 	Upstream fleet.Incarnation
 	BootID   uint64
--- a/limit/request.go
+++ b/limit/request.go
@@ -6,7 +6,7 @@
 )
 
 // RequestPermits requests permits, or resends the pending request. If this node is the granter,
-// the grant is applied before Ask returns.
+// the grant is applied before RequestPermits returns.
 func (l *Limiter) RequestPermits(now clock.Millis, upstream fleet.Incarnation, permits int) []PermitRequestCmd {
 	s := l.upstreamState(upstream)
 	if !s.requesting {
--- a/placement/shape.go
+++ b/placement/shape.go
@@ -10,7 +10,7 @@
 	LayerTokens float64
 	// LoadTime is the time to load one layer, in milliseconds.
 	LoadTime float64
-	// PromptTokens and Answer are the tokens of a request of the usual size.
+	// PromptTokens and AnswerTokens are the tokens of a request of the usual size.
 	PromptTokens float64
 	AnswerTokens float64
 	// Pass describes the cost of an engine's pass.
--- a/standin/stream_client.go
+++ b/standin/stream_client.go
@@ -8,7 +8,7 @@
 
 // StreamClient is a client that requests a stream of a deployment.
 type StreamClient struct {
-	// ID is the attempt's id, Key the API key of the client account. Subject
+	// ID is the attempt's id, Key the API key of the client account. PromptID
 	// identifies the part of the prompt that is not shared with other prompts.
 	ID, Key, PromptID string
 	// RemainingMS is the time until the client's deadline, in ms. PromptTokens and
--- a/usage/recipients.go
+++ b/usage/recipients.go
@@ -13,7 +13,7 @@
 // Recipients are the addresses that the node sends to, by the kind of message.
 type Recipients struct {
 	// Usage receive this node's usage, DataCentreTotal the total of its data centre, and
-	// Leaves, the nodes that this node is a hub of, the usage of all nodes. Absent are hubs
+	// Leaves, the nodes that this node is a hub of, the usage of all nodes. MissingHubs are hubs
 	// that have not responded recently; they receive this node's usage less often.
 	Usage           []string
 	MissingHubs     []string
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -89,9 +89,9 @@
 	Used map[fleet.Incarnation]fleet.EngineUsage
 	// Limits are the rate limits by upstream that are known to the sender.
 	Limits map[fleet.Incarnation]limit.Advertised
-	// WholeDataCentre is set if the usage is that of all nodes in the sender's data centre, and Whole if
-	// it is that of all nodes known to the sender. IncludedDataCentres then lists the other data centres
-	// whose nodes are included.
+	// WholeDataCentre is set if the usage is that of all nodes in the sender's data centre, and
+	// AllNodes if it is that of all nodes known to the sender. IncludedDataCentres then lists the
+	// other data centres whose nodes are included.
 	WholeDataCentre     bool
 	AllNodes            bool
 	IncludedDataCentres []string
